--- a/packages/gateway/src/allotment_across_a_cut_test.ts
+++ b/packages/gateway/src/allotment_across_a_cut_test.ts
@@ -133,7 +133,7 @@
     if (this.#network.isCut(fromId, toId)) {
       return;
     }
-    const wayMs = message.kind === MessageKind.Beat ? WAY_MS : 0;
+    const wayMs = message.kind === MessageKind.Heartbeat ? WAY_MS : 0;
     this.#network.later(
       wayMs,
       () => deliverTo(this.#nodes.get(toId)!, { message, fromId }),
--- a/packages/gateway/src/answer_watch.ts
+++ b/packages/gateway/src/answer_watch.ts
@@ -107,7 +107,7 @@
     if (nowMs - sinceMs < SILENT_MS) {
       return Sign.InTime;
     }
-    const beatAtMs = this.#members.get(instanceId)?.heardAtMs ?? -Infinity;
+    const beatAtMs = this.#members.get(instanceId)?.lastHeartbeatAtMs ?? -Infinity;
     const answeredAtMs = this.#answeredAtMs.get(instanceId) ?? -Infinity;
     const heardAtMs = Math.max(beatAtMs, answeredAtMs);
     const isSilent = nowMs - sinceMs >= this.silentMs &&
--- a/packages/gateway/src/answer_watch_test.ts
+++ b/packages/gateway/src/answer_watch_test.ts
@@ -10,7 +10,7 @@
 function watched() {
   const { members } = boardOf([]);
   const watch = new AnswerWatch(members);
-  const beat = (atMs: number) => members.heard(memberOf(COORDINATOR_ID), atMs);
+  const beat = (atMs: number) => members.heartbeatReceived(memberOf(COORDINATOR_ID), atMs);
   const answered = (nowMs: number, tookMs: number) =>
     watch.answered(COORDINATOR_ID, { nowMs, tookMs });
   const sign = (sinceMs: number, nowMs: number) =>
--- a/packages/gateway/src/attempt_account.ts
+++ b/packages/gateway/src/attempt_account.ts
@@ -107,7 +107,7 @@
       process,
       inTrial,
       endedCount: suspects.endedCount(fingerprint),
-      heldForMs: Math.round(suspects.heldForMs(fingerprint, clock.nowMs())),
+      heldForMs: Math.round(suspects.quarantineLeftMs(fingerprint, clock.nowMs())),
     });
   }
 
@@ -119,7 +119,7 @@
   unanswered(attempt: TargetAttempt): void {
     const { board, clock } = this.#parts;
     const { failureDomain } = attempt.order.target;
-    if (board.cutDomains.unanswered(failureDomain, clock.nowMs())) {
+    if (board.cutDomains.targetUnreachable(failureDomain, clock.nowMs())) {
       this.#log("failure domain is cut off", { failureDomain });
     }
   }
--- a/packages/gateway/src/configuration_keeper_test.ts
+++ b/packages/gateway/src/configuration_keeper_test.ts
@@ -11,7 +11,7 @@
 /** A heartbeat that tells of a version, as current as some time ago. */
 function beatOf(over: Partial<Beat>): Beat {
   return {
-    kind: MessageKind.Beat,
+    kind: MessageKind.Heartbeat,
     from: memberOf("i2"),
     memoryMs: 0,
     configurationVersion: 0,
--- a/packages/gateway/src/coordinator_choice.ts
+++ b/packages/gateway/src/coordinator_choice.ts
@@ -2,7 +2,7 @@
 
 import type { LedgerScope } from "@chestnuthatch/routing/allotment_ledger";
 import {
-  MEMBER_SILENCE_MS,
+  MEMBER_TIMEOUT_MS,
   type MemberRecord,
   type MemberView,
 } from "@chestnuthatch/routing/member_view";
@@ -90,7 +90,7 @@
   }
 
   #lookAt(nowMs: number): Look {
-    const { changes } = this.#members;
+    const { revision: changes } = this.#members;
     if (
       this.#look === undefined || nowMs >= this.#look.untilMs ||
       changes !== this.#look.changes
@@ -134,11 +134,11 @@
     if (agreed.instanceId !== this.#members.selfId) {
       this.#agreedSinceMs = undefined;
       const alive = this.#members.alive(nowMs).length;
-      return this.#members.heardShare(nowMs) / alive;
+      return this.#members.reachableShare(nowMs) / alive;
     }
     this.#agreedSinceMs ??= nowMs;
-    return nowMs - this.#agreedSinceMs < MEMBER_SILENCE_MS
-      ? this.#members.heardShare(nowMs)
-      : this.#members.directShare(nowMs, this.#spendingToldAtMs);
+    return nowMs - this.#agreedSinceMs < MEMBER_TIMEOUT_MS
+      ? this.#members.reachableShare(nowMs)
+      : this.#members.directlyReachableShare(nowMs, this.#spendingToldAtMs);
   }
 }
--- a/packages/gateway/src/fleet_news.ts
+++ b/packages/gateway/src/fleet_news.ts
@@ -4,17 +4,17 @@
  */
 
 import type { FleetConfiguration } from "@chestnuthatch/routing/fleet_configuration";
-import type { MemberNews } from "@chestnuthatch/routing/member_view";
+import type { MemberInfo } from "@chestnuthatch/routing/member_view";
 import { targetChangesSchema } from "@chestnuthatch/routing/peer_messages";
-import type { RolloutNews, RolloutOrder } from "@chestnuthatch/routing/rollout";
+import type { RolloutUpdate, RolloutOrder } from "@chestnuthatch/routing/rollout";
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
 import type { SpendingHistory } from "@chestnuthatch/routing/spending_log";
-import type { SuspectNews } from "@chestnuthatch/routing/suspect_requests";
+import type { SuspectUpdate } from "@chestnuthatch/routing/suspect_requests";
 import {
-  type TargetBelief,
-  type TargetChange,
+  type TargetEvent,
+  type TargetRowChange,
 } from "@chestnuthatch/routing/target_directory";
-import type { RateLimitNews } from "@chestnuthatch/routing/target_rate_limits";
+import type { RateLimitUpdate } from "@chestnuthatch/routing/target_rate_limits";
 import {
   ConfigurationKeeper,
   type ConfigurationParts,
@@ -39,8 +39,8 @@
   ordered(order: RolloutOrder): void;
   withdrawn(pool: string): void;
   listed(pools: ReadonlySet<string>): void;
-  told(news: readonly RolloutNews[]): void;
-  recordRead(record: readonly RolloutNews[], recordAgeMs: number): void;
+  told(news: readonly RolloutUpdate[]): void;
+  recordRead(record: readonly RolloutUpdate[], recordAgeMs: number): void;
   storeWentBack(): void;
 }
 
@@ -51,13 +51,13 @@
 export interface NewsParts extends Omit<ConfigurationParts, "reachesStore"> {
   readonly rollouts: RolloutNewsSink;
   /** Called when what is known of targets has changed. */
-  onTargets(beliefs: readonly TargetBelief[]): void;
+  onTargets(beliefs: readonly TargetEvent[]): void;
   /** Called with what the fleet recorded of workspaces' spending. */
   onSpending(record: readonly SpendingHistory[], ageMs: number): void;
   /** Called with requests under which targets ended, from anywhere. */
-  onSuspects(news: readonly SuspectNews[]): void;
+  onSuspects(news: readonly SuspectUpdate[]): void;
   /** Called with rate limits of targets that another instance reports. */
-  onRateLimits(news: readonly RateLimitNews[]): void;
+  onRateLimits(news: readonly RateLimitUpdate[]): void;
   /** Called when kept connections may have fallen silent. */
   onSilentConnection(): void;
   /** Called when what the fleet recorded of late may be gone. */
@@ -68,13 +68,13 @@
 export class FleetNews implements PlatformSink {
   readonly #parts: NewsParts;
   readonly #configuration: ConfigurationKeeper;
-  readonly #targetsFetch: PeerFetch<TargetChange[]>;
+  readonly #targetsFetch: PeerFetch<TargetRowChange[]>;
   #reachesStore = false;
   #knowsTargets = false;
   /** Newest version of targets that a heartbeat told of, and since when. */
   #toldVersion = 0;
   #toldAtMs = 0;
-  #targetNews: { change: TargetChange; untilMs: number }[] = [];
+  #targetNews: { change: TargetRowChange; untilMs: number }[] = [];
 
   /** @param parts What the keeper works with. */
   constructor(parts: NewsParts) {
@@ -124,7 +124,7 @@
   }
 
   /** @returns What this instance lately learned of targets. */
-  targetNews(): TargetChange[] {
+  targetNews(): TargetRowChange[] {
     const nowMs = this.#parts.clock.nowMs();
     this.#targetNews = this.#targetNews.filter(({ untilMs }) =>
       untilMs > nowMs
@@ -156,7 +156,7 @@
    * @param entries Every target on the platform's list.
    * @param version The list's version.
    */
-  targetsRead(entries: readonly TargetChange[], version: number): void {
+  targetsRead(entries: readonly TargetRowChange[], version: number): void {
     const { targets } = this.#parts.board;
     const isFirst = !this.#knowsTargets;
     this.#knowsTargets = true;
@@ -172,7 +172,7 @@
   }
 
   /** A long list takes more lines than a starting instance may write. */
-  #noteFirstList(beliefs: readonly TargetBelief[], version: number): void {
+  #noteFirstList(beliefs: readonly TargetEvent[], version: number): void {
     const count = beliefs.length;
     this.#parts.log.info(LogPart.Targets, "targets listed", { count, version });
     if (count <= MOST_LOGGED_AT_START) {
@@ -183,7 +183,7 @@
   }
 
   /** @param changes Rows of the list that changed. */
-  targetsChanged(changes: readonly TargetChange[]): void {
+  targetsChanged(changes: readonly TargetRowChange[]): void {
     const nowMs = this.#parts.clock.nowMs();
     this.#believed(this.#parts.board.targets.apply(changes, nowMs));
   }
@@ -203,10 +203,10 @@
   }
 
   /** @param members Instances on the platform's list. */
-  membersRead(members: readonly MemberNews[]): void {
+  membersRead(members: readonly MemberInfo[]): void {
     const nowMs = this.#parts.clock.nowMs();
     for (const member of members) {
-      this.#parts.board.members.toldOf(member, nowMs);
+      this.#parts.board.members.memberReported(member, nowMs);
     }
   }
 
@@ -226,7 +226,7 @@
    * @param record Requests under which targets had ended.
    * @param ageMs How long ago that was recorded.
    */
-  suspectsRead(record: readonly SuspectNews[], ageMs: number): void {
+  suspectsRead(record: readonly SuspectUpdate[], ageMs: number): void {
     this.#parts.onSuspects(
       record.map((each) => ({ ...each, ageMs: each.ageMs + ageMs })),
     );
@@ -251,7 +251,7 @@
    * @param record How far roll-outs were.
    * @param ageMs How long ago that was recorded.
    */
-  rolloutsRead(record: readonly RolloutNews[], ageMs: number): void {
+  rolloutsRead(record: readonly RolloutUpdate[], ageMs: number): void {
     this.#parts.rollouts.recordRead(record, ageMs);
   }
 
@@ -286,7 +286,7 @@
   reached(): void {
     if (!this.#reachesStore) {
       this.#parts.log.info(LogPart.Platform, "store reached");
-      this.#parts.board.targets.listAnswers(this.#parts.clock.nowMs());
+      this.#parts.board.targets.listAvailable(this.#parts.clock.nowMs());
     }
     this.#reachesStore = true;
   }
@@ -302,7 +302,7 @@
       targetsVersion: board.targets.version,
       configurationVersion: board.routes?.configuration.version,
     });
-    board.targets.listWentBack(clock.nowMs());
+    board.targets.listRestored(clock.nowMs());
     this.#parts.rollouts.storeWentBack();
     onStoreWentBack();
   }
@@ -351,9 +351,9 @@
     return this.#knowsTargets ? board.targets.all().map(changeOf) : undefined;
   }
 
-  #believed(beliefs: readonly TargetBelief[]): void {
+  #believed(beliefs: readonly TargetEvent[]): void {
     const { board, log } = this.#parts;
-    for (const { targetId, news, rowVersion } of beliefs) {
+    for (const { targetId, kind: news, rowVersion } of beliefs) {
       const target = board.targets.get(targetId)!;
       log.info(LogPart.Targets, `target ${news}`, {
         targetId,
@@ -388,7 +388,7 @@
 
 function changeOf(
   target: ReturnType<RoutingBoard["targets"]["all"]>[number],
-): TargetChange {
+): TargetRowChange {
   const {
     rowVersion,
     removedAtMs,
--- a/packages/gateway/src/fleet_news_test.ts
+++ b/packages/gateway/src/fleet_news_test.ts
@@ -10,7 +10,7 @@
 
 function beatOf(targetsVersion: number): Beat {
   return {
-    kind: MessageKind.Beat,
+    kind: MessageKind.Heartbeat,
     from: memberOf("i2"),
     memoryMs: 0,
     configurationVersion: 0,
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -3,10 +3,10 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { Coordinator } from "@chestnuthatch/routing/coordinator";
 import { ConfigurationAge } from "@chestnuthatch/routing/configuration_age";
-import { CutDomains } from "@chestnuthatch/routing/cut_domains";
+import { UnreachableDomains } from "@chestnuthatch/routing/unreachable_domains";
 import type { FleetConfiguration } from "@chestnuthatch/routing/fleet_configuration";
 import {
-  type MemberNews,
+  type MemberInfo,
   MemberView,
 } from "@chestnuthatch/routing/member_view";
 import {
@@ -73,7 +73,7 @@
   readonly #startedAtMs: number;
   readonly #log: EventLog;
   readonly #metrics = new GatewayMetrics();
-  readonly #self: MemberNews;
+  readonly #self: MemberInfo;
   readonly #socket: PeerSocket;
   readonly #catalog: PeerCatalog;
   readonly #connections = new TargetConnections();
@@ -125,7 +125,7 @@
       configurationAge: new ConfigurationAge(),
       targets: new TargetDirectory(),
       members,
-      cutDomains: new CutDomains(members),
+      cutDomains: new UnreachableDomains(members),
       health: new TargetHealth(),
       rateLimits: new TargetRateLimits(),
       paces: new TargetPaces(),
@@ -346,7 +346,7 @@
   }
 
   #heard(message: RoutingMessage, fromAddress: string): void {
-    if (message.kind === MessageKind.Beat) {
+    if (message.kind === MessageKind.Heartbeat) {
       this.#membership.heard(message);
       const isCoordinator =
         message.from.instanceId === this.#desk.coordinatorId;
@@ -395,7 +395,7 @@
       });
       this.#coordinator.forgetAll();
     }
-    this.board.members.remembers(
+    this.board.members.memoryReported(
       this.#self.instanceId,
       nowMs - this.#startedAtMs,
       nowMs,
@@ -435,7 +435,7 @@
     if (isCoordinator) {
       void this.#spending.record();
       this.#suspects.record();
-      this.#rollouts.tick(this.board.members.heardShare(this.#clock.nowMs()));
+      this.#rollouts.tick(this.board.members.reachableShare(this.#clock.nowMs()));
     }
   }
 
@@ -503,10 +503,10 @@
           : [],
       suspects: () =>
         this.#wasCoordinator
-          ? this.board.suspects.toTell(this.#clock.nowMs())
+          ? this.board.suspects.updatesToSend(this.#clock.nowMs())
           : [],
-      rollouts: () => this.board.rollouts.toTell(this.#clock.nowMs()),
-      rateLimits: (of) => this.board.rateLimits.toTell(this.#clock.nowMs(), of),
+      rollouts: () => this.board.rollouts.updatesToSend(this.#clock.nowMs()),
+      rateLimits: (of) => this.board.rateLimits.updatesToSend(this.#clock.nowMs(), of),
       targetNews: () => this.#news.targetNews(),
     }, this.#self);
   }
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -5,7 +5,7 @@
   Coordinator,
   type FleetBounds,
 } from "@chestnuthatch/routing/coordinator";
-import { CutDomains } from "@chestnuthatch/routing/cut_domains";
+import { UnreachableDomains } from "@chestnuthatch/routing/unreachable_domains";
 import type { Allotment } from "@chestnuthatch/routing/fleet_configuration";
 import { MemberView } from "@chestnuthatch/routing/member_view";
 import {
@@ -68,7 +68,7 @@
   const board = {
     ...boardOf(targetIds, { workspaces }),
     members,
-    cutDomains: new CutDomains(members),
+    cutDomains: new UnreachableDomains(members),
   };
   const nowhere = new Writable({ write: (_chunk, _code, done) => done() });
   const log = new EventLog(clock, instanceId, nowhere);
@@ -109,12 +109,12 @@
         : [],
     suspects: () => [],
     rollouts: () => [],
-    rateLimits: (of) => board.rateLimits.toTell(clock.nowMs(), of),
+    rateLimits: (of) => board.rateLimits.updatesToSend(clock.nowMs(), of),
     targetNews: () => [],
   }, self);
   let wasCoordinator = false;
   const tick = () => {
-    members.remembers(instanceId, RUN_MS + clock.nowMs(), clock.nowMs());
+    members.memoryReported(instanceId, RUN_MS + clock.nowMs(), clock.nowMs());
     keeper.tick();
     desk.tick();
     const isCoordinator = desk.coordinatorId === instanceId;
@@ -148,7 +148,7 @@
   { keeper, desk, spending, rateLimits, nowMs }: FleetNode,
   { message, fromId }: { message: RoutingMessage; fromId: string },
 ): void {
-  if (message.kind === MessageKind.Beat) {
+  if (message.kind === MessageKind.Heartbeat) {
     keeper.heard(message);
     rateLimits.merge(message.rateLimits ?? [], nowMs());
     if (fromId === desk.coordinatorId && message.spending !== undefined) {
--- a/packages/gateway/src/holder_reports.ts
+++ b/packages/gateway/src/holder_reports.ts
@@ -74,7 +74,7 @@
 
   #make(isFirst: boolean, nowMs: number): HolderReport {
     const { board: { members, suspects }, open } = this.#parts;
-    const told = isFirst ? suspects.toTell(nowMs) : suspects.lately(nowMs);
+    const told = isFirst ? suspects.updatesToSend(nowMs) : suspects.recentUpdates(nowMs);
     const waiting = open.waiting()
       .filter(({ coordinatorId }) => coordinatorId === this.#madeFor);
     return {
--- a/packages/gateway/src/loaded_coordinator_test.ts
+++ b/packages/gateway/src/loaded_coordinator_test.ts
@@ -79,7 +79,7 @@
     due.forEach(({ end }) => end());
     for (const [id, node] of this.#nodes) {
       const { members, keeper, desk, inbox } = node;
-      members.remembers(id, RUN_MS + nowMs, nowMs);
+      members.memoryReported(id, RUN_MS + nowMs, nowMs);
       members.isLoaded = inbox.length > MESSAGES_A_STEP;
       keeper.tick();
       desk.tick();
--- a/packages/gateway/src/membership_keeper.ts
+++ b/packages/gateway/src/membership_keeper.ts
@@ -5,16 +5,16 @@
   type RoutingMessage,
 } from "@chestnuthatch/routing/peer_messages";
 import {
-  BEAT_FANOUT,
-  type MemberNews,
+  HEARTBEAT_FANOUT,
+  type MemberInfo,
   type MemberRecord,
 } from "@chestnuthatch/routing/member_view";
-import type { RolloutNews } from "@chestnuthatch/routing/rollout";
+import type { RolloutUpdate } from "@chestnuthatch/routing/rollout";
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
-import type { SuspectNews } from "@chestnuthatch/routing/suspect_requests";
+import type { SuspectUpdate } from "@chestnuthatch/routing/suspect_requests";
 import type { SpendingHistory } from "@chestnuthatch/routing/spending_log";
-import type { RateLimitNews } from "@chestnuthatch/routing/target_rate_limits";
-import type { TargetChange } from "@chestnuthatch/routing/target_directory";
+import type { RateLimitUpdate } from "@chestnuthatch/routing/target_rate_limits";
+import type { TargetRowChange } from "@chestnuthatch/routing/target_directory";
 import { type EventLog, LogPart } from "./event_log.ts";
 import type { Clock } from "./ports.ts";
 import { Rotation } from "./rotation.ts";
@@ -38,7 +38,7 @@
 const MAX_RATE_LIMITS = 24;
 
 /** A heartbeat of another instance. */
-export type Beat = Extract<RoutingMessage, { kind: MessageKind.Beat }>;
+export type Beat = Extract<RoutingMessage, { kind: MessageKind.Heartbeat }>;
 
 /** What the keeper works with. */
 export interface MembershipParts {
@@ -57,19 +57,19 @@
   /** @returns Workspaces near their bounds; none unless it coordinates. */
   spending(): readonly SpendingHistory[];
   /** @returns Requests under which targets ended; none unless it coordinates. */
-  suspects(): readonly SuspectNews[];
+  suspects(): readonly SuspectUpdate[];
   /** @returns Roll-outs in progress, or ended just now. */
-  rollouts(): readonly RolloutNews[];
+  rollouts(): readonly RolloutUpdate[];
   /** @returns Rate limits of targets, and recently lifted ones. */
-  rateLimits(of: { onlyChanged: boolean }): readonly RateLimitNews[];
+  rateLimits(of: { onlyChanged: boolean }): readonly RateLimitUpdate[];
   /** @returns What this instance lately learned of targets. */
-  targetNews(): readonly TargetChange[];
+  targetNews(): readonly TargetRowChange[];
 }
 
 /** Sends and takes in heartbeats. */
 export class MembershipKeeper {
   readonly #parts: MembershipParts;
-  #self: MemberNews;
+  #self: MemberInfo;
   #beats = 0;
   readonly #memberTurns = new Rotation();
   readonly #listenerTurns = new Rotation();
@@ -87,7 +87,7 @@
    * @param parts What the keeper works with.
    * @param self This instance.
    */
-  constructor(parts: MembershipParts, self: MemberNews) {
+  constructor(parts: MembershipParts, self: MemberInfo) {
     this.#parts = parts;
     this.#self = self;
   }
@@ -116,7 +116,7 @@
     if (nowMs - this.#beatAtMs >= BEAT_MS) {
       this.#beat(nowMs);
       this.#noteChanges(nowMs);
-      this.#parts.board.members.forgetOld(nowMs);
+      this.#parts.board.members.evictExpired(nowMs);
     }
   }
 
@@ -132,15 +132,15 @@
   heard(beat: Beat): void {
     const { members } = this.#parts.board;
     const nowMs = this.#parts.clock.nowMs();
-    const isNew = members.heard(beat.from, nowMs);
+    const isNew = members.heartbeatReceived(beat.from, nowMs);
     if (beat.reachesStore) {
       this.#reachStore.add(beat.from.instanceId);
     } else {
       this.#reachStore.delete(beat.from.instanceId);
     }
-    members.remembers(beat.from.instanceId, beat.memoryMs, nowMs);
+    members.memoryReported(beat.from.instanceId, beat.memoryMs, nowMs);
     for (const other of beat.others) {
-      members.toldOf(other, nowMs);
+      members.memberReported(other, nowMs);
     }
     if (isNew && beat.from.instanceId !== members.selfId) {
       // So that it hears of this instance at once, too.
@@ -172,7 +172,7 @@
   }
 
   /** All others, or in a large fleet the coordinator and some in turn. */
-  #listeners(turns: Rotation): MemberNews[] {
+  #listeners(turns: Rotation): MemberInfo[] {
     const { members } = this.#parts.board;
     const others = members.others();
     const coordinatorId = this.#parts.coordinatorId();
@@ -181,7 +181,7 @@
     if (isAll) {
       return others;
     }
-    const some = turns.next(others, BEAT_FANOUT);
+    const some = turns.next(others, HEARTBEAT_FANOUT);
     return [...some, members.get(coordinatorId) ?? []].flat();
   }
 
@@ -198,7 +198,7 @@
     const rollouts = this.#parts.rollouts();
     const rateLimits = this.#rateLimitsToTell(tellsAll);
     this.#parts.send(addresses, {
-      kind: MessageKind.Beat,
+      kind: MessageKind.Heartbeat,
       from: this.#self,
       memoryMs: this.#parts.memoryMs(),
       configurationVersion: board.routes?.configuration.version ?? 0,
@@ -223,13 +223,13 @@
     return isDigest || this.#parts.board.members.isFullMesh;
   }
 
-  #rateLimitsToTell(tellsAll: boolean): RateLimitNews[] {
+  #rateLimitsToTell(tellsAll: boolean): RateLimitUpdate[] {
     const limits = this.#parts.rateLimits({ onlyChanged: !tellsAll });
     return this.#rateLimitTurns.next(limits, MAX_RATE_LIMITS);
   }
 
   /** Leaving targets in every heartbeat, the rest in turn. */
-  #newsToTell(tellsAll: boolean): TargetChange[] {
+  #newsToTell(tellsAll: boolean): TargetRowChange[] {
     const news = this.#parts.targetNews();
     const urgent = this.#urgentTurns.next(news.filter(isUrgent), MAX_NEWS);
     if (!tellsAll || !this.#tellsOfNewTargets()) {
@@ -265,7 +265,7 @@
     }
     for (const instanceId of this.#aliveIds) {
       if (!alive.has(instanceId)) {
-        const heardAtMs = members.get(instanceId)?.heardAtMs;
+        const heardAtMs = members.get(instanceId)?.lastHeartbeatAtMs;
         this.#parts.log.warn(LogPart.Members, "member silent", {
           member: instanceId,
           silentMs: heardAtMs && Math.round(nowMs - heardAtMs),
@@ -278,11 +278,11 @@
 }
 
 /** Whether a target must get nothing any more. */
-function isUrgent({ entry }: TargetChange): boolean {
+function isUrgent({ entry }: TargetRowChange): boolean {
   return entry === undefined || entry.leaving;
 }
 
-function newsOf(member: MemberRecord): MemberNews {
-  const { heardAtMs: _, ...news } = member;
+function newsOf(member: MemberRecord): MemberInfo {
+  const { lastHeartbeatAtMs: _, ...news } = member;
   return news;
 }
--- a/packages/gateway/src/membership_keeper_test.ts
+++ b/packages/gateway/src/membership_keeper_test.ts
@@ -1,7 +1,7 @@
 import { Writable } from "node:stream";
 import { MessageKind } from "@chestnuthatch/routing/peer_messages";
 import { boardOf, memberOf } from "@chestnuthatch/routing/routing_test_support";
-import type { TargetChange } from "@chestnuthatch/routing/target_directory";
+import type { TargetRowChange } from "@chestnuthatch/routing/target_directory";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { EventLog } from "./event_log.ts";
@@ -9,7 +9,7 @@
 
 const BEAT_MS = 220;
 
-function changeOf(index: number, leaving: boolean): TargetChange {
+function changeOf(index: number, leaving: boolean): TargetRowChange {
   const targetId = `t${index}`;
   const entry = {
     targetId,
@@ -30,7 +30,7 @@
 
 /** Heartbeats of an instance that hears of one other. */
 function beatsOf(
-  news: readonly TargetChange[],
+  news: readonly TargetRowChange[],
   { count, others = 1, reachesStore = true, limits = 0 }: {
     count: number;
     others?: number;
@@ -44,7 +44,7 @@
   const self = memberOf("i1");
   const board = boardOf([]);
   for (let index = 2; index < 2 + others; index++) {
-    board.members.heard(memberOf(`i${index}`), 0);
+    board.members.heartbeatReceived(memberOf(`i${index}`), 0);
   }
   for (let index = 0; index < limits; index++) {
     board.rateLimits.advertised(`t${index}`, 5, 0);
@@ -58,7 +58,7 @@
     log: new EventLog(clock, "i1", nowhere),
     seedAddresses: [],
     send: (addresses, message) => {
-      if (message.kind === MessageKind.Beat) {
+      if (message.kind === MessageKind.Heartbeat) {
         beats.push({ ...message, addresses: [...addresses] });
       }
     },
@@ -68,11 +68,11 @@
     spending: () => [],
     suspects: () => [],
     rollouts: () => [],
-    rateLimits: (of) => board.rateLimits.toTell(nowMs, of),
+    rateLimits: (of) => board.rateLimits.updatesToSend(nowMs, of),
     targetNews: () => news,
   }, self);
   keeper.heard({
-    kind: MessageKind.Beat,
+    kind: MessageKind.Heartbeat,
     from: memberOf("i2"),
     memoryMs: 0,
     configurationVersion: 0,
@@ -83,7 +83,7 @@
   });
   for (; beats.length < count; nowMs += BEAT_MS) {
     for (let index = 3; index < 2 + others; index++) {
-      board.members.heard(memberOf(`i${index}`), nowMs);
+      board.members.heartbeatReceived(memberOf(`i${index}`), nowMs);
     }
     keeper.tick();
   }
--- a/packages/gateway/src/peer_catalog.ts
+++ b/packages/gateway/src/peer_catalog.ts
@@ -6,7 +6,7 @@
 import { Buffer } from "node:buffer";
 import { createServer, get, type Server } from "node:http";
 import { gunzipSync, gzipSync } from "node:zlib";
-import type { MemberNews } from "@chestnuthatch/routing/member_view";
+import type { MemberInfo } from "@chestnuthatch/routing/member_view";
 import { err, ok, type Result } from "neverthrow";
 import type * as z from "zod";
 import { hostPortOf } from "./host_port.ts";
@@ -88,7 +88,7 @@
  * @param port Port of all catalogs.
  * @returns `ip:port` of its catalog.
  */
-export function catalogOf(member: MemberNews, port: number): string {
+export function catalogOf(member: MemberInfo, port: number): string {
   return `${hostPortOf(member.address).host}:${port}`;
 }
 
--- a/packages/gateway/src/peer_fetch.ts
+++ b/packages/gateway/src/peer_fetch.ts
@@ -1,6 +1,6 @@
 /** Fetches one item from whichever peer has news of it, one at a time. */
 
-import type { MemberNews } from "@chestnuthatch/routing/member_view";
+import type { MemberInfo } from "@chestnuthatch/routing/member_view";
 import type * as z from "zod";
 import { type EventLog, LogPart } from "./event_log.ts";
 import { type CatalogItem, catalogOf, fetchItem } from "./peer_catalog.ts";
@@ -13,7 +13,7 @@
   /** Least time between two attempts. */
   readonly everyMs: number;
   /** Called with what a peer handed over. */
-  onFetched(fetched: T, from: MemberNews): void;
+  onFetched(fetched: T, from: MemberInfo): void;
 }
 
 /** What the fetch works with. */
@@ -40,7 +40,7 @@
   }
 
   /** @param from A peer; not asked while another is, or was just now. */
-  ask(from: MemberNews): void {
+  ask(from: MemberInfo): void {
     const nowMs = this.#parts.clock.nowMs();
     const isDue = nowMs - this.#askedAtMs >= this.#options.everyMs;
     if (!this.#isUnderWay && isDue) {
@@ -49,7 +49,7 @@
     }
   }
 
-  async #fetch(from: MemberNews): Promise<void> {
+  async #fetch(from: MemberInfo): Promise<void> {
     const { catalogPort, log } = this.#parts;
     const { item, schema, onFetched } = this.#options;
     this.#isUnderWay = true;
--- a/packages/gateway/src/peer_socket.ts
+++ b/packages/gateway/src/peer_socket.ts
@@ -196,7 +196,7 @@
   }
 
   #noteSent(error: Error | null, address: string, kind: MessageKind): void {
-    if (error !== null && kind !== MessageKind.Beat) {
+    if (error !== null && kind !== MessageKind.Heartbeat) {
       const reason = error.message;
       const facts = { address, kind, reason };
       this.#log.warn(LogPart.Members, "message not sent", facts);
--- a/packages/gateway/src/placement_desk.ts
+++ b/packages/gateway/src/placement_desk.ts
@@ -243,7 +243,7 @@
       case MessageKind.Decision:
         this.#decided(message.decision, fromId);
         return;
-      case MessageKind.Unanswered:
+      case MessageKind.PassedOver:
         this.#leftUnanswered(fromId, nowMs);
         return;
       default:
@@ -335,7 +335,7 @@
   #tellLate(coordinatorId: string, nowMs: number): void {
     if (nowMs - this.#toldLateAtMs >= TELL_LATE_MS) {
       this.#toldLateAtMs = nowMs;
-      this.#send(coordinatorId, { kind: MessageKind.Unanswered });
+      this.#send(coordinatorId, { kind: MessageKind.PassedOver });
     }
   }
 
@@ -446,7 +446,7 @@
   #shun(instanceId: string, nowMs: number): void {
     if (this.#choice.shun(instanceId, nowMs)) {
       this.#parts.onStandIn?.(this.#choice.scope(nowMs).share);
-      this.#send(instanceId, { kind: MessageKind.Unanswered });
+      this.#send(instanceId, { kind: MessageKind.PassedOver });
       this.#parts.log.warn(LogPart.Placement, "coordinator is silent", {
         coordinatorId: instanceId,
         silentMs: Math.round(this.#answers.silentMs),
@@ -457,7 +457,7 @@
   #leftUnanswered(byId: string | undefined, nowMs: number): void {
     const { members } = this.#parts.board;
     if (byId !== undefined) {
-      members.leftUnanswered(byId, nowMs);
+      members.passedOverBy(byId, nowMs);
     }
   }
 
--- a/packages/gateway/src/placement_desk_test.ts
+++ b/packages/gateway/src/placement_desk_test.ts
@@ -34,8 +34,8 @@
   const sent: { to: string; message: RoutingMessage }[] = [];
   // They have run longer than this instance, so one of them coordinates.
   for (let i = 2; i < 6; i++) {
-    board.members.remembers(`i${i}`, 60_000, 0);
-    board.members.heard(memberOf(`i${i}`), 0);
+    board.members.memoryReported(`i${i}`, 60_000, 0);
+    board.members.heartbeatReceived(memberOf(`i${i}`), 0);
   }
   const coordinatorId = board.members.coordinator(0, NONE).instanceId;
   const desk = new PlacementDesk({
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -3,14 +3,14 @@
 import type { IncomingHttpHeaders } from "node:http";
 import type { FleetConfiguration } from "@chestnuthatch/routing/fleet_configuration";
 import type {
-  RolloutNews,
+  RolloutUpdate,
   RolloutOrder,
   RolloutState,
 } from "@chestnuthatch/routing/rollout";
-import type { MemberNews } from "@chestnuthatch/routing/member_view";
+import type { MemberInfo } from "@chestnuthatch/routing/member_view";
 import type { SpendingHistory } from "@chestnuthatch/routing/spending_log";
-import type { SuspectNews } from "@chestnuthatch/routing/suspect_requests";
-import type { TargetChange } from "@chestnuthatch/routing/target_directory";
+import type { SuspectUpdate } from "@chestnuthatch/routing/suspect_requests";
+import type { TargetRowChange } from "@chestnuthatch/routing/target_directory";
 
 /** The instance's monotonic time. */
 export interface Clock {
@@ -107,8 +107,8 @@
   /** The platform has no newer configuration than was read last. */
   configurationConfirmed(): void;
   /** The whole list of targets as of a version. */
-  targetsRead(entries: readonly TargetChange[], version: number): void;
-  targetsChanged(changes: readonly TargetChange[]): void;
+  targetsRead(entries: readonly TargetRowChange[], version: number): void;
+  targetsChanged(changes: readonly TargetRowChange[]): void;
   /**
    * Longest time to wait for a change of the configuration before the platform
    * is asked again; undefined where other instances tell of changes.
@@ -120,11 +120,11 @@
   behindOnTargetsMs(): number;
   /** Instances that are alive as far as this one hears. */
   fleetSize(): number;
-  membersRead(members: readonly MemberNews[]): void;
+  membersRead(members: readonly MemberInfo[]): void;
   /** What workspaces had spent when the fleet last recorded it. */
   spendingRead(record: readonly SpendingHistory[], ageMs: number): void;
   /** Requests under which targets had ended when the fleet last recorded it. */
-  suspectsRead(record: readonly SuspectNews[], ageMs: number): void;
+  suspectsRead(record: readonly SuspectUpdate[], ageMs: number): void;
   /** The operators have ordered a roll-out. */
   rolloutOrdered(order: RolloutOrder): void;
   /** The operators have taken the order for a pool back. */
@@ -132,7 +132,7 @@
   /** All pools that there are orders for. */
   rolloutsListed(pools: ReadonlySet<string>): void;
   /** How far roll-outs were when the fleet last recorded it. */
-  rolloutsRead(record: readonly RolloutNews[], ageMs: number): void;
+  rolloutsRead(record: readonly RolloutUpdate[], ageMs: number): void;
   /** The platform holds something that cannot be read. */
   unreadable(what: string, where: string): void;
   /** A kept connection to the platform fell silent, while a new one works. */
@@ -158,7 +158,7 @@
   /** Version that its row must have to be written; 0 for none. */
   readonly rowVersion: number;
   /** What a fleet that loses all its instances goes on from. */
-  readonly record: readonly RolloutNews[];
+  readonly record: readonly RolloutUpdate[];
 }
 
 /** What came of writing a status. */
@@ -187,7 +187,7 @@
    * @param self This instance.
    * @param sink Where news goes.
    */
-  start(self: MemberNews, sink: PlatformSink): void;
+  start(self: MemberInfo, sink: PlatformSink): void;
   /**
    * Records what workspaces spent, for a fleet that loses all its instances.
    *
@@ -201,7 +201,7 @@
    * @param record All that are suspected.
    * @returns Whether the platform has it.
    */
-  recordSuspects(record: readonly SuspectNews[]): Promise<boolean>;
+  recordSuspects(record: readonly SuspectUpdate[]): Promise<boolean>;
   /**
    * Writes what the operators are to read, unless its row has changed.
    *
--- a/packages/gateway/src/request_fingerprint.ts
+++ b/packages/gateway/src/request_fingerprint.ts
@@ -31,5 +31,5 @@
   call: RoutedCall,
   suspects: SuspectRequests,
 ): string | undefined {
-  return suspects.isAny ? fingerprintOf(call) : undefined;
+  return suspects.hasSuspects ? fingerprintOf(call) : undefined;
 }
--- a/packages/gateway/src/rollout_keeper.ts
+++ b/packages/gateway/src/rollout_keeper.ts
@@ -6,7 +6,7 @@
 import type { Coordinator } from "@chestnuthatch/routing/coordinator";
 import {
   isFinal,
-  type RolloutNews,
+  type RolloutUpdate,
   type RolloutOrder,
   RolloutPhase,
   type RolloutState,
@@ -99,7 +99,7 @@
   }
 
   /** @param news What another instance tells. */
-  told(news: readonly RolloutNews[]): void {
+  told(news: readonly RolloutUpdate[]): void {
     news.forEach((each) => this.#toldOf(each, "peer"));
   }
 
@@ -107,7 +107,7 @@
    * @param record What the fleet recorded.
    * @param recordAgeMs How long ago it did.
    */
-  recordRead(record: readonly RolloutNews[], recordAgeMs: number): void {
+  recordRead(record: readonly RolloutUpdate[], recordAgeMs: number): void {
     for (const each of record) {
       const ageMs = each.ageMs + recordAgeMs;
       this.#toldOf({ ...each, ageMs }, "record");
@@ -151,9 +151,9 @@
     }
   }
 
-  #toldOf(news: RolloutNews, by: string): void {
+  #toldOf(news: RolloutUpdate, by: string): void {
     const { board: { rollouts }, log } = this.#parts;
-    if (rollouts.toldOf(news, this.#nowMs())) {
+    if (rollouts.merge(news, this.#nowMs())) {
       log.info(LogPart.Rollouts, "told of roll-out", { ...news, by });
     }
   }
@@ -169,7 +169,7 @@
     const step = board.rollouts.advance(pool, {
       nowMs,
       usable,
-      oldWork: coordinator.runningAt(pool, old),
+      oldInFlight: coordinator.runningAt(pool, old),
       reachesStore: reachesStore(),
     });
     if (step !== undefined) {
@@ -212,7 +212,7 @@
       version,
       state,
       rowVersion: this.#rowVersions.get(pool) ?? 0,
-      record: rollouts.toRecord(this.#nowMs()),
+      record: rollouts.updatesToStore(this.#nowMs()),
     });
     this.#writing.delete(pool);
     log.info(LogPart.Rollouts, "status write", {
--- a/packages/gateway/src/rollout_keeper_test.ts
+++ b/packages/gateway/src/rollout_keeper_test.ts
@@ -1,7 +1,7 @@
 import { Writable } from "node:stream";
 import { Coordinator } from "@chestnuthatch/routing/coordinator";
 import {
-  type RolloutNews,
+  type RolloutUpdate,
   RolloutPhase,
   RolloutState,
 } from "@chestnuthatch/routing/rollout";
@@ -50,7 +50,7 @@
 class Node {
   nowMs = 0;
   answer: Answer;
-  record: readonly RolloutNews[] = [];
+  record: readonly RolloutUpdate[] = [];
   readonly board = boardOf(["t1", "t2"]);
   readonly keeper: RolloutKeeper;
 
@@ -94,7 +94,7 @@
   }
 }
 
-function decided(phase: RolloutPhase): RolloutNews {
+function decided(phase: RolloutPhase): RolloutUpdate {
   return { ...ORDER, phase, ageMs: 1000 };
 }
 
--- a/packages/gateway/src/slow_coordinator_test.ts
+++ b/packages/gateway/src/slow_coordinator_test.ts
@@ -47,7 +47,7 @@
       this.clock.atMs += STEP_MS;
       this.#network.runDue();
       for (const [id, { members, keeper, desk }] of this.#nodes) {
-        members.remembers(id, RUN_MS + this.clock.atMs, this.clock.atMs);
+        members.memoryReported(id, RUN_MS + this.clock.atMs, this.clock.atMs);
         keeper.tick();
         desk.tick();
       }
@@ -76,7 +76,7 @@
   }
 
   #send(fromId: string, toId: string, message: RoutingMessage): void {
-    const isLate = fromId === this.slowId && message.kind !== MessageKind.Beat;
+    const isLate = fromId === this.slowId && message.kind !== MessageKind.Heartbeat;
     this.#network.later(
       isLate ? SLOW_MS : 0,
       () => deliverTo(this.#nodes.get(toId)!, { message, fromId }),
--- a/packages/gateway/src/spending_keeper.ts
+++ b/packages/gateway/src/spending_keeper.ts
@@ -89,7 +89,7 @@
    */
   becameCoordinator(): void {
     const { board, coordinator, clock } = this.#parts;
-    this.#takeUpTold(board.members.heardShare(clock.nowMs()));
+    this.#takeUpTold(board.members.reachableShare(clock.nowMs()));
     coordinator.recordAnew();
     // By then all holders have reported what they spent.
     this.#recorder.holdFor(FIRST_RECORD_MS + RECORD_PAUSE_MS);
--- a/packages/gateway/src/suspect_keeper.ts
+++ b/packages/gateway/src/suspect_keeper.ts
@@ -5,7 +5,7 @@
  */
 
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
-import type { SuspectNews } from "@chestnuthatch/routing/suspect_requests";
+import type { SuspectUpdate } from "@chestnuthatch/routing/suspect_requests";
 import { type EventLog, LogPart } from "./event_log.ts";
 import type { Clock, PlatformPort } from "./ports.ts";
 import { StoreRecorder } from "./store_recorder.ts";
@@ -28,7 +28,7 @@
 /** Records suspects, and takes them in. */
 export class SuspectKeeper {
   readonly #parts: SuspectParts;
-  readonly #recorder: StoreRecorder<SuspectNews[]>;
+  readonly #recorder: StoreRecorder<SuspectUpdate[]>;
   /** What was recorded last, as the board's version of it. */
   #recordedVersion = 0;
 
@@ -49,7 +49,7 @@
   /**
    * @param news What another instance knows, or the fleet recorded.
    */
-  told(news: readonly SuspectNews[]): void {
+  told(news: readonly SuspectUpdate[]): void {
     const { board: { suspects }, clock, log } = this.#parts;
     const count = suspects.merge(news, clock.nowMs());
     if (count > 0) {
@@ -60,7 +60,7 @@
 
   /** The record may be gone: it is made anew, if there is anything to record. */
   recordAnew(): void {
-    const { isAny, version } = this.#parts.board.suspects;
+    const { hasSuspects: isAny, version } = this.#parts.board.suspects;
     this.#recordedVersion = isAny ? NOT_RECORDED : version;
   }
 
@@ -69,16 +69,16 @@
     void this.#recorder.record();
   }
 
-  #next(): SuspectNews[] | undefined {
+  #next(): SuspectUpdate[] | undefined {
     const { board: { suspects }, clock } = this.#parts;
     if (suspects.version === this.#recordedVersion) {
       return undefined;
     }
     this.#recordedVersion = suspects.version;
-    return suspects.toTell(clock.nowMs());
+    return suspects.updatesToSend(clock.nowMs());
   }
 
-  #notRecorded(record: readonly SuspectNews[]): void {
+  #notRecorded(record: readonly SuspectUpdate[]): void {
     this.#recordedVersion = NOT_RECORDED;
     this.#parts.log.warn(LogPart.Platform, "suspects not recorded", {
       fingerprints: record.map(({ fingerprint }) => fingerprint),
--- a/packages/gateway/src/target_signal_keeper.ts
+++ b/packages/gateway/src/target_signal_keeper.ts
@@ -3,7 +3,7 @@
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
 import type {
   RateLimitChange,
-  RateLimitNews,
+  RateLimitUpdate,
 } from "@chestnuthatch/routing/target_rate_limits";
 import type { KnownTarget } from "@chestnuthatch/routing/target_directory";
 import { type EventLog, LogPart } from "./event_log.ts";
@@ -82,7 +82,7 @@
   }
 
   /** @param news Rate limits reported by another instance. */
-  toldOfRateLimits(news: readonly RateLimitNews[]): void {
+  toldOfRateLimits(news: readonly RateLimitUpdate[]): void {
     const { board: { rateLimits }, clock } = this.#parts;
     for (const change of rateLimits.merge(news, clock.nowMs())) {
       this.#rateLimitChanged(change, SignalSource.Peer);
--- a/packages/gateway/src/target_upkeep.ts
+++ b/packages/gateway/src/target_upkeep.ts
@@ -3,8 +3,8 @@
 import type { Coordinator } from "@chestnuthatch/routing/coordinator";
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
 import {
-  type TargetBelief,
-  TargetNews,
+  type TargetEvent,
+  TargetEventKind,
 } from "@chestnuthatch/routing/target_directory";
 import type { Clock } from "./ports.ts";
 import type { TargetConnections } from "./target_connections.ts";
@@ -27,15 +27,15 @@
   }
 
   /** @param beliefs What changed in what this instance believes. */
-  changed(beliefs: readonly TargetBelief[]): void {
+  changed(beliefs: readonly TargetEvent[]): void {
     const { board: { targets, paces, rateLimits }, clock } = this.#parts;
     const nowMs = clock.nowMs();
-    for (const { targetId, news } of beliefs) {
-      if (news === TargetNews.Restarted) {
+    for (const { targetId, kind: news } of beliefs) {
+      if (news === TargetEventKind.Restarted) {
         this.#restarted(targetId, nowMs);
       }
     }
-    targets.forgetOld(nowMs);
+    targets.evictExpired(nowMs);
     const all = targets.all();
     const targetIds = new Set(all.map(({ targetId }) => targetId));
     paces.keepOnly(targetIds);
--- a/packages/gateway/src/work_ask_of.ts
+++ b/packages/gateway/src/work_ask_of.ts
@@ -96,7 +96,7 @@
   const excluded = new Set([
     ...barred,
     ...board.health.paused(nowMs),
-    ...board.cutDomains.unreachable(usable, nowMs)
+    ...board.cutDomains.unreachableTargets(usable, nowMs)
       .map(({ targetId }) => targetId),
   ]);
   const isAnyLeft = usable.some(({ targetId }) => !excluded.has(targetId));
--- a/packages/measure/src/placement_costs.ts
+++ b/packages/measure/src/placement_costs.ts
@@ -16,7 +16,7 @@
   RequestKind,
 } from "@chestnuthatch/routing/fleet_configuration";
 import { ConfigurationAge } from "@chestnuthatch/routing/configuration_age";
-import { CutDomains } from "@chestnuthatch/routing/cut_domains";
+import { UnreachableDomains } from "@chestnuthatch/routing/unreachable_domains";
 import { MemberView } from "@chestnuthatch/routing/member_view";
 import { Rollouts } from "@chestnuthatch/routing/rollouts";
 import { RouteTable } from "@chestnuthatch/routing/route_table";
@@ -244,7 +244,7 @@
 
 function boardOf(load: PlacementLoad): RoutingBoard {
   const targets = new TargetDirectory();
-  targets.listAnswers(0);
+  targets.listAvailable(0);
   targets.apply(
     Array.from({ length: load.targets }, (_, index) => ({
       targetId: `t${index}`,
@@ -275,7 +275,7 @@
     targets,
     members,
     configurationAge: new ConfigurationAge(),
-    cutDomains: new CutDomains(members),
+    cutDomains: new UnreachableDomains(members),
     health: new TargetHealth(),
     rateLimits: new TargetRateLimits(),
     paces: new TargetPaces(),
--- a/packages/routing/src/configuration_age.ts
+++ b/packages/routing/src/configuration_age.ts
@@ -1,14 +1,15 @@
-/** Since when the configuration in force may be out of date. */
+/** Age of the configuration in force, for the detection of stale ones. */
 
-/** Keeps when the configuration in force was last known to be the newest. */
+/** Records when the configuration in force was last known to be the newest. */
 export class ConfigurationAge {
   #newestAtMs?: number;
 
   /**
-   * Notes that the configuration in force is the newest, or lately was.
+   * Records that the configuration in force is, or recently was, the newest
+   * one.
    *
    * @param nowMs The local time.
-   * @param ageMs How long ago it was.
+   * @param ageMs Time since it was known to be the newest, in milliseconds.
    */
   confirm(nowMs: number, ageMs = 0): void {
     this.#newestAtMs = Math.max(this.#newestAtMs ?? -Infinity, nowMs - ageMs);
@@ -16,8 +17,8 @@
 
   /**
    * @param nowMs The local time.
-   * @returns Milliseconds since it was last known to be the newest; undefined
-   * before it first was.
+   * @returns Milliseconds since the configuration was last known to be the
+   * newest; undefined if it never was.
    */
   ageMs(nowMs: number): number | undefined {
     return this.#newestAtMs === undefined
--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -233,7 +233,7 @@
    * @returns Decisions on asks that waited.
    */
   tick(nowMs: number): AskDecision[] {
-    this.#board.suspects.forgetOld(nowMs);
+    this.#board.suspects.evictExpired(nowMs);
     this.#limiter.forgetLifted();
     const decisions: AskDecision[] = [];
     for (const [holderId, heardAtMs] of this.#reportedAtMs) {
@@ -375,7 +375,7 @@
   #checkAtDoor(ask: WorkAsk, scope: LedgerScope): DoorCheck {
     const { askId, holderId, fingerprint } = ask;
     const { suspects } = this.#board;
-    const heldForMs = suspects.heldForMs(fingerprint, scope.nowMs);
+    const heldForMs = suspects.quarantineLeftMs(fingerprint, scope.nowMs);
     if (heldForMs > 0) {
       return { refusal: quarantined(ask, heldForMs) };
     }
--- a/packages/routing/src/failure_rates.ts
+++ b/packages/routing/src/failure_rates.ts
@@ -1,39 +1,46 @@
-/** Rates of failures, and when one is higher than another beyond chance. */
+/** Failure rates, and the test whether one is significantly higher. */
 
-/** Answers, counted. */
+/** Number of answers and of failures among them. */
 export interface Tally {
   answers: number;
   failures: number;
 }
 
-/** Answers of the new version before it may be called bad. */
+/**
+ * Least number of answers of the new version for the verdict that it is bad.
+ */
 export const MIN_BAD_ANSWERS = 8;
 
-/** Standard deviations by which rates have to differ; looked at many times. */
-const DEVIATIONS = 3;
+/**
+ * Standard deviations of the confidence intervals. It is high, as rates are
+ * compared again after every few answers.
+ */
+const Z_SCORE = 3;
 
-/** Usual rate of failures where the old version has given no answers. */
-const UNKNOWN_RATE = 0.5;
+/** Failure rate that is assumed of a version without answers. */
+const DEFAULT_FAILURE_RATE = 0.5;
 
-/** @returns A tally of nothing. */
+/** @returns A tally without answers. */
 export function emptyTally(): Tally {
   return { answers: 0, failures: 0 };
 }
 
 /**
- * Counts one answer more.
+ * Adds one answer to a tally.
  *
- * @param tally What to add it to.
- * @param failed Whether it was a failure.
+ * @param tally The tally, which is changed.
+ * @param failed Whether the answer was a failure.
  */
-export function count(tally: Tally, failed: boolean): void {
+export function countAnswer(tally: Tally, failed: boolean): void {
   tally.answers++;
   tally.failures += Number(failed);
 }
 
 /**
+ * Adds up tallies.
+ *
  * @param tallies Tallies of different answers.
- * @returns All of them as one.
+ * @returns The sum of the tallies.
  */
 export function sumOf(tallies: readonly Tally[]): Tally {
   const sum = emptyTally();
@@ -45,40 +52,47 @@
 }
 
 /**
- * @param tally Some answers.
- * @param baseline Others to compare them with.
- * @param margin Part by which the rate has to be higher, beyond chance.
- * @returns Whether it is.
+ * Tests whether a failure rate is significantly higher than another one, by the
+ * bounds of their confidence intervals.
+ *
+ * @param tally Answers to test.
+ * @param baseline Answers to compare them with.
+ * @param margin Difference of the rates, from 0 to 1, that is tolerated in
+ * addition.
+ * @returns Whether the rate of `tally` is higher.
  */
 export function isRateHigher(
   tally: Tally,
   baseline: Tally,
   margin: number,
 ): boolean {
-  const [least] = wilsonBounds(tally);
-  const [, most] = wilsonBounds(baseline);
-  return tally.answers >= MIN_BAD_ANSWERS && least > most + margin;
+  const [lower] = wilsonBounds(tally);
+  const [, upper] = wilsonBounds(baseline);
+  return tally.answers >= MIN_BAD_ANSWERS && lower > upper + margin;
 }
 
 /**
- * @param tally Some answers.
- * @returns Part of them that failed.
+ * Computes a failure rate.
+ *
+ * @param tally Counted answers.
+ * @returns The share of the answers that failed, from 0 to 1; a default of 0.5
+ * if there are none.
  */
 export function rateOf({ answers, failures }: Tally): number {
-  return answers === 0 ? UNKNOWN_RATE : failures / answers;
+  return answers === 0 ? DEFAULT_FAILURE_RATE : failures / answers;
 }
 
-/** Wilson's interval for a rate, which holds for few answers, too. */
+/** Wilson score interval of a rate, which is also valid for few answers. */
 function wilsonBounds(tally: Tally): [number, number] {
   if (tally.answers === 0) {
-    return [UNKNOWN_RATE, UNKNOWN_RATE];
+    return [DEFAULT_FAILURE_RATE, DEFAULT_FAILURE_RATE];
   }
   const n = tally.answers;
   const rate = rateOf(tally);
-  const squared = DEVIATIONS * DEVIATIONS;
-  const scale = 1 + squared / n;
-  const center = (rate + squared / (2 * n)) / scale;
-  const variance = rate * (1 - rate) / n + squared / (4 * n * n);
-  const spread = DEVIATIONS * Math.sqrt(variance) / scale;
+  const zSquared = Z_SCORE * Z_SCORE;
+  const scale = 1 + zSquared / n;
+  const center = (rate + zSquared / (2 * n)) / scale;
+  const variance = rate * (1 - rate) / n + zSquared / (4 * n * n);
+  const spread = Z_SCORE * Math.sqrt(variance) / scale;
   return [center - spread, center + spread];
 }
--- a/packages/routing/src/member_view.ts
+++ b/packages/routing/src/member_view.ts
@@ -1,184 +1,206 @@
-/** Which entry instances are alive, and which of them coordinates. */
+/**
+ * Membership of the fleet as seen by one instance: which entry instances are
+ * alive, by the heartbeats received from them, and which one coordinates.
+ */
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
 
-/** One entry instance as this one knows it. */
+/** What this instance knows of one entry instance of the fleet. */
 export interface MemberRecord {
   readonly instanceId: string;
   /** `ip:port` of its peer socket. */
   readonly address: string;
   readonly failureDomain: string;
-  /** Rises with every start of the instance's process. */
+  /** Increases with every start of the instance's process. */
   readonly incarnation: number;
-  /** Whether it has said that it is shutting down. */
+  /** Whether it has announced that it is shutting down. */
   readonly leaving: boolean;
-  /** Processor cores that it may use. */
+  /** Processor cores that it may use, possibly a fraction. */
   readonly cores: number;
-  /** Whether it has said that it is too slow to coordinate. */
+  /** Whether it has announced that it is too slow to coordinate. */
   readonly standsAside?: boolean;
-  /** Local time at which it was last heard; -Infinity before the first time. */
-  readonly heardAtMs: number;
+  /** Local time of its last heartbeat; -Infinity before the first one. */
+  readonly lastHeartbeatAtMs: number;
 }
 
 /**
- * Silence after which a member counts as gone: four heartbeats, so that the
- * loss of three in a row on a bad link is needed to be wrong.
+ * Time without a heartbeat after which a member counts as gone, in
+ * milliseconds: four heartbeat intervals, so that a live member is only
+ * declared gone if three heartbeats in a row are lost.
  */
-export const MEMBER_SILENCE_MS = 900;
+export const MEMBER_TIMEOUT_MS = 900;
+
+/** Largest number of other members with which heartbeats go to all of them. */
+const MAX_FULL_MESH_PEERS = 12;
 
-/** Other members up to which every heartbeat goes to all of them. */
-const FULL_MESH = 12;
+/**
+ * Number of members that each heartbeat is sent to in a larger fleet, besides
+ * the coordinator. It is fixed, so that the cost of a heartbeat does not grow
+ * with the fleet.
+ */
+export const HEARTBEAT_FANOUT = 5;
 
 /**
- * Members that a heartbeat goes to in a larger fleet, besides the coordinator,
- * so that its cost does not grow with the fleet.
+ * In a large fleet, a member counts as gone after this time for each heartbeat
+ * of a round over the whole fleet. It makes two and a half rounds, which
+ * tolerates the loss of one datagram.
  */
-export const BEAT_FANOUT = 5;
+const ROUND_TIMEOUT_MS = 550;
 
 /**
- * Silence for each heartbeat of a round over a large fleet after which a member
- * counts as gone: two and a half rounds, so that one lost datagram is borne.
+ * Time without a heartbeat from any instance of a failure domain after which it
+ * may be unreachable: two heartbeat intervals and the time to detect that the
+ * third heartbeat is late.
  */
-const ROUND_SILENCE_MS = 550;
+const DOMAIN_TIMEOUT_MS = 480;
 
 /**
- * Silence of all instances of a failure domain after which the way there may be
- * cut: two heartbeats of each and the time to see that a third is late. In a
- * large fleet, five rounds of heartbeats, as few of them come here.
+ * The timeout of a failure domain in a large fleet: five heartbeat intervals,
+ * as each instance receives only few of the heartbeats there.
  */
-const DOMAIN_SILENCE_MS = 480;
-const LARGE_DOMAIN_SILENCE_MS = 1100;
+const LARGE_FLEET_DOMAIN_TIMEOUT_MS = 1100;
 
 /**
- * A member that was heard within this time is asked for a place before one that
- * was not, where the first choice gives no answer: one heartbeat and its way.
+ * Time since a member's last heartbeat after which the next one is overdue: one
+ * heartbeat interval and the network delay. If the coordinator does not answer,
+ * members whose heartbeat is not overdue are asked for a place first.
  */
-const LATELY_HEARD_MS = 330;
+const HEARTBEAT_OVERDUE_MS = 330;
 
 const NO_DOMAINS: ReadonlySet<string> = new Set();
 
-/** Silence after which a member no longer counts towards the fleet's size. */
-const FORGET_MEMBER_MS = 20_000;
+/** Time without a heartbeat after which a member is removed from the view. */
+const MEMBER_RETENTION_MS = 20_000;
 
 /**
- * Time within which a member that was told of should be heard. Until then it
- * counts towards the fleet's size, so that an instance that has just started
- * does not take itself for the whole fleet.
+ * Time within which the first heartbeat of a member that others reported should
+ * arrive. Until then the member counts towards the fleet's size, so that an
+ * instance that has just started does not take itself for the whole fleet.
  */
-const EXPECT_MEMBER_MS = 2000;
+const MEMBER_JOIN_GRACE_MS = 2000;
 
 /**
- * Members whose run times differ by less count as started together. Above the
- * time within which a fleet starts, and its spread in what heartbeats tell.
+ * Members whose uptimes differ by no more than this count as started together.
+ * It exceeds the time in which a whole fleet starts, plus the error of uptimes
+ * that are computed from heartbeats.
  */
-const STARTED_TOGETHER_MS = 2000;
+const UPTIME_TOLERANCE_MS = 2000;
 
 /**
- * Part of the cores of the strongest member that a coordinator has at least.
- * One that decides for a fleet of 90 needs about a fifth of a core for it, more
- * than a small instance has to spare.
+ * Cores that a coordinator has at least, relative to the member with the most.
+ * Coordinating a fleet of 90 instances takes about a fifth of a core, more than
+ * a small instance has to spare.
  */
-const STRONG_PART = 0.5;
+const MIN_COORDINATOR_CORES_RATIO = 0.5;
 
 /**
- * Time within which members that passed this instance over as coordinator count
- * together: those that ask seldom find out later than others.
+ * Reports of members that passed this instance over as coordinator are counted
+ * together within this time. Members that ask rarely notice later than others
+ * that it does not answer.
  */
-const PASSED_OVER_MS = 1200;
+const PASSED_OVER_WINDOW_MS = 1200;
 
-/** Part of the other members that passed it over, for it to stand aside. */
-const PASSED_OVER_PART = 0.5;
+/**
+ * Share of the other members that passed an instance over for it to step aside.
+ */
+const MIN_PASSED_OVER_SHARE = 0.5;
 
 /**
- * Time for which a coordinator that is passed over stands aside. An instance
- * that is slow is so for seconds; being replaced costs the fleet nothing, as
- * another that is as strong takes over.
+ * Time for which a coordinator that is passed over stands aside. A slow
+ * instance usually stays slow for seconds, and replacing it costs the fleet
+ * nothing, as another one with enough cores takes over.
  */
 const STAND_ASIDE_MS = 10_000;
 
-/** How a member is told of: by itself, by another, or by the platform's list. */
-export type MemberNews = Omit<MemberRecord, "heardAtMs">;
+/**
+ * Description of a member, as it is sent in its own heartbeats, in those of
+ * other members, or listed by the platform.
+ */
+export type MemberInfo = Omit<MemberRecord, "lastHeartbeatAtMs">;
 
-/** The members, this instance included. */
+/** The members of the fleet as seen by this instance, which is one of them. */
 export class MemberView {
   readonly selfId: string;
-  /** Rises when a member comes, goes, or says something else of itself. */
-  changes = 0;
+  /** Increases when a member joins, leaves or changes its description. */
+  revision = 0;
   /**
-   * Whether this instance is late because of how much there is to do: another
-   * would be no quicker in its place, and knows less.
+   * Whether this instance is slow because of its load. It then never stands
+   * aside: another coordinator would be no faster, and has less state.
    */
   isLoaded = false;
   readonly #byId = new Map<string, MemberRecord>();
-  /** Local time since which a member remembers what workspaces spent. */
-  readonly #remembersSinceMs = new Map<string, number>();
-  /** Since when a coordinator that is not heard should be. */
-  readonly #expectedSinceMs = new Map<string, number>();
-  readonly #toldAtMs = new Map<string, number>();
-  /** When a member of the same incarnation was heard again after silence. */
-  readonly #returnedAtMs = new Map<string, number>();
+  /** Local time since which each member has kept the spending of workspaces. */
+  readonly #memorySinceMs = new Map<string, number>();
+  /** Since when heartbeats of a silent coordinator candidate are awaited. */
+  readonly #awaitedSinceMs = new Map<string, number>();
+  /** When others last reported something new of each member. */
+  readonly #reportedAtMs = new Map<string, number>();
+  /** When a member's process sent a heartbeat again after its timeout. */
+  readonly #recoveredAtMs = new Map<string, number>();
   readonly #idByAddress = new Map<string, string>();
-  /** When each member said that this instance does not answer it. */
-  readonly #unansweredAtMs = new Map<string, number>();
+  /** When each member reported that this instance did not answer it. */
+  readonly #passedOverAtMs = new Map<string, number>();
   #standsAsideUntilMs = -Infinity;
-  /** Rendezvous scores, which are costly to hash on every look. */
+  /** Rendezvous hashing scores, cached as hashing on every call is costly. */
   readonly #scores = new Map<string, number>();
 
   /** @param self This instance. */
-  constructor(self: MemberNews) {
+  constructor(self: MemberInfo) {
     this.selfId = self.instanceId;
-    this.#byId.set(self.instanceId, { ...self, heardAtMs: Infinity });
+    this.#byId.set(self.instanceId, { ...self, lastHeartbeatAtMs: Infinity });
   }
 
-  /** Whether the fleet is small enough for all to beat to all. */
+  /** Whether every member sends its heartbeats to all others. */
   get isFullMesh(): boolean {
-    return this.#byId.size - 1 <= FULL_MESH;
+    return this.#byId.size - 1 <= MAX_FULL_MESH_PEERS;
   }
 
   /**
-   * Notes that a member spoke.
+   * Records a heartbeat of a member.
    *
-   * @param news What it said of itself.
+   * @param info Description of the member in its heartbeat.
    * @param nowMs The local time.
-   * @returns Whether it counted as gone, or was unknown, before.
+   * @returns Whether the member counted as gone, or was unknown, before.
    */
-  heard(news: MemberNews, nowMs: number): boolean {
-    const known = this.#byId.get(news.instanceId);
-    // A lower incarnation is an old word on its way, or a process that started
-    // after the time of day was put back: it counts once the other is silent.
-    const isOld = known !== undefined &&
-      known.incarnation > news.incarnation && this.#isHeard(known, nowMs);
-    if (news.instanceId === this.selfId || isOld) {
+  heartbeatReceived(info: MemberInfo, nowMs: number): boolean {
+    const known = this.#byId.get(info.instanceId);
+    // A lower incarnation means a delayed heartbeat of an earlier process, or a
+    // process that started after the system clock was set back. It is accepted
+    // once the process with the higher incarnation has timed out.
+    const isStale = known !== undefined &&
+      known.incarnation > info.incarnation && this.#isAlive(known, nowMs);
+    if (info.instanceId === this.selfId || isStale) {
       return false;
     }
     if (
-      known?.incarnation === news.incarnation &&
-      nowMs - known.heardAtMs >= MEMBER_SILENCE_MS
+      known?.incarnation === info.incarnation &&
+      nowMs - known.lastHeartbeatAtMs >= MEMBER_TIMEOUT_MS
     ) {
-      this.#returnedAtMs.set(news.instanceId, nowMs);
+      this.#recoveredAtMs.set(info.instanceId, nowMs);
     }
-    this.#put({ ...news, heardAtMs: nowMs });
-    return known === undefined || !this.#isHeard(known, nowMs);
+    this.#put({ ...info, lastHeartbeatAtMs: nowMs });
+    return known === undefined || !this.#isAlive(known, nowMs);
   }
 
   /**
-   * Notes a member that was only told of; it gets duties once it is heard.
+   * Records a member that was reported by another member or by the platform. It
+   * is not alive, and can't coordinate, before its own first heartbeat.
    *
-   * @param news What was told.
+   * @param info Description of the member.
    * @param nowMs The local time.
    */
-  toldOf(news: MemberNews, nowMs: number): void {
-    const known = this.#byId.get(news.instanceId);
-    if (known === undefined || known.incarnation < news.incarnation) {
-      const heardAtMs = known?.heardAtMs ?? -Infinity;
-      this.#put({ ...news, heardAtMs });
-      this.#toldAtMs.set(news.instanceId, nowMs);
+  memberReported(info: MemberInfo, nowMs: number): void {
+    const known = this.#byId.get(info.instanceId);
+    if (known === undefined || known.incarnation < info.incarnation) {
+      const lastHeartbeatAtMs = known?.lastHeartbeatAtMs ?? -Infinity;
+      this.#put({ ...info, lastHeartbeatAtMs });
+      this.#reportedAtMs.set(info.instanceId, nowMs);
     }
   }
 
   /**
-   * @param instanceId A member's id.
-   * @returns The member.
+   * @param instanceId Id of a member.
+   * @returns The member; undefined if it is unknown.
    */
   get(instanceId: string): MemberRecord | undefined {
     return this.#byId.get(instanceId);
@@ -186,15 +208,15 @@
 
   /**
    * @param address `ip:port` of a peer socket.
-   * @returns The member that was last said to be there.
+   * @returns Id of the member that last had this address, if there is one.
    */
   idAt(address: string): string | undefined {
     return this.#idByAddress.get(address);
   }
 
   #put(member: MemberRecord): void {
-    if (!saysTheSame(this.#byId.get(member.instanceId), member)) {
-      this.changes++;
+    if (!hasSameInfo(this.#byId.get(member.instanceId), member)) {
+      this.revision++;
     }
     this.#byId.set(member.instanceId, member);
     this.#idByAddress.set(member.address, member.instanceId);
@@ -203,32 +225,36 @@
   /**
    * @param failureDomain A failure domain.
    * @param nowMs The local time.
-   * @returns Whether none of its instances was heard lately, though some were
-   * before.
+   * @returns Whether no instance of the domain sent a heartbeat within the
+   * timeout, though some did before.
    */
   isSilentDomain(failureDomain: string, nowMs: number): boolean {
     const limitMs = this.isFullMesh
-      ? DOMAIN_SILENCE_MS
-      : LARGE_DOMAIN_SILENCE_MS;
-    const heard = [...this.#byId.values()].filter((member) =>
+      ? DOMAIN_TIMEOUT_MS
+      : LARGE_FLEET_DOMAIN_TIMEOUT_MS;
+    const known = [...this.#byId.values()].filter((member) =>
       member.failureDomain === failureDomain && !member.leaving &&
-      member.heardAtMs > -Infinity
+      member.lastHeartbeatAtMs > -Infinity
     );
-    return heard.length > 0 &&
-      heard.every(({ heardAtMs }) => nowMs - heardAtMs > limitMs);
+    return known.length > 0 &&
+      known.every(({ lastHeartbeatAtMs }) =>
+        nowMs - lastHeartbeatAtMs > limitMs
+      );
   }
 
   /**
    * @param nowMs The local time.
-   * @returns Members whose last heartbeat is late; none in a large fleet, where
-   * heartbeats come in rounds.
+   * @returns Members whose next heartbeat is late; none in a large fleet, where
+   * each instance only receives a heartbeat of a member once a round.
    */
   overdue(nowMs: number): MemberRecord[] {
     return !this.isFullMesh ? [] : [...this.#byId.values()]
-      .filter(({ heardAtMs }) => nowMs - heardAtMs > LATELY_HEARD_MS);
+      .filter(({ lastHeartbeatAtMs }) =>
+        nowMs - lastHeartbeatAtMs > HEARTBEAT_OVERDUE_MS
+      );
   }
 
-  /** @returns All members but this instance, heard or not. */
+  /** @returns All members but this instance, alive or not. */
   others(): MemberRecord[] {
     return [...this.#byId.values()]
       .filter(({ instanceId }) => instanceId !== this.selfId);
@@ -239,31 +265,31 @@
    * @returns Members that are alive, this instance included.
    */
   alive(nowMs: number): MemberRecord[] {
-    return [...this.#byId.values()].filter((m) => this.#isHeard(m, nowMs));
+    return [...this.#byId.values()].filter((m) => this.#isAlive(m, nowMs));
   }
 
   /**
-   * Gives the share of the fleet that this instance hears, by which it scales
-   * what the fleet as a whole may spend.
+   * Returns the share of the fleet that is reachable from this instance. The
+   * allotments of the whole fleet are scaled by it.
    *
    * @param nowMs The local time.
    * @returns Above 0, at most 1.
    */
-  heardShare(nowMs: number): number {
+  reachableShare(nowMs: number): number {
     const alive = this.alive(nowMs);
-    const cutOff = this.#cutOffDomains(nowMs);
-    const heard = alive.filter(({ failureDomain }) =>
+    const cutOff = this.#overdueDomains(nowMs);
+    const reachable = alive.filter(({ failureDomain }) =>
       !cutOff.has(failureDomain)
     );
-    return heard.length / this.#presentCount(nowMs);
+    return reachable.length / this.#fleetSize(nowMs);
   }
 
   /**
-   * Failure domains of which no instance sent its last heartbeat. Of one that is
-   * cut off, the instances go on to hand out their part of what the fleet may
-   * spend, before any of them counts as gone here.
+   * Failure domains all of whose instances have an overdue heartbeat. Instances
+   * of a partitioned domain hand out their own part of the allotments even
+   * before any of them counts as gone here.
    */
-  #cutOffDomains(nowMs: number): ReadonlySet<string> {
+  #overdueDomains(nowMs: number): ReadonlySet<string> {
     const overdue = this.overdue(nowMs);
     if (overdue.length === 0) {
       return NO_DOMAINS;
@@ -278,86 +304,93 @@
   }
 
   /**
-   * Gives the same for a coordinator that has stood for as long as a member may
-   * be silent: every heartbeat of every member goes to it, also in a large
-   * fleet. By the rounds there, two parts of a fleet that was cut in two would
-   * both hand out the whole for seconds. A member that was silent counts once it
-   * has told what was spent through it meanwhile.
+   * Returns the share of the fleet that is reachable from a coordinator, which
+   * must have been in office for the timeout of a member. Every member sends
+   * all heartbeats to the coordinator, also in a large fleet, so that the
+   * timeout of rounds does not apply. With that timeout, both sides of a
+   * network partition would hand out the whole of the allotments for seconds. A
+   * member that was silent counts once it has reported what was spent through
+   * it meanwhile.
    *
    * @param nowMs The local time.
-   * @param toldAtMs When a member last told that.
+   * @param reportedAtMs Returns when a member last reported spending.
    * @returns Above 0, at most 1.
    */
-  directShare(
+  directlyReachableShare(
     nowMs: number,
-    toldAtMs: (instanceId: string) => number,
+    reportedAtMs: (instanceId: string) => number,
   ): number {
-    const cutOff = this.#cutOffDomains(nowMs);
+    const cutOff = this.#overdueDomains(nowMs);
     const direct = [...this.#byId.values()].filter((member) =>
-      nowMs - member.heardAtMs < MEMBER_SILENCE_MS &&
+      nowMs - member.lastHeartbeatAtMs < MEMBER_TIMEOUT_MS &&
       !cutOff.has(member.failureDomain) &&
-      toldAtMs(member.instanceId) >= this.#returnedAtMsOf(member.instanceId)
+      reportedAtMs(member.instanceId) >=
+        this.#recoveredAtMsOf(member.instanceId)
     );
-    return direct.length / this.#presentCount(nowMs);
+    return direct.length / this.#fleetSize(nowMs);
   }
 
-  /** When its process was heard again after it had been silent. */
-  #returnedAtMsOf(instanceId: string): number {
-    return this.#returnedAtMs.get(instanceId) ?? -Infinity;
+  /** When a member's process sent a heartbeat again; -Infinity if none did. */
+  #recoveredAtMsOf(instanceId: string): number {
+    return this.#recoveredAtMs.get(instanceId) ?? -Infinity;
   }
 
-  #presentCount(nowMs: number): number {
+  #fleetSize(nowMs: number): number {
     const present = [...this.#byId.values()].filter((m) =>
-      nowMs - m.heardAtMs < FORGET_MEMBER_MS ||
-      nowMs - this.#toldAtMs.get(m.instanceId)! < EXPECT_MEMBER_MS
+      nowMs - m.lastHeartbeatAtMs < MEMBER_RETENTION_MS ||
+      nowMs - this.#reportedAtMs.get(m.instanceId)! < MEMBER_JOIN_GRACE_MS
     );
     return Math.max(1, present.length);
   }
 
   /**
-   * Tells how long the fleet has remembered what workspaces spent: what one
-   * instance forgot with its process, others still know.
+   * Returns how long the fleet as a whole has kept the spending of workspaces.
+   * What one instance lost with a restart, others still have.
    *
-   * @param ownMs How long this instance has run.
+   * @param ownMs Time since this instance started, in milliseconds.
    * @param nowMs The local time.
-   * @returns A duration in milliseconds.
+   * @returns The longest such time of any live member, in milliseconds.
    */
   memoryMs(ownMs: number, nowMs: number): number {
-    const alive = this.alive(nowMs).map((m) => this.#runMs(m, nowMs));
+    const alive = this.alive(nowMs).map((m) => this.#uptimeMs(m, nowMs));
     return Math.max(ownMs, ...alive);
   }
 
   /**
-   * @param instanceId A member.
-   * @param memoryMs How long it has remembered what workspaces spent.
+   * Records for how long a member has kept the spending of workspaces, by which
+   * its uptime is estimated.
+   *
+   * @param instanceId Id of the member.
+   * @param memoryMs The time in milliseconds, as the member reported it.
    * @param nowMs The local time.
    */
-  remembers(instanceId: string, memoryMs: number, nowMs: number): void {
-    this.#remembersSinceMs.set(instanceId, nowMs - memoryMs);
+  memoryReported(instanceId: string, memoryMs: number, nowMs: number): void {
+    this.#memorySinceMs.set(instanceId, nowMs - memoryMs);
   }
 
   /**
-   * Notes that a member asked this instance for places and got no answer in time.
-   * An instance that stands aside is replaced by all at once, and the next one
-   * hands out the whole of the allotments.
+   * Records that a member asked this instance for places and got no answer in
+   * time. If enough members did, this instance stands aside: all members
+   * replace it at the same time, so that the next coordinator can hand out the
+   * whole of the allotments.
    *
-   * @param byId The member.
+   * @param byId Id of the member.
    * @param nowMs The local time.
    */
-  leftUnanswered(byId: string, nowMs: number): void {
-    this.#unansweredAtMs.set(byId, nowMs);
+  passedOverBy(byId: string, nowMs: number): void {
+    this.#passedOverAtMs.set(byId, nowMs);
     const others = this.alive(nowMs)
       .filter(({ instanceId }) => instanceId !== this.selfId);
-    const saying = others.filter(({ instanceId }) =>
-      nowMs - (this.#unansweredAtMs.get(instanceId) ?? -Infinity) <
-        PASSED_OVER_MS
+    const reporting = others.filter(({ instanceId }) =>
+      nowMs - (this.#passedOverAtMs.get(instanceId) ?? -Infinity) <
+        PASSED_OVER_WINDOW_MS
     );
     if (
-      !this.isLoaded && saying.length > 0 &&
-      saying.length >= PASSED_OVER_PART * others.length
+      !this.isLoaded && reporting.length > 0 &&
+      reporting.length >= MIN_PASSED_OVER_SHARE * others.length
     ) {
       this.#standsAsideUntilMs = nowMs + STAND_ASIDE_MS;
-      this.changes++;
+      this.revision++;
     }
   }
 
@@ -370,31 +403,38 @@
   }
 
   /**
-   * Picks the coordinator: among the members that have run longest the one that
-   * rendezvous hashing gives. Every instance with the same view picks the same
-   * one, and an instance that has just started takes over from nobody.
+   * Chooses the coordinator by rendezvous hashing among the members with the
+   * longest uptime and enough cores. Every instance with the same view chooses
+   * the same one, and an instance that has just started replaces no other.
    *
    * @param nowMs The local time.
-   * @param shunned Members that did not answer lately.
-   * @returns A member; this instance where no other is alive.
+   * @param unresponsive Ids of members that did not answer recently.
+   * @returns A member; this instance if there is no other candidate.
    */
-  coordinator(nowMs: number, shunned: ReadonlySet<string>): MemberRecord {
+  coordinator(nowMs: number, unresponsive: ReadonlySet<string>): MemberRecord {
     const alive = this.alive(nowMs);
     const staying = alive.filter((m) => !m.leaving);
-    const quick = staying.filter((m) => !this.#isAside(m, nowMs));
-    const answering = [quick, staying, alive].find(({ length }) => length > 0)!
-      .filter((m) => !shunned.has(m.instanceId));
-    const eligible = new Set(strongest(this.#longestRunning(answering, nowMs)));
+    const notSlow = staying.filter((m) => !this.#isStandingAside(m, nowMs));
+    const responsive = [notSlow, staying, alive].find(({ length }) =>
+      length > 0
+    )!
+      .filter((m) => !unresponsive.has(m.instanceId));
+    const eligible = new Set(
+      withEnoughCores(this.#withLongestUptime(responsive, nowMs)),
+    );
     for (;;) {
-      const best = highest(eligible, (m) => this.#score(m.instanceId));
-      if (best === undefined || this.#isFresh(best, nowMs)) {
+      const best = maxBy(eligible, (m) => this.#score(m.instanceId));
+      if (best === undefined || this.#mayCoordinate(best, nowMs)) {
         return best ?? this.#byId.get(this.selfId)!;
       }
       eligible.delete(best);
     }
   }
 
-  #isAside({ instanceId, standsAside }: MemberRecord, nowMs: number): boolean {
+  #isStandingAside(
+    { instanceId, standsAside }: MemberRecord,
+    nowMs: number,
+  ): boolean {
     return instanceId === this.selfId
       ? this.standsAside(nowMs)
       : standsAside === true;
@@ -410,54 +450,72 @@
   }
 
   /**
-   * A coordinator beats to every instance, however large the fleet is. One that
-   * has just become it is given the time to notice.
+   * Whether a candidate sends heartbeats to this instance, as a coordinator
+   * does to every instance of a fleet of any size. A candidate that is silent
+   * still counts for the timeout of a member, until it has noticed that it
+   * coordinates.
    */
-  #isFresh({ instanceId, heardAtMs }: MemberRecord, nowMs: number): boolean {
-    if (nowMs - heardAtMs < MEMBER_SILENCE_MS) {
-      this.#expectedSinceMs.delete(instanceId);
+  #mayCoordinate(
+    { instanceId, lastHeartbeatAtMs }: MemberRecord,
+    nowMs: number,
+  ): boolean {
+    if (nowMs - lastHeartbeatAtMs < MEMBER_TIMEOUT_MS) {
+      this.#awaitedSinceMs.delete(instanceId);
       return true;
     }
-    const sinceMs = this.#expectedSinceMs.get(instanceId) ?? nowMs;
-    this.#expectedSinceMs.set(instanceId, sinceMs);
-    return nowMs - sinceMs < MEMBER_SILENCE_MS;
+    const sinceMs = this.#awaitedSinceMs.get(instanceId) ?? nowMs;
+    this.#awaitedSinceMs.set(instanceId, sinceMs);
+    return nowMs - sinceMs < MEMBER_TIMEOUT_MS;
   }
 
-  /** In a large fleet, a member is heard once in a round over all of it. */
-  #isHeard(member: MemberRecord, nowMs: number): boolean {
+  /**
+   * In a large fleet, a member sends one heartbeat in a round to each other.
+   */
+  #isAlive(member: MemberRecord, nowMs: number): boolean {
     const others = this.#byId.size - 1;
     const roundMs = this.isFullMesh
       ? 0
-      : Math.ceil(others / BEAT_FANOUT) * ROUND_SILENCE_MS;
-    return nowMs - member.heardAtMs < Math.max(MEMBER_SILENCE_MS, roundMs);
+      : Math.ceil(others / HEARTBEAT_FANOUT) * ROUND_TIMEOUT_MS;
+    return nowMs - member.lastHeartbeatAtMs <
+      Math.max(MEMBER_TIMEOUT_MS, roundMs);
   }
 
-  #longestRunning(
+  #withLongestUptime(
     members: readonly MemberRecord[],
     nowMs: number,
   ): MemberRecord[] {
-    const times = members.map((m) => this.#runMs(m, nowMs));
-    const longestMs = Math.max(0, ...times);
+    const uptimes = members.map((m) => this.#uptimeMs(m, nowMs));
+    const longestMs = Math.max(0, ...uptimes);
     return members.filter((_, index) =>
-      times[index]! >= longestMs - STARTED_TOGETHER_MS
+      uptimes[index]! >= longestMs - UPTIME_TOLERANCE_MS
     );
   }
 
-  #runMs({ instanceId }: MemberRecord, nowMs: number): number {
-    return nowMs - (this.#remembersSinceMs.get(instanceId) ?? nowMs);
+  #uptimeMs({ instanceId }: MemberRecord, nowMs: number): number {
+    return nowMs - (this.#memorySinceMs.get(instanceId) ?? nowMs);
   }
 
-  /** @param nowMs Members long silent by then are forgotten. */
-  forgetOld(nowMs: number): void {
-    for (const { instanceId, heardAtMs, address } of this.others()) {
-      if (heardAtMs > -Infinity && nowMs - heardAtMs > FORGET_MEMBER_MS) {
-        this.changes++;
+  /**
+   * Removes members that have been silent for longer than the retention time.
+   *
+   * @param nowMs The local time.
+   */
+  evictExpired(nowMs: number): void {
+    for (
+      const { instanceId, lastHeartbeatAtMs, address } of this
+        .others()
+    ) {
+      if (
+        lastHeartbeatAtMs > -Infinity &&
+        nowMs - lastHeartbeatAtMs > MEMBER_RETENTION_MS
+      ) {
+        this.revision++;
         this.#byId.delete(instanceId);
-        this.#remembersSinceMs.delete(instanceId);
-        this.#expectedSinceMs.delete(instanceId);
-        this.#toldAtMs.delete(instanceId);
-        this.#unansweredAtMs.delete(instanceId);
-        this.#returnedAtMs.delete(instanceId);
+        this.#memorySinceMs.delete(instanceId);
+        this.#awaitedSinceMs.delete(instanceId);
+        this.#reportedAtMs.delete(instanceId);
+        this.#passedOverAtMs.delete(instanceId);
+        this.#recoveredAtMs.delete(instanceId);
         this.#scores.delete(instanceId);
         if (this.#idByAddress.get(address) === instanceId) {
           this.#idByAddress.delete(address);
@@ -467,7 +525,7 @@
   }
 }
 
-function saysTheSame(
+function hasSameInfo(
   known: MemberRecord | undefined,
   member: MemberRecord,
 ): boolean {
@@ -476,21 +534,23 @@
     known.standsAside === member.standsAside && known.cores === member.cores;
 }
 
-function strongest(members: readonly MemberRecord[]): MemberRecord[] {
+function withEnoughCores(members: readonly MemberRecord[]): MemberRecord[] {
   const mostCores = Math.max(0, ...members.map(({ cores }) => cores));
-  return members.filter(({ cores }) => cores >= mostCores * STRONG_PART);
+  return members.filter(({ cores }) =>
+    cores >= mostCores * MIN_COORDINATOR_CORES_RATIO
+  );
 }
 
-function highest<T>(
-  all: Iterable<T>,
-  scoreOf: (one: T) => number,
+function maxBy<T>(
+  items: Iterable<T>,
+  scoreOf: (item: T) => number,
 ): T | undefined {
   let best: T | undefined;
   let bestScore = -Infinity;
-  for (const one of all) {
-    const score = scoreOf(one);
+  for (const item of items) {
+    const score = scoreOf(item);
     if (score > bestScore) {
-      best = one;
+      best = item;
       bestScore = score;
     }
   }
--- a/packages/routing/src/member_view_test.ts
+++ b/packages/routing/src/member_view_test.ts
@@ -8,7 +8,7 @@
 function viewOf(selfId: string, others: readonly string[]): MemberView {
   const view = new MemberView(memberOf(selfId));
   for (const id of others) {
-    view.heard(memberOf(id), 0);
+    view.heartbeatReceived(memberOf(id), 0);
   }
   return view;
 }
@@ -27,42 +27,42 @@
   const first = view.coordinator(100, NONE).instanceId;
   assert.is.not(view.coordinator(100, new Set([first])).instanceId, first);
   const others = ["i2", "i3"].filter((id) => id !== first);
-  view.heard(memberOf(first, { leaving: true }), 100);
+  view.heartbeatReceived(memberOf(first, { leaving: true }), 100);
   assert.ok(["i1", ...others].includes(view.coordinator(100, NONE).instanceId));
   assert.is(view.coordinator(5000, NONE).instanceId, "i1");
 });
 
-test("an instance that half of the others passed over stands aside", () => {
+test("an instance stands aside once half of the others passed it over", () => {
   const others = ["i2", "i3", "i4", "i5"];
   const view = viewOf("i1", others);
-  view.leftUnanswered("i2", 100);
-  view.leftUnanswered("i2", 200);
+  view.passedOverBy("i2", 100);
+  view.passedOverBy("i2", 200);
   assert.is(view.standsAside(200), false);
-  others.forEach((id) => view.heard(memberOf(id), 1500));
-  view.leftUnanswered("i3", 1500);
-  assert.is(view.standsAside(1500), false, "the first word is too old");
-  view.leftUnanswered("i2", 1600);
+  others.forEach((id) => view.heartbeatReceived(memberOf(id), 1500));
+  view.passedOverBy("i3", 1500);
+  assert.is(view.standsAside(1500), false, "the first report is too old");
+  view.passedOverBy("i2", 1600);
   assert.is(view.standsAside(1600), true);
   assert.is(view.standsAside(20_000), false);
 });
 
-test("an instance that is late because of its load does not stand aside", () => {
+test("an instance that is slow because of its load does not stand aside", () => {
   const view = viewOf("i1", ["i2", "i3"]);
   view.isLoaded = true;
-  ["i2", "i3"].forEach((id) => view.leftUnanswered(id, 100));
+  ["i2", "i3"].forEach((id) => view.passedOverBy(id, 100));
   assert.not.ok(view.standsAside(100));
   view.isLoaded = false;
-  view.leftUnanswered("i2", 200);
+  view.passedOverBy("i2", 200);
   assert.ok(view.standsAside(200));
 });
 
-test("news of a member is told from its mere signs of life", () => {
+test("a heartbeat changes the revision only with the member's description", () => {
   const view = viewOf("i1", ["i2"]);
-  const before = view.changes;
-  view.heard(memberOf("i2"), 300);
-  assert.is(view.changes, before);
-  view.heard(memberOf("i2", { standsAside: true }), 400);
-  assert.is(view.changes, before + 1);
+  const before = view.revision;
+  view.heartbeatReceived(memberOf("i2"), 300);
+  assert.is(view.revision, before);
+  view.heartbeatReceived(memberOf("i2", { standsAside: true }), 400);
+  assert.is(view.revision, before + 1);
 });
 
 test("all replace a coordinator that stands aside, itself included", () => {
@@ -72,43 +72,46 @@
     const others = ids.filter((id) => id !== self);
     const view = viewOf(self, others);
     if (self === slowId) {
-      others.forEach((id) => view.leftUnanswered(id, 100));
+      others.forEach((id) => view.passedOverBy(id, 100));
     }
-    view.heard(memberOf(slowId, { standsAside: true }), 100);
+    view.heartbeatReceived(memberOf(slowId, { standsAside: true }), 100);
     return view.coordinator(100, NONE).instanceId;
   });
   assert.is(new Set(picked).size, 1);
   assert.is.not(picked[0], slowId);
 });
 
-test("where all stand aside, one of them coordinates", () => {
+test("if all members stand aside, one of them coordinates", () => {
   const view = viewOf("i1", ["i2"]);
-  view.heard(memberOf("i2", { standsAside: true }), 0);
-  view.leftUnanswered("i2", 100);
+  view.heartbeatReceived(memberOf("i2", { standsAside: true }), 0);
+  view.passedOverBy("i2", 100);
   assert.is(view.standsAside(100), true);
   assert.ok(["i1", "i2"].includes(view.coordinator(100, NONE).instanceId));
 });
 
-test("an instance that has just started takes over from nobody", () => {
+test("an instance that has just started replaces no coordinator", () => {
   const ids = ["i1", "i2", "i3", "i4", "i5", "i6"];
   const view = viewOf("i1", ids.slice(1));
   const first = view.coordinator(100, NONE).instanceId;
   for (const id of ids) {
-    view.remembers(id, id === first ? 500 : 60_000, 100);
+    view.memoryReported(id, id === first ? 500 : 60_000, 100);
   }
   assert.is.not(view.coordinator(100, NONE).instanceId, first);
   for (const id of ids) {
-    view.remembers(id, 60_000 + ids.indexOf(id) * 100, 100);
+    view.memoryReported(id, 60_000 + ids.indexOf(id) * 100, 100);
   }
   assert.is(view.coordinator(100, NONE).instanceId, first);
 });
 
-test("a weak instance coordinates only where no strong one is heard", () => {
+test("an instance with few cores coordinates only if all alive have few", () => {
   const ids = ["i1", "i2", "i3", "i4", "i5", "i6", "i7", "i8"];
   for (const strong of ids) {
     const view = new MemberView(memberOf("i0", { cores: 0.3 }));
     for (const id of ids) {
-      view.heard(memberOf(id, { cores: id === strong ? 1.3 : 0.3 }), 0);
+      view.heartbeatReceived(
+        memberOf(id, { cores: id === strong ? 1.3 : 0.3 }),
+        0,
+      );
     }
     assert.is(view.coordinator(100, NONE).instanceId, strong);
     const next = view.coordinator(100, new Set([strong])).instanceId;
@@ -116,74 +119,89 @@
   }
 });
 
-test("a standing coordinator of a large fleet soon misses a part of it", () => {
+test("a coordinator of a large fleet detects a lost part within the timeout", () => {
   const ids = Array.from({ length: 80 }, (_, index) => `i${index + 1}`);
   const view = viewOf("i0", ids);
   for (const id of ids.slice(0, 60)) {
-    view.heard(memberOf(id), 1000);
+    view.heartbeatReceived(memberOf(id), 1000);
   }
-  assert.is(view.heardShare(1100), 1);
-  assert.is(view.directShare(1100, () => 1100), 61 / 81);
+  assert.is(view.reachableShare(1100), 1);
+  assert.is(view.directlyReachableShare(1100, () => 1100), 61 / 81);
 });
 
-test("a part that was cut off counts once it has told what it spent", () => {
+test("a part that was cut off counts once it has reported its spending", () => {
   const view = viewOf("i1", ["i2", "i3", "i4"]);
   const never = () => -Infinity;
-  assert.is(view.directShare(500, never), 1, "nobody was silent");
-  ["i3", "i4"].forEach((id) => view.heard(memberOf(id), 800));
-  ["i2", "i3", "i4"].forEach((id) => view.heard(memberOf(id), 1600));
-  assert.is(view.directShare(1600, never), 3 / 4);
-  const toldAtMs = (id: string) => id === "i2" ? 1700 : -Infinity;
-  assert.is(view.directShare(1700, toldAtMs), 1);
+  assert.is(view.directlyReachableShare(500, never), 1, "nobody was silent");
+  ["i3", "i4"].forEach((id) => view.heartbeatReceived(memberOf(id), 800));
+  ["i2", "i3", "i4"].forEach((id) =>
+    view.heartbeatReceived(memberOf(id), 1600)
+  );
+  assert.is(view.directlyReachableShare(1600, never), 3 / 4);
+  const reportedAtMs = (id: string) => id === "i2" ? 1700 : -Infinity;
+  assert.is(view.directlyReachableShare(1700, reportedAtMs), 1);
 });
 
-test("an instance cut off counts its share of the fleet", () => {
+test("an instance that is cut off counts only its own part of the fleet", () => {
   const view = viewOf("i1", ["i2", "i3", "i4"]);
-  assert.is(view.heardShare(100), 1);
-  view.heard(memberOf("i2"), 5000);
-  assert.is(view.heardShare(5000), 0.5);
+  assert.is(view.reachableShare(100), 1);
+  view.heartbeatReceived(memberOf("i2"), 5000);
+  assert.is(view.reachableShare(5000), 0.5);
 });
 
-test("word of an earlier start of a member is ignored", () => {
+test("a heartbeat of an earlier process of a member is ignored", () => {
   const view = viewOf("i1", []);
-  view.heard(memberOf("i2", { incarnation: 2, address: "new:1" }), 0);
-  view.heard(memberOf("i2", { incarnation: 1, address: "old:1" }), 10);
+  view.heartbeatReceived(
+    memberOf("i2", { incarnation: 2, address: "new:1" }),
+    0,
+  );
+  view.heartbeatReceived(
+    memberOf("i2", { incarnation: 1, address: "old:1" }),
+    10,
+  );
   assert.is(view.get("i2")?.address, "new:1");
 });
 
-test("an instance restarted after its clock was put back is heard again", () => {
+test("a process that started after its clock was set back is accepted", () => {
   const view = viewOf("i1", []);
-  view.heard(memberOf("i2", { incarnation: 2, address: "old:1" }), 0);
-  view.heard(memberOf("i2", { incarnation: 1, address: "new:1" }), 1500);
+  view.heartbeatReceived(
+    memberOf("i2", { incarnation: 2, address: "old:1" }),
+    0,
+  );
+  view.heartbeatReceived(
+    memberOf("i2", { incarnation: 1, address: "new:1" }),
+    1500,
+  );
   assert.is(view.get("i2")?.address, "new:1");
 });
 
-test("in a large fleet members are heard in turn, the coordinator always", () => {
+test("in a large fleet, only the coordinator has to send every heartbeat", () => {
   const ids = Array.from({ length: 60 }, (_, i) => `i${i + 2}`);
   const self = ids.pop()!;
   const view = viewOf(self, ids);
   assert.is(view.alive(4000).length, 60);
-  // All were last heard at 0, so whoever coordinates is given time to beat.
+  // All sent their last heartbeat at 0: the candidate is given time to send
+  // one.
   const first = view.coordinator(2000, NONE).instanceId;
   assert.is(view.coordinator(2500, NONE).instanceId, first);
   const second = view.coordinator(3000, NONE).instanceId;
   assert.is.not(second, first);
-  view.heard(memberOf(first), 3100);
+  view.heartbeatReceived(memberOf(first), 3100);
   assert.is(view.coordinator(3100, NONE).instanceId, first);
 });
 
-test("a member that was only told of gets no duties", () => {
+test("a member that was only reported by others does not coordinate", () => {
   const view = viewOf("i1", []);
-  view.toldOf(memberOf("i2"), 0);
+  view.memberReported(memberOf("i2"), 0);
   assert.is(view.coordinator(0, NONE).instanceId, "i1");
-  // It may be about to be heard, and then it is gone for good.
-  assert.is(view.heardShare(100), 0.5);
-  assert.is(view.heardShare(3000), 1);
+  // Until its first heartbeat is overdue, it counts towards the fleet's size.
+  assert.is(view.reachableShare(100), 0.5);
+  assert.is(view.reachableShare(3000), 1);
 });
 
-test("the fleet remembers as long as its oldest instance", () => {
+test("the fleet keeps spending as long as its longest-running instance", () => {
   const view = viewOf("i1", ["i2"]);
-  view.remembers("i2", 9000, 0);
+  view.memoryReported("i2", 9000, 0);
   assert.is(view.memoryMs(100, 50), 9050);
   assert.is(view.memoryMs(2000, 3000), 2000);
 });
--- a/packages/routing/src/peer_messages.ts
+++ b/packages/routing/src/peer_messages.ts
@@ -1,27 +1,37 @@
 /**
- * Messages between the instances that route requests. Declared once, here, and
- * checked when they arrive. No message carries a clock.
+ * Schemas of the messages between instances, by which each message is validated
+ * when it arrives. No message carries a time of day: messages give ages and
+ * remaining times instead, as the clocks of instances may differ.
  */
 
 import * as z from "zod";
 import { RolloutPhase } from "./rollout.ts";
 import { AskCause, AskRefusal } from "./work_ask.ts";
 
-/** Kinds of message. */
+/** Kinds of messages between instances. */
 export enum MessageKind {
-  Beat = "beat",
+  /** Liveness and gossip that each instance sends to others periodically. */
+  Heartbeat = "beat",
+  /** A holder requests a place for one of its requests from the coordinator. */
   Ask = "ask",
-  /** The ask arrived and waits. */
+  /** The coordinator confirms that an ask arrived and waits. */
   Queued = "queued",
+  /** The coordinator grants a place for an ask, or refuses it. */
   Decision = "decision",
+  /** The first part of an answer arrived from the target. */
   FirstSeen = "first_seen",
+  /** The work on a placed request ended. */
   End = "end",
+  /** The holder withdraws an ask. */
   Drop = "drop",
+  /** A holder's running and waiting requests, from which state is rebuilt. */
   Report = "report",
-  /** Of asks that a holder reports as waiting, the receiver knows nothing. */
+  /**
+   * The coordinator has no record of asks that a holder reported as waiting.
+   */
   Unknown = "unknown",
   /** The sender asked the receiver for places and got no answer in time. */
-  Unanswered = "passed_over",
+  PassedOver = "passed_over",
 }
 
 const member = z.object({
@@ -51,19 +61,19 @@
   }).optional(),
 });
 
-/** Checks what a peer tells of targets. */
+/** Validates changed rows of the target list that a peer sends. */
 export const targetChangesSchema = z.array(targetChange);
 
-/** Checks what another instance tells of requests under which targets ended. */
-export const suspectNewsSchema = z.object({
+/** Validates a `SuspectUpdate` from another instance or from the store. */
+export const suspectUpdateSchema = z.object({
   fingerprint: z.string(),
   ended: z.array(z.string()).readonly(),
   endedInTrial: z.array(z.string()).readonly(),
   ageMs: z.number(),
 });
 
-/** Checks what another instance tells of a roll-out. */
-export const rolloutNewsSchema = z.object({
+/** Validates a `RolloutUpdate` from another instance or from the store. */
+export const rolloutUpdateSchema = z.object({
   pool: z.string(),
   version: z.string(),
   withinMs: z.number(),
@@ -72,7 +82,7 @@
   ageMs: z.number(),
 });
 
-const rateLimitNews = z.object({
+const rateLimitUpdate = z.object({
   targetId: z.string(),
   limitPerS: z.number().nonnegative().optional(),
   ageMs: z.number(),
@@ -132,10 +142,10 @@
   waiting: z.array(z.string()).readonly(),
   spent: z.array(z.object({ workspace: z.string(), spent: z.number() }))
     .readonly(),
-  suspects: z.array(suspectNewsSchema).readonly().optional(),
+  suspects: z.array(suspectUpdateSchema).readonly().optional(),
 });
 
-/** Checks what another instance tells of a workspace's spending. */
+/** Validates the spending of a workspace that another instance sends. */
 export const spendingHistorySchema = z.object({
   workspace: z.string(),
   spent: z.number(),
@@ -160,35 +170,37 @@
   }),
 ]);
 
-/** Checks a message from a peer. */
+/** Validates a message from a peer. */
 export const peerMessageSchema = z.discriminatedUnion("kind", [
   z.object({
-    kind: z.literal(MessageKind.Beat),
+    kind: z.literal(MessageKind.Heartbeat),
     from: member,
-    /** How long the sender has remembered what workspaces spent. */
+    /** Time for which the sender has kept the spending of workspaces. */
     memoryMs: z.number(),
-    /** Version of the configuration that the sender has; 0 for none. */
+    /** Version of the configuration that the sender applies; 0 for none. */
     configurationVersion: z.number(),
-    /** Time since the sender last knew that no newer one is confirmed. */
+    /**
+     * Time since the sender's configuration was last known to be the newest.
+     */
     configurationAgeMs: z.number().nonnegative().optional(),
-    /** Version of the newest news that it has of targets. */
+    /** Newest row version of the target list that the sender has. */
     targetsVersion: z.number(),
-    /** Whether the sender reaches the platform's store. */
+    /** Whether the sender can reach the platform's store. */
     reachesStore: z.boolean(),
-    /** Other members that it hears. */
+    /** Other members from which the sender receives heartbeats. */
     others: z.array(member),
     /**
-     * From the coordinator: workspaces that spent much of their allotments.
-     * Absent where this heartbeat does not tell.
+     * From the coordinator: spending of workspaces that have used much of their
+     * allotments. Absent if this heartbeat carries none.
      */
     spending: z.array(spendingHistorySchema).readonly().optional(),
     /** From the coordinator: requests under which targets ended, if any. */
-    suspects: z.array(suspectNewsSchema).readonly().optional(),
-    /** Roll-outs that are in progress or ended just now, if any. */
-    rollouts: z.array(rolloutNewsSchema).readonly().optional(),
-    /** Rate limits of targets, and recently lifted ones, if any. */
-    rateLimits: z.array(rateLimitNews).readonly().optional(),
-    /** What it lately learned of targets. */
+    suspects: z.array(suspectUpdateSchema).readonly().optional(),
+    /** Roll-outs that are in progress or ended recently, if any. */
+    rollouts: z.array(rolloutUpdateSchema).readonly().optional(),
+    /** Rate limits of targets, and recently lifted limits, if any. */
+    rateLimits: z.array(rateLimitUpdate).readonly().optional(),
+    /** Recent changes of the target list. */
     targetNews: targetChangesSchema,
   }),
   z.object({ kind: z.literal(MessageKind.Ask), ask }),
@@ -202,8 +214,8 @@
     kind: z.literal(MessageKind.Unknown),
     askIds: z.array(z.string()).readonly(),
   }),
-  z.object({ kind: z.literal(MessageKind.Unanswered) }),
+  z.object({ kind: z.literal(MessageKind.PassedOver) }),
 ]);
 
-/** A message between instances. */
+/** A message between two instances of the fleet. */
 export type RoutingMessage = z.infer<typeof peerMessageSchema>;
--- a/packages/routing/src/placement_choice.ts
+++ b/packages/routing/src/placement_choice.ts
@@ -136,7 +136,7 @@
     candidates: readonly Candidate[],
     nowMs: number,
   ): readonly Candidate[] {
-    return this.#board.rateLimits.isAny
+    return this.#board.rateLimits.hasLimits
       ? candidates.filter(({ target }) =>
         this.#limiter.allows(target.targetId, nowMs)
       )
--- a/packages/routing/src/pool_schedule.ts
+++ b/packages/routing/src/pool_schedule.ts
@@ -394,7 +394,7 @@
       };
     }
     const { suspects } = this.#board;
-    const heldForMs = suspects.heldForMs(ask.fingerprint, look.nowMs);
+    const heldForMs = suspects.quarantineLeftMs(ask.fingerprint, look.nowMs);
     if (heldForMs > 0) {
       return quarantined(ask, heldForMs);
     }
--- a/packages/routing/src/rollout.ts
+++ b/packages/routing/src/rollout.ts
@@ -1,47 +1,54 @@
-/** Roll-outs of a pool's new software version: what is ordered, and how far it is. */
+/**
+ * Roll-outs (progressive deployments) of a new software version of a pool's
+ * targets: orders, phases and the states that operators see.
+ */
 
-/** How far a roll-out has come. */
+/** Phases of a roll-out. */
 export enum RolloutPhase {
-  /** Ordered; no target of the new version is known yet. */
+  /** The order is known, but no target of the new version. */
   Pending = "pending",
   /** A small part of the pool's requests goes to the new version. */
   Canary = "canary",
-  /** All new work goes to the new version; the old one finishes what it has. */
+  /** All new work goes to the new version; targets of the old one drain. */
   Promoting = "promoting",
-  /** The outcome is being written, after which old targets may stop any time. */
+  /** The success is being written; old targets may stop once it is. */
   Completing = "completing",
+  /** The success is written to the store. */
   Completed = "completed",
-  /** The new version gets nothing more; the outcome is being written. */
+  /** The new version gets no more work; the failure is being written. */
   RollingBack = "rolling_back",
+  /** The failure is written to the store. */
   RolledBack = "rolled_back",
 }
 
-/** What the operators ordered. */
+/** An operator's order to move a pool to another version. */
 export interface RolloutOrder {
   readonly pool: string;
-  /** Version that the pool's requests are to move to. */
+  /** The new software version. */
   readonly version: string;
-  /** Time from the order within which the roll-out is to be over. */
+  /** Time from the order within which the roll-out should complete. */
   readonly withinMs: number;
-  /** Version of the row that ordered it; a later order has a higher one. */
+  /**
+   * Version of the store's row with the order; later orders have higher ones.
+   */
   readonly rowVersion: number;
 }
 
-/** What one instance tells another, or the fleet recorded, of a roll-out. */
-export interface RolloutNews extends RolloutOrder {
+/** A roll-out's order and phase, as instances exchange and store them. */
+export interface RolloutUpdate extends RolloutOrder {
   readonly phase: RolloutPhase;
-  /** How long ago it was ordered. */
+  /** Time since the order. */
   readonly ageMs: number;
 }
 
-/** What is told to the operators. */
+/** State of a roll-out as operators see it. */
 export enum RolloutState {
   Running = "running",
   Completed = "completed",
   RolledBack = "rolled_back",
 }
 
-/** What the operators are to read in each phase. */
+/** State that operators see in each phase. */
 export const STATE_OF: Readonly<Record<RolloutPhase, RolloutState>> = {
   [RolloutPhase.Pending]: RolloutState.Running,
   [RolloutPhase.Canary]: RolloutState.Running,
@@ -52,7 +59,7 @@
   [RolloutPhase.RolledBack]: RolloutState.RolledBack,
 };
 
-/** Phase in which an outcome is known to be written. */
+/** Phase of a roll-out whose state was read from the store; none if it runs. */
 export const WRITTEN_PHASE: Readonly<
   Record<RolloutState, RolloutPhase | undefined>
 > = {
@@ -61,8 +68,11 @@
   [RolloutState.RolledBack]: RolloutPhase.RolledBack,
 };
 
-/** A roll-out only ever goes on to a phase of a higher step. */
-const STEP: Readonly<Record<RolloutPhase, number>> = {
+/**
+ * Order of the phases. A roll-out only moves to a phase with a higher number,
+ * so that instances converge whatever the order of updates.
+ */
+const PHASE_ORDER: Readonly<Record<RolloutPhase, number>> = {
   [RolloutPhase.Pending]: 0,
   [RolloutPhase.Canary]: 1,
   [RolloutPhase.Promoting]: 2,
@@ -73,18 +83,20 @@
 };
 
 /**
+ * Compares phases by the order in which a roll-out goes through them.
+ *
  * @param phase A phase.
- * @param other Another.
- * @returns Whether the first is further on than the second.
+ * @param other The phase to compare it with.
+ * @returns Whether `phase` comes after `other`.
  */
-export function isFurther(phase: RolloutPhase, other: RolloutPhase): boolean {
-  return STEP[phase] > STEP[other];
+export function isLater(phase: RolloutPhase, other: RolloutPhase): boolean {
+  return PHASE_ORDER[phase] > PHASE_ORDER[other];
 }
 
 /**
  * @param phase A phase.
- * @returns Whether the outcome is written, so that nothing follows.
+ * @returns Whether the phase is the last one, in which the outcome is written.
  */
 export function isFinal(phase: RolloutPhase): boolean {
-  return STEP[phase] === STEP[RolloutPhase.Completed];
+  return PHASE_ORDER[phase] === PHASE_ORDER[RolloutPhase.Completed];
 }
--- a/packages/routing/src/rollout_steps.ts
+++ b/packages/routing/src/rollout_steps.ts
@@ -1,36 +1,48 @@
-/** When a roll-out goes on to its next phase. */
+/** State machine of roll-outs: the conditions for each change of phase. */
 
 import { RolloutPhase } from "./rollout.ts";
 import { Verdict } from "./version_evidence.ts";
 
-/** Part of a roll-out's time after which a sound version is promoted. */
-export const PROMOTE_PART = 0.5;
+/**
+ * Age of a roll-out, relative to its time, from which a sound version is
+ * promoted.
+ */
+export const PROMOTION_AGE_RATIO = 0.5;
 
-/** The same, by which the outcome is to be written. */
-const FINISH_PART = 0.85;
+/**
+ * Age of a roll-out, relative to its time, from which it completes although old
+ * targets still have work. The rest of the time is for writing the outcome.
+ */
+const COMPLETION_AGE_RATIO = 0.85;
 
-/** Least time under the whole load before a roll-out is completed. */
+/** Least time with all requests on the new version before completion. */
 const MIN_PROMOTION_MS = 1500;
 
-/** Part of the old version's slots that the new one must have to be promoted. */
-const MIN_CAPACITY_PART = 0.7;
+/**
+ * Slots that the new version needs for promotion, relative to the old one's.
+ */
+const MIN_CAPACITY_RATIO = 0.7;
 
-/** Times a roll-out's own time after which one without a verdict is taken back. */
-const GIVE_UP_PART = 3;
+/**
+ * Age of a roll-out, relative to its time, at which it is rolled back
+ * unfinished.
+ */
+const ABANDON_AGE_RATIO = 3;
 
-/** What a roll-out's next step depends on. */
+/** Inputs of the decision on a roll-out's next phase. */
 export interface StepInput {
-  /** Time since the order, in parts of the ordered time. */
-  readonly agePart: number;
-  /** Time since this instance came to know the phase. */
+  /** Time since the order, relative to the time that the order allows. */
+  readonly ageRatio: number;
+  /** Time since this instance entered the phase or learned of it. */
   readonly phaseAgeMs: number;
   readonly verdict: Verdict;
-  /** Slots of the new version's targets, and of the old one's. */
+  /** Slots of all usable targets of the new version. */
   readonly newSlots: number;
+  /** Slots of all usable targets of the old version. */
   readonly oldSlots: number;
-  /** Requests that the old version's targets still work on. */
-  readonly oldWork: number;
-  /** Whether the outcome could be written. */
+  /** Requests in flight on targets of the old version. */
+  readonly oldInFlight: number;
+  /** Whether the store is reachable, so that the outcome can be written. */
   readonly reachesStore: boolean;
 }
 
@@ -41,16 +53,16 @@
     if (input.newSlots > 0) {
       return RolloutPhase.Canary;
     }
-    return isGivenUp(input) ? RolloutPhase.RollingBack : RolloutPhase.Pending;
+    return isAbandoned(input) ? RolloutPhase.RollingBack : RolloutPhase.Pending;
   },
   [RolloutPhase.Canary]: (input) => {
-    if (input.verdict === Verdict.Bad || isGivenUp(input)) {
+    if (input.verdict === Verdict.Bad || isAbandoned(input)) {
       return RolloutPhase.RollingBack;
     }
     return mayPromote(input) ? RolloutPhase.Promoting : RolloutPhase.Canary;
   },
   [RolloutPhase.Promoting]: (input) => {
-    if (input.verdict === Verdict.Bad || isGivenUp(input)) {
+    if (input.verdict === Verdict.Bad || isAbandoned(input)) {
       return RolloutPhase.RollingBack;
     }
     return mayComplete(input)
@@ -64,33 +76,37 @@
 };
 
 function mayPromote(
-  { agePart, verdict, newSlots, oldSlots, reachesStore }: StepInput,
+  { ageRatio, verdict, newSlots, oldSlots, reachesStore }: StepInput,
 ): boolean {
   return verdict === Verdict.Sound && reachesStore &&
-    newSlots >= MIN_CAPACITY_PART * oldSlots && agePart >= PROMOTE_PART;
+    newSlots >= MIN_CAPACITY_RATIO * oldSlots &&
+    ageRatio >= PROMOTION_AGE_RATIO;
 }
 
 /**
- * Old targets stop on completion, which cannot be undone: the version has to be
- * sound still, also for a coordinator that has seen none of its earlier answers.
- * All old work is done by then, or there is no time left to wait for it.
+ * Old targets stop after the completion, which cannot be undone. Therefore the
+ * version must still be sound, also for a new coordinator that has no evidence
+ * of its predecessor. The old targets must have drained, unless there is no
+ * time left to wait for them.
  */
 function mayComplete(
-  { agePart, phaseAgeMs, verdict, oldWork, reachesStore }: StepInput,
+  { ageRatio, phaseAgeMs, verdict, oldInFlight, reachesStore }: StepInput,
 ): boolean {
   return verdict === Verdict.Sound && reachesStore &&
     phaseAgeMs >= MIN_PROMOTION_MS &&
-    (oldWork === 0 || agePart >= FINISH_PART);
+    (oldInFlight === 0 || ageRatio >= COMPLETION_AGE_RATIO);
 }
 
-function isGivenUp({ agePart }: StepInput): boolean {
-  return agePart >= GIVE_UP_PART;
+function isAbandoned({ ageRatio }: StepInput): boolean {
+  return ageRatio >= ABANDON_AGE_RATIO;
 }
 
 /**
- * @param phase The phase that a roll-out is in.
- * @param input What the next one depends on.
- * @returns The phase that it is to be in.
+ * Decides on the next phase of a roll-out.
+ *
+ * @param phase The current phase.
+ * @param input Inputs of the decision.
+ * @returns The next phase, or the current one if nothing changes.
  */
 export function nextPhase(phase: RolloutPhase, input: StepInput): RolloutPhase {
   return ADVANCE[phase](input);
--- a/packages/routing/src/rollout_targets.ts
+++ b/packages/routing/src/rollout_targets.ts
@@ -1,28 +1,31 @@
-/** What a roll-out makes of the targets of its pool. */
+/** Which targets of a pool get requests in each phase of a roll-out. */
 
 import { RolloutPhase } from "./rollout.ts";
 import type { KnownTarget } from "./target_directory.ts";
 
-/** A pool's targets, by what a roll-out makes of them. */
+/** Targets of a pool that get requests during a roll-out. */
 export interface RolloutTargets {
-  /** Those that get the pool's requests. */
+  /** Targets that get the pool's requests. */
   readonly serving: readonly KnownTarget[];
-  /** Those that get the next canary request, where one is due; else none. */
+  /** Targets for the next request, if a canary request is due; else none. */
   readonly canary: readonly KnownTarget[];
 }
 
 type Split = (targets: VersionedTargets) => RolloutTargets;
 
-/** A pool's usable targets by version. */
+/** Usable targets of a pool by software version. */
 export interface VersionedTargets {
   readonly old: readonly KnownTarget[];
   readonly new: readonly KnownTarget[];
+  /**
+   * Those of the new version for a canary request, if one is due; else none.
+   */
   readonly canary: readonly KnownTarget[];
 }
 
 const NONE: readonly KnownTarget[] = [];
 
-/** A version on trial serves alone only where the old one is gone. */
+/** A canary version serves alone only if the old one has no usable target. */
 const oldBesideCanary: Split = (targets) =>
   targets.old.length > 0
     ? { serving: targets.old, canary: targets.canary }
@@ -30,7 +33,7 @@
 
 const onlyOld: Split = ({ old }) => ({ serving: old, canary: NONE });
 
-/** Where the one version is gone, the other serves. */
+/** The old version only serves if the new one has no usable target. */
 const newOrOld: Split = (targets) => ({
   serving: targets.new.length > 0 ? targets.new : targets.old,
   canary: NONE,
@@ -47,9 +50,11 @@
 };
 
 /**
- * @param phase How far the roll-out is.
- * @param targets The pool's targets.
- * @returns Those that serve, and those for a canary request.
+ * Selects the targets of a pool that get requests.
+ *
+ * @param phase Phase of the pool's roll-out.
+ * @param targets The pool's usable targets by version.
+ * @returns The serving targets, and those for a canary request.
  */
 export function splitIn(
   phase: RolloutPhase,
--- a/packages/routing/src/rollouts.ts
+++ b/packages/routing/src/rollouts.ts
@@ -1,68 +1,71 @@
 /**
- * The roll-outs that this instance knows of: which targets may get requests, and
- * how a roll-out goes on.
+ * Roll-outs that this instance knows of: which targets may get requests, and
+ * how a roll-out proceeds.
  *
- * The new version's part of the requests is bounded by its rate, not by a count:
- * whoever takes over, or serves a part that was cut off, goes on at the same rate
- * and never starts a budget anew.
+ * The requests of a canary version are limited by rate and not by a count. A
+ * new coordinator, or the coordinator of a partition, continues at the same
+ * rate, so that no count has to be handed over and no budget starts again.
  */
 
 import type { KnownTarget } from "./target_directory.ts";
 import {
   isFinal,
-  isFurther,
-  type RolloutNews,
+  isLater,
   type RolloutOrder,
   RolloutPhase,
   RolloutState,
+  type RolloutUpdate,
   STATE_OF,
 } from "./rollout.ts";
-import { nextPhase, PROMOTE_PART } from "./rollout_steps.ts";
+import { nextPhase, PROMOTION_AGE_RATIO } from "./rollout_steps.ts";
 import { type RolloutTargets, splitIn } from "./rollout_targets.ts";
 import type { VersionAnswer } from "./version_answers.ts";
 import { type VerdictFacts, VersionEvidence } from "./version_evidence.ts";
 
-/** How much of a pool's requests a version may get that turns out to be bad. */
+/** Bound on the requests that a version gets which turns out to be bad. */
 export interface ExposureBound {
-  /** Part of the pool's requests from the order to its deadline. */
+  /** Share of the pool's requests from the order to its deadline. */
   readonly share: number;
-  /** Requests beyond that. */
+  /** Number of requests that are allowed in addition to the share. */
   readonly slack: number;
 }
 
 /**
- * Part of the bound that the canary uses. The rest is for what the new version
- * gets after its promotion, until it shows to be bad under the whole load.
+ * Fraction of the bound that the canary phase uses. The rest is for requests
+ * after the promotion, until a version is found to be bad under the full load.
  */
-const CANARY_PART = 0.5;
+const CANARY_BOUND_RATIO = 0.5;
 
-/** Placements that a canary may be owed at once. */
-const MOST_CREDIT = 2;
+/** Largest number of canary requests that may be due at a time. */
+const MAX_CANARY_CREDIT = 2;
 
-/** Time for which canary requests accrue at once, after a change of coordinator. */
-const MOST_ACCRUED_MS = 1500;
+/**
+ * Longest time for which canary requests accrue in one call. It bounds the
+ * first call after a change of coordinator.
+ */
+const MAX_ACCRUAL_MS = 1500;
 
 /**
- * Time for which the canary's requests go to the same few targets, so that these
- * are as loaded as the old ones, before others take their turn.
+ * Time for which canary requests go to the same few targets before they rotate
+ * to others. It loads these targets as much as those of the old version.
  */
-const CANARY_TURN_MS = 1000;
+const CANARY_ROTATION_MS = 1000;
 
-/** How long a finished roll-out is told of. */
-const TELL_FINISHED_MS = 10_000;
+/** Time for which updates of a finished roll-out are sent. */
+const SEND_FINAL_MS = 10_000;
 
-/** What a roll-out's next step depends on, besides the answers. */
+/** Inputs of a roll-out's next step, besides the recorded answers. */
 export interface RolloutFacts {
   readonly nowMs: number;
-  /** Targets of the pool that may get new work, of any version. */
+  /** Targets of the pool, of any version, that may get new work. */
   readonly usable: readonly KnownTarget[];
-  /** Requests that the old version's targets still work on. */
-  readonly oldWork: number;
-  /** Whether the outcome could be written. */
+  /** Requests in flight on targets of the old version. */
+  readonly oldInFlight: number;
+  /** Whether the store is reachable, so that the outcome can be written. */
   readonly reachesStore: boolean;
 }
 
-/** A step that a roll-out has made. */
+/** A change of phase of a roll-out. */
 export interface RolloutStep {
   readonly order: RolloutOrder;
   readonly from: RolloutPhase;
@@ -70,20 +73,20 @@
   readonly facts: VerdictFacts;
 }
 
-/** One roll-out. */
 interface Rollout {
   readonly order: RolloutOrder;
   orderedAtMs: number;
   phase: RolloutPhase;
-  /** When this instance came to know the phase. */
+  /** When this instance entered the phase or learned of it. */
   phaseAtMs: number;
   readonly evidence: VersionEvidence;
-  /** The pool's targets by version, as of the last change. */
+  /** Cached split of the pool's targets by version. */
   targets?: SplitTargets;
 }
 
-/** A list of targets, split by version. */
+/** Usable targets of a pool, split by version. */
 interface SplitTargets {
+  /** The array that was split; the cache is valid for this array only. */
   readonly usable: readonly KnownTarget[];
   readonly old: readonly KnownTarget[];
   readonly new: readonly KnownTarget[];
@@ -91,29 +94,30 @@
 
 const NONE: readonly KnownTarget[] = [];
 
-/** Roll-outs by pool. */
+/** All known roll-outs, one for each pool that has an order. */
 export class Rollouts {
   #bound: ExposureBound;
   readonly #byPool = new Map<string, Rollout>();
-  /** Versions that were ordered and not completed, by pool. */
-  readonly #unproven = new Map<string, Set<string>>();
-  /** Canary requests that are due, by pool. */
-  readonly #credit = new Map<string, number>();
+  /** Versions that were ordered but not completed, by pool. */
+  readonly #unprovenVersions = new Map<string, Set<string>>();
+  /** Number of canary requests that are due, by pool. */
+  readonly #canaryCredit = new Map<string, number>();
   #accruedAtMs = -Infinity;
 
-  /** @param bound What a bad version may get at the most. */
+  /** @param bound Bound on the requests of a bad version. */
   constructor(bound: ExposureBound) {
     this.#bound = bound;
   }
 
-  /** @param bound What a bad version may get from now on. */
+  /** @param bound Bound on the requests of a bad version from now on. */
   setBound(bound: ExposureBound): void {
     this.#bound = bound;
   }
 
   /**
    * @param pool A pool.
-   * @returns Whether its answers are compared: a roll-out is in progress.
+   * @returns Whether a roll-out of the pool is in progress, so that the answers
+   * of its versions are compared.
    */
   isInProgress(pool: string): boolean {
     const rollout = this.#byPool.get(pool);
@@ -122,20 +126,20 @@
 
   /**
    * @param pool A pool.
-   * @returns How far its roll-out has come, if there is one.
+   * @returns Phase of the pool's roll-out; undefined if there is none.
    */
   phaseOf(pool: string): RolloutPhase | undefined {
     return this.#byPool.get(pool)?.phase;
   }
 
-  /** @returns Pools that have or had a roll-out. */
+  /** @returns Names of the pools that have or had a roll-out. */
   pools(): string[] {
     return [...this.#byPool.keys()];
   }
 
   /**
    * @param pool A pool.
-   * @returns The newest order for it, if there is any.
+   * @returns The newest order for the pool; undefined if there is none.
    */
   orderOf(pool: string): RolloutOrder | undefined {
     return this.#byPool.get(pool)?.order;
@@ -143,8 +147,8 @@
 
   /**
    * @param pool A pool.
-   * @param targets Its targets.
-   * @returns Those of the version that the roll-out replaces.
+   * @param targets Targets of the pool.
+   * @returns Those that don't have the version of the pool's order.
    */
   oldTargets(pool: string, targets: readonly KnownTarget[]): KnownTarget[] {
     const version = this.#byPool.get(pool)?.order.version;
@@ -152,26 +156,27 @@
   }
 
   /**
-   * Takes in an order, or what is told of one.
+   * Merges an order from the store, or an update of another instance or of the
+   * store's record.
    *
-   * @param news The order and how far it is.
+   * @param update The order and the phase of the roll-out.
    * @param nowMs The local time.
-   * @returns Whether it was news.
+   * @returns Whether the order is new or the phase advanced.
    */
-  toldOf(news: RolloutNews, nowMs: number): boolean {
-    const known = this.#byPool.get(news.pool);
-    const isKnown = known?.order.version === news.version;
-    if (!isKnown && (known?.order.rowVersion ?? -1) > news.rowVersion) {
+  merge(update: RolloutUpdate, nowMs: number): boolean {
+    const known = this.#byPool.get(update.pool);
+    const isKnown = known?.order.version === update.version;
+    if (!isKnown && (known?.order.rowVersion ?? -1) > update.rowVersion) {
       return false;
     }
-    const { phase, ageMs, ...order } = news;
+    const { phase, ageMs, ...order } = update;
     if (known !== undefined && isKnown) {
       known.orderedAtMs = Math.min(known.orderedAtMs, nowMs - ageMs);
-      const isNews = isFurther(phase, known.phase);
-      if (isNews) {
+      const isAdvanced = isLater(phase, known.phase);
+      if (isAdvanced) {
         this.#enter(known, phase, nowMs);
       }
-      return isNews;
+      return isAdvanced;
     }
     const rollout = {
       order,
@@ -180,13 +185,14 @@
       phaseAtMs: nowMs,
       evidence: new VersionEvidence(),
     };
-    this.#byPool.set(news.pool, rollout);
-    this.#noteProven(rollout);
+    this.#byPool.set(update.pool, rollout);
+    this.#updateUnproven(rollout);
     return true;
   }
 
   /**
-   * The operators have taken an order back.
+   * Rolls back a roll-out whose order was withdrawn, unless its outcome is
+   * being written or was written before.
    *
    * @param pool The pool.
    * @param nowMs The local time.
@@ -195,19 +201,19 @@
     const rollout = this.#byPool.get(pool);
     if (
       rollout !== undefined &&
-      isFurther(RolloutPhase.RollingBack, rollout.phase)
+      isLater(RolloutPhase.RollingBack, rollout.phase)
     ) {
       this.#enter(rollout, RolloutPhase.RollingBack, nowMs);
     }
   }
 
   /**
-   * Splits a pool's targets by what may get requests now.
+   * Selects the targets of a pool that may get requests now.
    *
    * @param pool The pool.
-   * @param usable Its targets that may get new work.
+   * @param usable Targets of the pool that may get new work.
    * @param nowMs The local time.
-   * @returns Those that serve, and those for a canary request that is due.
+   * @returns The serving targets, and those for a canary request if one is due.
    */
   split(
     pool: string,
@@ -218,9 +224,9 @@
     if (rollout === undefined) {
       return { serving: usable, canary: NONE };
     }
-    const targets = this.#versioned(rollout, usable);
+    const targets = this.#splitByVersion(rollout, usable);
     const isDue = rollout.phase === RolloutPhase.Canary &&
-      (this.#credit.get(pool) ?? 0) >= 1;
+      (this.#canaryCredit.get(pool) ?? 0) >= 1;
     const canary = isDue
       ? this.#canaryGroup(rollout, targets.new, nowMs)
       : NONE;
@@ -228,35 +234,38 @@
   }
 
   /**
-   * @param target A target that was chosen a moment ago, maybe elsewhere.
-   * @returns Whether it may still get a request.
+   * Checks a target that was chosen before, possibly on another instance.
+   *
+   * @param target The target.
+   * @returns False if its version was rolled back.
    */
   mayServe({ pool, version }: KnownTarget): boolean {
     const rollout = this.#byPool.get(pool);
-    const isTakenBack = rollout?.phase === RolloutPhase.RollingBack ||
+    const isRolledBack = rollout?.phase === RolloutPhase.RollingBack ||
       rollout?.phase === RolloutPhase.RolledBack;
-    return !isTakenBack || version !== rollout.order.version;
+    return !isRolledBack || version !== rollout.order.version;
   }
 
   /**
-   * Notes a placement, from which the canary's part is counted.
+   * Records the placement of a request, from which the canary's share is
+   * counted.
    *
-   * @param target Where a request was placed.
+   * @param target The target that got the request.
    */
   placed({ pool, version }: KnownTarget): void {
     const rollout = this.#byPool.get(pool);
     if (rollout?.phase === RolloutPhase.Canary) {
       const isCanary = version === rollout.order.version;
-      const due = CANARY_PART * this.#bound.share - Number(isCanary);
-      this.#addCredit(pool, due);
+      const due = CANARY_BOUND_RATIO * this.#bound.share - Number(isCanary);
+      this.#addCanaryCredit(pool, due);
     }
   }
 
   /**
-   * Takes in how a target answered, while a roll-out of its pool is in progress.
+   * Records an answer as evidence, if a roll-out of the pool is in progress.
    *
-   * @param target The target.
-   * @param answer Its answer.
+   * @param target The target that answered.
+   * @param answer Outcome and time of the answer.
    */
   answered(
     { pool, version, targetId }: KnownTarget,
@@ -270,11 +279,12 @@
   }
 
   /**
-   * Lets a roll-out go on; for the coordinator.
+   * Moves a roll-out to its next phase if the conditions hold. Only the
+   * coordinator calls it.
    *
    * @param pool The pool.
-   * @param facts What its next step depends on.
-   * @returns The step, where it made one.
+   * @param facts Inputs of the decision, besides the recorded answers.
+   * @returns The change of phase; undefined if there is none.
    */
   advance(pool: string, facts: RolloutFacts): RolloutStep | undefined {
     const rollout = this.#byPool.get(pool);
@@ -282,19 +292,19 @@
       return undefined;
     }
     const { order, phase: from } = rollout;
-    const targets = this.#versioned(rollout, facts.usable);
+    const targets = this.#splitByVersion(rollout, facts.usable);
     const verdict = rollout.evidence.verdict({
       newTargetIds: targets.new.map(({ targetId }) => targetId),
       isPromoted: from === RolloutPhase.Promoting,
     });
-    const { nowMs, oldWork, reachesStore } = facts;
+    const { nowMs, oldInFlight, reachesStore } = facts;
     const to = nextPhase(from, {
-      agePart: (nowMs - rollout.orderedAtMs) / order.withinMs,
+      ageRatio: (nowMs - rollout.orderedAtMs) / order.withinMs,
       phaseAgeMs: nowMs - rollout.phaseAtMs,
       verdict: verdict.verdict,
       newSlots: slotsOf(targets.new),
       oldSlots: slotsOf(targets.old),
-      oldWork,
+      oldInFlight,
       reachesStore,
     });
     if (to === from) {
@@ -305,70 +315,72 @@
   }
 
   /**
-   * The outcome of a roll-out is written, by this instance or another.
+   * Records that the outcome of a roll-out was written, by any instance.
    *
    * @param pool The pool.
-   * @param phase The phase that it is final in.
+   * @param phase The final phase of the roll-out.
    * @param nowMs The local time.
    */
   written(pool: string, phase: RolloutPhase, nowMs: number): void {
     const rollout = this.#byPool.get(pool);
-    if (rollout !== undefined && isFurther(phase, rollout.phase)) {
+    if (rollout !== undefined && isLater(phase, rollout.phase)) {
       this.#enter(rollout, phase, nowMs);
     }
   }
 
   /**
-   * Spreads the canary's requests beyond its share over the time until the
-   * promotion; for the coordinator alone.
+   * Accrues canary requests of the bound's slack, evenly over the time until
+   * the promotion. Only the coordinator calls it.
    *
-   * @param share Part of the fleet that it decides for.
+   * @param share Share of the fleet that the coordinator decides for.
    * @param nowMs The local time.
    */
   accrue(share: number, nowMs: number): void {
-    const passedMs = Math.min(MOST_ACCRUED_MS, nowMs - this.#accruedAtMs);
+    const passedMs = Math.min(MAX_ACCRUAL_MS, nowMs - this.#accruedAtMs);
     this.#accruedAtMs = nowMs;
     for (const [pool, { order, phase }] of this.#byPool) {
       if (phase === RolloutPhase.Canary) {
-        const part = passedMs / (order.withinMs * PROMOTE_PART);
-        const due = CANARY_PART * this.#bound.slack * share * part;
-        this.#addCredit(pool, due);
+        const elapsedRatio = passedMs / (order.withinMs * PROMOTION_AGE_RATIO);
+        const due = CANARY_BOUND_RATIO * this.#bound.slack * share *
+          elapsedRatio;
+        this.#addCanaryCredit(pool, due);
       }
     }
   }
 
   /**
    * @param nowMs The local time.
-   * @returns What other instances are to know.
+   * @returns Roll-outs in progress or finished recently, for other instances.
    */
-  toTell(nowMs: number): RolloutNews[] {
+  updatesToSend(nowMs: number): RolloutUpdate[] {
     return [...this.#byPool.values()]
       .filter(({ phase, phaseAtMs }) =>
-        !isFinal(phase) || nowMs - phaseAtMs < TELL_FINISHED_MS
-      ).map((rollout) => newsOf(rollout, nowMs));
+        !isFinal(phase) || nowMs - phaseAtMs < SEND_FINAL_MS
+      ).map((rollout) => updateOf(rollout, nowMs));
   }
 
   /**
    * @param nowMs The local time.
-   * @returns All that is known, for the fleet's record.
+   * @returns All known roll-outs, for the fleet's record in the store.
    */
-  toRecord(nowMs: number): RolloutNews[] {
+  updatesToStore(nowMs: number): RolloutUpdate[] {
     return [...this.#byPool.values()]
-      .map((rollout) => newsOf(rollout, nowMs));
+      .map((rollout) => updateOf(rollout, nowMs));
   }
 
   #enter(rollout: Rollout, phase: RolloutPhase, nowMs: number): void {
     rollout.phase = phase;
     rollout.phaseAtMs = nowMs;
-    this.#noteProven(rollout);
+    this.#updateUnproven(rollout);
   }
 
-  #noteProven(rollout: Rollout): void {
+  #updateUnproven(rollout: Rollout): void {
     const { order: { pool, version }, phase } = rollout;
-    const unproven = this.#unproven.get(pool) ?? new Set();
-    this.#unproven.set(pool, unproven);
+    const unproven = this.#unprovenVersions.get(pool) ?? new Set();
+    this.#unprovenVersions.set(pool, unproven);
     rollout.targets = undefined;
-    // Once its outcome may be written, the version before it may be gone.
+    // Once its completion may be written, targets of the old version may be
+    // gone.
     if (STATE_OF[phase] === RolloutState.Completed) {
       unproven.delete(version);
     } else {
@@ -376,8 +388,8 @@
     }
   }
 
-  /** A version that an earlier order brought in and did not complete is no base. */
-  #versioned(
+  /** Versions of earlier orders that did not complete don't count as old. */
+  #splitByVersion(
     rollout: Rollout,
     usable: readonly KnownTarget[],
   ): SplitTargets {
@@ -385,7 +397,7 @@
       return rollout.targets;
     }
     const { pool, version } = rollout.order;
-    const unproven = this.#unproven.get(pool);
+    const unproven = this.#unprovenVersions.get(pool);
     rollout.targets = {
       usable,
       old: usable.filter((target) =>
@@ -396,21 +408,23 @@
     return rollout.targets;
   }
 
-  /** As many targets as the canary's part of the requests loads fully, in turn. */
+  /** As many targets as canary requests load like the old ones, in rotation. */
   #canaryGroup(
     { phaseAtMs }: Rollout,
     targets: readonly KnownTarget[],
     nowMs: number,
   ): readonly KnownTarget[] {
-    const size = Math.ceil(CANARY_PART * this.#bound.share * targets.length);
-    const turn = Math.floor((nowMs - phaseAtMs) / CANARY_TURN_MS);
-    const begin = targets.length === 0 ? 0 : turn * size % targets.length;
-    return [...targets, ...targets].slice(begin, begin + size);
+    const size = Math.ceil(
+      CANARY_BOUND_RATIO * this.#bound.share * targets.length,
+    );
+    const rotation = Math.floor((nowMs - phaseAtMs) / CANARY_ROTATION_MS);
+    const start = targets.length === 0 ? 0 : rotation * size % targets.length;
+    return [...targets, ...targets].slice(start, start + size);
   }
 
-  #addCredit(pool: string, due: number): void {
-    const credit = (this.#credit.get(pool) ?? 0) + due;
-    this.#credit.set(pool, Math.min(MOST_CREDIT, credit));
+  #addCanaryCredit(pool: string, due: number): void {
+    const credit = (this.#canaryCredit.get(pool) ?? 0) + due;
+    this.#canaryCredit.set(pool, Math.min(MAX_CANARY_CREDIT, credit));
   }
 }
 
@@ -418,9 +432,9 @@
   return targets.reduce((sum, { slots }) => sum + slots, 0);
 }
 
-function newsOf(
+function updateOf(
   { order, phase, orderedAtMs }: Rollout,
   nowMs: number,
-): RolloutNews {
+): RolloutUpdate {
   return { ...order, phase, ageMs: nowMs - orderedAtMs };
 }
--- a/packages/routing/src/rollouts_test.ts
+++ b/packages/routing/src/rollouts_test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { isFinal, type RolloutNews, RolloutPhase } from "./rollout.ts";
+import { isFinal, RolloutPhase, type RolloutUpdate } from "./rollout.ts";
 import { Rollouts } from "./rollouts.ts";
 import type { KnownTarget } from "./target_directory.ts";
 
@@ -32,7 +32,7 @@
 const NEW = targetsOf("v2");
 const BOTH = [...OLD, ...NEW];
 
-function orderOf(over: Partial<RolloutNews> = {}): RolloutNews {
+function orderOf(over: Partial<RolloutUpdate> = {}): RolloutUpdate {
   return {
     pool: "p",
     version: "v2",
@@ -44,20 +44,23 @@
   };
 }
 
-/** An instance that coordinates, on a manual clock. */
+/** A pool and its coordinator, on a manual clock. */
 class Pool {
   readonly rollouts = new Rollouts(BOUND);
   nowMs = 0;
   reachesStore = true;
-  oldWork = 0;
+  oldInFlight = 0;
   targets: readonly KnownTarget[] = BOTH;
-  /** Targets that fail each request. */
+  /** Ids of targets that fail every request. */
   brokenIds: readonly string[] = [];
   exposed = 0;
   total = 0;
   #turn = 0;
 
-  /** Lets time pass, with requests at a rate and targets that fail or not. */
+  /**
+   * Advances the clock, with requests at a rate and failures of the new
+   * version.
+   */
   run(
     ms: number,
     of: { perStep?: number; isBad?: () => boolean } = {},
@@ -77,9 +80,9 @@
   }
 
   tick(): RolloutPhase | undefined {
-    const { nowMs, reachesStore, oldWork, targets: usable } = this;
+    const { nowMs, reachesStore, oldInFlight, targets: usable } = this;
     this.rollouts.accrue(1, nowMs);
-    const facts = { nowMs, usable, oldWork, reachesStore };
+    const facts = { nowMs, usable, oldInFlight, reachesStore };
     return this.rollouts.advance("p", facts)?.to;
   }
 
@@ -103,15 +106,15 @@
   }
 }
 
-function poolWith(news = orderOf()): Pool {
+function poolWith(update = orderOf()): Pool {
   const pool = new Pool();
-  pool.rollouts.toldOf(news, 0);
+  pool.rollouts.merge(update, 0);
   return pool;
 }
 
-test("a sound version is tried, promoted and completed within its time", () => {
+test("a sound version goes through canary, promotion and completion in time", () => {
   const pool = poolWith();
-  pool.oldWork = 3;
+  pool.oldInFlight = 3;
   const phases = pool.run(WITHIN_MS);
   assert.equal(phases, [
     RolloutPhase.Canary,
@@ -122,17 +125,17 @@
   assert.equal(ids, NEW);
 });
 
-test("the old version's work is waited for while there is time", () => {
+test("completion waits until the old targets have drained, if time permits", () => {
   const pool = poolWith();
-  pool.oldWork = 3;
+  pool.oldInFlight = 3;
   pool.run(WITHIN_MS * 0.7);
   assert.is(pool.phase, RolloutPhase.Promoting);
-  pool.oldWork = 0;
+  pool.oldInFlight = 0;
   pool.run(200);
   assert.is(pool.phase, RolloutPhase.Completing);
 });
 
-test("a version that fails is taken back, and gets nothing more", () => {
+test("a version that fails is rolled back and gets no more requests", () => {
   const pool = poolWith();
   let turn = 0;
   pool.run(WITHIN_MS, { isBad: () => turn++ % 2 === 0 });
@@ -143,7 +146,7 @@
   assert.ok(pool.rollouts.mayServe(OLD[0]!));
 });
 
-test("one that turns bad under the whole load stays within the bound", () => {
+test("a version that turns bad after its promotion stays within the bound", () => {
   const pool = poolWith();
   let turn = 0;
   const isBad = () => pool.phase === RolloutPhase.Promoting && turn++ % 2 === 0;
@@ -153,17 +156,17 @@
   assert.ok(pool.exposed <= allowed, `${pool.exposed} of ${allowed} allowed`);
 });
 
-test("no request goes to a version before its targets are tried", () => {
+test("a pending version gets no requests", () => {
   const pool = poolWith();
   assert.equal(pool.rollouts.split("p", BOTH, 0), { serving: OLD, canary: [] });
 });
 
-test("an instance that knows of an order only serves where the old one is gone", () => {
+test("a pending version serves if the old version has no targets", () => {
   const pool = poolWith();
   assert.equal(pool.rollouts.split("p", NEW, 0).serving, NEW);
 });
 
-test("without the store nothing is promoted; once it is back, all goes on", () => {
+test("a roll-out is not promoted until the store is reachable", () => {
   const pool = poolWith();
   pool.reachesStore = false;
   pool.run(WITHIN_MS * 0.8);
@@ -180,16 +183,16 @@
   assert.is(pool.phase, RolloutPhase.Canary);
 });
 
-test("a successor goes on where its forerunner was, and starts no budget", () => {
+test("a new coordinator continues a roll-out without a new budget", () => {
   const first = poolWith();
   first.run(WITHIN_MS * 0.4);
   const second = new Pool();
   second.nowMs = first.nowMs;
-  first.rollouts.toTell(first.nowMs).forEach((news) =>
-    second.rollouts.toldOf(news, second.nowMs)
+  first.rollouts.updatesToSend(first.nowMs).forEach((update) =>
+    second.rollouts.merge(update, second.nowMs)
   );
   assert.is(second.phase, RolloutPhase.Canary);
-  second.oldWork = 1;
+  second.oldInFlight = 1;
   second.run(WITHIN_MS * 0.3);
   assert.is(second.phase, RolloutPhase.Promoting, "by the order's age");
   const canaries = first.exposed;
@@ -197,7 +200,7 @@
 });
 
 // Guards against completing a version most of whose targets fail all requests.
-test("a version two of whose three targets fail is taken back", () => {
+test("a version two of whose three targets fail is rolled back", () => {
   const pool = poolWith();
   pool.targets = [...targetsOf("v1", 3), ...targetsOf("v2", 3)];
   pool.brokenIds = ["v2-0", "v2-1"];
@@ -207,7 +210,7 @@
   ]);
 });
 
-// Guards against taking a sound version back for a single broken target.
+// Guards against the rollback of a sound version for a single broken target.
 test("a version one of whose three targets fails is completed in time", () => {
   const pool = poolWith();
   pool.targets = [...targetsOf("v1", 3), ...targetsOf("v2", 3)];
@@ -216,8 +219,8 @@
   assert.is(pool.phase, RolloutPhase.Completing);
 });
 
-// Guards against refusing requests that a sound version on trial could serve.
-test("a sound version on trial serves alone where the old one's targets left", () => {
+// Guards against refusing requests that a sound canary version could serve.
+test("a canary version serves alone if the old version's targets left", () => {
   const pool = poolWith();
   pool.run(WITHIN_MS / 4);
   pool.targets = NEW;
@@ -227,21 +230,21 @@
   assert.is(pool.phase, RolloutPhase.Completing);
 });
 
-// Guards against completing what the coordinator has seen no good answers of.
-test("a successor completes a promoted version once it has seen it serve", () => {
+// Guards against a completion without evidence after a change of coordinator.
+test("a new coordinator completes a promoted version only after good answers", () => {
   const pool = poolWith(orderOf({ phase: RolloutPhase.Promoting }));
   assert.equal(pool.run(WITHIN_MS, { perStep: 0 }), []);
   assert.equal(pool.run(2 * STEP_MS), [RolloutPhase.Completing]);
 });
 
-// Guards against a promotion without an end.
-test("a promoted version that nobody asks for is taken back after all", () => {
+// Guards against a promotion phase without end.
+test("a promoted version without requests is rolled back in the end", () => {
   const pool = poolWith(orderOf({ phase: RolloutPhase.Promoting }));
   const phases = pool.run(3 * WITHIN_MS, { perStep: 0 });
   assert.equal(phases, [RolloutPhase.RollingBack]);
 });
 
-test("an order that is taken back ends the roll-out; a completed one stays", () => {
+test("withdrawing an order rolls it back unless it is completed", () => {
   const pool = poolWith();
   pool.run(1000);
   pool.rollouts.withdrawn("p", pool.nowMs);
@@ -251,29 +254,29 @@
   assert.is(done.phase, RolloutPhase.Completed);
 });
 
-test("a later order replaces an earlier one, whose version serves nobody", () => {
+test("a later order replaces an earlier one, whose version gets no requests", () => {
   const pool = poolWith();
   pool.run(1000);
-  pool.rollouts.toldOf(orderOf({ version: "v3", rowVersion: 20 }), pool.nowMs);
+  pool.rollouts.merge(orderOf({ version: "v3", rowVersion: 20 }), pool.nowMs);
   const targets = [...BOTH, ...targetsOf("v3")];
   const { serving } = pool.rollouts.split("p", targets, pool.nowMs);
   assert.equal(serving, OLD);
-  assert.not.ok(pool.rollouts.toldOf(orderOf(), pool.nowMs), "an old word");
+  assert.not.ok(pool.rollouts.merge(orderOf(), pool.nowMs), "an older order");
 });
 
-test("a later order finds a version that may be completed as its base", () => {
+test("a version that is completing is the old version of a later order", () => {
   const pool = poolWith(orderOf({ phase: RolloutPhase.Completing }));
-  pool.rollouts.toldOf(orderOf({ version: "v3", rowVersion: 20 }), 0);
+  pool.rollouts.merge(orderOf({ version: "v3", rowVersion: 20 }), 0);
   const targets = [...NEW, ...targetsOf("v3")];
   assert.equal(pool.rollouts.split("p", targets, 0).serving, NEW);
 });
 
-test("an outcome does not change, whatever is told in any order", () => {
+test("an outcome does not change, whatever the order of updates", () => {
   const phases = fc.constantFrom(...Object.values(RolloutPhase));
-  const told = fc.record({ phase: phases, ageMs: fc.nat(40_000) });
+  const update = fc.record({ phase: phases, ageMs: fc.nat(40_000) });
   const events = fc.array(
     fc.oneof(
-      told.map((news) => ({ told: news })),
+      update.map((update) => ({ update })),
       fc.record({ runMs: fc.nat(6000), bad: fc.boolean() }),
       fc.record({
         written: fc.constantFrom(
@@ -289,8 +292,8 @@
     const pool = poolWith();
     let outcome: RolloutPhase | undefined;
     for (const event of series) {
-      if ("told" in event) {
-        pool.rollouts.toldOf(orderOf(event.told), pool.nowMs);
+      if ("update" in event) {
+        pool.rollouts.merge(orderOf(event.update), pool.nowMs);
       } else if ("runMs" in event) {
         pool.run(event.runMs, { perStep: 5, isBad: () => event.bad });
       } else if ("written" in event) {
@@ -306,29 +309,29 @@
   fc.assert(outcomeStays, { seed: 7, numRuns: 80 });
 });
 
-test("over series of coordinators the exposure stays within its bound", () => {
-  const spans = fc.array(fc.integer({ min: 100, max: 3000 }), {
+test("the exposure stays within its bound over changes of coordinator", () => {
+  const lifetimes = fc.array(fc.integer({ min: 100, max: 3000 }), {
     minLength: 1,
     maxLength: 6,
   });
-  const staysBounded = fc.property(spans, fc.integer({ min: 1, max: 60 }), (
-    lives,
+  const staysBounded = fc.property(lifetimes, fc.integer({ min: 1, max: 60 }), (
+    lifetimesMs,
     perStep,
   ) => {
     let exposed = 0;
     let total = 0;
     let nowMs = 0;
-    let told: readonly RolloutNews[] = [orderOf()];
-    for (const lifeMs of lives) {
+    let updates: readonly RolloutUpdate[] = [orderOf()];
+    for (const lifeMs of lifetimesMs) {
       const pool = new Pool();
       pool.nowMs = nowMs;
-      told.forEach((news) => pool.rollouts.toldOf(news, nowMs));
+      updates.forEach((update) => pool.rollouts.merge(update, nowMs));
       const promoteMs = WITHIN_MS / 2 - nowMs;
       pool.run(Math.min(lifeMs, promoteMs - 2 * STEP_MS), { perStep });
       exposed += pool.exposed;
       total += pool.total;
       nowMs = pool.nowMs;
-      told = pool.rollouts.toTell(nowMs);
+      updates = pool.rollouts.updatesToSend(nowMs);
     }
     const allowed = BOUND.share * total + BOUND.slack;
     assert.ok(exposed <= allowed, `${exposed} of ${allowed} allowed`);
--- a/packages/routing/src/routing_board.ts
+++ b/packages/routing/src/routing_board.ts
@@ -4,7 +4,7 @@
  */
 
 import type { ConfigurationAge } from "./configuration_age.ts";
-import type { CutDomains } from "./cut_domains.ts";
+import type { UnreachableDomains } from "./unreachable_domains.ts";
 import type { MemberView } from "./member_view.ts";
 import type { Rollouts } from "./rollouts.ts";
 import type { RouteTable } from "./route_table.ts";
@@ -28,7 +28,7 @@
   /** Written by the holder, from what targets did to its own requests. */
   readonly health: TargetHealth;
   /** Written by the holder, from targets that gave no sign of life. */
-  readonly cutDomains: CutDomains;
+  readonly cutDomains: UnreachableDomains;
   /** Written by the signal keeper, from answers of targets and from peers. */
   readonly rateLimits: TargetRateLimits;
   /** Written by the signal keeper, from targets that rejected requests. */
--- a/packages/routing/src/routing_test_support.ts
+++ b/packages/routing/src/routing_test_support.ts
@@ -6,8 +6,8 @@
   type RoutePolicy,
 } from "./fleet_configuration.ts";
 import { ConfigurationAge } from "./configuration_age.ts";
-import { CutDomains } from "./cut_domains.ts";
-import { type MemberNews, MemberView } from "./member_view.ts";
+import { UnreachableDomains } from "./unreachable_domains.ts";
+import { type MemberInfo, MemberView } from "./member_view.ts";
 import { Rollouts } from "./rollouts.ts";
 import { RouteTable } from "./route_table.ts";
 import type { RoutingBoard } from "./routing_board.ts";
@@ -26,8 +26,8 @@
  */
 export function memberOf(
   instanceId: string,
-  over: Partial<MemberNews> = {},
-): MemberNews {
+  over: Partial<MemberInfo> = {},
+): MemberInfo {
   return {
     instanceId,
     address: `${instanceId}:7000`,
@@ -96,7 +96,7 @@
   over: Partial<FleetConfiguration> = {},
 ): RoutingBoard {
   const targets = new TargetDirectory();
-  targets.listAnswers(0);
+  targets.listAvailable(0);
   targets.apply(
     targetIds.map((targetId, index) => ({
       targetId,
@@ -120,7 +120,7 @@
     targets,
     members,
     configurationAge: new ConfigurationAge(),
-    cutDomains: new CutDomains(members),
+    cutDomains: new UnreachableDomains(members),
     health: new TargetHealth(),
     rateLimits: new TargetRateLimits(),
     paces: new TargetPaces(),
--- a/packages/routing/src/suspect_requests.ts
+++ b/packages/routing/src/suspect_requests.ts
@@ -1,74 +1,85 @@
 /**
- * Requests under which targets ended.
+ * Quarantine of requests that may crash targets (poison requests).
  *
- * A request may crash each target that begins to run it, and it comes again
- * under new ids and through any instance. Under each target that ends there are
- * others as well, which only happened to run there. So two ended targets make a
- * request no more than a suspect: it then runs as a trial, at one target at a
- * time and beside no other suspect. Where that ends well, the request is cleared;
- * where the target ends again, the request is held back.
+ * A request may crash each target that begins to run it, and callers retry it
+ * with new ids and through any instance. When a target ends, other requests
+ * that merely ran on it at the time are affected as well. Therefore two ended
+ * targets only make a request a suspect. A suspect runs as a trial: on one
+ * target at a time and without another suspect on that target. If the trial
+ * succeeds, the request is cleared; if the target ends again, the request is
+ * quarantined.
  *
- * All that is kept are sets of ended targets, so that instances which heard of
- * the same ones, in any order and more than once, come to the same.
+ * The state consists of sets of ended targets only. Merging them is idempotent
+ * and commutative, so that instances converge whatever the order and repetition
+ * of updates.
  */
 
-/** What is known of one request, as instances tell each other. */
-export interface SuspectNews {
-  /** The same for all attempts at the request, on all instances. */
+/**
+ * Targets that ended under one request, as instances send them to each other.
+ */
+export interface SuspectUpdate {
+  /** Hash of the request, equal for all attempts and on all instances. */
   readonly fingerprint: string;
-  /** Processes of targets that ended under it. */
+  /** Processes of targets that ended while they ran the request. */
   readonly ended: readonly string[];
-  /** Those of them that ended under a trial. */
+  /** Those of the ended processes that ran the request as a trial. */
   readonly endedInTrial: readonly string[];
-  /** Time since the last of them ended. */
+  /** Time since the last of these processes ended. */
   readonly ageMs: number;
 }
 
-/** One target that ended under a request. */
+/** A target that ended while it ran a request. */
 export interface EndedTarget {
   readonly fingerprint: string;
-  /** The target's process: it may start again under the same id. */
+  /** The target's process, as a target may restart under the same id. */
   readonly process: string;
+  /** Whether the request ran as a trial. */
   readonly inTrial: boolean;
 }
 
-/** Ended targets from which on a request is a suspect. */
-const SUSPECT_ENDED = 2;
+/** Number of ended targets that make a request a suspect. */
+const MIN_SUSPECT_ENDED = 2;
 
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
 
 /**
- * How long a request is held back after its first failed trial, its second, and
- * each one after. A request that never ends well costs some two targets a day;
- * one that was held back by mistake is soon tried again.
+ * Quarantine of a request after its first failed trial, its second, and each
+ * further one. A request that crashes every target ends about two targets a
+ * day; one that was quarantined by mistake is soon tried again.
  */
-const HOLD_MS: readonly number[] = [
+const QUARANTINE_MS: readonly number[] = [
   2 * MINUTE_MS,
   20 * MINUTE_MS,
   24 * HOUR_MS,
 ];
 
-/** How long a request is remembered that was not held back. */
-const SUSPECT_MS = 10 * MINUTE_MS;
+/** Time for which a request without a failed trial is kept. */
+const RETENTION_MS = 10 * MINUTE_MS;
 
-/** How long a failed trial counts, so that the next hold is longer. */
-const TRIAL_REMEMBERED_MS = 48 * HOUR_MS;
+/**
+ * Time for which failed trials are kept, so that the next quarantine is longer.
+ */
+const FAILED_TRIAL_RETENTION_MS = 48 * HOUR_MS;
 
-/** Requests that are remembered; those whose targets ended longest ago go. */
-const MOST_REQUESTS = 1024;
+/**
+ * Largest number of requests; the one with the oldest ended target is evicted.
+ */
+const MAX_REQUESTS = 1024;
 
-/** Ended targets that are kept for a request; more decide nothing. */
-const MOST_ENDED = 8;
+/**
+ * Ended targets that are kept for a request; further ones change no decision.
+ */
+const MAX_ENDED_TARGETS = 8;
 
-/** Suspects that instances tell each other of, the newest of them. */
-const MOST_TOLD = 12;
+/** Largest number of requests in a message, as a heartbeat is one datagram. */
+const MAX_UPDATES_SENT = 12;
 
-/** Time for which a holder repeats to the coordinator what it noted. */
-const REPEATED_MS = 1500;
+/** Time for which a holder repeats a new ended target in reports. */
+const REPEAT_MS = 1500;
 
-/** Time between two looks for what may be forgotten. */
-const LOOK_EVERY_MS = 1000;
+/** Least time between two evictions of expired requests. */
+const EVICTION_INTERVAL_MS = 1000;
 
 interface SuspectRequest {
   readonly fingerprint: string;
@@ -77,28 +88,28 @@
   readonly lastEndedAtMs: number;
 }
 
-/** Requests under which targets ended, by fingerprint. */
+/** Requests under which targets ended, and the quarantine of these requests. */
 export class SuspectRequests {
-  /** The one whose targets ended longest ago first. */
+  /** Ordered by the last new ended target, oldest first. */
   readonly #byFingerprint = new Map<string, SuspectRequest>();
-  #suspects = 0;
+  #suspectCount = 0;
   #version = 0;
-  #lookedAtMs = -Infinity;
+  #evictedAtMs = -Infinity;
 
-  /** Changes whenever what is told of suspects does. */
+  /** Increases with every change of a suspect. */
   get version(): number {
     return this.#version;
   }
 
-  /** Whether any request is a suspect, so that fingerprints are needed. */
-  get isAny(): boolean {
-    return this.#suspects > 0;
+  /** Whether any request is a suspect; fingerprints are only needed then. */
+  get hasSuspects(): boolean {
+    return this.#suspectCount > 0;
   }
 
   /**
-   * Notes that a target ended under a request.
+   * Records that a target ended while it ran a request.
    *
-   * @param ended Which, and under what.
+   * @param ended The target's process and the request.
    * @param nowMs The local time.
    */
   targetEnded(
@@ -113,24 +124,28 @@
   }
 
   /**
-   * Takes in what another instance knows, or the fleet recorded.
+   * Merges updates of another instance or from the store.
    *
-   * @param news Requests under which targets ended.
+   * @param updates Requests under which targets ended.
    * @param nowMs The local time.
-   * @returns How many of them were not known so.
+   * @returns Number of requests with ended targets that were not known.
    */
-  merge(news: readonly SuspectNews[], nowMs: number): number {
-    return news.filter((each) => this.#mergeOne(each, nowMs)).length;
+  merge(updates: readonly SuspectUpdate[], nowMs: number): number {
+    return updates.filter((update) => this.#mergeOne(update, nowMs)).length;
   }
 
-  /** @param fingerprint A request that a target has served. */
+  /**
+   * Clears a request that a target served.
+   *
+   * @param fingerprint Fingerprint of the request.
+   */
   served(fingerprint: string): void {
     this.#remove(fingerprint);
   }
 
   /**
-   * @param fingerprint A request; undefined where it was not told.
-   * @returns Whether it is to run as a trial only.
+   * @param fingerprint Fingerprint of a request; undefined if there is none.
+   * @returns Whether the request must run as a trial.
    */
   isSuspect(fingerprint: string | undefined): boolean {
     const request = this.#get(fingerprint);
@@ -138,66 +153,72 @@
   }
 
   /**
-   * @param fingerprint A request; undefined where it was not told.
+   * @param fingerprint Fingerprint of a request; undefined if there is none.
    * @param nowMs The local time.
-   * @returns How long it is still held back; 0 if it is not.
+   * @returns Remaining quarantine of the request in milliseconds; 0 if none.
    */
-  heldForMs(fingerprint: string | undefined, nowMs: number): number {
+  quarantineLeftMs(fingerprint: string | undefined, nowMs: number): number {
     const request = this.#get(fingerprint);
     return request === undefined
       ? 0
-      : Math.max(0, request.lastEndedAtMs + holdMs(request) - nowMs);
+      : Math.max(0, request.lastEndedAtMs + quarantineMs(request) - nowMs);
   }
 
   /**
-   * @param fingerprint A request.
-   * @returns How many targets ended under it, as far as is known here.
+   * @param fingerprint Fingerprint of a request.
+   * @returns Number of targets that ended under the request.
    */
   endedCount(fingerprint: string): number {
     return this.#get(fingerprint)?.ended.size ?? 0;
   }
 
   /**
+   * Returns suspects for other instances and for the store. If there are too
+   * many, those that failed a trial take precedence, then the newest.
+   *
    * @param nowMs The local time.
-   * @returns The newest suspects, those that failed a trial before all others,
-   * for other instances and for the record.
+   * @returns The suspects to send.
    */
-  toTell(nowMs: number): SuspectNews[] {
-    if (!this.isAny) {
+  updatesToSend(nowMs: number): SuspectUpdate[] {
+    if (!this.hasSuspects) {
       return [];
     }
     const suspects = [...this.#byFingerprint.values()].filter(isSuspect);
-    const onlySuspected = suspects.filter((request) =>
+    const withoutFailedTrial = suspects.filter((request) =>
       !hasFailedTrial(request)
     );
-    return [...onlySuspected, ...suspects.filter(hasFailedTrial)]
-      .slice(-MOST_TOLD).map((request) => newsOf(request, nowMs));
+    return [...withoutFailedTrial, ...suspects.filter(hasFailedTrial)]
+      .slice(-MAX_UPDATES_SENT).map((request) => updateOf(request, nowMs));
   }
 
   /**
+   * Returns requests under which targets ended recently, suspects or not. They
+   * are repeated as an earlier message to the coordinator may have been lost.
+   *
    * @param nowMs The local time.
-   * @returns What was noted just now, also of requests that are no suspects: a
-   * message that told the coordinator may have been lost.
+   * @returns The newest of these requests.
    */
-  lately(nowMs: number): SuspectNews[] {
+  recentUpdates(nowMs: number): SuspectUpdate[] {
     return [...this.#byFingerprint.values()]
-      .filter(({ lastEndedAtMs }) => nowMs - lastEndedAtMs <= REPEATED_MS)
-      .slice(-MOST_TOLD).map((request) => newsOf(request, nowMs));
+      .filter(({ lastEndedAtMs }) => nowMs - lastEndedAtMs <= REPEAT_MS)
+      .slice(-MAX_UPDATES_SENT).map((request) => updateOf(request, nowMs));
   }
 
   /**
-   * Forgets requests under which no target has ended for long.
+   * Removes requests under which no target ended for the retention time.
    *
    * @param nowMs The local time.
    */
-  forgetOld(nowMs: number): void {
-    if (nowMs - this.#lookedAtMs < LOOK_EVERY_MS) {
+  evictExpired(nowMs: number): void {
+    if (nowMs - this.#evictedAtMs < EVICTION_INTERVAL_MS) {
       return;
     }
-    this.#lookedAtMs = nowMs;
+    this.#evictedAtMs = nowMs;
     for (const request of [...this.#byFingerprint.values()]) {
-      const keptMs = hasFailedTrial(request) ? TRIAL_REMEMBERED_MS : SUSPECT_MS;
-      if (nowMs - request.lastEndedAtMs > keptMs) {
+      const retentionMs = hasFailedTrial(request)
+        ? FAILED_TRIAL_RETENTION_MS
+        : RETENTION_MS;
+      if (nowMs - request.lastEndedAtMs > retentionMs) {
         this.#remove(request.fingerprint);
       }
     }
@@ -209,8 +230,8 @@
       : this.#byFingerprint.get(fingerprint);
   }
 
-  #mergeOne(news: SuspectNews, nowMs: number): boolean {
-    const { fingerprint, ended, endedInTrial, ageMs } = news;
+  #mergeOne(update: SuspectUpdate, nowMs: number): boolean {
+    const { fingerprint, ended, endedInTrial, ageMs } = update;
     const known = this.#byFingerprint.get(fingerprint);
     const request = {
       fingerprint,
@@ -230,11 +251,11 @@
   #put(request: SuspectRequest): void {
     this.#byFingerprint.set(request.fingerprint, request);
     if (isSuspect(request)) {
-      this.#suspects++;
+      this.#suspectCount++;
       this.#version++;
     }
     const [oldest] = this.#byFingerprint.keys();
-    if (this.#byFingerprint.size > MOST_REQUESTS) {
+    if (this.#byFingerprint.size > MAX_REQUESTS) {
       this.#remove(oldest!);
     }
   }
@@ -242,7 +263,7 @@
   #remove(fingerprint: string): void {
     const request = this.#byFingerprint.get(fingerprint);
     if (request !== undefined && isSuspect(request)) {
-      this.#suspects--;
+      this.#suspectCount--;
       this.#version++;
     }
     this.#byFingerprint.delete(fingerprint);
@@ -250,25 +271,27 @@
 }
 
 function isSuspect(request: SuspectRequest): boolean {
-  return request.ended.size >= SUSPECT_ENDED || hasFailedTrial(request);
+  return request.ended.size >= MIN_SUSPECT_ENDED || hasFailedTrial(request);
 }
 
 function hasFailedTrial({ endedInTrial }: SuspectRequest): boolean {
   return endedInTrial.size > 0;
 }
 
-function holdMs({ endedInTrial: { size } }: SuspectRequest): number {
-  return size === 0 ? 0 : HOLD_MS[Math.min(size, HOLD_MS.length) - 1]!;
+function quarantineMs({ endedInTrial: { size } }: SuspectRequest): number {
+  return size === 0
+    ? 0
+    : QUARANTINE_MS[Math.min(size, QUARANTINE_MS.length) - 1]!;
 }
 
 function union(
   known: ReadonlySet<string> | undefined,
-  more: readonly string[],
+  added: readonly string[],
 ): ReadonlySet<string> {
-  return new Set([...known ?? [], ...more].slice(0, MOST_ENDED));
+  return new Set([...known ?? [], ...added].slice(0, MAX_ENDED_TARGETS));
 }
 
-function newsOf(request: SuspectRequest, nowMs: number): SuspectNews {
+function updateOf(request: SuspectRequest, nowMs: number): SuspectUpdate {
   return {
     fingerprint: request.fingerprint,
     ended: [...request.ended],
--- a/packages/routing/src/suspect_requests_test.ts
+++ b/packages/routing/src/suspect_requests_test.ts
@@ -1,4 +1,4 @@
-/** What is kept of requests under which targets ended, and what follows on it. */
+/** Suspect requests: their trials, their quarantine and its exchange. */
 
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -30,7 +30,7 @@
 function coordinatorOf(targetIds: readonly string[]): Coordinator {
   const board = boardOf(targetIds);
   for (const fingerprint of ["f", "g"]) {
-    board.suspects.merge(suspectsOf(fingerprint).toTell(0), 0);
+    board.suspects.merge(suspectsOf(fingerprint).updatesToSend(0), 0);
   }
   return new Coordinator(board, BOUNDS);
 }
@@ -51,47 +51,49 @@
   return decisions.find((decision) => "refusal" in decision);
 }
 
-test("one ended target makes no suspect, two do, and neither is held back", () => {
+test("two ended targets make a suspect, which is not quarantined yet", () => {
   const suspects = new SuspectRequests();
   const end = { fingerprint: "f", inTrial: false };
   suspects.targetEnded({ ...end, process: "t1" }, 0);
   assert.not.ok(
-    suspects.isAny,
-    "no fingerprints are made in a fleet like this",
+    suspects.hasSuspects,
+    "fingerprints are only computed if there are suspects",
   );
-  assert.equal(suspects.toTell(0), []);
+  assert.equal(suspects.updatesToSend(0), []);
   suspects.targetEnded({ ...end, process: "t2" }, 10);
   assert.ok(suspects.isSuspect("f"));
-  assert.ok(suspects.isAny);
-  assert.is(suspects.heldForMs("f", 10), 0);
+  assert.ok(suspects.hasSuspects);
+  assert.is(suspects.quarantineLeftMs("f", 10), 0);
 });
 
-test("a failed trial holds a request back, longer each time", () => {
+test("each failed trial quarantines a request, for a longer time", () => {
   const suspects = suspectsOf("f");
-  const heldMs = [1, 2, 3, 4].map((trial) => {
+  const quarantineMinutes = [1, 2, 3, 4].map((trial) => {
     const process = `trial-${trial}`;
     suspects.targetEnded({ fingerprint: "f", process, inTrial: true }, 0);
-    return suspects.heldForMs("f", 0) / MINUTE_MS;
+    return suspects.quarantineLeftMs("f", 0) / MINUTE_MS;
   });
-  assert.equal(heldMs, [2, 20, 24 * 60, 24 * 60]);
-  assert.is(suspects.heldForMs("f", 25 * 60 * MINUTE_MS), 0);
-  assert.ok(suspects.isSuspect("f"), "its next run is a trial again");
+  assert.equal(quarantineMinutes, [2, 20, 24 * 60, 24 * 60]);
+  assert.is(suspects.quarantineLeftMs("f", 25 * 60 * MINUTE_MS), 0);
+  assert.ok(suspects.isSuspect("f"), "the next run is a trial again");
 });
 
-test("instances that hear the same in another order come to the same", () => {
-  const news = [
+test("instances converge whatever the order of the updates", () => {
+  const updates = [
     { ended: ["t1"], endedInTrial: [], ageMs: 30 },
     { ended: ["t2", "t1"], endedInTrial: [], ageMs: 20 },
     { ended: ["t3"], endedInTrial: ["t3"], ageMs: 0 },
   ].map((each) => ({ fingerprint: "f", ...each }));
-  const told = [news, news.toReversed(), [...news, ...news]].map((order) => {
-    const suspects = new SuspectRequests();
-    order.forEach((each) => suspects.merge([each], 100));
-    const [one] = suspects.toTell(100);
-    return { ...one, ended: one!.ended.toSorted() };
-  });
-  assert.equal(told[1], told[0]);
-  assert.equal(told[2], told[0]);
+  const merged = [updates, updates.toReversed(), [...updates, ...updates]].map(
+    (order) => {
+      const suspects = new SuspectRequests();
+      order.forEach((each) => suspects.merge([each], 100));
+      const [one] = suspects.updatesToSend(100);
+      return { ...one, ended: one!.ended.toSorted() };
+    },
+  );
+  assert.equal(merged[1], merged[0]);
+  assert.equal(merged[2], merged[0]);
 });
 
 test("a request that is served is cleared", () => {
@@ -106,8 +108,9 @@
 });
 
 /**
- * A plain call that many callers make alike runs at every target, and so under
- * all that a lost rack takes with it. It waits for its trial, and goes on.
+ * Guards against refusing a harmless request that many callers send: copies of
+ * it run on all targets, so that the loss of a rack makes it a suspect. Its
+ * copies wait for the end of the trial, and run then.
  */
 test("copies of a suspect wait for the one on trial", () => {
   const coordinator = coordinatorOf(["t3", "t4"]);
@@ -121,17 +124,17 @@
   assert.equal(freed.map(({ askId }) => askId), ["a2"]);
 });
 
-test("no two suspects run on trial at one target, others beside them do", () => {
+test("one suspect at a time runs on a target, along with other requests", () => {
   const coordinator = coordinatorOf(["t3"]);
   const first = coordinator.ask(askOf("a1", { fingerprint: "f" }), scope(0));
   assert.is(targetOf(first), "t3");
   const second = askOf("a2", { fingerprint: "g" });
   assert.equal(coordinator.ask(second, scope(1)), []);
-  const lookAlike = askOf("a3", { fingerprint: "of no suspect" });
-  assert.is(targetOf(coordinator.ask(lookAlike, scope(2))), "t3");
+  const unrelated = askOf("a3", { fingerprint: "of no suspect" });
+  assert.is(targetOf(coordinator.ask(unrelated, scope(2))), "t3");
 });
 
-test("a target that ends under a trial ends all further sends", () => {
+test("a failed trial refuses all waiting and further copies of a request", () => {
   const coordinator = coordinatorOf(["t3", "t4"]);
   const copy = { fingerprint: "f" };
   coordinator.ask(askOf("a1", copy), scope(0));
@@ -147,9 +150,9 @@
   assert.ok(targetOf(coordinator.ask(other, scope(102))));
 });
 
-test("a new coordinator goes on from what holders report", () => {
+test("a new coordinator takes over trials from the reports of holders", () => {
   const coordinator = new Coordinator(boardOf(["t3", "t4"]), BOUNDS);
-  const suspects = suspectsOf("f").toTell(0);
+  const suspects = suspectsOf("f").updatesToSend(0);
   const trial = {
     askId: "a1",
     pool: "p",
@@ -163,10 +166,10 @@
   const report = { holderId: "i1", running: [trial], waiting: [], spent: [] };
   coordinator.report({ ...report, suspects }, 0);
   const copy = askOf("a2", { fingerprint: "f" });
-  assert.equal(coordinator.ask(copy, scope(1)), [], "it is on trial elsewhere");
+  assert.equal(coordinator.ask(copy, scope(1)), [], "a trial is in progress");
 });
 
-test("one that failed a trial is told of before many that only ran beside it", () => {
+test("a request that failed a trial takes precedence over newer suspects", () => {
   const suspects = suspectsOf("f");
   suspects.targetEnded({ fingerprint: "f", process: "t3", inTrial: true }, 0);
   for (let other = 0; other < 40; other++) {
@@ -178,15 +181,17 @@
       );
     }
   }
-  const told = suspects.toTell(100).map(({ fingerprint }) => fingerprint);
-  assert.ok(told.includes("f"));
-  assert.ok(told.length < 40, "a heartbeat has to fit a datagram");
+  const sent = suspects.updatesToSend(100).map(({ fingerprint }) =>
+    fingerprint
+  );
+  assert.ok(sent.includes("f"));
+  assert.ok(sent.length < 40, "a heartbeat has to fit into a datagram");
 });
 
-test("what was noted long ago is forgotten", () => {
+test("requests are evicted after their retention time", () => {
   const suspects = suspectsOf("f");
-  suspects.forgetOld(11 * MINUTE_MS);
-  assert.not.ok(suspects.isAny);
+  suspects.evictExpired(11 * MINUTE_MS);
+  assert.not.ok(suspects.hasSuspects);
 });
 
 test.run();
--- a/packages/routing/src/target_backoffs.ts
+++ b/packages/routing/src/target_backoffs.ts
@@ -3,7 +3,7 @@
  * applies to this instance only: targets ask each instance separately.
  */
 
-/** Back-off by target. */
+/** Back-offs that targets requested, by target id. */
 export class TargetBackoffs {
   readonly #untilMs = new Map<string, number>();
 
@@ -11,7 +11,7 @@
    * Starts or extends the back-off for a target; it is never shortened.
    *
    * @param targetId The target.
-   * @param forMs Requested duration, from now.
+   * @param forMs Requested duration in milliseconds, from now.
    * @param nowMs The local time.
    */
   requested(targetId: string, forMs: number, nowMs: number): void {
@@ -22,7 +22,7 @@
   /**
    * @param targetId A target.
    * @param nowMs The local time.
-   * @returns Remaining back-off; 0 if there is none.
+   * @returns Remaining back-off in milliseconds; 0 if there is none.
    */
   remainingMs(targetId: string, nowMs: number): number {
     return Math.max(0, (this.#untilMs.get(targetId) ?? -Infinity) - nowMs);
@@ -30,7 +30,7 @@
 
   /**
    * @param nowMs The local time.
-   * @returns Targets that must not be sent requests.
+   * @returns Ids of the targets that must not be sent requests.
    */
   activeIds(nowMs: number): string[] {
     for (const [targetId, untilMs] of this.#untilMs) {
@@ -41,7 +41,11 @@
     return [...this.#untilMs.keys()];
   }
 
-  /** @param targetId A target whose process was restarted. */
+  /**
+   * Discards the back-off of a target whose process was restarted.
+   *
+   * @param targetId Id of the target.
+   */
   restarted(targetId: string): void {
     this.#untilMs.delete(targetId);
   }
--- a/packages/routing/src/target_backoffs_test.ts
+++ b/packages/routing/src/target_backoffs_test.ts
@@ -12,7 +12,7 @@
   assert.is(backoffs.remainingMs("t1", 3000), 0);
 });
 
-test("a restarted process is not backed off from for the one before", () => {
+test("a restart discards the back-off that the previous process requested", () => {
   const backoffs = new TargetBackoffs();
   backoffs.requested("t1", 3000, 0);
   backoffs.restarted("t1");
--- a/packages/routing/src/target_directory.ts
+++ b/packages/routing/src/target_directory.ts
@@ -1,11 +1,14 @@
-/** Which targets exist, as the platform's list and peers tell. */
+/**
+ * Directory of the targets, built from rows of the platform's target list that
+ * the store or other instances send in any order.
+ */
 
-/** What the platform's list says of one target. */
+/** A row of the platform's target list. */
 export interface TargetEntry {
   readonly targetId: string;
   /**
-   * When its process started, in Unix milliseconds: a target that starts again
-   * may keep its id, and knows nothing of before. 0 where it does not tell.
+   * When its process started, in Unix milliseconds. A target that restarts may
+   * keep its id, but loses its state. 0 if the target does not provide it.
    */
   readonly incarnation: number;
   readonly pool: string;
@@ -13,161 +16,166 @@
   readonly failureDomain: string;
   readonly slots: number;
   readonly leaving: boolean;
-  /** Whether its answers announce it, whatever its row says; absent if not. */
+  /** Set if its answers announced that it is leaving, whatever its row says. */
   readonly announcedLeaving?: boolean;
   /** Version of its software. */
   readonly version: string;
-  /** Time for which it is slow after its start; absent where it is not. */
+  /** Time for which it is slow after its start; absent if it is not slow. */
   readonly coldMs?: number;
 }
 
-/** One target as this instance knows it. */
+/** What this instance knows of one target. */
 export interface KnownTarget extends TargetEntry {
-  /** Version of the list's row that said so. */
+  /** Version of the newest row that was applied for it. */
   readonly rowVersion: number;
-  /** When it was taken in; it is cold for some time after that. */
+  /** Local time at which it has warmed up and is no longer slow. */
   readonly warmAtMs: number;
-  /** When it was taken off the list; absent while it is listed. */
+  /** When its row was removed from the list; absent while it is listed. */
   readonly removedAtMs?: number;
-  /** Until when a target taken off the list may still get new work. */
+  /** Until when it may get new work although its row was removed. */
   readonly usableUntilMs?: number;
 }
 
-/** A row of the list that changed. */
-export interface TargetChange {
+/** A changed or removed row of the platform's target list. */
+export interface TargetRowChange {
   readonly targetId: string;
   readonly rowVersion: number;
-  /** Absent where the row was removed. */
+  /** Absent if the row was removed. */
   readonly entry?: TargetEntry;
 }
 
-/** What a change did to the belief about a target. */
-export enum TargetNews {
+/** Kinds of changes in what this instance knows of a target. */
+export enum TargetEventKind {
   Added = "added",
   Leaving = "leaving",
   Removed = "removed",
-  /** It started again under its id: what was believed of it is void. */
+  /** Its process restarted under the same id, so that its state is void. */
   Restarted = "restarted",
   Updated = "updated",
 }
 
-/** One change of belief. */
-export interface TargetBelief {
+/** A change in what this instance knows of a target. */
+export interface TargetEvent {
   readonly targetId: string;
-  readonly news: TargetNews;
+  readonly kind: TargetEventKind;
   readonly rowVersion: number;
 }
 
 /**
- * Time from the list's return after an outage until a row that is still missing
- * means that its target is gone. Rows may expire during an outage, and the
- * platform brings those of live targets back within about 2 s.
+ * Time after the end of an outage of the list during which a target whose row
+ * is missing remains usable. Rows may expire during an outage, and the platform
+ * restores those of live targets within about 2 s.
  */
-const RETURN_GRACE_MS = 2200;
+const MISSING_ROW_GRACE_MS = 2200;
 
-/** How long a removed target's id is remembered against older news. */
-const FORGET_REMOVED_MS = 60_000;
+/** Time for which a removed target is kept, so that older rows are ignored. */
+const REMOVED_RETENTION_MS = 60_000;
 
-/** Targets of a pool that may get new work, as of the last change. */
+/** Cached targets of a pool that may get new work. */
 interface UsableTargets {
   readonly targets: readonly KnownTarget[];
-  /** When the first of them no longer may. */
+  /** When the first of them stops being usable. */
   readonly untilMs: number;
 }
 
-/** The targets, kept up to date from rows that arrive in any order. */
+/** All known targets, kept up to date from rows that arrive in any order. */
 export class TargetDirectory {
   readonly #byId = new Map<string, KnownTarget>();
   readonly #usable = new Map<string, UsableTargets>();
-  /** Newest row version that any news carried. */
+  /** Newest row version of any change that was applied. */
   version = 0;
-  /** When the list last began to answer after it had not. */
-  #answersSinceMs = -Infinity;
-  /** When the list last came back from an older copy. */
-  #wentBackAtMs = -Infinity;
+  /** When the list last became available after an outage. */
+  #availableSinceMs = -Infinity;
+  /** When the list was last restored from an older copy. */
+  #restoredAtMs = -Infinity;
 
-  /** @param nowMs When the list began to answer, again or at first. */
-  listAnswers(nowMs: number): void {
-    this.#answersSinceMs = nowMs;
+  /**
+   * Records that the list became available, at first or after an outage.
+   *
+   * @param nowMs The local time.
+   */
+  listAvailable(nowMs: number): void {
+    this.#availableSinceMs = nowMs;
   }
 
   /**
-   * The list came back from an older copy: it may lack targets that live, and
-   * still name some that are gone.
+   * Records that the list was restored from an older copy. It may lack targets
+   * that are alive, and still contain some that are gone.
    *
-   * @param nowMs When it did.
+   * @param nowMs The local time.
    */
-  listWentBack(nowMs: number): void {
-    this.listAnswers(nowMs);
-    this.#wentBackAtMs = nowMs;
+  listRestored(nowMs: number): void {
+    this.listAvailable(nowMs);
+    this.#restoredAtMs = nowMs;
   }
 
   /**
-   * Takes in changed rows.
+   * Applies changed rows; rows older than the known ones have no effect.
    *
    * @param changes The rows, from the list or from a peer.
    * @param nowMs The local time.
-   * @returns What changed in what this instance believes.
+   * @returns The resulting changes of targets.
    */
-  apply(changes: readonly TargetChange[], nowMs: number): TargetBelief[] {
+  apply(changes: readonly TargetRowChange[], nowMs: number): TargetEvent[] {
     return changes.flatMap((change) => this.#applyOne(change, nowMs));
   }
 
   /**
    * Records that a target announced in an answer that it is leaving, which may
-   * happen before the list says so.
+   * happen before its row says so.
    *
-   * @param targetId The target.
-   * @returns What changed in what this instance believes.
+   * @param targetId Id of the target.
+   * @returns The resulting change of the target, if any.
    */
-  announcedLeaving(targetId: string): TargetBelief[] {
+  announcedLeaving(targetId: string): TargetEvent[] {
     const known = this.#byId.get(targetId);
     if (known === undefined || known.leaving) {
       return [];
     }
     this.#put({ ...known, leaving: true, announcedLeaving: true });
     const { rowVersion } = known;
-    return [{ targetId, news: TargetNews.Leaving, rowVersion }];
+    return [{ targetId, kind: TargetEventKind.Leaving, rowVersion }];
   }
 
   /**
-   * Takes in the whole list: targets that it lacks are gone.
+   * Applies a snapshot of the whole list. Targets that it lacks are removed,
+   * unless their rows are newer than the snapshot.
    *
-   * @param entries Every row of the list.
-   * @param version The list's version at that moment.
+   * @param entries All rows of the snapshot.
+   * @param version The list's version at the time of the snapshot.
    * @param nowMs The local time.
-   * @returns What changed in what this instance believes.
+   * @returns The resulting changes of targets.
    */
   replace(
-    entries: readonly TargetChange[],
+    entries: readonly TargetRowChange[],
     version: number,
     nowMs: number,
-  ): TargetBelief[] {
+  ): TargetEvent[] {
     const listed = new Set(entries.map(({ targetId }) => targetId));
     const gone = [...this.#byId.values()].filter((known) =>
       known.removedAtMs === undefined && known.rowVersion <= version &&
       !listed.has(known.targetId)
     ).map(({ targetId }) => ({ targetId, rowVersion: version }));
     const current = entries.filter(({ targetId }) =>
-      !this.#isOldRow(targetId, nowMs)
+      !this.#isStaleRow(targetId, nowMs)
     );
     return this.apply([...current, ...gone], nowMs);
   }
 
   /**
-   * @param targetId A target's id.
-   * @returns What is known of it.
+   * @param targetId Id of a target.
+   * @returns What is known of the target; undefined if nothing is.
    */
   get(targetId: string): KnownTarget | undefined {
     return this.#byId.get(targetId);
   }
 
   /**
-   * Tells whether a target may be given new work.
+   * Checks whether a target may be given new work.
    *
    * @param target The target.
    * @param nowMs The local time.
-   * @returns False once it is leaving or gone.
+   * @returns False once the target is leaving or gone.
    */
   isUsable(target: KnownTarget, nowMs: number): boolean {
     if (target.leaving) {
@@ -179,8 +187,8 @@
   /**
    * @param pool Name of a pool.
    * @param nowMs The local time.
-   * @returns The pool's targets that may get new work; the same list while
-   * nothing changes.
+   * @returns The pool's targets that may get new work, as the same array until
+   * any target changes.
    */
   usable(pool: string, nowMs: number): readonly KnownTarget[] {
     const known = this.#usable.get(pool);
@@ -190,22 +198,28 @@
     const targets = [...this.#byId.values()].filter((target) =>
       target.pool === pool && this.isUsable(target, nowMs)
     );
-    const ends = targets.map(({ usableUntilMs }) => usableUntilMs ?? Infinity);
-    const untilMs = Math.min(Infinity, ...ends);
+    const usableUntil = targets.map(({ usableUntilMs }) =>
+      usableUntilMs ?? Infinity
+    );
+    const untilMs = Math.min(Infinity, ...usableUntil);
     this.#usable.set(pool, { targets, untilMs });
     return targets;
   }
 
-  /** @returns Every target that is remembered, also those that are gone. */
+  /** @returns Every known target, including those that were removed. */
   all(): KnownTarget[] {
     return [...this.#byId.values()];
   }
 
-  /** @param nowMs Targets long gone by then are forgotten. */
-  forgetOld(nowMs: number): void {
+  /**
+   * Deletes targets that were removed longer ago than the retention time.
+   *
+   * @param nowMs The local time.
+   */
+  evictExpired(nowMs: number): void {
     for (const { targetId, removedAtMs } of this.#byId.values()) {
       if (
-        removedAtMs !== undefined && removedAtMs + FORGET_REMOVED_MS < nowMs
+        removedAtMs !== undefined && removedAtMs + REMOVED_RETENTION_MS < nowMs
       ) {
         this.#byId.delete(targetId);
         this.#usable.clear();
@@ -214,15 +228,16 @@
   }
 
   /**
-   * A row of a target that is known to be gone, on a list that came back from an
-   * older copy just now. One that lives is written again.
+   * Whether a row belongs to a target that was removed, in a snapshot of a list
+   * that was restored from an older copy recently. Rows of live targets are
+   * written again after the restore.
    */
-  #isOldRow(targetId: string, nowMs: number): boolean {
-    return nowMs < this.#wentBackAtMs + RETURN_GRACE_MS &&
+  #isStaleRow(targetId: string, nowMs: number): boolean {
+    return nowMs < this.#restoredAtMs + MISSING_ROW_GRACE_MS &&
       this.#byId.get(targetId)?.removedAtMs !== undefined;
   }
 
-  #applyOne(change: TargetChange, nowMs: number): TargetBelief[] {
+  #applyOne(change: TargetRowChange, nowMs: number): TargetEvent[] {
     this.version = Math.max(this.version, change.rowVersion);
     const known = this.#byId.get(change.targetId);
     const { targetId, rowVersion, entry } = change;
@@ -235,9 +250,10 @@
     if (entry === undefined) {
       return this.#remove(known, rowVersion, nowMs);
     }
-    // A late heartbeat of a leaving target may still say that it is not. One of
-    // the process before it may come late, too: it counts until the next one, as
-    // work for a leaving target is worse than none for a short while.
+    // A delayed row of a leaving target may still say that it is not leaving. A
+    // delayed row of its earlier process may say that it is: that one applies
+    // until the next row, as sending work to a leaving target is worse than
+    // sending none for a short time.
     const before = known !== undefined && !hasRestarted(known, entry)
       ? known
       : undefined;
@@ -246,8 +262,8 @@
     const warmAtMs = nowMs + (entry.coldMs ?? 0);
     const next = { ...entry, leaving, announcedLeaving, rowVersion, warmAtMs };
     this.#put(next);
-    const news = newsOf(known, next);
-    return news === undefined ? [] : [{ targetId, news, rowVersion }];
+    const kind = eventKindOf(known, next);
+    return kind === undefined ? [] : [{ targetId, kind, rowVersion }];
   }
 
   #put(target: KnownTarget): void {
@@ -259,7 +275,7 @@
     known: KnownTarget | undefined,
     rowVersion: number,
     nowMs: number,
-  ): TargetBelief[] {
+  ): TargetEvent[] {
     if (known === undefined) {
       return [];
     }
@@ -268,14 +284,14 @@
       this.#put({ ...known, rowVersion });
       return [];
     }
-    const usableUntilMs = this.#answersSinceMs + RETURN_GRACE_MS;
+    const usableUntilMs = this.#availableSinceMs + MISSING_ROW_GRACE_MS;
     this.#put({
       ...known,
       rowVersion,
       removedAtMs: nowMs,
       usableUntilMs,
     });
-    return [{ targetId, news: TargetNews.Removed, rowVersion }];
+    return [{ targetId, kind: TargetEventKind.Removed, rowVersion }];
   }
 }
 
@@ -283,20 +299,20 @@
   return known.incarnation !== 0 && entry.incarnation > known.incarnation;
 }
 
-function newsOf(
+function eventKindOf(
   known: KnownTarget | undefined,
   entry: TargetEntry,
-): TargetNews | undefined {
+): TargetEventKind | undefined {
   if (known !== undefined && hasRestarted(known, entry)) {
-    return TargetNews.Restarted;
+    return TargetEventKind.Restarted;
   }
   if (known === undefined || known.removedAtMs !== undefined) {
-    return entry.leaving ? TargetNews.Leaving : TargetNews.Added;
+    return entry.leaving ? TargetEventKind.Leaving : TargetEventKind.Added;
   }
   if (entry.leaving && !known.leaving) {
-    return TargetNews.Leaving;
+    return TargetEventKind.Leaving;
   }
   const same = known.address === entry.address && known.pool === entry.pool &&
     known.slots === entry.slots && known.leaving === entry.leaving;
-  return same ? undefined : TargetNews.Updated;
+  return same ? undefined : TargetEventKind.Updated;
 }
--- a/packages/routing/src/target_directory_test.ts
+++ b/packages/routing/src/target_directory_test.ts
@@ -1,9 +1,9 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  type TargetChange,
   TargetDirectory,
-  TargetNews,
+  TargetEventKind,
+  type TargetRowChange,
 } from "./target_directory.ts";
 
 function row(
@@ -14,7 +14,7 @@
     targetId?: string;
     incarnation?: number;
   } = {},
-): TargetChange {
+): TargetRowChange {
   const { leaving = false, targetId = "t1", incarnation = 0 } = over;
   const { announcedLeaving } = over;
   return {
@@ -36,7 +36,7 @@
 
 function directory(): TargetDirectory {
   const targets = new TargetDirectory();
-  targets.listAnswers(0);
+  targets.listAvailable(0);
   return targets;
 }
 
@@ -48,28 +48,28 @@
   const targets = directory();
   targets.apply([row(1)], 10);
   assert.equal(usableIds(targets, 10), ["t1"]);
-  const beliefs = targets.apply([row(2, { leaving: true })], 20);
-  assert.is(beliefs[0]!.news, TargetNews.Leaving);
+  const events = targets.apply([row(2, { leaving: true })], 20);
+  assert.is(events[0]!.kind, TargetEventKind.Leaving);
   assert.equal(usableIds(targets, 20), []);
 });
 
-test("a late heartbeat does not bring a leaving target back", () => {
+test("a newer row does not make a leaving target usable again", () => {
   const targets = directory();
   targets.apply([row(2, { leaving: true }), row(3)], 10);
   assert.equal(usableIds(targets, 10), []);
 });
 
-test("a target that starts again under its id is used again", () => {
+test("a target that restarts under its id is used again", () => {
   const targets = directory();
   targets.apply([row(1, { incarnation: 100 })], 10);
   targets.apply([row(2, { incarnation: 100, leaving: true })], 20);
   assert.equal(usableIds(targets, 20), []);
-  const beliefs = targets.apply([row(3, { incarnation: 200 })], 30);
-  assert.is(beliefs[0]!.news, TargetNews.Restarted);
+  const events = targets.apply([row(3, { incarnation: 200 })], 30);
+  assert.is(events[0]!.kind, TargetEventKind.Restarted);
   assert.equal(usableIds(targets, 30), ["t1"]);
 });
 
-test("a late word of the process before counts until the next heartbeat", () => {
+test("a delayed row of an earlier process applies until the next row", () => {
   const targets = directory();
   targets.apply([row(1, { incarnation: 200 })], 10);
   targets.apply([row(2, { incarnation: 100, leaving: true })], 20);
@@ -81,42 +81,42 @@
   assert.equal(usableIds(targets, 50), []);
 });
 
-test("news older than what is known changes nothing", () => {
+test("a row older than the known one changes nothing", () => {
   const targets = directory();
   targets.apply([row(5)], 10);
   assert.equal(targets.apply([row(4, { leaving: true })], 20), []);
   assert.equal(usableIds(targets, 20), ["t1"]);
 });
 
-test("a row that vanishes from a steady list counts at once", () => {
+test("a row that is removed without an outage removes its target at once", () => {
   const targets = directory();
   targets.apply([row(1)], 10);
   targets.apply([{ targetId: "t1", rowVersion: 2 }], 5000);
   assert.equal(usableIds(targets, 5000), []);
 });
 
-test("a row that vanished during an outage is given time to return", () => {
+test("a target whose row was removed in an outage stays usable for a while", () => {
   const targets = directory();
   targets.apply([row(1)], 10);
-  targets.listAnswers(9000);
+  targets.listAvailable(9000);
   targets.apply([{ targetId: "t1", rowVersion: 2 }], 9100);
   assert.equal(usableIds(targets, 11_100), ["t1"]);
   assert.equal(usableIds(targets, 11_200), []);
 });
 
-test("a row that vanishes later than rows return counts at once", () => {
+test("a row removed after the grace time of an outage removes its target", () => {
   const targets = directory();
   targets.apply([row(1)], 10);
-  targets.listAnswers(9000);
+  targets.listAvailable(9000);
   targets.apply([{ targetId: "t1", rowVersion: 2 }], 11_300);
   assert.equal(usableIds(targets, 11_300), []);
 });
 
-test("an outage after a removal does not bring the target back", () => {
+test("an outage after a removal does not make the target usable again", () => {
   const targets = directory();
   targets.apply([row(1)], 10);
   targets.apply([{ targetId: "t1", rowVersion: 2 }], 5000);
-  targets.listAnswers(8000);
+  targets.listAvailable(8000);
   assert.equal(usableIds(targets, 8100), []);
 });
 
@@ -128,38 +128,38 @@
   assert.equal(usableIds(targets, 6000), ["t1"]);
 });
 
-test("a whole read removes what it lacks, unless that is newer", () => {
+test("a snapshot removes the targets that it lacks, unless they are newer", () => {
   const targets = directory();
   targets.apply([row(1), row(9, { targetId: "t2" })], 10);
   targets.replace([], 5, 5000);
   assert.equal(usableIds(targets, 5000), ["t2"]);
 });
 
-test("a list that went back brings no target back, but what is written anew does", () => {
+test("a restored list adds no removed target, but a row written later does", () => {
   const targets = directory();
   targets.apply([row(5)], 0);
   targets.apply([{ targetId: "t1", rowVersion: 6 }], 10);
-  targets.listWentBack(5000);
+  targets.listRestored(5000);
   assert.equal(targets.replace([row(105)], 105, 5010), []);
-  const [belief] = targets.apply([row(106)], 5020);
-  assert.is(belief?.news, TargetNews.Added);
+  const [event] = targets.apply([row(106)], 5020);
+  assert.is(event?.kind, TargetEventKind.Added);
 });
 
-test("a target that a list lacks since it went back is used on for a while", () => {
+test("a target that a restored list lacks stays usable for a while", () => {
   const targets = directory();
   targets.apply([row(5)], 0);
-  targets.listWentBack(5000);
+  targets.listRestored(5000);
   targets.replace([], 105, 5010);
   const target = () => targets.get("t1")!;
-  assert.ok(targets.isUsable(target(), 7000), "live ones are written again");
+  assert.ok(targets.isUsable(target(), 7000), "its row may be written again");
   assert.not.ok(targets.isUsable(target(), 7300));
 });
 
-test("a target that announces that it is leaving stays unused, whatever rows say", () => {
+test("a target that announced that it is leaving stays unused despite its rows", () => {
   const targets = directory();
   targets.apply([row(5, { incarnation: 7 })], 10);
-  const [belief] = targets.announcedLeaving("t1");
-  assert.is(belief!.news, TargetNews.Leaving);
+  const [event] = targets.announcedLeaving("t1");
+  assert.is(event!.kind, TargetEventKind.Leaving);
   assert.equal(targets.announcedLeaving("t1"), []);
   targets.apply([row(6, { incarnation: 7 })], 20);
   targets.replace([row(8, { incarnation: 7 })], 8, 30);
@@ -168,7 +168,7 @@
   assert.equal(usableIds(targets, 40), ["t1"]);
 });
 
-test("a leaving target that drops off the list stays unused", () => {
+test("a leaving target whose row is removed stays unused", () => {
   const targets = directory();
   targets.apply([row(5)], 10);
   targets.announcedLeaving("t1");
@@ -178,15 +178,15 @@
   assert.equal(usableIds(targets, 30), []);
 });
 
-test("an announcement reported by a peer counts with an older row", () => {
-  const said = { leaving: true, announcedLeaving: true };
-  const told = [row(4, { ...said, incarnation: 7 })];
+test("an announcement reported by a peer applies even with an older row", () => {
+  const announcement = { leaving: true, announcedLeaving: true };
+  const reported = [row(4, { ...announcement, incarnation: 7 })];
   const targets = directory();
   targets.apply([row(5, { incarnation: 7 })], 10);
-  assert.is(targets.apply(told, 20)[0]!.news, TargetNews.Leaving);
+  assert.is(targets.apply(reported, 20)[0]!.kind, TargetEventKind.Leaving);
   const restarted = directory();
   restarted.apply([row(5, { incarnation: 8 })], 10);
-  assert.equal(restarted.apply(told, 20), []);
+  assert.equal(restarted.apply(reported, 20), []);
 });
 
 test.run();
--- a/packages/routing/src/target_health.ts
+++ b/packages/routing/src/target_health.ts
@@ -1,13 +1,19 @@
-/** Which targets have failed lately, and when they are tried again. */
+/** Circuit breaker that pauses targets after failures, with growing pauses. */
 
-/** First and longest pause before a failing target is tried again. */
-const FIRST_PAUSE_MS = 400;
-const LONGEST_PAUSE_MS = 3200;
-/** Failures within this time of each other lengthen the pause. */
-const FAILURES_JOIN_MS = 5000;
+/** First pause of a failing target; each further failure doubles it. */
+const MIN_PAUSE_MS = 400;
 
-/** Failures in a row that one request may meet by bad luck. */
-const TOLERATED_FAILURES = 1;
+/** Longest pause before a failing target is tried again. */
+const MAX_PAUSE_MS = 3200;
+
+/** Failures are consecutive only within this time of each other. */
+const FAILURE_STREAK_WINDOW_MS = 5000;
+
+/**
+ * Consecutive failures of a reachable target that cause no pause: a single
+ * request may fail for a reason of its own.
+ */
+const MAX_TOLERATED_FAILURES = 1;
 
 interface Health {
   failuresInRow: number;
@@ -15,26 +21,26 @@
   pausedUntilMs: number;
 }
 
-/** Pauses after failures, for each target. */
+/** Consecutive failures and pauses of targets, by target id. */
 export class TargetHealth {
   readonly #byId = new Map<string, Health>();
 
   /**
-   * Notes that a target failed a request.
+   * Records that a target failed a request.
    *
-   * @param targetId The target.
-   * @param unreachable Whether it could not even be connected to.
+   * @param targetId Id of the target.
+   * @param unreachable Whether no connection to it could be opened.
    * @param nowMs The local time.
    */
   failed(targetId: string, unreachable: boolean, nowMs: number): void {
     const health = this.#byId.get(targetId);
     const recent = health !== undefined &&
-      nowMs - health.lastFailureAtMs < FAILURES_JOIN_MS;
+      nowMs - health.lastFailureAtMs < FAILURE_STREAK_WINDOW_MS;
     const failuresInRow = (recent ? health.failuresInRow : 0) + 1;
-    const counted = failuresInRow - (unreachable ? 0 : TOLERATED_FAILURES);
+    const counted = failuresInRow - (unreachable ? 0 : MAX_TOLERATED_FAILURES);
     const pauseMs = counted <= 0
       ? 0
-      : Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (counted - 1));
+      : Math.min(MAX_PAUSE_MS, MIN_PAUSE_MS * 2 ** (counted - 1));
     this.#byId.set(targetId, {
       failuresInRow,
       lastFailureAtMs: nowMs,
@@ -42,12 +48,20 @@
     });
   }
 
-  /** @param targetId A target whose process started again. */
+  /**
+   * Clears the failures of a target whose process restarted.
+   *
+   * @param targetId Id of the target.
+   */
   restarted(targetId: string): void {
     this.#byId.delete(targetId);
   }
 
-  /** @param targetId A target that has just served a request well. */
+  /**
+   * Clears the failures of a target that served a request without a failure.
+   *
+   * @param targetId Id of the target.
+   */
   served(targetId: string): void {
     this.#byId.delete(targetId);
   }
@@ -55,7 +69,7 @@
   /**
    * @param targetId The target.
    * @param nowMs The local time.
-   * @returns Whether it should get no work for now.
+   * @returns Whether the target should get no new work for now.
    */
   isPaused(targetId: string, nowMs: number): boolean {
     return nowMs < (this.#byId.get(targetId)?.pausedUntilMs ?? -Infinity);
@@ -63,7 +77,7 @@
 
   /**
    * @param targetId The target.
-   * @returns Failures since it last served well.
+   * @returns Number of consecutive failures of the target.
    */
   failuresInRow(targetId: string): number {
     return this.#byId.get(targetId)?.failuresInRow ?? 0;
@@ -71,7 +85,7 @@
 
   /**
    * @param nowMs The local time.
-   * @returns Ids of all targets that should get no work for now.
+   * @returns Ids of all targets that should get no new work for now.
    */
   paused(nowMs: number): string[] {
     return [...this.#byId.keys()].filter((id) => this.isPaused(id, nowMs));
