--- a/packages/routing/src/target_rate_limits.ts
+++ b/packages/routing/src/target_rate_limits.ts
@@ -2,25 +2,25 @@
  * Rate limits that targets advertise in their answers. A limit applies to the
  * whole fleet until the target answers without one.
  *
- * Instances exchange what they observed together with its age. The newest
+ * Instances exchange their observations and the ages of these. The newest
  * observation wins, so all instances converge regardless of message order.
  */
 
 /** A rate limit as instances report it to each other. */
-export interface RateLimitNews {
+export interface RateLimitUpdate {
   readonly targetId: string;
   /** Requests per second from the whole fleet; absent once lifted. */
   readonly limitPerS?: number;
-  /** Time since an answer said so. */
+  /** Time since an answer last carried or lifted the limit. */
   readonly ageMs: number;
 }
 
 /** A change of a target's known rate limit. */
 export interface RateLimitChange {
   readonly targetId: string;
-  /** Absent where there was none. */
+  /** Previous limit in requests per second; absent if there was none. */
   readonly beforePerS?: number;
-  /** Absent where there is none any more. */
+  /** New limit in requests per second; absent if it was lifted. */
   readonly limitPerS?: number;
 }
 
@@ -28,7 +28,7 @@
  * Time without an answer that carries the limit before it can be lifted: a
  * target may advertise its limit in some of its answers only.
  */
-const LIFT_AFTER_MS = 4000;
+const MIN_LIFT_DELAY_MS = 4000;
 
 /**
  * A report that repeats the known limit has to be this much newer to count.
@@ -37,8 +37,8 @@
  */
 const MIN_REFRESH_MS = 1000;
 
-/** Time for which every heartbeat reports a change. */
-const REPORT_CHANGE_MS = 2500;
+/** Time for which every heartbeat carries a changed limit. */
+const SEND_CHANGE_MS = 2500;
 
 interface KnownLimit {
   /** Absent once lifted. */
@@ -52,27 +52,28 @@
 /** A limit as an answer or another instance reported it. */
 type ObservedLimit = Omit<KnownLimit, "changedAtMs">;
 
-/** Rate limits by target. */
+/** Advertised rate limits of targets, by target id. */
 export class TargetRateLimits {
   readonly #byId = new Map<string, KnownLimit>();
   #limitedCount = 0;
 
   /**
    * @param targetId A target.
-   * @returns Its limit in requests per second; absent where it has none.
+   * @returns The target's limit in requests per second; undefined if it has
+   * none.
    */
   limitPerS(targetId: string): number | undefined {
     return this.#byId.get(targetId)?.limitPerS;
   }
 
   /** Whether any target has a limit. */
-  get isAny(): boolean {
+  get hasLimits(): boolean {
     return this.#limitedCount > 0;
   }
 
-  /** @returns Targets that have a limit. */
+  /** @returns Ids of the targets that have a limit. */
   limitedIds(): string[] {
-    return this.isAny
+    return this.hasLimits
       ? [...this.#byId.keys()].filter((targetId) => this.#isLimited(targetId))
       : [];
   }
@@ -108,7 +109,7 @@
     const known = this.#byId.get(targetId);
     const isLifted = known?.limitPerS !== undefined &&
       sentAtMs > known.observedAtMs &&
-      nowMs - known.observedAtMs >= LIFT_AFTER_MS;
+      nowMs - known.observedAtMs >= MIN_LIFT_DELAY_MS;
     return isLifted
       ? this.#put(targetId, { observedAtMs: nowMs }, nowMs)
       : undefined;
@@ -127,17 +128,19 @@
   }
 
   /**
-   * @param news Limits reported by another instance.
+   * Merges limits that another instance observed. The newest observation wins.
+   *
+   * @param updates Limits sent by another instance.
    * @param nowMs The local time.
-   * @returns What changed here.
+   * @returns The limits that changed on this instance.
    */
-  merge(news: readonly RateLimitNews[], nowMs: number): RateLimitChange[] {
-    return news.flatMap(({ targetId, limitPerS, ageMs }) => {
+  merge(updates: readonly RateLimitUpdate[], nowMs: number): RateLimitChange[] {
+    return updates.flatMap(({ targetId, limitPerS, ageMs }) => {
       const observedAtMs = nowMs - ageMs;
       const known = this.#byId.get(targetId);
-      const leastMs = known?.limitPerS === limitPerS ? MIN_REFRESH_MS : 0;
+      const minAdvanceMs = known?.limitPerS === limitPerS ? MIN_REFRESH_MS : 0;
       const isNewer = known === undefined ||
-        observedAtMs > known.observedAtMs + leastMs;
+        observedAtMs > known.observedAtMs + minAdvanceMs;
       return isNewer
         ? this.#put(targetId, { limitPerS, observedAtMs }, nowMs) ?? []
         : [];
@@ -147,15 +150,15 @@
   /**
    * @param nowMs The local time.
    * @param of Whether to leave out limits that have not changed recently.
-   * @returns Limits, and recently lifted ones, to report to other instances.
+   * @returns Limits, and recently lifted limits, to send to other instances.
    */
-  toTell(
+  updatesToSend(
     nowMs: number,
     { onlyChanged }: { onlyChanged: boolean },
-  ): RateLimitNews[] {
+  ): RateLimitUpdate[] {
     return [...this.#byId].flatMap(([targetId, known]) => {
       const { limitPerS, observedAtMs, changedAtMs } = known;
-      const isNew = nowMs - changedAtMs <= REPORT_CHANGE_MS;
+      const isNew = nowMs - changedAtMs <= SEND_CHANGE_MS;
       const isStanding = limitPerS !== undefined && !onlyChanged;
       return isNew || isStanding
         ? { targetId, limitPerS, ageMs: Math.round(nowMs - observedAtMs) }
@@ -163,7 +166,11 @@
     });
   }
 
-  /** @param targetIds Targets that exist; all others are forgotten. */
+  /**
+   * Discards the limits of all targets but the given ones.
+   *
+   * @param targetIds Ids of the targets that exist.
+   */
   keepOnly(targetIds: ReadonlySet<string>): void {
     for (const targetId of this.#byId.keys()) {
       if (!targetIds.has(targetId)) {
--- a/packages/routing/src/target_rate_limits_test.ts
+++ b/packages/routing/src/target_rate_limits_test.ts
@@ -37,7 +37,7 @@
 
 test("a target that does not answer keeps its limit", () => {
   const limits = limitsOf(0.2, 0);
-  assert.equal(limits.toTell(60_000, ALL), [
+  assert.equal(limits.updatesToSend(60_000, ALL), [
     { targetId: "t1", limitPerS: 0.2, ageMs: 60_000 },
   ]);
 });
@@ -55,29 +55,29 @@
   assert.is(other.limitPerS("t1"), 7);
 });
 
-test("a lifted limit is reported for a while and not restored by older reports", () => {
+test("a lifted limit is sent for a while and not restored by older updates", () => {
   const limits = limitsOf(5, 0);
   limits.notAdvertised("t1", { sentAtMs: 5000, nowMs: 5100 });
-  assert.equal(limits.toTell(5200, ALL), [
+  assert.equal(limits.updatesToSend(5200, ALL), [
     { targetId: "t1", limitPerS: undefined, ageMs: 100 },
   ]);
-  assert.equal(limits.toTell(9000, ALL), []);
+  assert.equal(limits.updatesToSend(9000, ALL), []);
   limits.merge([{ targetId: "t1", limitPerS: 5, ageMs: 5200 }], 9000);
   assert.is(limits.limitPerS("t1"), undefined);
 });
 
-test("a change is reported in every heartbeat for a while", () => {
+test("a changed limit is sent in every heartbeat for a while", () => {
   const limits = limitsOf(5, 0);
   limits.advertised("t1", 5, 2000);
-  const told = (nowMs: number) =>
-    limits.toTell(nowMs, { onlyChanged: true }).length;
-  assert.is(told(2400), 1);
-  assert.is(told(2600), 0);
+  const sentCount = (nowMs: number) =>
+    limits.updatesToSend(nowMs, { onlyChanged: true }).length;
+  assert.is(sentCount(2400), 1);
+  assert.is(sentCount(2600), 0);
   limits.advertised("t1", 6, 3000);
-  assert.is(told(3000), 1);
+  assert.is(sentCount(3000), 1);
 });
 
-test("a restart discards the limit of the process before", () => {
+test("a restart discards the limit of the previous process", () => {
   const limits = limitsOf(5, 0);
   limits.restarted("t1", 1000);
   limits.merge([{ targetId: "t1", limitPerS: 5, ageMs: 600 }], 1100);
@@ -86,21 +86,21 @@
   assert.is(limits.limitPerS("t1"), 4);
 });
 
-test("removed targets are forgotten", () => {
+test("limits of removed targets are discarded", () => {
   const limits = limitsOf(5, 0);
   limits.keepOnly(new Set(["t2"]));
   assert.equal(limits.limitedIds(), []);
 });
 
-// Guards against a limit that never lifts because instances echo it.
-test("echoed reports do not refresh a limit", () => {
+// Guards against a limit that is never lifted as instances echo it forever.
+test("echoed updates do not refresh a limit", () => {
   const one = limitsOf(5, 0);
   const other = new TargetRateLimits();
-  const wayMs = 30;
+  const delayMs = 30;
   let nowMs = 0;
   for (; nowMs < 4500; nowMs += 220) {
-    other.merge(one.toTell(nowMs, ALL), nowMs + wayMs);
-    one.merge(other.toTell(nowMs, ALL), nowMs + wayMs);
+    other.merge(one.updatesToSend(nowMs, ALL), nowMs + delayMs);
+    one.merge(other.updatesToSend(nowMs, ALL), nowMs + delayMs);
   }
   one.notAdvertised("t1", { sentAtMs: nowMs - 100, nowMs });
   assert.is(one.limitPerS("t1"), undefined);
@@ -110,7 +110,7 @@
   const one = limitsOf(5, 0);
   const other = limitsOf(5, 0);
   one.advertised("t1", 5, 3000);
-  other.merge(one.toTell(3100, ALL), 3110);
+  other.merge(one.updatesToSend(3100, ALL), 3110);
   other.notAdvertised("t1", { sentAtMs: 4200, nowMs: 4300 });
   assert.is(other.limitPerS("t1"), 5);
 });
--- a/packages/routing/src/version_answers.ts
+++ b/packages/routing/src/version_answers.ts
@@ -1,102 +1,129 @@
-/** Answers of one version: failures by target and route, and times. */
+/**
+ * Statistics of the answers of one software version: failures by target and
+ * route, and response times.
+ */
 
-import { count, emptyTally, type Tally } from "./failure_rates.ts";
+import { countAnswer, emptyTally, type Tally } from "./failure_rates.ts";
 
-/** One answer, or the lack of one. */
+/** Outcome and time of one request, answered or not. */
 export interface VersionAnswer {
+  /** Whether it comes from the new version. */
   readonly isCanary: boolean;
   readonly targetId: string;
   readonly route: string;
-  /** The target answered with a failure, or its answer broke off or is wrong. */
+  /**
+   * Whether the target answered with an error, or with a broken or wrong
+   * answer.
+   */
   readonly failed: boolean;
   /**
-   * Time that it took, in parts of what is usual for its size; absent where
-   * nothing came, or the target had not warmed up.
+   * Response time relative to the usual time for a request of its size. Absent
+   * if no answer arrived, or if the target had not warmed up.
    */
   readonly slowness?: number;
 }
 
-/** An answer is a stall beyond so many times the lower quartile of its target. */
+/**
+ * An answer is a stall if it took this many times its target's lower quartile.
+ */
 const STALL_FACTOR = 2.5;
 
-/** Times of a target from which quartiles are taken. */
+/** Least number of times of a target for quartiles to be computed. */
 const MIN_TARGET_TIMES = 4;
 
-/** The same of a route. */
+/** Least number of times of a route for its quartiles to be compared. */
 export const MIN_ROUTE_TIMES = 15;
 
 /**
- * Latest answers of the new version that are looked at by themselves: it may
- * turn bad late, after many good answers.
+ * Number of latest answers that are also evaluated on their own, as a version
+ * may turn bad after many good answers.
  */
-const LATEST_ANSWERS = 40;
+const MAX_LATEST_ANSWERS = 40;
 
-/** Latest times that are kept of a target, and of a route. */
-const KEPT_TIMES = 60;
+/** Number of latest times that are kept for each target and each route. */
+const MAX_KEPT_TIMES = 60;
 
-/** Lower quartile and median of some times. */
+/** Lower quartile and median of a sample. */
 export interface Quartiles {
   readonly lower: number;
   readonly median: number;
 }
 
-/** Answers of one version on one route or on all. */
+/**
+ * Number of answers and failures, in total and by target, on a set of routes.
+ */
 export class ScopeTally {
   readonly total = emptyTally();
   readonly byTarget = new Map<string, Tally>();
 
   /**
-   * @param targetId Who answered.
+   * Counts an answer.
+   *
+   * @param targetId Id of the target that answered.
    * @param failed Whether the answer was a failure.
    */
   add(targetId: string, failed: boolean): void {
-    count(this.total, failed);
-    count(entryOf(this.byTarget, targetId, emptyTally), failed);
+    countAnswer(this.total, failed);
+    countAnswer(getOrCreate(this.byTarget, targetId, emptyTally), failed);
   }
 }
 
-/** Answers of one version. */
+/** Counts and times of the answers of one version. */
 export class VersionAnswers {
   readonly all = new ScopeTally();
   readonly byRoute = new Map<string, ScopeTally>();
+  /** Latest response times by target, relative to the usual times. */
   readonly timesByTarget = new Map<string, number[]>();
+  /** Latest response times by route, relative to the usual times. */
   readonly timesByRoute = new Map<string, number[]>();
   readonly #latest: VersionAnswer[] = [];
 
   /** @param answer An answer of this version. */
   add(answer: VersionAnswer): void {
     const { targetId, route, failed, slowness } = answer;
-    keep(this.#latest, answer, LATEST_ANSWERS);
+    pushBounded(this.#latest, answer, MAX_LATEST_ANSWERS);
     this.all.add(targetId, failed);
-    entryOf(this.byRoute, route, () => new ScopeTally()).add(targetId, failed);
+    getOrCreate(this.byRoute, route, () => new ScopeTally()).add(
+      targetId,
+      failed,
+    );
     if (slowness !== undefined) {
-      const ofTarget = entryOf(this.timesByTarget, targetId, emptyTimes);
-      keep(ofTarget, slowness, KEPT_TIMES);
-      const ofRoute = entryOf(this.timesByRoute, route, emptyTimes);
-      keep(ofRoute, slowness, KEPT_TIMES);
+      const timesOfTarget = getOrCreate(
+        this.timesByTarget,
+        targetId,
+        emptyTimes,
+      );
+      pushBounded(timesOfTarget, slowness, MAX_KEPT_TIMES);
+      const timesOfRoute = getOrCreate(this.timesByRoute, route, emptyTimes);
+      pushBounded(timesOfRoute, slowness, MAX_KEPT_TIMES);
     }
   }
 
-  /** @returns The latest answers alone. */
+  /** @returns Counts of the latest answers only. */
   latest(): ScopeTally {
     const tally = new ScopeTally();
     this.#latest.forEach(({ targetId, failed }) => tally.add(targetId, failed));
     return tally;
   }
 
-  /** @returns Quartiles of each target that answered often enough. */
+  /** @returns Quartiles of the times of each target that has enough of them. */
   quartiles(): Quartiles[] {
     return [...this.timesByTarget.values()]
       .filter(({ length }) => length >= MIN_TARGET_TIMES).map(quartilesOf);
   }
 
-  /** @returns Answers with times, those as failures that were slow for their target. */
+  /**
+   * Counts stalls: answers that were slow in comparison with others of the same
+   * target.
+   *
+   * @returns The number of answers with times, and of stalls as failures.
+   */
   stalls(): Tally {
     const tally = emptyTally();
     for (const times of this.timesByTarget.values()) {
       if (times.length >= MIN_TARGET_TIMES) {
         const limit = STALL_FACTOR * quartilesOf(times).lower;
-        times.forEach((time) => count(tally, time > limit));
+        times.forEach((time) => countAnswer(tally, time > limit));
       }
     }
     return tally;
@@ -104,7 +131,7 @@
 
   /**
    * @param route A route.
-   * @returns Times on all other routes.
+   * @returns Times of the answers on all other routes.
    */
   timesOfOthers(route: string): number[] {
     return [...this.timesByRoute].filter(([name]) => name !== route)
@@ -113,12 +140,15 @@
 }
 
 /**
- * @param figures Some figures, one at least.
- * @returns Their quartiles.
+ * Computes the lower quartile and the median of a sample.
+ *
+ * @param figures The sample, with at least one value.
+ * @returns The quartiles.
  */
 export function quartilesOf(figures: readonly number[]): Quartiles {
   const sorted = [...figures].sort((a, b) => a - b);
-  const at = (part: number) => sorted[Math.floor(part * (sorted.length - 1))]!;
+  const at = (fraction: number) =>
+    sorted[Math.floor(fraction * (sorted.length - 1))]!;
   return { lower: at(0.25), median: at(0.5) };
 }
 
@@ -126,14 +156,14 @@
   return [];
 }
 
-function keep<T>(latest: T[], one: T, most: number): void {
-  latest.push(one);
-  if (latest.length > most) {
-    latest.shift();
+function pushBounded<T>(items: T[], item: T, maxLength: number): void {
+  items.push(item);
+  if (items.length > maxLength) {
+    items.shift();
   }
 }
 
-function entryOf<T>(map: Map<string, T>, key: string, make: () => T): T {
+function getOrCreate<T>(map: Map<string, T>, key: string, make: () => T): T {
   let entry = map.get(key);
   if (entry === undefined) {
     entry = make();
--- a/packages/routing/src/version_evidence.ts
+++ b/packages/routing/src/version_evidence.ts
@@ -1,10 +1,10 @@
 /**
- * Compares the answers of a new version's targets with those of the old one's,
- * given to requests of the same routes in the same seconds.
+ * Canary analysis: compares the answers of a new version's targets with those
+ * of the old version's targets to requests of the same routes at the same time.
  *
- * A fault of a few targets is no fault of their version, and one that both
- * versions show is none of the new one's. A version may fail a part of its
- * answers, or give them several times slower, on all routes or on one.
+ * Faults of a few targets are not attributed to their version, and faults of
+ * both versions are not attributed to the new one. A bad version may fail some
+ * of its answers or be several times slower, on all routes or on a single one.
  */
 
 import {
@@ -23,17 +23,20 @@
   VersionAnswers,
 } from "./version_answers.ts";
 
-/** What the answers say of the new version. */
+/** Result of comparing the answers of the new and the old version. */
 export enum Verdict {
+  /** There are too few answers for a decision, or they are inconclusive. */
   TooFew = "too_few",
+  /** The new version is as good as the old one. */
   Sound = "sound",
+  /** The new version is worse than the old one. */
   Bad = "bad",
 }
 
-/** A verdict with what it goes by, for the log. */
+/** A verdict with its reason and counts, for the log. */
 export interface VerdictFacts {
   readonly verdict: Verdict;
-  /** Which comparison showed it, and on which route; absent unless bad. */
+  /** The comparison that failed, and its route if any; absent unless bad. */
   readonly reason?: string;
   readonly canaryAnswers: number;
   readonly canaryFailures: number;
@@ -41,60 +44,82 @@
   readonly baselineFailures: number;
 }
 
-/** What the verdict has to do with. */
+/** Circumstances that a verdict depends on, besides the answers. */
 export interface VerdictScope {
-  /** Targets of the new version that may get requests now. */
+  /** Ids of the targets of the new version that may get requests now. */
   readonly newTargetIds: readonly string[];
   /**
-   * Whether all work goes to the new version by now: its times are those of
-   * another load than the old one's were.
+   * Whether all requests go to the new version. Its load, and so its times,
+   * then differ from those of the old version.
    */
   readonly isPromoted: boolean;
 }
 
-/** Answers of the new version before it may be called sound. */
+/**
+ * Least number of answers of the new version for the verdict that it is sound.
+ */
 const MIN_SOUND_ANSWERS = 20;
 
 /**
- * Targets whose failures may be their own, fewer than half in any case. The
- * answers of the others have to be so many and as good as the old version's for
- * the new one to be called sound.
+ * Number of targets, always fewer than half, whose failures may have causes of
+ * their own. For the verdict that the version is sound, they are left out.
+ */
+const MAX_FAULTY_TARGETS = 2;
+
+/**
+ * Least number of answers of the targets that are not left out. They have to be
+ * as good as the old version's for the new one to be sound.
  */
-const MOST_FAULTY_TARGETS = 2;
 const MIN_OTHER_ANSWERS = 10;
 
 /**
- * Failures after which a version is bad that is not sound, however few of its
- * targets they come from: waiting on would only fail more requests.
+ * Number of failures after which a version that is not sound is bad, however
+ * few of its targets fail. Waiting longer would only fail more requests.
  */
-const MOST_UNDECIDED_FAILURES = 25;
+const MAX_UNDECIDED_FAILURES = 25;
 
-/** Part by which the rate of failures has to be higher, beyond chance. */
-const FAILURES_MARGIN = 0.1;
+/** Tolerated difference of failure rates, in addition to statistical error. */
+const FAILURE_RATE_MARGIN = 0.1;
 
 /**
- * Part of its targets that have to fail more often, and the least number. In
- * small pools it is enough if more than half of them do.
+ * Least share of the counted targets that have to fail more often for the
+ * failures to be attributed to the version.
+ */
+const MIN_FAILING_SHARE = 0.5;
+
+/**
+ * Least number of targets that have to fail more often for the failures to be
+ * attributed to the version. In small pools, more than half of them suffice.
  */
-const MIN_FAILING_PART = 0.5;
 const MIN_FAILING_TARGETS = 3;
 
-/** Answers of one target in a scope for it to be counted there. */
+/** Least number of answers of a target for it to be counted. */
 const MIN_TARGET_ANSWERS = 3;
 
-/** Part by which the rate of answers that are slow for their target is higher. */
-const STALLS_MARGIN = 0.12;
+/** Tolerated difference of stall rates, in addition to statistical error. */
+const STALL_RATE_MARGIN = 0.12;
 
-/** The new version is slow where its quartiles are so many times the old one's. */
+/**
+ * The new version is slow if its quartiles are this many times the old one's.
+ */
 const SLOW_FACTOR = 2.2;
 
-/** The same once it has all the load, beyond what a burst of requests costs. */
+/**
+ * The factor by which the new version's quartiles may exceed the old one's
+ * after promotion. It is larger, as a burst of requests slows targets under
+ * full load.
+ */
 const PROMOTED_SLOW_FACTOR = 3;
 
-/** Targets whose times have to show it, if there are as many. */
+/**
+ * Targets with enough times that the comparison needs, or all if there are
+ * fewer.
+ */
 const MIN_SLOW_TARGETS = 8;
 
-/** Tells by what the new version is worse, if it is. */
+/**
+ * Returns the reason why the new version is worse, or undefined if it isn't.
+ */
 type Comparison = (
   canary: VersionAnswers,
   baseline: VersionAnswers,
@@ -126,7 +151,7 @@
 
 const TIME_COMPARISONS: readonly Comparison[] = [
   (canary, baseline) =>
-    isRateHigher(canary.stalls(), baseline.stalls(), STALLS_MARGIN)
+    isRateHigher(canary.stalls(), baseline.stalls(), STALL_RATE_MARGIN)
       ? "stalls"
       : undefined,
   (canary, baseline, { length: newTargets }) => {
@@ -154,7 +179,7 @@
   },
 ];
 
-/** Answers of both versions of one pool. */
+/** Answers of both versions of a pool, and the verdict that they support. */
 export class VersionEvidence {
   readonly #canary = new VersionAnswers();
   readonly #baseline = new VersionAnswers();
@@ -165,8 +190,10 @@
   }
 
   /**
-   * @param scope What it has to do with.
-   * @returns What the answers say by now.
+   * Compares the answers that were added so far.
+   *
+   * @param scope Circumstances of the comparison.
+   * @returns The verdict on the new version, and its reason.
    */
   verdict({ newTargetIds, isPromoted }: VerdictScope): VerdictFacts {
     const canary = this.#canary;
@@ -179,11 +206,11 @@
     const reason = comparisons
       .map((compare) => compare(canary, baseline, newTargetIds))
       .find((found) => found !== undefined);
-    const unlessBad = isSound(canary, baseline.all, newTargetIds)
+    const verdictUnlessBad = isSound(canary, baseline.all, newTargetIds)
       ? Verdict.Sound
       : Verdict.TooFew;
     return {
-      verdict: reason === undefined ? unlessBad : Verdict.Bad,
+      verdict: reason === undefined ? verdictUnlessBad : Verdict.Bad,
       reason,
       canaryAnswers: answers,
       canaryFailures: failures,
@@ -193,7 +220,9 @@
   }
 }
 
-/** Whether enough of its targets answer as well as the old version's. */
+/**
+ * Whether enough targets of the new version answer as well as the old one's.
+ */
 function isSound(
   canary: VersionAnswers,
   baseline: ScopeTally,
@@ -207,8 +236,8 @@
 }
 
 /**
- * Whether it fails so much more often that it should not be tried any longer,
- * though most of its targets may be sound.
+ * Whether the new version has so many more failures that the canary phase
+ * should end, though most of its targets may be sound.
  */
 function failsTooOften(
   canary: ScopeTally,
@@ -216,12 +245,15 @@
   newTargetIds: readonly string[],
 ): boolean {
   const others = withoutFaultyTargets(canary, newTargetIds);
-  return canary.total.failures >= MOST_UNDECIDED_FAILURES &&
-    isRateHigher(canary.total, baseline.total, FAILURES_MARGIN) &&
+  return canary.total.failures >= MAX_UNDECIDED_FAILURES &&
+    isRateHigher(canary.total, baseline.total, FAILURE_RATE_MARGIN) &&
     !isAsGood(others, baseline.total);
 }
 
-/** Answers of the version's targets, less those whose failures may be their own. */
+/**
+ * Answers of the version's targets, without the targets that have most failures
+ * and may be faulty themselves.
+ */
 function withoutFaultyTargets(
   scope: ScopeTally,
   newTargetIds: readonly string[],
@@ -229,36 +261,36 @@
   const tallies = newTargetIds.flatMap((id) => scope.byTarget.get(id) ?? [])
     .sort((a, b) => b.failures - a.failures);
   const fewerThanHalf = Math.max(0, Math.ceil(tallies.length / 2) - 1);
-  return sumOf(tallies.slice(Math.min(MOST_FAULTY_TARGETS, fewerThanHalf)));
+  return sumOf(tallies.slice(Math.min(MAX_FAULTY_TARGETS, fewerThanHalf)));
 }
 
-/** Too few answers of the old version don't excuse failures of the new one. */
+/** With too few answers of the old version, its failure rate is taken as 0. */
 function isAsGood({ answers, failures }: Tally, baseline: Tally): boolean {
   const usualRate = baseline.answers < MIN_BAD_ANSWERS ? 0 : rateOf(baseline);
-  return failures <= (usualRate + FAILURES_MARGIN) * answers;
+  return failures <= (usualRate + FAILURE_RATE_MARGIN) * answers;
 }
 
-/** Whether the version fails more often, and not only some of its targets. */
+/** Whether the version fails more often, and not just a few of its targets. */
 function failsMore(
   canary: ScopeTally,
   baseline: ScopeTally,
   newTargets: number,
 ): boolean {
-  if (!isRateHigher(canary.total, baseline.total, FAILURES_MARGIN)) {
+  if (!isRateHigher(canary.total, baseline.total, FAILURE_RATE_MARGIN)) {
     return false;
   }
-  const limit = rateOf(baseline.total) + FAILURES_MARGIN;
+  const limit = rateOf(baseline.total) + FAILURE_RATE_MARGIN;
   const counted = [...canary.byTarget.values()]
     .filter(({ answers }) => answers >= MIN_TARGET_ANSWERS);
   const failing = counted.filter((tally) => rateOf(tally) > limit);
   const moreThanHalf = Math.floor(newTargets / 2) + 1;
   return failing.length >= Math.min(moreThanHalf, MIN_FAILING_TARGETS) &&
-    failing.length >= MIN_FAILING_PART * counted.length;
+    failing.length >= MIN_FAILING_SHARE * counted.length;
 }
 
 /**
- * Targets of one pool differ in speed: both the quick part and the middle of the
- * new version's have to be slower than the old one's.
+ * Targets of a pool differ in speed. Therefore both the lower quartile and the
+ * median of the new version's targets must be slower than the old one's.
  */
 function isVersionSlower(
   canary: VersionAnswers,
@@ -281,7 +313,10 @@
   return own.lower > factor * usual.lower && own.median > factor * usual.median;
 }
 
-/** What the other routes show as well is a matter of which targets answered. */
+/**
+ * A slowdown that the other routes show as well is not attributed to the route,
+ * as it depends on which targets answered.
+ */
 function isRouteSlower(
   route: string,
   canary: VersionAnswers,
--- a/packages/routing/src/version_evidence_test.ts
+++ b/packages/routing/src/version_evidence_test.ts
@@ -1,4 +1,4 @@
-/** Sound and bad versions told apart, by seeded series of answers. */
+/** Verdicts on sound and bad versions, by seeded series of random answers. */
 
 import { seededRandomness } from "@chestnuthatch/core/randomness";
 import { test } from "uvu";
@@ -8,38 +8,38 @@
 const SEEDS = 20;
 const TARGETS = 16;
 const ROUTES = ["plan", "note", "query"];
-/** Paces of unlike engines. */
+/** Relative response times of targets with different engines. */
 const SPEEDS = [0.55, 1, 2.8];
 const CANARY_ANSWERS = 160;
 const BASELINE_FOR_EACH = 10;
-/** Canary answers between two looks at the verdict. */
-const LOOK_EVERY = 5;
-/** Answers of a target before the next one has its turn. */
+/** Number of canary answers between two verdicts. */
+const VERDICT_EVERY = 5;
+/** Number of consecutive canary answers of the same target. */
 const TURN = 5;
 
-/** What ails answers of one version. */
-interface Ailment {
-  /** Part of its answers, on this route or on all, that fail. */
+/** Fault of the answers of one version. */
+interface Fault {
+  /** Share of its answers, on this route or on all, that fail. */
   readonly failing?: number;
-  /** Part of them that take four times as long. */
+  /** Share of these answers that take four times as long. */
   readonly slow?: number;
   readonly route?: string;
-  /** Canary answers that are still well. */
+  /** Number of canary answers before the fault begins. */
   readonly afterAnswers?: number;
-  /** Part of the targets that it is about. */
+  /** Share of the targets that have the fault. */
   readonly targets?: number;
 }
 
 interface Trial {
-  readonly canary?: Ailment;
-  readonly baseline?: Ailment;
+  readonly canary?: Fault;
+  readonly baseline?: Fault;
 }
 
 function idsOf(targets: number): string[] {
   return Array.from({ length: targets }, (_, index) => `new-${index}`);
 }
 
-/** Answers of a version, of which all from its first targets fail. */
+/** Verdict on a version whose first targets fail all requests. */
 function verdictWith(
   { targets, failing, staying = targets, baselineAnswers = 100 }: {
     targets: number;
@@ -65,20 +65,22 @@
   return evidence.verdict({ newTargetIds, isPromoted: false }).verdict;
 }
 
-/** Canary answers until the version was told bad; undefined where it was not. */
-function toldBadAfter(seed: number, trial: Trial): number | undefined {
+/**
+ * Number of canary answers until the verdict is bad; undefined if it never is.
+ */
+function answersUntilBad(seed: number, trial: Trial): number | undefined {
   const random = seededRandomness(seed);
   const evidence = new VersionEvidence();
   const newTargetIds = idsOf(TARGETS);
   const scope = { newTargetIds, isPromoted: false };
   const add = (isCanary: boolean, index: number, canaryAnswers: number) => {
-    const ailment = (isCanary ? trial.canary : trial.baseline) ?? {};
+    const fault = (isCanary ? trial.canary : trial.baseline) ?? {};
     const route = ROUTES[Math.floor(random.next() * ROUTES.length)]!;
-    const isIll = index < TARGETS * (ailment.targets ?? 1) &&
-      (ailment.route ?? route) === route &&
-      canaryAnswers >= (ailment.afterAnswers ?? 0);
-    const failed = isIll && random.next() < (ailment.failing ?? 0);
-    const isSlow = isIll && random.next() < (ailment.slow ?? 0);
+    const isFaulty = index < TARGETS * (fault.targets ?? 1) &&
+      (fault.route ?? route) === route &&
+      canaryAnswers >= (fault.afterAnswers ?? 0);
+    const failed = isFaulty && random.next() < (fault.failing ?? 0);
+    const isSlow = isFaulty && random.next() < (fault.slow ?? 0);
     const spread = 0.7 + 0.6 * random.next();
     const slowness = SPEEDS[index % SPEEDS.length]! * spread * (isSlow ? 4 : 1);
     evidence.add({
@@ -94,65 +96,70 @@
       add(false, Math.floor(random.next() * TARGETS), answers);
     }
     add(true, Math.floor(answers / TURN) % TARGETS, answers);
-    const isLook = answers % LOOK_EVERY === 0;
-    if (isLook && evidence.verdict(scope).verdict === Verdict.Bad) {
+    const isVerdictDue = answers % VERDICT_EVERY === 0;
+    if (isVerdictDue && evidence.verdict(scope).verdict === Verdict.Bad) {
       return answers + 1;
     }
   }
   return undefined;
 }
 
-/** Over all seeds, after how many canary answers each bad verdict was reached. */
+/**
+ * For each seed with a bad verdict, the number of canary answers until then.
+ */
 function verdicts(trial: Trial): number[] {
-  return Array.from({ length: SEEDS }, (_, seed) => toldBadAfter(seed, trial))
+  return Array.from(
+    { length: SEEDS },
+    (_, seed) => answersUntilBad(seed, trial),
+  )
     .filter((after) => after !== undefined);
 }
 
 function assertSound(trial: Trial): void {
-  assert.equal(verdicts(trial), [], "canary answers at false verdicts");
+  assert.equal(verdicts(trial), [], "canary answers until false verdicts");
 }
 
 function assertBad(trial: Trial, withinAnswers: number): void {
   const after = verdicts(trial);
-  assert.is(after.length, SEEDS, "seeds in which it was told");
+  assert.is(after.length, SEEDS, "seeds with a bad verdict");
   const latest = Math.max(...after);
-  assert.ok(latest <= withinAnswers, `told after ${latest} answers`);
+  assert.ok(latest <= withinAnswers, `bad verdict after ${latest} answers`);
 }
 
 test("a version that is as good as the old one is not called bad", () => {
   assertSound({});
 });
 
-test("failures that both versions show are none of the new one's", () => {
+test("failures of both versions are not attributed to the new one", () => {
   const both = { failing: 0.5, route: "query" };
   assertSound({ canary: both, baseline: both });
 });
 
-test("a failing target or two are no fault of their version", () => {
+test("failures of one or two targets are not attributed to their version", () => {
   assertSound({ canary: { failing: 0.9, targets: 2 / TARGETS } });
 });
 
-test("a version that fails half of its answers is told within its budget", () => {
+test("a version that fails half of its answers is bad after few answers", () => {
   assertBad({ canary: { failing: 0.5 } }, 40);
 });
 
-test("one that turns bad late is told soon after", () => {
+test("a version that turns bad late is detected soon after", () => {
   assertBad({ canary: { failing: 0.5, afterAnswers: 90 } }, 140);
 });
 
-test("one that fails on a single route is told", () => {
+test("a version that fails on a single route is bad", () => {
   assertBad({ canary: { failing: 0.8, route: "note" } }, 120);
 });
 
-test("one all of whose answers are several times slower is told", () => {
+test("a version whose answers are all several times slower is bad", () => {
   assertBad({ canary: { slow: 1 } }, 80);
 });
 
-test("one that is several times slower on a single route is told", () => {
+test("a version that is several times slower on a single route is bad", () => {
   assertBad({ canary: { slow: 1, route: "plan" } }, 120);
 });
 
-test("failures at fewer than half of the targets leave the verdict to the others", () => {
+test("if fewer than half of the targets fail, the others decide the verdict", () => {
   assert.is(verdictWith({ targets: 3, failing: 1 }, 12), Verdict.Sound);
   assert.is(verdictWith({ targets: 4, failing: 1 }, 12), Verdict.Sound);
   assert.is(verdictWith({ targets: 5, failing: 2 }, 12), Verdict.Sound);
@@ -173,14 +180,14 @@
   assert.is(verdictWith({ targets: 4, failing: 2 }, 12), Verdict.TooFew);
 });
 
-// Guards against trying a version on and on while the verdict stays open.
+// Guards against a canary phase without end while the verdict stays open.
 test("a version that is not sound becomes bad with its failures", () => {
   assert.is(verdictWith({ targets: 2, failing: 1 }, 25), Verdict.Bad);
   assert.is(verdictWith({ targets: 4, failing: 2 }, 13), Verdict.Bad);
   assert.is(verdictWith({ targets: 16, failing: 6 }, 5), Verdict.Bad);
 });
 
-// Guards against calling a version sound by answers of targets that have left.
+// Guards against a version that is sound only by answers of targets that left.
 test("good answers of targets that left don't make a version sound", () => {
   const verdict = verdictWith({ targets: 3, failing: 1, staying: 1 }, 12);
   assert.is(verdict, Verdict.TooFew);
@@ -193,8 +200,8 @@
   assert.is(verdictWith({ ...trial, failing: 0 }, 6), Verdict.Sound);
 });
 
-// Guards against calling a version sound by what it answered long ago.
-test("a version is not sound while half of its targets fail lately", () => {
+// Guards against a version that is sound only by old answers.
+test("a version is not sound while half of its targets fail recently", () => {
   const evidence = new VersionEvidence();
   const newTargetIds = idsOf(4);
   const addAll = (rounds: number, isFailing: (index: number) => boolean) => {
@@ -214,7 +221,7 @@
   assert.is(evidence.verdict(scope).verdict, Verdict.TooFew);
 });
 
-test("few answers say nothing", () => {
+test("too few answers give no verdict", () => {
   const evidence = new VersionEvidence();
   for (let i = 0; i < 5; i++) {
     const answer = { isCanary: true, targetId: `t${i}`, route: "plan" };
--- a/packages/routing/src/work_ask.ts
+++ b/packages/routing/src/work_ask.ts
@@ -1,7 +1,7 @@
 /** What a holder asks a coordinator, and what it gets back. */
 
 import type { WorkspaceSpending } from "./spending_log.ts";
-import type { EndedTarget, SuspectNews } from "./suspect_requests.ts";
+import type { EndedTarget, SuspectUpdate } from "./suspect_requests.ts";
 
 /** Why a request asks for a place. */
 export enum AskCause {
@@ -134,5 +134,5 @@
    * Requests under which targets ended, where the coordinator may not know of
    * them; absent where there are none.
    */
-  readonly suspects?: readonly SuspectNews[];
+  readonly suspects?: readonly SuspectUpdate[];
 }
