--- a/packages/routing/src/member_view.ts
+++ b/packages/routing/src/member_view.ts
@@ -101,7 +101,8 @@
 const PASSED_OVER_WINDOW_MS = 1200;
 
 /**
- * Share of the other members that passed an instance over for it to step aside.
+ * Least share of the other members that have to pass an instance over for it to
+ * stand aside as coordinator.
  */
 const MIN_PASSED_OVER_SHARE = 0.5;
 
@@ -305,7 +306,7 @@
 
   /**
    * Returns the share of the fleet that is reachable from a coordinator, which
-   * must have been in office for the timeout of a member. Every member sends
+   * must have coordinated for the timeout of a member. Every member sends
    * all heartbeats to the coordinator, also in a large fleet, so that the
    * timeout of rounds does not apply. With that timeout, both sides of a
    * network partition would hand out the whole of the allotments for seconds. A
--- a/packages/routing/src/suspect_requests.ts
+++ b/packages/routing/src/suspect_requests.ts
@@ -9,9 +9,8 @@
  * succeeds, the request is cleared; if the target ends again, the request is
  * quarantined.
  *
- * The state consists of sets of ended targets only. Merging them is idempotent
- * and commutative, so that instances converge whatever the order and repetition
- * of updates.
+ * The state consists of sets of ended targets only, so that instances converge
+ * whatever the order and repetition of the updates that they receive.
  */
 
 /**
