--- a/packages/gateway/src/rollout_keeper_test.ts
+++ b/packages/gateway/src/rollout_keeper_test.ts
@@ -1,9 +1,9 @@
 import { Writable } from "node:stream";
 import { Coordinator } from "@chestnuthatch/routing/coordinator";
 import {
-  type RolloutNews,
   RolloutPhase,
   RolloutState,
+  type RolloutUpdate,
 } from "@chestnuthatch/routing/rollout";
 import { boardOf } from "@chestnuthatch/routing/routing_test_support";
 import { test } from "uvu";
@@ -50,7 +50,7 @@
 class Node {
   nowMs = 0;
   answer: Answer;
-  record: readonly RolloutNews[] = [];
+  record: readonly RolloutUpdate[] = [];
   readonly board = boardOf(["t1", "t2"]);
   readonly keeper: RolloutKeeper;
 
@@ -94,7 +94,7 @@
   }
 }
 
-function decided(phase: RolloutPhase): RolloutNews {
+function decided(phase: RolloutPhase): RolloutUpdate {
   return { ...ORDER, phase, ageMs: 1000 };
 }
 
