--- a/packages/gateway/src/caller_reply.ts
+++ b/packages/gateway/src/caller_reply.ts
@@ -5,7 +5,7 @@
 import {
   ERROR_ANSWERS,
   type RoutedError,
-} from "@chestnuthatch/routing/refusal";
+} from "@chestnuthatch/routing/routed_error";
 import { endToEndHeaders } from "./end_to_end_headers.ts";
 
 const MS_PER_S = 1000;
--- a/packages/gateway/src/come_back.ts
+++ b/packages/gateway/src/come_back.ts
@@ -1,6 +1,6 @@
 /** What a refused caller is told, and when it is asked to come back. */
 
-import { RoutedError } from "@chestnuthatch/routing/refusal";
+import { RoutedError } from "@chestnuthatch/routing/routed_error";
 import { AskRefusal } from "@chestnuthatch/routing/work_ask";
 import { deadlineAtMs, type RoutedCall } from "./routed_call.ts";
 
--- a/packages/gateway/src/front_server.ts
+++ b/packages/gateway/src/front_server.ts
@@ -13,7 +13,7 @@
   RoutePolicy,
   WorkspacePolicy,
 } from "@chestnuthatch/routing/fleet_configuration";
-import { RoutedError } from "@chestnuthatch/routing/refusal";
+import { RoutedError } from "@chestnuthatch/routing/routed_error";
 import type { RouteTable } from "@chestnuthatch/routing/route_table";
 import { ConnectionEnd } from "./caller_connection.ts";
 import {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -393,7 +393,7 @@
       this.#log.warn(LogPart.Process, "process stood still", {
         lateMs: Math.round(this.#lateMs),
       });
-      this.#coordinator.forgetAll();
+      this.#coordinator.clearAsks();
     }
     this.board.members.remembers(
       this.#self.instanceId,
@@ -481,7 +481,7 @@
       // What silenced one connection may have silenced others.
       onSilentConnection: () => this.#connections.dropAllIdle(),
       onStoreWentBack: () => {
-        this.#coordinator.recordAnew();
+        this.#coordinator.invalidateRecord();
         this.#suspects.recordAnew();
       },
     });
@@ -499,7 +499,7 @@
       reachesStore: () => this.#news.reachesStore,
       spending: () =>
         this.#wasCoordinator
-          ? this.#coordinator.muchSpent(this.#clock.nowMs()).map(roundedUp)
+          ? this.#coordinator.spendingNearBound(this.#clock.nowMs()).map(roundedUp)
           : [],
       suspects: () =>
         this.#wasCoordinator
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -105,7 +105,7 @@
     reachesStore: () => true,
     spending: () =>
       desk.coordinatorId === instanceId
-        ? coordinator.muchSpent(clock.nowMs())
+        ? coordinator.spendingNearBound(clock.nowMs())
         : [],
     suspects: () => [],
     rollouts: () => [],
--- a/packages/gateway/src/holder_reports.ts
+++ b/packages/gateway/src/holder_reports.ts
@@ -50,7 +50,7 @@
    */
   placed(ask: WorkAsk, nowMs: number): void {
     if (ask.cost > 0) {
-      this.#spending.note(ask.workspace, ask.cost, nowMs);
+      this.#spending.record(ask.workspace, ask.cost, nowMs);
     }
   }
 
@@ -81,7 +81,7 @@
       holderId: members.selfId,
       running: open.running(),
       waiting: waiting.map(({ ask }) => ask.askId),
-      spent: this.#spending.lately(nowMs),
+      spent: this.#spending.totals(nowMs),
       ...(told.length > 0 ? { suspects: told } : undefined),
     };
   }
--- a/packages/gateway/src/placement_desk.ts
+++ b/packages/gateway/src/placement_desk.ts
@@ -100,7 +100,7 @@
     });
     this.#choice = new CoordinatorChoice(board.members, {
       startedAtMs,
-      spendingToldAtMs: (id) => parts.coordinator.spendingToldAtMs(id),
+      spendingToldAtMs: (id) => parts.coordinator.spendingReportedAtMs(id),
     });
     this.#answers = new AnswerWatch(board.members);
     this.#service = new PlaceService({
@@ -132,7 +132,7 @@
    */
   ask(ask: WorkAsk, onDecision: (decision: AskDecision) => void): void {
     const nowMs = this.#nowMs();
-    const refusal = this.#refusals.refusalOf(ask, nowMs);
+    const refusal = this.#refusals.refusalFor(ask, nowMs);
     if (refusal !== undefined) {
       onDecision(refusal);
       return;
@@ -384,7 +384,7 @@
     } else {
       this.#open.remove(decision.askId);
       if (fromId === this.coordinatorId) {
-        this.#refusals.note(open.ask, decision, this.#nowMs());
+        this.#refusals.record(open.ask, decision, this.#nowMs());
       }
     }
     open.onDecision(decision);
--- a/packages/gateway/src/routed_request.ts
+++ b/packages/gateway/src/routed_request.ts
@@ -11,7 +11,7 @@
   NextStep,
   nextStep,
 } from "@chestnuthatch/routing/next_step";
-import { RoutedError } from "@chestnuthatch/routing/refusal";
+import { RoutedError } from "@chestnuthatch/routing/routed_error";
 import type { KnownTarget } from "@chestnuthatch/routing/target_directory";
 import {
   AskCause,
--- a/packages/gateway/src/spending_keeper.ts
+++ b/packages/gateway/src/spending_keeper.ts
@@ -78,7 +78,7 @@
     const histories = record.map((history) =>
       isFresh ? agedHistory(history, ageMs) : allJustNow(history)
     );
-    coordinator.takeUpSpending(histories, clock.nowMs());
+    coordinator.importSpending(histories, clock.nowMs());
   }
 
   /**
@@ -90,7 +90,7 @@
   becameCoordinator(): void {
     const { board, coordinator, clock } = this.#parts;
     this.#takeUpTold(board.members.heardShare(clock.nowMs()));
-    coordinator.recordAnew();
+    coordinator.invalidateRecord();
     // By then all holders have reported what they spent.
     this.#recorder.holdFor(FIRST_RECORD_MS + RECORD_PAUSE_MS);
   }
@@ -111,7 +111,7 @@
     const ageMs = nowMs - this.#toldAtMs;
     const own = this.#told
       .map((history) => partOf(agedHistory(history, ageMs), share));
-    coordinator.takeUpSpending(own, nowMs);
+    coordinator.importSpending(own, nowMs);
   }
 
   /**
@@ -129,7 +129,7 @@
     log.warn(LogPart.Platform, "spending not recorded", {
       workspaces: record.map(({ workspace }) => workspace),
     });
-    coordinator.recordAnew();
+    coordinator.invalidateRecord();
   }
 }
 
--- a/packages/routing/src/allotment_ledger.ts
+++ b/packages/routing/src/allotment_ledger.ts
@@ -6,9 +6,9 @@
 
 import type { Allotment } from "./fleet_configuration.ts";
 import {
-  grownBy,
   type SpendingHistory,
   SpendingLog,
+  withRecentCost,
   type WorkspaceSpending,
 } from "./spending_log.ts";
 
@@ -19,7 +19,7 @@
  * account is exact; the rest covers charges that only cut-off or killed
  * coordinators knew of.
  */
-const TOLERANCE_USED = 0.75;
+const TOLERANCE_USED_SHARE = 0.75;
 
 /**
  * Part of the bound that each rank below the highest leaves to those above it,
@@ -27,8 +27,8 @@
  * valuable work is refused first. With the tolerance, every rank still gets what
  * the plain allotment allows.
  */
-const LEFT_TO_RANK_ABOVE = 0.05;
-const MOST_LEFT = 0.1;
+const RESERVE_PER_RANK_SHARE = 0.05;
+const MAX_RESERVE_SHARE = 0.1;
 
 /**
  * Share of a window's bound from which on spending is recorded in the platform's
@@ -39,7 +39,7 @@
 const RECORDED_SHARE = 0.5;
 
 /** Growth, as a share of the bound, after which spending is recorded again. */
-const RECORD_STEP = 0.05;
+const RECORD_STEP_SHARE = 0.05;
 
 /**
  * Age at which a record of workspaces near their bounds is made anew, so that
@@ -47,18 +47,18 @@
  * as it leaves the window, and not all at once. One write a second, while some
  * workspace has spent half of its bound.
  */
-const RECORD_AGE_MS = 1000;
+const MAX_RECORD_AGE_MS = 1000;
 
 /**
  * Share of the bound below which a recorded workspace is taken off the record,
  * well under where it came on, so that it does not go on and off.
  */
-const NO_LONGER_MUCH = 0.35;
+const UNRECORDED_SHARE = 0.35;
 
 /**
  * Age that a report of a holder may have: what was charged since is not in it.
  */
-const REPORT_AGE_MS = 500;
+const MAX_REPORT_AGE_MS = 500;
 
 /** How far spending may go beyond an allotment, by the operators' word. */
 export interface AllotmentTolerance {
@@ -97,11 +97,11 @@
 /** Spending of all workspaces, here and through other coordinators. */
 export class AllotmentLedger {
   #tolerance: AllotmentTolerance;
-  readonly #own: SpendingLog;
+  readonly #ownSpending: SpendingLog;
   /** Spent through other coordinators, as holders told last. */
-  readonly #elsewhere = new Map<string, number>();
+  readonly #spentElsewhere = new Map<string, number>();
   /** Bounds of one window, by workspace, as last charged by. */
-  readonly #wholeBounds = new Map<string, number>();
+  readonly #windowBounds = new Map<string, number>();
   /** The last record of this ledger; absent until it has made one. */
   #recorded?: Map<string, number>;
   #recordedAtMs = -Infinity;
@@ -109,14 +109,14 @@
    * Until when the window holds spending of which only holders' reports tell, or
    * another coordinator's account.
    */
-  #reliesOnReportsUntilMs = -Infinity;
+  #incompleteUntilMs = -Infinity;
   /** Workspaces whose spending before the start of this process is known. */
-  readonly #takenUp = new Set<string>();
+  readonly #imported = new Set<string>();
 
   /** @param tolerance How far spending may go beyond an allotment. */
   constructor(tolerance: AllotmentTolerance) {
     this.#tolerance = tolerance;
-    this.#own = new SpendingLog(tolerance.windowMs);
+    this.#ownSpending = new SpendingLog(tolerance.windowMs);
   }
 
   /**
@@ -132,30 +132,33 @@
    *
    * @param workspace Name of the workspace.
    * @param allotment What it may spend, over the whole fleet.
-   * @param of The request's cost and its rank within the workspace, and what
+   * @param request The request's cost and its rank within the workspace, and what
    * this ledger may hand out.
    * @returns Whether it was charged, and else when to come back.
    */
   charge(
     workspace: string,
     allotment: Allotment,
-    of: { cost: number; rank: number; scope: LedgerScope },
+    request: { cost: number; rank: number; scope: LedgerScope },
   ): ChargeResult {
-    const { cost, rank, scope } = of;
+    const { cost, rank, scope } = request;
     const { nowMs } = scope;
     const spent = this.#spent(workspace, nowMs);
-    const leftToOthers = Math.min(MOST_LEFT, LEFT_TO_RANK_ABOVE * rank);
+    const reservedShare = Math.min(
+      MAX_RESERVE_SHARE,
+      RESERVE_PER_RANK_SHARE * rank,
+    );
     const bound = this.#bound(workspace, allotment, scope) *
-      (1 - leftToOthers);
+      (1 - reservedShare);
     // A request dearer than the bound passes when nothing else was spent;
     // else it could never run at all.
     if (spent > 0 && spent + cost > bound) {
       const excess = spent + cost - bound;
-      const retryAfterMs = this.#own
-        .untilLeft(workspace, excess, nowMs);
+      const retryAfterMs = this.#ownSpending
+        .timeUntilExpiredMs(workspace, excess, nowMs);
       return { allowed: false, retryAfterMs, spent, bound };
     }
-    this.#own.note(workspace, cost, nowMs);
+    this.#ownSpending.record(workspace, cost, nowMs);
     return { allowed: true, retryAfterMs: 0, spent, bound };
   }
 
@@ -166,7 +169,7 @@
    * @param nowMs The local time.
    */
   refund({ workspace, cost }: Charge, nowMs: number): void {
-    this.#own.note(workspace, -cost, nowMs);
+    this.#ownSpending.record(workspace, -cost, nowMs);
   }
 
   /**
@@ -175,8 +178,8 @@
    *
    * @param nowMs The local time.
    */
-  reliesOnReports(nowMs: number): void {
-    this.#reliesOnReportsUntilMs = nowMs + this.#tolerance.windowMs;
+  markIncomplete(nowMs: number): void {
+    this.#incompleteUntilMs = nowMs + this.#tolerance.windowMs;
   }
 
   /**
@@ -186,15 +189,19 @@
    * @param totals What all holders told that they spent, wherever charged.
    * @param nowMs The local time.
    */
-  heard(totals: readonly WorkspaceSpending[], nowMs: number): void {
-    this.#elsewhere.clear();
+  setReportedTotals(totals: readonly WorkspaceSpending[], nowMs: number): void {
+    this.#spentElsewhere.clear();
     // Charges that no report can tell of yet must not stand for others' spending.
-    const reportedMs = nowMs < this.#reliesOnReportsUntilMs
-      ? nowMs - REPORT_AGE_MS
+    const reportedUntilMs = nowMs < this.#incompleteUntilMs
+      ? nowMs - MAX_REPORT_AGE_MS
       : nowMs;
     for (const { workspace, spent } of totals) {
-      const own = this.#own.spentUntil(workspace, reportedMs, nowMs);
-      this.#elsewhere.set(workspace, Math.max(0, spent - own));
+      const own = this.#ownSpending.spentUntil(
+        workspace,
+        reportedUntilMs,
+        nowMs,
+      );
+      this.#spentElsewhere.set(workspace, Math.max(0, spent - own));
     }
   }
 
@@ -207,20 +214,20 @@
    * @returns Spending of all workspaces near their bounds, where the last record
    * no longer holds; undefined where it does.
    */
-  toRecord(nowMs: number): SpendingHistory[] | undefined {
-    const much = this.muchSpent(nowMs);
-    const holds = this.#recorded !== undefined &&
-      much.every(({ workspace, spent }) =>
+  spendingToRecord(nowMs: number): SpendingHistory[] | undefined {
+    const nearBound = this.spendingNearBound(nowMs);
+    const isCurrent = this.#recorded !== undefined &&
+      nearBound.every(({ workspace, spent }) =>
         spent <= (this.#recorded!.get(workspace) ?? 0)
-      ) && !this.#isOutdated(nowMs);
-    if (holds) {
+      ) && !this.#isRecordStale(nowMs);
+    if (isCurrent) {
       return undefined;
     }
     // What is spent until the next record is counted ahead.
-    const record = much.map((history) =>
-      grownBy(
+    const record = nearBound.map((history) =>
+      withRecentCost(
         history,
-        RECORD_STEP * this.#wholeBounds.get(history.workspace)!,
+        RECORD_STEP_SHARE * this.#windowBounds.get(history.workspace)!,
       )
     );
     this.#recorded = new Map(record.map((r) => [r.workspace, r.spent]));
@@ -229,19 +236,19 @@
   }
 
   /** Forgets the last record: another ledger may have made a newer one. */
-  recordAnew(): void {
+  invalidateRecord(): void {
     this.#recorded = undefined;
   }
 
   /** Whether the record holds a workspace to what it spent long ago. */
-  #isOutdated(nowMs: number): boolean {
+  #isRecordStale(nowMs: number): boolean {
     const ageMs = nowMs - this.#recordedAtMs;
-    if (this.#recorded!.size > 0 && ageMs >= RECORD_AGE_MS) {
+    if (this.#recorded!.size > 0 && ageMs >= MAX_RECORD_AGE_MS) {
       return true;
     }
     return [...this.#recorded!.keys()].some((workspace) => {
-      const bound = this.#wholeBounds.get(workspace) ?? 0;
-      return this.#spent(workspace, nowMs) < bound * NO_LONGER_MUCH;
+      const bound = this.#windowBounds.get(workspace) ?? 0;
+      return this.#spent(workspace, nowMs) < bound * UNRECORDED_SHARE;
     });
   }
 
@@ -249,18 +256,18 @@
    * @param nowMs The local time.
    * @returns Spending of the workspaces that are near their bounds.
    */
-  muchSpent(nowMs: number): SpendingHistory[] {
-    return [...this.#wholeBounds].flatMap(([workspace, bound]) => {
+  spendingNearBound(nowMs: number): SpendingHistory[] {
+    return [...this.#windowBounds].flatMap(([workspace, bound]) => {
       const spent = this.#spent(workspace, nowMs);
-      const isMuch = spent >= bound * (RECORDED_SHARE - RECORD_STEP);
-      return isMuch ? [this.#history(workspace, nowMs)] : [];
+      const isNearBound = spent >= bound * (RECORDED_SHARE - RECORD_STEP_SHARE);
+      return isNearBound ? [this.#history(workspace, nowMs)] : [];
     });
   }
 
   /** What was spent elsewhere has no times: it counts as spent just now. */
   #history(workspace: string, nowMs: number): SpendingHistory {
-    const own = this.#own.history(workspace, nowMs);
-    return grownBy(own, this.#elsewhere.get(workspace) ?? 0);
+    const own = this.#ownSpending.history(workspace, nowMs);
+    return withRecentCost(own, this.#spentElsewhere.get(workspace) ?? 0);
   }
 
   /**
@@ -272,22 +279,22 @@
    * @param histories What workspaces spent, and when.
    * @param atMs Local time that the ages in it count from.
    */
-  takeUp(histories: readonly SpendingHistory[], atMs: number): void {
-    this.reliesOnReports(atMs);
+  importHistories(histories: readonly SpendingHistory[], atMs: number): void {
+    this.markIncomplete(atMs);
     for (const history of histories) {
-      const own = this.#own.history(history.workspace, atMs);
-      this.#takenUp.add(history.workspace);
+      const own = this.#ownSpending.history(history.workspace, atMs);
+      this.#imported.add(history.workspace);
       if (own.spent < history.spent) {
         // What was charged here last may not have been told.
-        const lately = own.bySecond[0] ?? 0;
-        this.#own.setHistory(grownBy(history, lately), atMs);
+        const lastSecond = own.bySecond[0] ?? 0;
+        this.#ownSpending.setHistory(withRecentCost(history, lastSecond), atMs);
       }
     }
   }
 
   #spent(workspace: string, nowMs: number): number {
-    return this.#own.spent(workspace, nowMs) +
-      (this.#elsewhere.get(workspace) ?? 0);
+    return this.#ownSpending.spent(workspace, nowMs) +
+      (this.#spentElsewhere.get(workspace) ?? 0);
   }
 
   #bound(
@@ -297,12 +304,12 @@
   ): number {
     const { windowMs, overage, slack } = this.#tolerance;
     const { perS, burst } = allotment;
-    const whole = (perS * windowMs / MS_PER_S + burst) *
-        (1 + overage * TOLERANCE_USED) + slack * TOLERANCE_USED;
-    this.#wholeBounds.set(workspace, whole);
-    const isRemembered = scope.memoryMs >= windowMs ||
-      this.#takenUp.has(workspace);
-    const remembered = isRemembered ? 1 : 1 - RECORDED_SHARE;
-    return whole * remembered * scope.share;
+    const windowBound = (perS * windowMs / MS_PER_S + burst) *
+        (1 + overage * TOLERANCE_USED_SHARE) + slack * TOLERANCE_USED_SHARE;
+    this.#windowBounds.set(workspace, windowBound);
+    const isFullyKnown = scope.memoryMs >= windowMs ||
+      this.#imported.has(workspace);
+    const usableShare = isFullyKnown ? 1 : 1 - RECORDED_SHARE;
+    return windowBound * usableShare * scope.share;
   }
 }
--- a/packages/routing/src/allotment_ledger_test.ts
+++ b/packages/routing/src/allotment_ledger_test.ts
@@ -58,8 +58,8 @@
 test("a refusal tells when the charge would pass", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   spendAll(ledger, scope(0));
-  const of = { cost: 5, rank: 0, scope: scope(2000) };
-  const { allowed, retryAfterMs } = ledger.charge("w", ALLOTMENT, of);
+  const request = { cost: 5, rank: 0, scope: scope(2000) };
+  const { allowed, retryAfterMs } = ledger.charge("w", ALLOTMENT, request);
   assert.is(allowed, false);
   const later = { cost: 5, rank: 0, scope: scope(2000 + retryAfterMs + 1) };
   assert.ok(ledger.charge("w", ALLOTMENT, later).allowed);
@@ -73,14 +73,14 @@
 
 test("what was charged elsewhere counts for a new coordinator", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
-  ledger.heard([{ workspace: "w", spent: WHOLE_BOUND - 100 }], 0);
+  ledger.setReportedTotals([{ workspace: "w", spent: WHOLE_BOUND - 100 }], 0);
   assert.is(spendAll(ledger, scope(0)), 100);
 });
 
 test("reports of its own charges change nothing", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   ledger.charge("w", ALLOTMENT, { cost: 4000, rank: 0, scope: scope(0) });
-  ledger.heard([{ workspace: "w", spent: 3900 }], 500);
+  ledger.setReportedTotals([{ workspace: "w", spent: 3900 }], 500);
   assert.is(spendAll(ledger, scope(500)), WHOLE_BOUND - 4000);
 });
 
@@ -96,15 +96,15 @@
     ledger.charge("w", ALLOTMENT, { cost, rank: 0, scope: scope(0) });
   spend(WHOLE_BOUND * 0.4);
   // The first record, so that none of an earlier ledger is left.
-  assert.equal(ledger.toRecord(0), []);
-  assert.is(ledger.toRecord(0), undefined);
+  assert.equal(ledger.spendingToRecord(0), []);
+  assert.is(ledger.spendingToRecord(0), undefined);
   spend(WHOLE_BOUND * 0.2);
-  const [record] = ledger.toRecord(0)!;
+  const [record] = ledger.spendingToRecord(0)!;
   assert.ok(Math.abs(record!.spent - WHOLE_BOUND * 0.65) < 1);
   spend(WHOLE_BOUND * 0.03);
-  assert.is(ledger.toRecord(0), undefined);
+  assert.is(ledger.spendingToRecord(0), undefined);
   spend(WHOLE_BOUND * 0.03);
-  assert.is(ledger.toRecord(0)!.length, 1);
+  assert.is(ledger.spendingToRecord(0)!.length, 1);
 });
 
 test("a record never says less than was spent, and is cleared in the end", () => {
@@ -112,11 +112,11 @@
   let recorded = 0;
   for (let atMs = 0; atMs < 30_000; atMs += 50) {
     const cost = atMs < 15_000 ? 60 : 5;
-    const of = { cost, rank: 0, scope: scope(atMs) };
-    ledger.charge("w", ALLOTMENT, of);
-    const record = ledger.toRecord(atMs);
+    const request = { cost, rank: 0, scope: scope(atMs) };
+    ledger.charge("w", ALLOTMENT, request);
+    const record = ledger.spendingToRecord(atMs);
     recorded = record === undefined ? recorded : record[0]?.spent ?? 0;
-    const [spent] = ledger.muchSpent(atMs);
+    const [spent] = ledger.spendingNearBound(atMs);
     assert.ok((spent?.spent ?? 0) <= recorded, `at ${atMs}`);
   }
   assert.is(recorded, 0);
@@ -128,15 +128,15 @@
     let spent = 0;
     let record: readonly SpendingHistory[] = [];
     while (spent < WHOLE_BOUND * part) {
-      const of = { cost: 100, rank: 0, scope: scope(0) };
-      if (!before.charge("w", ALLOTMENT, of).allowed) {
+      const request = { cost: 100, rank: 0, scope: scope(0) };
+      if (!before.charge("w", ALLOTMENT, request).allowed) {
         break;
       }
       spent += 100;
-      record = before.toRecord(0) ?? record;
+      record = before.spendingToRecord(0) ?? record;
     }
     const after = new AllotmentLedger(TOLERANCE);
-    after.takeUp(record, 0);
+    after.importHistories(record, 0);
     spent += spendAll(after, scope(0, { memoryMs: 0 }));
     assert.ok(spent <= WHOLE_BOUND + 100, `${part}: ${spent}`);
   }
@@ -145,11 +145,11 @@
 test("a new coordinator goes on from the account of the one before", () => {
   const before = new AllotmentLedger(TOLERANCE);
   for (let atMs = 0; atMs < 8000; atMs += 1000) {
-    const of = { cost: 1000, rank: 0, scope: scope(atMs) };
-    assert.ok(before.charge("w", ALLOTMENT, of).allowed);
+    const request = { cost: 1000, rank: 0, scope: scope(atMs) };
+    assert.ok(before.charge("w", ALLOTMENT, request).allowed);
   }
   const after = new AllotmentLedger(TOLERANCE);
-  after.takeUp(before.muchSpent(7500), 7500);
+  after.importHistories(before.spendingNearBound(7500), 7500);
   assert.is(spendAll(after, scope(7500)), WHOLE_BOUND - 8000);
   // Each second's spending leaves the window with the second.
   assert.is(spendAll(after, scope(9300)), 1000);
@@ -159,11 +159,11 @@
   const first = new AllotmentLedger(TOLERANCE);
   const second = new AllotmentLedger(TOLERANCE);
   const record = [{ workspace: "w", spent: 6000, bySecond: [6000] }];
-  first.takeUp(record, 0);
-  second.takeUp(record, 0);
-  const of = { cost: 2000, rank: 0, scope: scope(3000) };
-  assert.ok(first.charge("w", ALLOTMENT, of).allowed);
-  second.takeUp(first.muchSpent(3000), 3000);
+  first.importHistories(record, 0);
+  second.importHistories(record, 0);
+  const request = { cost: 2000, rank: 0, scope: scope(3000) };
+  assert.ok(first.charge("w", ALLOTMENT, request).allowed);
+  second.importHistories(first.spendingNearBound(3000), 3000);
   assert.is(spendAll(second, scope(3000)), WHOLE_BOUND - 8000);
 });
 
@@ -182,27 +182,27 @@
 
 test("while much is spent, the record is made anew every second", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
-  const of = { cost: WHOLE_BOUND * 0.6, rank: 0, scope: scope(0) };
-  ledger.charge("w", ALLOTMENT, of);
-  assert.is(ledger.toRecord(0)!.length, 1);
-  assert.is(ledger.toRecord(900), undefined);
-  assert.is(ledger.toRecord(1000)!.length, 1);
+  const request = { cost: WHOLE_BOUND * 0.6, rank: 0, scope: scope(0) };
+  ledger.charge("w", ALLOTMENT, request);
+  assert.is(ledger.spendingToRecord(0)!.length, 1);
+  assert.is(ledger.spendingToRecord(900), undefined);
+  assert.is(ledger.spendingToRecord(1000)!.length, 1);
 });
 
 test("a lowered limit binds what was spent before, too", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   spendAll(ledger, scope(0));
   const lower = { ...ALLOTMENT, perS: 100 };
-  const of = { cost: 5, rank: 0, scope: scope(1000) };
-  assert.is(ledger.charge("w", lower, of).allowed, false);
+  const request = { cost: 5, rank: 0, scope: scope(1000) };
+  assert.is(ledger.charge("w", lower, request).allowed, false);
 });
 
 test("the least valuable work is refused first, and gets the plain allotment", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   const spend = (rank: number) => {
     let spent = 0;
-    const of = { cost: 10, rank, scope: scope(0) };
-    while (ledger.charge("w", ALLOTMENT, of).allowed) {
+    const request = { cost: 10, rank, scope: scope(0) };
+    while (ledger.charge("w", ALLOTMENT, request).allowed) {
       spent += 10;
     }
     return spent;
@@ -216,9 +216,9 @@
 
 test("a single request beyond the bound passes when nothing was spent", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
-  const of = { cost: WHOLE_BOUND * 2, rank: 0, scope: scope(0) };
-  assert.ok(ledger.charge("w", ALLOTMENT, of).allowed);
-  assert.is(ledger.charge("w", ALLOTMENT, of).allowed, false);
+  const request = { cost: WHOLE_BOUND * 2, rank: 0, scope: scope(0) };
+  assert.ok(ledger.charge("w", ALLOTMENT, request).allowed);
+  assert.is(ledger.charge("w", ALLOTMENT, request).allowed, false);
 });
 
 test("a refund can be spent again", () => {
--- a/packages/routing/src/candidate_index.ts
+++ b/packages/routing/src/candidate_index.ts
@@ -6,52 +6,52 @@
 import { type Candidate, type TargetUse, typicalOf } from "./target_choice.ts";
 
 /** Free targets that are compared for one request, if there are as many. */
-const MOST_COMPARED = 64;
+const MAX_COMPARED = 64;
 
 /** How many of them are of the request's own failure domain, at the least. */
-const LEAST_OF_OWN_DOMAIN = 48;
+const MIN_LOCAL_COMPARED = 48;
 
 /** Time for which the mean pace of a large pool is not made anew. */
-const TYPICAL_MS = 100;
+const TYPICAL_MAX_AGE_MS = 100;
 
 /** Free targets of one failure domain, in no order. */
 class FreeList {
   readonly #ids: string[] = [];
-  readonly #places = new Map<string, number>();
-  #turn = 0;
+  readonly #positions = new Map<string, number>();
+  #offset = 0;
 
   get size(): number {
     return this.#ids.length;
   }
 
   add(targetId: string): void {
-    if (!this.#places.has(targetId)) {
-      this.#places.set(targetId, this.#ids.push(targetId) - 1);
+    if (!this.#positions.has(targetId)) {
+      this.#positions.set(targetId, this.#ids.push(targetId) - 1);
     }
   }
 
   /** The last one takes its place. */
   remove(targetId: string): void {
-    const place = this.#places.get(targetId);
-    if (place === undefined) {
+    const position = this.#positions.get(targetId);
+    if (position === undefined) {
       return;
     }
-    this.#places.delete(targetId);
+    this.#positions.delete(targetId);
     const last = this.#ids.pop()!;
     if (last !== targetId) {
-      this.#ids[place] = last;
-      this.#places.set(last, place);
+      this.#ids[position] = last;
+      this.#positions.set(last, position);
     }
   }
 
   /** As many as are wanted, others with each turn. */
-  some(count: number): string[] {
+  sample(count: number): string[] {
     if (count >= this.size) {
       return this.#ids;
     }
-    this.#turn = (this.#turn + count) % this.size;
-    const begin = this.#ids.slice(this.#turn, this.#turn + count);
-    return [...begin, ...this.#ids.slice(0, count - begin.length)];
+    this.#offset = (this.#offset + count) % this.size;
+    const head = this.#ids.slice(this.#offset, this.#offset + count);
+    return [...head, ...this.#ids.slice(0, count - head.length)];
   }
 }
 
@@ -71,7 +71,7 @@
       .reduce((sum, { target }) => sum + target.slots, 0);
     for (const candidate of candidates) {
       this.#byId.set(candidate.target.targetId, candidate);
-      this.#noteFree(candidate);
+      this.#updateFree(candidate);
     }
   }
 
@@ -109,12 +109,12 @@
    * @param targetId The target; one that does not serve the pool is left out.
    * @param use What runs there.
    */
-  used(targetId: string, use: TargetUse): void {
+  updateUse(targetId: string, use: TargetUse): void {
     const known = this.#byId.get(targetId);
     if (known !== undefined) {
       const candidate = { ...known, use };
       this.#byId.set(targetId, candidate);
-      this.#noteFree(candidate);
+      this.#updateFree(candidate);
     }
   }
 
@@ -123,20 +123,23 @@
    * @returns Targets with a free slot to choose among: all of a small pool, else
    * some, most of them in that domain.
    */
-  free(failureDomain: string): Candidate[] {
-    if (this.#freeCount <= MOST_COMPARED) {
+  sampleFree(failureDomain: string): Candidate[] {
+    if (this.#freeCount <= MAX_COMPARED) {
       return this.allFree();
     }
-    const own = this.#freeByDomain.get(failureDomain);
+    const local = this.#freeByDomain.get(failureDomain);
     const others = [...this.#freeByDomain.values()]
-      .filter((list) => list !== own && list.size > 0);
-    const elsewhere = others.reduce((sum, { size }) => sum + size, 0);
-    const ownCount = Math.min(
-      own?.size ?? 0,
-      Math.max(LEAST_OF_OWN_DOMAIN, MOST_COMPARED - elsewhere),
+      .filter((list) => list !== local && list.size > 0);
+    const otherCount = others.reduce((sum, { size }) => sum + size, 0);
+    const localCount = Math.min(
+      local?.size ?? 0,
+      Math.max(MIN_LOCAL_COMPARED, MAX_COMPARED - otherCount),
     );
-    const each = Math.ceil((MOST_COMPARED - ownCount) / others.length);
-    const ids = [own?.some(ownCount) ?? [], ...others.map((l) => l.some(each))];
+    const perDomain = Math.ceil((MAX_COMPARED - localCount) / others.length);
+    const ids = [
+      local?.sample(localCount) ?? [],
+      ...others.map((l) => l.sample(perDomain)),
+    ];
     return ids.flat().map((targetId) => this.#byId.get(targetId)!);
   }
 
@@ -150,18 +153,18 @@
    * @returns An idle target of their mean pace; undefined where there are none.
    */
   typical(nowMs: number): Candidate | undefined {
-    const isOld = this.size <= MOST_COMPARED ||
-      nowMs - this.#typicalAtMs >= TYPICAL_MS;
-    if (isOld) {
+    const isStale = this.size <= MAX_COMPARED ||
+      nowMs - this.#typicalAtMs >= TYPICAL_MAX_AGE_MS;
+    if (isStale) {
       this.#typical = typicalOf(this.all());
       this.#typicalAtMs = nowMs;
     }
     return this.#typical;
   }
 
-  #noteFree(candidate: Candidate): void {
+  #updateFree(candidate: Candidate): void {
     const { targetId, failureDomain } = candidate.target;
-    const list = this.#listOf(failureDomain);
+    const list = this.#freeListOf(failureDomain);
     const before = list.size;
     if (hasFreeSlot(candidate)) {
       list.add(targetId);
@@ -171,7 +174,7 @@
     this.#freeCount += list.size - before;
   }
 
-  #listOf(failureDomain: string): FreeList {
+  #freeListOf(failureDomain: string): FreeList {
     let list = this.#freeByDomain.get(failureDomain);
     if (list === undefined) {
       list = new FreeList();
--- a/packages/routing/src/candidate_index_test.ts
+++ b/packages/routing/src/candidate_index_test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { CandidateIndex } from "./candidate_index.ts";
-import { type Candidate, IDLE } from "./target_choice.ts";
+import { type Candidate, IDLE_USE } from "./target_choice.ts";
 import { TargetPace } from "./target_pace.ts";
 
 const DOMAINS = ["a", "b", "c", "d"];
@@ -20,7 +20,7 @@
     rowVersion: 1,
     warmAtMs: 0,
   };
-  return { target, use: IDLE, pace: new TargetPace() };
+  return { target, use: IDLE_USE, pace: new TargetPace() };
 }
 
 function indexOf(count: number): CandidateIndex {
@@ -39,18 +39,18 @@
 
 test("of a small pool all free targets are compared", () => {
   const index = indexOf(6);
-  index.used("t1", use(SLOTS));
-  index.used("t2", use(1));
-  assert.equal(idsOf(index.free("a")), ["t0", "t2", "t3", "t4", "t5"]);
-  index.used("t1", use(1));
-  assert.is(index.free("a").length, 6);
+  index.updateUse("t1", use(SLOTS));
+  index.updateUse("t2", use(1));
+  assert.equal(idsOf(index.sampleFree("a")), ["t0", "t2", "t3", "t4", "t5"]);
+  index.updateUse("t1", use(1));
+  assert.is(index.sampleFree("a").length, 6);
 });
 
 test("of a large pool few are, most of the own domain, others each time", () => {
   const index = indexOf(2000);
   const seen = new Set<string>();
   for (let turn = 0; turn < 60; turn++) {
-    const free = index.free("b");
+    const free = index.sampleFree("b");
     assert.ok(free.length <= 70, `${free.length} compared`);
     const own = free.filter(({ target }) => target.failureDomain === "b");
     assert.ok(own.length >= 48);
@@ -63,20 +63,20 @@
 test("a domain that is full leaves its requests to the others", () => {
   const index = indexOf(400);
   for (let i = 0; i < 400; i += DOMAINS.length) {
-    index.used(`t${i}`, use(SLOTS));
+    index.updateUse(`t${i}`, use(SLOTS));
   }
-  const free = index.free("a");
+  const free = index.sampleFree("a");
   assert.ok(free.length >= 48);
   assert.ok(free.every(({ target }) => target.failureDomain !== "a"));
 });
 
 test("a pool knows when none is free", () => {
   const index = indexOf(2);
-  index.used("t0", use(SLOTS));
+  index.updateUse("t0", use(SLOTS));
   assert.ok(index.hasFree);
-  index.used("t1", use(SLOTS));
+  index.updateUse("t1", use(SLOTS));
   assert.not.ok(index.hasFree);
-  index.used("elsewhere", use(0));
+  index.updateUse("elsewhere", use(0));
   assert.not.ok(index.hasFree);
 });
 
--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -5,7 +5,7 @@
  */
 
 import { RateLimiter } from "./rate_limiter.ts";
-import { PoolSchedule, quarantined } from "./pool_schedule.ts";
+import { PoolSchedule, quarantineRefusal } from "./pool_schedule.ts";
 import { RetryBudget, type RetryBudgetBound } from "./retry_budget.ts";
 import {
   AllotmentLedger,
@@ -13,7 +13,7 @@
   type Charge,
   type LedgerScope,
 } from "./allotment_ledger.ts";
-import { HeardSpending } from "./heard_spending.ts";
+import { ReportedSpending } from "./reported_spending.ts";
 import type { SpendingHistory } from "./spending_log.ts";
 import type { RoutingBoard } from "./routing_board.ts";
 import {
@@ -27,7 +27,11 @@
 } from "./work_ask.ts";
 import { routeRankOf } from "./ranks.ts";
 import { RefusedCallers } from "./refused_callers.ts";
-import { CALL_MS, EVENT_GAP_MS, plainFirstEventMs } from "./target_pace.ts";
+import {
+  baselineFirstEventMs,
+  INITIAL_CALL_MS,
+  INITIAL_EVENT_GAP_MS,
+} from "./target_pace.ts";
 
 /**
  * Age below which work that a holder's report leaves out is kept: the report
@@ -36,9 +40,9 @@
 const REPORT_LAG_MS = 400;
 
 /** Silence after which the work of a holder is no longer counted. */
-const HOLDER_GONE_MS = 1500;
+const HOLDER_TIMEOUT_MS = 1500;
 
-const RETRY_BUDGET_AFTER_MS = 1000;
+const RETRY_BUDGET_RETRY_AFTER_MS = 1000;
 
 /** Bounds that the operators set on the fleet as a whole. */
 export interface FleetBounds {
@@ -52,13 +56,13 @@
   /** The same for all attempts of a caller at one request; 0 if unknown. */
   readonly callHash: number;
   /** When its caller first came with the request. */
-  readonly firstAtMs: number;
+  readonly firstAttemptAtMs: number;
   /** Absent where it cost nothing, or was charged by another coordinator. */
   readonly charge?: Charge;
 }
 
 /** Whether an ask may wait for a place. */
-type DoorCheck = { readonly refusal: AskDecision } | {
+type AdmissionResult = { readonly refusal: AskDecision } | {
   readonly charge?: Charge;
 };
 
@@ -67,15 +71,15 @@
   readonly #board: RoutingBoard;
   readonly #pools = new Map<string, PoolSchedule>();
   readonly #budgets = new Map<string, RetryBudget>();
-  readonly #ledger: AllotmentLedger;
+  readonly #allotmentLedger: AllotmentLedger;
   readonly #limiter: RateLimiter;
   #bounds: FleetBounds;
   readonly #openAsks = new Map<string, OpenAsk>();
   readonly #refusedCallers = new RefusedCallers();
-  readonly #reportedAtMs = new Map<string, number>();
+  readonly #lastContactAtMs = new Map<string, number>();
   /** When each holder last told what was spent through it. */
-  readonly #spendingToldAtMs = new Map<string, number>();
-  readonly #spending = new HeardSpending();
+  readonly #spendingReportedAtMs = new Map<string, number>();
+  readonly #spending = new ReportedSpending();
 
   /**
    * @param board What the instance believes.
@@ -84,7 +88,7 @@
   constructor(board: RoutingBoard, bounds: FleetBounds) {
     this.#board = board;
     this.#bounds = bounds;
-    this.#ledger = new AllotmentLedger(bounds.allotmentTolerance);
+    this.#allotmentLedger = new AllotmentLedger(bounds.allotmentTolerance);
     this.#limiter = new RateLimiter(board.rateLimits);
   }
 
@@ -98,9 +102,9 @@
    * it waits.
    */
   ask(ask: WorkAsk, scope: LedgerScope): AskDecision[] {
-    const schedule = this.#pool(ask.pool);
+    const schedule = this.#poolSchedule(ask.pool);
     this.#limiter.share = scope.share;
-    this.#reportedAtMs.set(ask.holderId, scope.nowMs);
+    this.#lastContactAtMs.set(ask.holderId, scope.nowMs);
     const decision = schedule.decisionOn(ask.askId);
     if (decision !== undefined) {
       return [decision];
@@ -110,17 +114,20 @@
     }
     const { askId, callHash } = ask;
     const { nowMs } = scope;
-    const firstAtMs = this.#refusedCallers.firstAtMs(callHash, nowMs);
-    const checked = this.#checkAtDoor(ask, scope);
-    if ("refusal" in checked) {
-      this.#refusedCallers.note(callHash, firstAtMs, nowMs);
-      return [checked.refusal];
+    const firstAttemptAtMs = this.#refusedCallers.firstAttemptAtMs(
+      callHash,
+      nowMs,
+    );
+    const admission = this.#admit(ask, scope);
+    if ("refusal" in admission) {
+      this.#refusedCallers.record(callHash, firstAttemptAtMs, nowMs);
+      return [admission.refusal];
     }
     const { pool } = ask;
-    const { charge } = checked;
-    this.#openAsks.set(askId, { pool, callHash, firstAtMs, charge });
-    const cameBackMs = nowMs - firstAtMs;
-    return this.#settled(schedule.add(ask, { cameBackMs, nowMs }), nowMs);
+    const { charge } = admission;
+    this.#openAsks.set(askId, { pool, callHash, firstAttemptAtMs, charge });
+    const cameBackMs = nowMs - firstAttemptAtMs;
+    return this.#applyRefusals(schedule.add(ask, { cameBackMs, nowMs }), nowMs);
   }
 
   /**
@@ -140,12 +147,12 @@
    * @returns Decisions on asks that waited.
    */
   ended(end: WorkEnd, nowMs: number): AskDecision[] {
-    this.#learnOfSuspect(end, nowMs);
-    const schedule = this.#pool(end.pool);
+    this.#updateSuspects(end, nowMs);
+    const schedule = this.#poolSchedule(end.pool);
     const { work, decisions } = schedule.release(end.askId, nowMs);
     const isStream = this.#board.routes?.pool(end.pool)?.engine !== undefined;
     const tokensAhead = work?.tokensAhead ?? 0;
-    this.#compareVersions(end, {
+    this.#recordVersionAnswer(end, {
       isStream,
       tokensAhead,
       route: work?.route,
@@ -153,10 +160,10 @@
     });
     this.#board.paces.learn(end, { isStream, tokensAhead });
     if (work !== undefined && !end.failed && end.firstMs !== undefined) {
-      schedule.learnFirst(end.promptTokens, end.firstMs);
+      schedule.recordFirstEvent(end.promptTokens, end.firstMs);
     }
-    this.#forget(end.askId);
-    return this.#settled(decisions, nowMs);
+    this.#removeAsk(end.askId);
+    return this.#applyRefusals(decisions, nowMs);
   }
 
   /**
@@ -173,8 +180,8 @@
     }
     this.#refund(askId, nowMs);
     const { decisions } = schedule.release(askId, nowMs);
-    this.#forget(askId);
-    return this.#settled(decisions, nowMs);
+    this.#removeAsk(askId);
+    return this.#applyRefusals(decisions, nowMs);
   }
 
   /**
@@ -185,19 +192,19 @@
    * @returns Decisions on asks that waited.
    */
   report(report: HolderReport, nowMs: number): AskDecision[] {
-    this.#reportedAtMs.set(report.holderId, nowMs);
-    const toldBeforeMs = this.spendingToldAtMs(report.holderId);
-    if (nowMs - toldBeforeMs > HOLDER_GONE_MS) {
-      this.#ledger.reliesOnReports(nowMs);
+    this.#lastContactAtMs.set(report.holderId, nowMs);
+    const previousReportAtMs = this.spendingReportedAtMs(report.holderId);
+    if (nowMs - previousReportAtMs > HOLDER_TIMEOUT_MS) {
+      this.#allotmentLedger.markIncomplete(nowMs);
     }
-    this.#spendingToldAtMs.set(report.holderId, nowMs);
+    this.#spendingReportedAtMs.set(report.holderId, nowMs);
     this.#spending.put(report.holderId, report.spent);
     this.#board.suspects.merge(report.suspects ?? [], nowMs);
     // Counts what all holders told that they spent, here or elsewhere.
-    this.#ledger.heard(this.#spending.totals(), nowMs);
+    this.#allotmentLedger.setReportedTotals(this.#spending.totals(), nowMs);
     for (const running of report.running) {
-      this.#noteAdopted(running, nowMs);
-      this.#pool(running.pool).adopt(report.holderId, running, nowMs);
+      this.#recordAdopted(running, nowMs);
+      this.#poolSchedule(running.pool).adopt(report.holderId, running, nowMs);
     }
     const open = new Set([
       ...report.running.map(({ askId }) => askId),
@@ -234,17 +241,17 @@
    */
   tick(nowMs: number): AskDecision[] {
     this.#board.suspects.forgetOld(nowMs);
-    this.#limiter.forgetLifted();
+    this.#limiter.evictUnlimited();
     const decisions: AskDecision[] = [];
-    for (const [holderId, heardAtMs] of this.#reportedAtMs) {
-      if (nowMs - heardAtMs > HOLDER_GONE_MS) {
-        this.#reportedAtMs.delete(holderId);
+    for (const [holderId, contactAtMs] of this.#lastContactAtMs) {
+      if (nowMs - contactAtMs > HOLDER_TIMEOUT_MS) {
+        this.#lastContactAtMs.delete(holderId);
         this.#spending.put(holderId, []);
         decisions.push(...this.#releaseUnlisted(holderId, new Set(), nowMs));
       }
     }
     for (const schedule of this.#pools.values()) {
-      decisions.push(...this.#settled(schedule.tick(nowMs), nowMs));
+      decisions.push(...this.#applyRefusals(schedule.tick(nowMs), nowMs));
     }
     return decisions;
   }
@@ -254,15 +261,15 @@
    * @returns Spending to be recorded in the platform's store, if any is.
    */
   spendingToRecord(nowMs: number): SpendingHistory[] | undefined {
-    return this.#ledger.toRecord(nowMs);
+    return this.#allotmentLedger.spendingToRecord(nowMs);
   }
 
   /**
    * @param nowMs The local time.
    * @returns Spending of workspaces near their bounds.
    */
-  muchSpent(nowMs: number): SpendingHistory[] {
-    return this.#ledger.muchSpent(nowMs);
+  spendingNearBound(nowMs: number): SpendingHistory[] {
+    return this.#allotmentLedger.spendingNearBound(nowMs);
   }
 
   /**
@@ -272,19 +279,19 @@
    * @param histories What workspaces spent, and when.
    * @param atMs Local time that the ages in it count from.
    */
-  takeUpSpending(histories: readonly SpendingHistory[], atMs: number): void {
-    this.#ledger.takeUp(histories, atMs);
+  importSpending(histories: readonly SpendingHistory[], atMs: number): void {
+    this.#allotmentLedger.importHistories(histories, atMs);
   }
 
   /** Spending is to be recorded anew: another instance may have done so. */
-  recordAnew(): void {
-    this.#ledger.recordAnew();
+  invalidateRecord(): void {
+    this.#allotmentLedger.invalidateRecord();
   }
 
   /** @param bounds Bounds that hold from now on. */
   setBounds(bounds: FleetBounds): void {
     this.#bounds = bounds;
-    this.#ledger.setTolerance(bounds.allotmentTolerance);
+    this.#allotmentLedger.setTolerance(bounds.allotmentTolerance);
     for (const budget of this.#budgets.values()) {
       budget.setBound(bounds.retryBudget);
     }
@@ -302,15 +309,15 @@
    * @returns When it last told here what was spent through it; -Infinity where it
    * never did.
    */
-  spendingToldAtMs(holderId: string): number {
-    return this.#spendingToldAtMs.get(holderId) ?? -Infinity;
+  spendingReportedAtMs(holderId: string): number {
+    return this.#spendingReportedAtMs.get(holderId) ?? -Infinity;
   }
 
   /** Forgets all asks, after a pause in which holders went elsewhere. */
-  forgetAll(): void {
+  clearAsks(): void {
     this.#pools.clear();
     this.#openAsks.clear();
-    this.#reportedAtMs.clear();
+    this.#lastContactAtMs.clear();
   }
 
   /** @returns Requests that wait and that run, by pool. */
@@ -328,13 +335,13 @@
    * @returns Requests that they work on.
    */
   runningAt(pool: string, targetIds: readonly string[]): number {
-    return this.#pool(pool).runningAt(targetIds);
+    return this.#poolSchedule(pool).runningAt(targetIds);
   }
 
   /** What came of work tells of the version of its target. */
-  #compareVersions(
+  #recordVersionAnswer(
     end: WorkEnd,
-    of: {
+    context: {
       isStream: boolean;
       tokensAhead: number;
       route?: string;
@@ -351,15 +358,15 @@
     if (!isAnswer || target === undefined) {
       return;
     }
-    const isWarm = of.nowMs >= target.warmAtMs;
+    const isWarm = context.nowMs >= target.warmAtMs;
     rollouts.answered(target, {
-      route: of.route ?? "",
+      route: context.route ?? "",
       failed,
-      slowness: failed || !isWarm ? undefined : slownessOf(end, of),
+      slowness: failed || !isWarm ? undefined : slownessRatioOf(end, context),
     });
   }
 
-  #learnOfSuspect(
+  #updateSuspects(
     { endedTarget, clearedFingerprint }: WorkEnd,
     nowMs: number,
   ): void {
@@ -372,40 +379,40 @@
     }
   }
 
-  #checkAtDoor(ask: WorkAsk, scope: LedgerScope): DoorCheck {
+  #admit(ask: WorkAsk, scope: LedgerScope): AdmissionResult {
     const { askId, holderId, fingerprint } = ask;
     const { suspects } = this.#board;
     const heldForMs = suspects.heldForMs(fingerprint, scope.nowMs);
     if (heldForMs > 0) {
-      return { refusal: quarantined(ask, heldForMs) };
+      return { refusal: quarantineRefusal(ask, heldForMs) };
     }
     const budget = this.#budget(ask.pool);
     if (
-      ask.cause === AskCause.Repeat && !budget.take(scope.share, scope.nowMs)
+      ask.cause === AskCause.Repeat && !budget.tryTake(scope.share, scope.nowMs)
     ) {
       const refusal = {
         askId,
         holderId,
         refusal: AskRefusal.RetryBudget,
-        retryAfterMs: RETRY_BUDGET_AFTER_MS,
+        retryAfterMs: RETRY_BUDGET_RETRY_AFTER_MS,
         figures: { share: scope.share },
       };
       return { refusal };
     }
     if (ask.cause === AskCause.First) {
-      budget.noteFirst(scope.nowMs);
+      budget.recordFirst(scope.nowMs);
     }
     return this.#charge(ask, scope);
   }
 
-  #charge(ask: WorkAsk, scope: LedgerScope): DoorCheck {
+  #charge(ask: WorkAsk, scope: LedgerScope): AdmissionResult {
     const { askId, holderId, workspace, cost } = ask;
     const allotment = this.#board.routes?.workspace(workspace)?.allotment;
     if (allotment === undefined || cost === 0) {
       return {};
     }
     const rank = routeRankOf(ask.rank);
-    const result = this.#ledger
+    const result = this.#allotmentLedger
       .charge(workspace, allotment, { cost, rank, scope });
     if (result.allowed) {
       return { charge: { workspace, cost } };
@@ -428,19 +435,19 @@
   }
 
   /** Work that another coordinator placed. */
-  #noteAdopted({ askId, pool }: RunningWork, nowMs: number): void {
+  #recordAdopted({ askId, pool }: RunningWork, nowMs: number): void {
     if (!this.#openAsks.has(askId)) {
-      this.#openAsks.set(askId, { pool, callHash: 0, firstAtMs: nowMs });
+      this.#openAsks.set(askId, { pool, callHash: 0, firstAttemptAtMs: nowMs });
     }
   }
 
-  #settled(decisions: AskDecision[], nowMs: number): AskDecision[] {
+  #applyRefusals(decisions: AskDecision[], nowMs: number): AskDecision[] {
     for (const decision of decisions) {
       const { askId } = decision;
       if ("refusal" in decision) {
-        this.#noteRefused(askId, nowMs);
+        this.#recordRefused(askId, nowMs);
         this.#refund(askId, nowMs);
-        this.#forget(askId);
+        this.#removeAsk(askId);
       }
     }
     return decisions;
@@ -456,28 +463,28 @@
       for (const askId of schedule.askIdsOf(holderId, nowMs - REPORT_LAG_MS)) {
         if (!open.has(askId)) {
           decisions.push(...schedule.release(askId, nowMs).decisions);
-          this.#forget(askId);
+          this.#removeAsk(askId);
         }
       }
     }
-    return this.#settled(decisions, nowMs);
+    return this.#applyRefusals(decisions, nowMs);
   }
 
-  #noteRefused(askId: string, nowMs: number): void {
+  #recordRefused(askId: string, nowMs: number): void {
     const open = this.#openAsks.get(askId);
     if (open !== undefined) {
-      this.#refusedCallers.note(open.callHash, open.firstAtMs, nowMs);
+      this.#refusedCallers.record(open.callHash, open.firstAttemptAtMs, nowMs);
     }
   }
 
   #refund(askId: string, nowMs: number): void {
     const charge = this.#openAsks.get(askId)?.charge;
     if (charge !== undefined) {
-      this.#ledger.refund(charge, nowMs);
+      this.#allotmentLedger.refund(charge, nowMs);
     }
   }
 
-  #forget(askId: string): void {
+  #removeAsk(askId: string): void {
     this.#openAsks.delete(askId);
   }
 
@@ -486,7 +493,7 @@
     return pool === undefined ? undefined : this.#pools.get(pool);
   }
 
-  #pool(name: string): PoolSchedule {
+  #poolSchedule(name: string): PoolSchedule {
     let schedule = this.#pools.get(name);
     if (schedule === undefined) {
       schedule = new PoolSchedule(name, {
@@ -509,15 +516,15 @@
 }
 
 /** Time that work took, in parts of what is usual for its size. */
-function slownessOf(
+function slownessRatioOf(
   { firstMs, eventGapMs, promptTokens }: WorkEnd,
   { isStream, tokensAhead }: { isStream: boolean; tokensAhead: number },
 ): number {
   if (!isStream) {
-    return firstMs! / CALL_MS;
+    return firstMs! / INITIAL_CALL_MS;
   }
   return Math.max(
-    firstMs! / plainFirstEventMs(promptTokens, tokensAhead),
-    (eventGapMs ?? 0) / EVENT_GAP_MS,
+    firstMs! / baselineFirstEventMs(promptTokens, tokensAhead),
+    (eventGapMs ?? 0) / INITIAL_EVENT_GAP_MS,
   );
 }
--- a/packages/routing/src/late_margin_test.ts
+++ b/packages/routing/src/first_event_margin_test.ts
@@ -1,19 +1,19 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { LateMargin } from "./late_margin.ts";
+import { FirstEventMargin } from "./first_event_margin.ts";
 
 const FORESEEN_MS = 50;
 const OBSERVATIONS = 2000;
 
 /** Learns from first events that take 1 to `most` times what is foreseen. */
 function learnedFrom(most: number): number {
-  const margin = new LateMargin();
+  const margin = new FirstEventMargin();
   for (let i = 0; i < OBSERVATIONS; i++) {
     // Evenly spread, in an order that does not rise.
     const part = (i * 7 % 100) / 100;
     margin.learn(FORESEEN_MS * (1 + part * (most - 1)), FORESEEN_MS);
   }
-  return margin.times;
+  return margin.ratio;
 }
 
 test("four in five first events come within the margin", () => {
--- a/packages/routing/src/placed_works.ts
+++ b/packages/routing/src/placed_work_index.ts
@@ -1,6 +1,6 @@
 /** What runs at the targets of one pool, with sums for each target. */
 
-import { IDLE, type TargetUse } from "./target_choice.ts";
+import { IDLE_USE, type TargetUse } from "./target_choice.ts";
 
 /** Work at a target. */
 export interface PlacedWork {
@@ -26,17 +26,19 @@
 }
 
 /** Placed work by ask, by target and by holder. */
-export class PlacedWorks {
+export class PlacedWorkIndex {
   readonly #byAsk = new Map<string, PlacedWork>();
   readonly #askIdsByHolder = new Map<string, Set<string>>();
   readonly #useByTarget = new Map<string, TargetUse>();
   /** Those that run on trial; hardly ever any. */
   readonly #trials = new Map<string, PlacedWork>();
-  readonly #onUse: (targetId: string, use: TargetUse) => void;
+  readonly #onUseChange: (targetId: string, use: TargetUse) => void;
 
-  /** @param onUse Called when what runs at a target has changed. */
-  constructor(onUse: (targetId: string, use: TargetUse) => void = () => {}) {
-    this.#onUse = onUse;
+  /** @param onUseChange Called when what runs at a target has changed. */
+  constructor(
+    onUseChange: (targetId: string, use: TargetUse) => void = () => {},
+  ) {
+    this.#onUseChange = onUseChange;
   }
 
   /** Number of works. */
@@ -57,7 +59,7 @@
    * @returns What runs there.
    */
   use(targetId: string): TargetUse {
-    return this.#useByTarget.get(targetId) ?? IDLE;
+    return this.#useByTarget.get(targetId) ?? IDLE_USE;
   }
 
   /**
@@ -136,21 +138,21 @@
     return work;
   }
 
-  #count(work: PlacedWork, times: 1 | -1): void {
+  #count(work: PlacedWork, sign: 1 | -1): void {
     const { targetId, promptTokens, outputTokens, firstSeen } = work;
     const before = this.use(targetId);
-    const running = before.running + times;
+    const running = before.running + sign;
     const unread = firstSeen ? 0 : promptTokens;
-    const use = running === 0 ? IDLE : {
+    const use = running === 0 ? IDLE_USE : {
       running,
-      tokensAhead: before.tokensAhead + times * unread,
-      kvTokens: before.kvTokens + times * (promptTokens + outputTokens),
+      tokensAhead: before.tokensAhead + sign * unread,
+      kvTokens: before.kvTokens + sign * (promptTokens + outputTokens),
     };
-    if (use === IDLE) {
+    if (use === IDLE_USE) {
       this.#useByTarget.delete(targetId);
     } else {
       this.#useByTarget.set(targetId, use);
     }
-    this.#onUse(targetId, use);
+    this.#onUseChange(targetId, use);
   }
 }
--- a/packages/routing/src/pool_schedule.ts
+++ b/packages/routing/src/pool_schedule.ts
@@ -8,9 +8,9 @@
  */
 
 import type { RateLimiter } from "./rate_limiter.ts";
-import { type PlacedWork, PlacedWorks } from "./placed_works.ts";
-import { PlacementChoice, type PlacementLook } from "./placement_choice.ts";
-import type { OrderFacts, WaitingWork } from "./queue_order.ts";
+import { type PlacedWork, PlacedWorkIndex } from "./placed_work_index.ts";
+import { TargetSelector, type TargetSnapshot } from "./target_selector.ts";
+import type { OrderContext, WaitingWork } from "./queue_order.ts";
 import { RankLoad } from "./rank_load.ts";
 import { RankShares } from "./rank_shares.ts";
 import type { RoutingBoard } from "./routing_board.ts";
@@ -27,39 +27,39 @@
 const NO_RANKS: ReadonlySet<number> = new Set();
 
 /** Time that work holds a slot where learning starts. */
-const STARTING_HOLD_MS = 600;
-const HOLD_LEARNING_RATE = 0.05;
+const INITIAL_HOLD_MS = 600;
+const HOLD_SMOOTHING_FACTOR = 0.05;
 
 /**
  * Share of the time at targets that neglected ranks get ahead of their turn, so
  * that their queues don't hold up all ranks above. It is counted in time and not
  * in placements, as work of a low rank may hold a slot for much longer.
  */
-const NEGLECTED_TIME_SHARE = 0.15;
+const STARVED_TIME_SHARE = 0.15;
 
 /** Time at targets that neglected ranks may save up, about one long stream. */
-const MOST_NEGLECTED_CREDIT_MS = 1000;
+const MAX_STARVED_CREDIT_MS = 1000;
 
 /** Least number of slots that waits are estimated with. */
 const MIN_SLOTS = 0.1;
 
 /** Requests that may be passed by while a free slot is given away. */
-const MOST_PASSED = 8;
+const MAX_SKIPPED = 8;
 
 /**
  * Age of a decision from which it counts as lost where its holder still waits.
  * Under load, reports are a tenth of a second old when they are read.
  */
-const DECISION_LOST_MS = 150;
+const LOST_DECISION_AGE_MS = 150;
 
 /** Shortest time after which a refused caller is asked to come back. */
 const MIN_RETRY_AFTER_MS = 500;
 
 /** How long a pool without any usable target is waited for. */
-const NO_TARGET_RETRY_MS = 1000;
+const NO_TARGET_RETRY_AFTER_MS = 1000;
 
-/** What one look at the queue works with. */
-interface Look extends PlacementLook {
+/** What one pass at the queue works with. */
+interface SchedulingPass extends TargetSnapshot {
   /** Requests that stay ahead in the queue. */
   ahead: number;
   /** Slots that can be busy; absent until a wait is estimated. */
@@ -70,16 +70,16 @@
 export class PoolSchedule {
   readonly #board: RoutingBoard;
   readonly #limiter: RateLimiter;
-  readonly #placed = new PlacedWorks((targetId, use) =>
-    this.#choices.used(targetId, use)
+  readonly #placed = new PlacedWorkIndex((targetId, use) =>
+    this.#selector.updateUse(targetId, use)
   );
-  readonly #choices: PlacementChoice;
+  readonly #selector: TargetSelector;
   readonly #waiting = new WaitingQueue();
   readonly #shares = new RankShares();
   readonly #load = new RankLoad();
-  #holdMs = STARTING_HOLD_MS;
+  #holdMs = INITIAL_HOLD_MS;
   /** Time at targets that neglected ranks may take ahead of their turn. */
-  #neglectedCreditMs = 0;
+  #starvedCreditMs = 0;
 
   /**
    * @param pool The pool's name.
@@ -92,7 +92,7 @@
     this.#board = board;
     this.#limiter = limiter;
     const placed = this.#placed;
-    this.#choices = new PlacementChoice(pool, { board, placed, limiter });
+    this.#selector = new TargetSelector(pool, { board, placed, limiter });
   }
 
   /** Number of requests that wait. */
@@ -122,7 +122,7 @@
   lostDecisionOn(askId: string, nowMs: number): AskDecision | undefined {
     const work = this.#placed.get(askId);
     const isLost = work !== undefined &&
-      nowMs - work.placedAtMs >= DECISION_LOST_MS;
+      nowMs - work.placedAtMs >= LOST_DECISION_AGE_MS;
     return isLost ? decisionOf(work) : undefined;
   }
 
@@ -141,16 +141,16 @@
    * @param of Time since its caller's first attempt, where that was refused,
    * and the local time.
    * @returns Decisions on this ask and on others that it displaced; those of a
-   * long queue follow with the next look at it.
+   * long queue follow with the next pass at it.
    */
   add(
     ask: WorkAsk,
     { cameBackMs, nowMs }: { cameBackMs: number; nowMs: number },
   ): AskDecision[] {
-    const work = { ask, cameBackMs, sinceMs: nowMs };
-    this.#load.note(ask.rank, this.#workMs(ask.rank), nowMs);
+    const work = { ask, cameBackMs, waitingSinceMs: nowMs };
+    this.#load.record(ask.rank, this.#workMs(ask.rank), nowMs);
     this.#waiting.add(work);
-    return this.#settle(nowMs);
+    return this.#processQueue(nowMs);
   }
 
   /**
@@ -168,8 +168,8 @@
    * @param promptTokens Tokens of its prompt.
    * @param firstMs The time it took at its target.
    */
-  learnFirst(promptTokens: number, firstMs: number): void {
-    this.#waiting.learnFirst(promptTokens, firstMs);
+  recordFirstEvent(promptTokens: number, firstMs: number): void {
+    this.#waiting.recordFirstEvent(promptTokens, firstMs);
   }
 
   /**
@@ -188,10 +188,10 @@
     if (work === undefined) {
       return { decisions: [] };
     }
-    const tookMs = nowMs - work.placedAtMs;
-    this.#holdMs += HOLD_LEARNING_RATE * (tookMs - this.#holdMs);
-    this.#shares.noteWork(work.rank, tookMs, nowMs);
-    return { work, decisions: this.#settle(nowMs) };
+    const durationMs = nowMs - work.placedAtMs;
+    this.#holdMs += HOLD_SMOOTHING_FACTOR * (durationMs - this.#holdMs);
+    this.#shares.recordDuration(work.rank, durationMs, nowMs);
+    return { work, decisions: this.#processQueue(nowMs) };
   }
 
   /**
@@ -280,98 +280,96 @@
    * @returns Decisions on asks that waited.
    */
   tick(nowMs: number): AskDecision[] {
-    return this.#settle(nowMs);
+    return this.#processQueue(nowMs);
   }
 
-  #settle(nowMs: number): AskDecision[] {
+  #processQueue(nowMs: number): AskDecision[] {
     if (this.#waiting.size === 0) {
       return [];
     }
-    return this.#waiting.isDue(nowMs)
-      ? this.#lookAtAll(nowMs)
+    return this.#waiting.isReorderDue(nowMs)
+      ? this.#decideAll(nowMs)
       : this.#fillSlots(nowMs);
   }
 
   /** Decides on all that can be decided now. */
-  #lookAtAll(nowMs: number): AskDecision[] {
-    const look = this.#look(nowMs);
-    const facts = this.#orderFacts(nowMs);
+  #decideAll(nowMs: number): AskDecision[] {
+    const pass = this.#beginPass(nowMs);
+    const context = this.#orderContext(nowMs);
     const decisions: AskDecision[] = [];
-    const typical = look.targets.typical(nowMs);
-    for (const waiting of this.#waiting.lookAt(typical, facts)) {
-      const decision = this.#decide(waiting, look);
+    const typical = pass.targets.typical(nowMs);
+    for (const waiting of this.#waiting.reorder(typical, context)) {
+      const decision = this.#decide(waiting, pass);
       if (decision === undefined) {
-        look.ahead++;
+        pass.ahead++;
       } else {
-        this.#noteDecided(waiting, decision, nowMs);
+        this.#recordDecided(waiting, decision, nowMs);
         decisions.push(decision);
       }
     }
     return decisions;
   }
 
-  /** Gives free slots to those that are next, in the order of the last look. */
+  /** Gives free slots to those that are next, in the order of the last pass. */
   #fillSlots(nowMs: number): AskDecision[] {
-    const look = this.#look(nowMs);
-    if (!look.targets.hasFree) {
+    const pass = this.#beginPass(nowMs);
+    if (!pass.targets.hasFree) {
       return [];
     }
-    const facts = this.#orderFacts(nowMs);
-    const passed = new Set<string>();
+    const context = this.#orderContext(nowMs);
+    const skipped = new Set<string>();
     const decisions: AskDecision[] = [];
-    while (look.targets.hasFree && passed.size < MOST_PASSED) {
-      const next = this.#waiting.next(facts, passed);
+    while (pass.targets.hasFree && skipped.size < MAX_SKIPPED) {
+      const next = this.#waiting.next(context, skipped);
       if (next === undefined) {
         break;
       }
-      const decision = this.#decide(next, look);
+      const decision = this.#decide(next, pass);
       if (decision === undefined) {
-        look.ahead++;
-        passed.add(next.ask.askId);
+        pass.ahead++;
+        skipped.add(next.ask.askId);
       } else {
-        this.#noteDecided(next, decision, nowMs);
+        this.#recordDecided(next, decision, nowMs);
         decisions.push(decision);
       }
     }
     return decisions;
   }
 
-  #noteDecided(
+  #recordDecided(
     { ask }: WaitingWork,
     decision: AskDecision,
     nowMs: number,
   ): void {
     this.#waiting.remove(ask.askId);
-    this.#notePlaced(ask.rank, "targetId" in decision, nowMs);
+    this.#recordOutcome(ask.rank, "targetId" in decision, nowMs);
   }
 
-  #orderFacts(nowMs: number): OrderFacts {
+  #orderContext(nowMs: number): OrderContext {
     return { promoted: this.#promoted(nowMs), nowMs };
   }
 
-  #look(nowMs: number): Look {
-    return { ...this.#choices.look(nowMs), ahead: 0 };
+  #beginPass(nowMs: number): SchedulingPass {
+    return { ...this.#selector.snapshot(nowMs), ahead: 0 };
   }
 
   /** Ranks that go ahead of their turn with the next placement. */
   #promoted(nowMs: number): ReadonlySet<number> {
-    return this.#neglectedCreditMs > 0
-      ? this.#shares.neglected(nowMs)
-      : NO_RANKS;
+    return this.#starvedCreditMs > 0 ? this.#shares.starved(nowMs) : NO_RANKS;
   }
 
-  #notePlaced(rank: number, isPlaced: boolean, nowMs: number): void {
-    this.#shares.note(rank, isPlaced, nowMs);
+  #recordOutcome(rank: number, isPlaced: boolean, nowMs: number): void {
+    this.#shares.recordOutcome(rank, isPlaced, nowMs);
     if (!isPlaced) {
       return;
     }
-    const isNeglected = this.#shares.neglected(nowMs).has(rank);
+    const isStarved = this.#shares.starved(nowMs).has(rank);
     const workMs = this.#workMs(rank);
-    this.#neglectedCreditMs = isNeglected
-      ? this.#neglectedCreditMs - workMs
+    this.#starvedCreditMs = isStarved
+      ? this.#starvedCreditMs - workMs
       : Math.min(
-        MOST_NEGLECTED_CREDIT_MS,
-        this.#neglectedCreditMs + NEGLECTED_TIME_SHARE * workMs,
+        MAX_STARVED_CREDIT_MS,
+        this.#starvedCreditMs + STARVED_TIME_SHARE * workMs,
       );
   }
 
@@ -379,53 +377,55 @@
     return this.#shares.workMs(rank) ?? this.#holdMs;
   }
 
-  #decide(waiting: WaitingWork, look: Look): AskDecision | undefined {
+  #decide(waiting: WaitingWork, pass: SchedulingPass): AskDecision | undefined {
     const { ask } = waiting;
     const { askId, holderId, excluded } = ask;
-    const { targets } = look;
-    const barred = excluded.flatMap((targetId) => targets.get(targetId) ?? []);
-    if (barred.length === targets.size) {
+    const { targets } = pass;
+    const excludedTargets = excluded.flatMap((targetId) =>
+      targets.get(targetId) ?? []
+    );
+    if (excludedTargets.length === targets.size) {
       return {
         askId,
         holderId,
         refusal: AskRefusal.NoTarget,
-        retryAfterMs: NO_TARGET_RETRY_MS,
+        retryAfterMs: NO_TARGET_RETRY_AFTER_MS,
         figures: { usable: targets.size, excluded: excluded.length },
       };
     }
     const { suspects } = this.#board;
-    const heldForMs = suspects.heldForMs(ask.fingerprint, look.nowMs);
+    const heldForMs = suspects.heldForMs(ask.fingerprint, pass.nowMs);
     if (heldForMs > 0) {
-      return quarantined(ask, heldForMs);
+      return quarantineRefusal(ask, heldForMs);
     }
-    const canaryChoice = this.#choices.chooseCanary(ask, look);
+    const canaryChoice = this.#selector.chooseCanary(ask, pass);
     if (canaryChoice !== undefined) {
-      look.canary = [];
-      return this.#placeAt(waiting, canaryChoice, look);
+      pass.canary = [];
+      return this.#placeAt(waiting, canaryChoice, pass);
     }
-    const choice = this.#choices.choose(ask, look);
+    const choice = this.#selector.choose(ask, pass);
     if (choice !== undefined) {
-      return this.#choices.isWorthWaiting(waiting, choice, look)
+      return this.#selector.isWorthWaiting(waiting, choice, pass)
         ? undefined
-        : this.#placeAt(waiting, choice, look);
+        : this.#placeAt(waiting, choice, pass);
     }
-    return this.#refuseIfTooLate(waiting, look, barred);
+    return this.#refuseIfTooLate(waiting, pass, excludedTargets);
   }
 
   /** Refuses a request that would wait for longer than its caller. */
   #refuseIfTooLate(
-    { ask, sinceMs }: WaitingWork,
-    look: Look,
-    barred: readonly Candidate[],
+    { ask, waitingSinceMs }: WaitingWork,
+    pass: SchedulingPass,
+    excludedTargets: readonly Candidate[],
   ): AskDecision | undefined {
-    const { nowMs, ahead } = look;
-    const barredSlots = barred
+    const { nowMs, ahead } = pass;
+    const excludedSlots = excludedTargets
       .reduce((sum, { target }) => sum + this.#slotsOf(target), 0);
-    const slots = Math.max(MIN_SLOTS, this.#usableSlots(look) - barredSlots);
-    const above = this.#load.slotsAbove(ask.rank, nowMs);
-    const available = Math.max(slots - above, NEGLECTED_TIME_SHARE * slots);
+    const slots = Math.max(MIN_SLOTS, this.#usableSlots(pass) - excludedSlots);
+    const slotsAbove = this.#load.slotsAbove(ask.rank, nowMs);
+    const available = Math.max(slots - slotsAbove, STARVED_TIME_SHARE * slots);
     const waitMs = (ahead + 1) * this.#holdMs / available;
-    const leftMs = ask.patienceLeftMs - (nowMs - sinceMs);
+    const leftMs = ask.patienceLeftMs - (nowMs - waitingSinceMs);
     if (waitMs <= leftMs) {
       return undefined;
     }
@@ -446,21 +446,25 @@
   }
 
   /** Slots of the pool, less those that rate limits keep idle. */
-  #usableSlots(look: Look): number {
-    look.usableSlots ??= this.#board.rateLimits.limitedIds()
-      .flatMap((targetId) => look.targets.get(targetId) ?? [])
+  #usableSlots(pass: SchedulingPass): number {
+    pass.usableSlots ??= this.#board.rateLimits.limitedIds()
+      .flatMap((targetId) => pass.targets.get(targetId) ?? [])
       .reduce(
         (sum, { target }) => sum - target.slots + this.#slotsOf(target),
-        look.targets.slots,
+        pass.targets.slots,
       );
-    return look.usableSlots;
+    return pass.usableSlots;
   }
 
   #slotsOf(target: KnownTarget): number {
     return this.#limiter.usableSlots(target, this.#holdMs);
   }
 
-  #placeAt(waiting: WaitingWork, choice: Choice, look: Look): AskDecision {
+  #placeAt(
+    waiting: WaitingWork,
+    choice: Choice,
+    pass: SchedulingPass,
+  ): AskDecision {
     const { ask, cameBackMs } = waiting;
     const { targetId } = choice.target;
     const { askId, holderId, rank, promptTokens, outputTokens } = ask;
@@ -471,7 +475,7 @@
       rank,
       promptTokens,
       outputTokens,
-      placedAtMs: look.nowMs,
+      placedAtMs: pass.nowMs,
       tokensAhead: this.#placed.use(targetId).tokensAhead,
       expectedMs: choice.firstMs,
       cameBackMs,
@@ -482,7 +486,7 @@
       route: ask.route,
     };
     this.#placed.put(work);
-    this.#limiter.consume(targetId, look.nowMs);
+    this.#limiter.consume(targetId, pass.nowMs);
     this.#board.rollouts.placed(choice.target);
     return decisionOf(work);
   }
@@ -499,7 +503,7 @@
  * @param heldForMs How long it is still held back.
  * @returns The decision that gives it no place.
  */
-export function quarantined(
+export function quarantineRefusal(
   { askId, holderId }: WorkAsk,
   heldForMs: number,
 ): AskDecision {
--- a/packages/routing/src/queue_order.ts
+++ b/packages/routing/src/queue_order.ts
@@ -1,25 +1,30 @@
 /** The order in which requests that wait for a target get their turn. */
 
-import { type Candidate, firstMsAt, IDLE, restMsAt } from "./target_choice.ts";
+import {
+  type Candidate,
+  firstMsAt,
+  generationMsAt,
+  IDLE_USE,
+} from "./target_choice.ts";
 import type { WorkAsk } from "./work_ask.ts";
 
 /** A deadline within so many times the caller's patience bounds the start. */
-const SHORT_LIVED_PATIENCES = 2;
+const SHORT_DEADLINE_RATIO = 2;
 
 /** A request that waits. */
 export interface WaitingWork {
   readonly ask: WorkAsk;
   /** Time since its caller's first attempt, where that was refused. */
   readonly cameBackMs: number;
-  readonly sinceMs: number;
+  readonly waitingSinceMs: number;
 }
 
 /** What decides on a request's place in a queue. */
 export interface OrderKey {
   /** Local time until which a start is soon enough to be on time. */
-  readonly startOnTimeByMs: number;
+  readonly latestOnTimeStartMs: number;
   /** Local time by which it has to start at all. */
-  readonly startByMs: number;
+  readonly latestStartMs: number;
 }
 
 /** A request with its key. */
@@ -29,7 +34,7 @@
 }
 
 /** What an order depends on besides the requests. */
-export interface OrderFacts {
+export interface OrderContext {
   /** Ranks that go first for now. */
   readonly promoted: ReadonlySet<number>;
   readonly nowMs: number;
@@ -42,51 +47,55 @@
  * largest tenth of short-lived work was served half as often.
  *
  * @param waiting The requests.
- * @param facts What else decides.
+ * @param context What else decides.
  * @returns The requests, the next one first.
  */
 export function inOrder(
   waiting: Iterable<KeyedWork>,
-  facts: OrderFacts,
+  context: OrderContext,
 ): KeyedWork[] {
-  return [...waiting].sort((a, b) => compared(a, b, facts));
+  return [...waiting].sort((a, b) => compareWork(a, b, context));
 }
 
 /**
  * @param waiting Requests.
- * @param facts What else decides.
+ * @param context What else decides.
  * @returns The one that is next; undefined where there is none.
  */
-export function nextOf(
+export function firstInOrder(
   waiting: Iterable<KeyedWork>,
-  facts: OrderFacts,
+  context: OrderContext,
 ): KeyedWork | undefined {
   let next: KeyedWork | undefined;
   for (const one of waiting) {
-    if (next === undefined || compared(one, next, facts) < 0) {
+    if (next === undefined || compareWork(one, next, context) < 0) {
       next = one;
     }
   }
   return next;
 }
 
-function compared(a: KeyedWork, b: KeyedWork, facts: OrderFacts): number {
-  const { promoted, nowMs } = facts;
+function compareWork(
+  a: KeyedWork,
+  b: KeyedWork,
+  context: OrderContext,
+): number {
+  const { promoted, nowMs } = context;
   const rankOf = ({ rank }: WorkAsk) => promoted.has(rank) ? -1 : rank;
-  const isLate = ({ key }: KeyedWork) => nowMs > key.startOnTimeByMs;
+  const isLate = ({ key }: KeyedWork) => nowMs > key.latestOnTimeStartMs;
   return rankOf(a.work.ask) - rankOf(b.work.ask) ||
     Number(isLate(a)) - Number(isLate(b)) ||
-    a.key.startByMs - b.key.startByMs;
+    a.key.latestStartMs - b.key.latestStartMs;
 }
 
 /**
  * @param waiting A request that waits.
  * @returns Local time until which its first event would be in time.
  */
-export function onTimeUntilMs(
-  { ask, cameBackMs, sinceMs }: WaitingWork,
+export function onTimeDeadlineMs(
+  { ask, cameBackMs, waitingSinceMs }: WaitingWork,
 ): number {
-  return sinceMs + ask.objectiveLeftMs - cameBackMs;
+  return waitingSinceMs + ask.objectiveLeftMs - cameBackMs;
 }
 
 /**
@@ -100,22 +109,23 @@
  */
 export function orderKeyOf(
   work: WaitingWork,
-  { typical, marginTimes }: { typical?: Candidate; marginTimes: number },
+  { typical, marginRatio }: { typical?: Candidate; marginRatio: number },
 ): OrderKey {
-  const { ask, sinceMs } = work;
-  const firstMs = typical === undefined ? 0 : firstMsAt(typical, ask, IDLE);
-  const restMs = typical === undefined ? 0 : restMsAt(typical, ask);
-  const patientUntilMs = sinceMs + ask.patienceLeftMs;
-  const wholeUntilMs = sinceMs + ask.deadlineLeftMs - firstMs - restMs;
+  const { ask, waitingSinceMs } = work;
+  const firstMs = typical === undefined ? 0 : firstMsAt(typical, ask, IDLE_USE);
+  const generationMs = typical === undefined ? 0 : generationMsAt(typical, ask);
+  const patienceEndMs = waitingSinceMs + ask.patienceLeftMs;
+  const latestCompleteStartMs = waitingSinceMs + ask.deadlineLeftMs - firstMs -
+    generationMs;
   return {
-    startOnTimeByMs: onTimeUntilMs(work) - marginTimes * firstMs,
-    startByMs: isShortLived(ask)
-      ? Math.min(patientUntilMs, wholeUntilMs)
-      : patientUntilMs,
+    latestOnTimeStartMs: onTimeDeadlineMs(work) - marginRatio * firstMs,
+    latestStartMs: hasShortDeadline(ask)
+      ? Math.min(patienceEndMs, latestCompleteStartMs)
+      : patienceEndMs,
   };
 }
 
 /** Whether the deadline is about as near as the end of the caller's patience. */
-function isShortLived(ask: WorkAsk): boolean {
-  return ask.deadlineLeftMs < SHORT_LIVED_PATIENCES * ask.patienceLeftMs;
+function hasShortDeadline(ask: WorkAsk): boolean {
+  return ask.deadlineLeftMs < SHORT_DEADLINE_RATIO * ask.patienceLeftMs;
 }
--- a/packages/routing/src/rank_load.ts
+++ b/packages/routing/src/rank_load.ts
@@ -12,8 +12,8 @@
  * longer time tells a surge from some requests that come together, the shorter
  * one when the surge is over.
  */
-const SHORT_MS = 500;
-const LONG_MS = 3000;
+const SHORT_AVERAGE_MS = 500;
+const LONG_AVERAGE_MS = 3000;
 
 /** What came in of one rank, in milliseconds of work, faded by age. */
 interface Load {
@@ -33,8 +33,8 @@
    * @param workMs Time that its work takes at a target.
    * @param nowMs The local time.
    */
-  note(rank: number, workMs: number, nowMs: number): void {
-    const { shortWorkMs, longWorkMs } = this.#faded(rank, nowMs);
+  record(rank: number, workMs: number, nowMs: number): void {
+    const { shortWorkMs, longWorkMs } = this.#decayed(rank, nowMs);
     this.#byRank.set(rank, {
       shortWorkMs: shortWorkMs + workMs,
       longWorkMs: longWorkMs + workMs,
@@ -49,21 +49,21 @@
    */
   slotsAbove(rank: number, nowMs: number): number {
     const above = [...this.#byRank.keys()].filter((other) => other < rank)
-      .map((other) => this.#faded(other, nowMs));
+      .map((other) => this.#decayed(other, nowMs));
     const shortMs = above.reduce((sum, load) => sum + load.shortWorkMs, 0);
     const longMs = above.reduce((sum, load) => sum + load.longWorkMs, 0);
-    return Math.min(shortMs / SHORT_MS, longMs / LONG_MS);
+    return Math.min(shortMs / SHORT_AVERAGE_MS, longMs / LONG_AVERAGE_MS);
   }
 
-  #faded(rank: number, nowMs: number): Load {
+  #decayed(rank: number, nowMs: number): Load {
     const load = this.#byRank.get(rank);
     if (load === undefined) {
       return { shortWorkMs: 0, longWorkMs: 0, atMs: nowMs };
     }
     const ageMs = nowMs - load.atMs;
     return {
-      shortWorkMs: load.shortWorkMs * Math.exp(-ageMs / SHORT_MS),
-      longWorkMs: load.longWorkMs * Math.exp(-ageMs / LONG_MS),
+      shortWorkMs: load.shortWorkMs * Math.exp(-ageMs / SHORT_AVERAGE_MS),
+      longWorkMs: load.longWorkMs * Math.exp(-ageMs / LONG_AVERAGE_MS),
       atMs: nowMs,
     };
   }
--- a/packages/routing/src/rank_load_test.ts
+++ b/packages/routing/src/rank_load_test.ts
@@ -9,7 +9,7 @@
 function loadedWith(rank: number): RankLoad {
   const load = new RankLoad();
   for (let nowMs = 0; nowMs <= SPAN_MS; nowMs += EVERY_MS) {
-    load.note(rank, 200, nowMs);
+    load.record(rank, 200, nowMs);
   }
   return load;
 }
--- a/packages/routing/src/rank_shares.ts
+++ b/packages/routing/src/rank_shares.ts
@@ -11,22 +11,22 @@
  * served rank above it. Operators require at least a quarter of what all
  * requests get.
  */
-const LEAST_PART = 0.35;
+const MIN_SERVED_RATIO = 0.35;
 
 /**
  * The same for a rank of short work, which takes next to nothing from the ranks
  * above: it is to be served as often as the best served of them, but not more.
  */
-const LEAST_PART_SHORT = 0.95;
+const MIN_SERVED_RATIO_SHORT = 0.95;
 
 /** Work is short if it takes this part of the time of the ranks above. */
-const SHORT_PART = 0.4;
+const SHORT_WORK_RATIO = 0.4;
 
 /** How much one observation moves the time that a rank's work takes. */
-const TIME_LEARNING_RATE = 0.05;
+const DURATION_SMOOTHING_FACTOR = 0.05;
 
 /** Counts below this are chance. */
-const FEW = 3;
+const MIN_COUNT = 3;
 
 interface Counts {
   served: number;
@@ -47,8 +47,8 @@
    * @param isServed Whether it got a place, or else was refused.
    * @param nowMs The local time.
    */
-  note(rank: number, isServed: boolean, nowMs: number): void {
-    const counts = this.#faded(rank, nowMs);
+  recordOutcome(rank: number, isServed: boolean, nowMs: number): void {
+    const counts = this.#decayed(rank, nowMs);
     if (isServed) {
       counts.served++;
     } else {
@@ -60,14 +60,13 @@
    * Notes how long work took at its target.
    *
    * @param rank The work's rank.
-   * @param tookMs The time it took.
+   * @param durationMs The time it took.
    * @param nowMs The local time.
    */
-  noteWork(rank: number, tookMs: number, nowMs: number): void {
-    const counts = this.#faded(rank, nowMs);
-    counts.workMs = counts.workMs === 0
-      ? tookMs
-      : counts.workMs + TIME_LEARNING_RATE * (tookMs - counts.workMs);
+  recordDuration(rank: number, durationMs: number, nowMs: number): void {
+    const counts = this.#decayed(rank, nowMs);
+    counts.workMs = counts.workMs === 0 ? durationMs : counts.workMs +
+      DURATION_SMOOTHING_FACTOR * (durationMs - counts.workMs);
   }
 
   /**
@@ -84,33 +83,33 @@
    * @param nowMs The local time.
    * @returns Ranks whose requests go first for now.
    */
-  neglected(nowMs: number): ReadonlySet<number> {
-    const neglected = new Set<number>();
-    let leastAbove = Infinity;
-    let mostAbove = 0;
-    let longestAboveMs = 0;
+  starved(nowMs: number): ReadonlySet<number> {
+    const starved = new Set<number>();
+    let minShareAbove = Infinity;
+    let maxShareAbove = 0;
+    let maxWorkAboveMs = 0;
     for (const rank of [...this.#byRank.keys()].sort((a, b) => a - b)) {
-      const { served, refused, workMs } = this.#faded(rank, nowMs);
+      const { served, refused, workMs } = this.#decayed(rank, nowMs);
       const total = served + refused;
-      if (total < FEW) {
+      if (total < MIN_COUNT) {
         continue;
       }
       const share = served / total;
-      const isShort = workMs < SHORT_PART * longestAboveMs;
-      const least = isShort
-        ? LEAST_PART_SHORT * mostAbove
-        : LEAST_PART * leastAbove;
-      if (leastAbove !== Infinity && share < least) {
-        neglected.add(rank);
+      const isShort = workMs < SHORT_WORK_RATIO * maxWorkAboveMs;
+      const requiredShare = isShort
+        ? MIN_SERVED_RATIO_SHORT * maxShareAbove
+        : MIN_SERVED_RATIO * minShareAbove;
+      if (minShareAbove !== Infinity && share < requiredShare) {
+        starved.add(rank);
       }
-      mostAbove = Math.max(mostAbove, share);
-      longestAboveMs = Math.max(longestAboveMs, workMs);
-      leastAbove = Math.min(leastAbove, share);
+      maxShareAbove = Math.max(maxShareAbove, share);
+      maxWorkAboveMs = Math.max(maxWorkAboveMs, workMs);
+      minShareAbove = Math.min(minShareAbove, share);
     }
-    return neglected;
+    return starved;
   }
 
-  #faded(rank: number, nowMs: number): Counts {
+  #decayed(rank: number, nowMs: number): Counts {
     let counts = this.#byRank.get(rank);
     if (counts === undefined) {
       counts = { served: 0, refused: 0, atMs: nowMs, workMs: 0 };
--- a/packages/routing/src/rank_shares_test.ts
+++ b/packages/routing/src/rank_shares_test.ts
@@ -9,10 +9,10 @@
   refused: number,
 ) {
   for (let i = 0; i < served; i++) {
-    shares.note(rank, true, 0);
+    shares.recordOutcome(rank, true, 0);
   }
   for (let i = 0; i < refused; i++) {
-    shares.note(rank, false, 0);
+    shares.recordOutcome(rank, false, 0);
   }
 }
 
@@ -21,7 +21,7 @@
   note(shares, 0, 8, 2);
   note(shares, 1, 6, 4);
   note(shares, 2, 1, 9);
-  assert.equal([...shares.neglected(0)], [2]);
+  assert.equal([...shares.starved(0)], [2]);
 });
 
 test("a rank of short work is to be served as often as the best above", () => {
@@ -29,13 +29,13 @@
   note(shares, 0, 8, 2);
   note(shares, 1, 5, 5);
   note(shares, 2, 8, 2);
-  assert.equal([...shares.neglected(0)], []);
-  shares.noteWork(0, 2000, 0);
-  shares.noteWork(1, 1500, 0);
-  shares.noteWork(2, 200, 0);
-  assert.equal([...shares.neglected(0)], []);
+  assert.equal([...shares.starved(0)], []);
+  shares.recordDuration(0, 2000, 0);
+  shares.recordDuration(1, 1500, 0);
+  shares.recordDuration(2, 200, 0);
+  assert.equal([...shares.starved(0)], []);
   note(shares, 2, 0, 2);
-  assert.equal([...shares.neglected(0)], [2]);
+  assert.equal([...shares.starved(0)], [2]);
 });
 
 test("the highest rank is never neglected, nor is a rank seldom seen", () => {
@@ -43,15 +43,15 @@
   note(shares, 0, 1, 9);
   note(shares, 1, 9, 1);
   note(shares, 2, 0, 2);
-  assert.equal([...shares.neglected(0)], []);
+  assert.equal([...shares.starved(0)], []);
 });
 
 test("what was long ago does not count", () => {
   const shares = new RankShares();
   note(shares, 0, 10, 0);
   note(shares, 2, 0, 10);
-  assert.equal([...shares.neglected(0)], [2]);
-  assert.equal([...shares.neglected(30_000)], []);
+  assert.equal([...shares.starved(0)], [2]);
+  assert.equal([...shares.starved(30_000)], []);
 });
 
 test.run();
--- a/packages/routing/src/ranks.ts
+++ b/packages/routing/src/ranks.ts
@@ -1,7 +1,7 @@
 /** How requests are ranked: by their workspaces first, then by their routes. */
 
 /** Ranks that routes have at most. */
-const ROUTE_RANKS = 1000;
+const MAX_ROUTE_RANKS = 1000;
 
 /**
  * @param workspaceRank Rank of the workspace; 0 where it has none.
@@ -9,7 +9,7 @@
  * @returns A rank that orders both; 0 is the most valuable.
  */
 export function rankOf(workspaceRank: number, routeRank: number): number {
-  return workspaceRank * ROUTE_RANKS + routeRank;
+  return workspaceRank * MAX_ROUTE_RANKS + routeRank;
 }
 
 /**
@@ -17,5 +17,5 @@
  * @returns The route's part of it.
  */
 export function routeRankOf(rank: number): number {
-  return rank % ROUTE_RANKS;
+  return rank % MAX_ROUTE_RANKS;
 }
--- a/packages/routing/src/rate_limiter.ts
+++ b/packages/routing/src/rate_limiter.ts
@@ -64,14 +64,14 @@
    * @returns Slots that can be busy on average under its limit.
    */
   usableSlots({ targetId, slots }: KnownTarget, holdMs: number): number {
-    const perS = this.#perS(targetId);
-    return perS === undefined
+    const ratePerS = this.#ratePerS(targetId);
+    return ratePerS === undefined
       ? slots
-      : Math.min(slots, perS * holdMs / MS_PER_S);
+      : Math.min(slots, ratePerS * holdMs / MS_PER_S);
   }
 
   /** Drops buckets of targets without a limit. */
-  forgetLifted(): void {
+  evictUnlimited(): void {
     for (const targetId of this.#buckets.keys()) {
       if (this.#limits.limitPerS(targetId) === undefined) {
         this.#buckets.delete(targetId);
@@ -79,7 +79,7 @@
     }
   }
 
-  #perS(targetId: string): number | undefined {
+  #ratePerS(targetId: string): number | undefined {
     const limitPerS = this.#limits.limitPerS(targetId);
     return limitPerS === undefined
       ? undefined
@@ -88,7 +88,7 @@
 
   /** A new bucket is empty: another coordinator may just have used the limit. */
   #bucket(targetId: string, nowMs: number): Bucket | undefined {
-    const perS = this.#perS(targetId);
+    const perS = this.#ratePerS(targetId);
     if (perS === undefined) {
       return undefined;
     }
@@ -97,9 +97,9 @@
       bucket = { tokens: 0, filledAtMs: nowMs };
       this.#buckets.set(targetId, bucket);
     }
-    const passedS = (nowMs - bucket.filledAtMs) / MS_PER_S;
-    const most = Math.max(MIN_BURST, perS * BURST_S);
-    bucket.tokens = Math.min(most, bucket.tokens + perS * passedS);
+    const elapsedS = (nowMs - bucket.filledAtMs) / MS_PER_S;
+    const capacity = Math.max(MIN_BURST, perS * BURST_S);
+    bucket.tokens = Math.min(capacity, bucket.tokens + perS * elapsedS);
     bucket.filledAtMs = nowMs;
     return bucket;
   }
--- a/packages/routing/src/recent_refusals.ts
+++ b/packages/routing/src/recent_refusals.ts
@@ -18,35 +18,35 @@
  * some tens of places meanwhile, and a caller that might have got one is asked
  * back like all others.
  */
-const QUEUE_HOLDS_MS = 100;
+const OVERLOAD_TTL_MS = 100;
 
 /**
  * The longest that a spent allotment stands for itself. It frees up no sooner
  * than the coordinator said, unless a request that was charged never runs.
  */
-const ALLOTMENT_HOLDS_MS = 200;
+const MAX_ALLOTMENT_TTL_MS = 200;
 
 /** Entries that are kept; the oldest make way. */
-const MOST_ENTRIES = 64;
+const MAX_ENTRIES = 64;
 
 interface Entry {
   readonly ask: WorkAsk;
   readonly refusal: Refusal;
-  readonly atMs: number;
-  readonly untilMs: number;
+  readonly recordedAtMs: number;
+  readonly expiresAtMs: number;
 }
 
 /** How long each kind of refusal holds for asks alike; others don't. */
-const HOLDS_MS: Readonly<
+const TTL_MS: Readonly<
   Partial<Record<AskRefusal, (refusal: Refusal) => number>>
 > = {
-  [AskRefusal.Overload]: () => QUEUE_HOLDS_MS,
+  [AskRefusal.Overload]: () => OVERLOAD_TTL_MS,
   [AskRefusal.Allotment]: ({ retryAfterMs }) =>
-    Math.min(ALLOTMENT_HOLDS_MS, retryAfterMs),
+    Math.min(MAX_ALLOTMENT_TTL_MS, retryAfterMs),
 };
 
 /** Whether an ask would fare no better than one that was refused. */
-const IS_NO_BETTER: Readonly<
+const IS_COVERED: Readonly<
   Partial<Record<AskRefusal, (ask: WorkAsk, refused: WorkAsk) => boolean>>
 > = {
   [AskRefusal.Overload]: (ask, refused) =>
@@ -66,12 +66,12 @@
    * @param refusal How.
    * @param nowMs The local time.
    */
-  note(ask: WorkAsk, refusal: Refusal, nowMs: number): void {
-    const holdsMs = HOLDS_MS[refusal.refusal]?.(refusal) ?? 0;
-    if (holdsMs > 0) {
-      const untilMs = nowMs + holdsMs;
-      this.#entries.push({ ask, refusal, atMs: nowMs, untilMs });
-      this.#entries = this.#entries.slice(-MOST_ENTRIES);
+  record(ask: WorkAsk, refusal: Refusal, nowMs: number): void {
+    const ttlMs = TTL_MS[refusal.refusal]?.(refusal) ?? 0;
+    if (ttlMs > 0) {
+      const expiresAtMs = nowMs + ttlMs;
+      this.#entries.push({ ask, refusal, recordedAtMs: nowMs, expiresAtMs });
+      this.#entries = this.#entries.slice(-MAX_ENTRIES);
     }
   }
 
@@ -80,10 +80,12 @@
    * @param nowMs The local time.
    * @returns Its refusal, where the like of it was refused just now.
    */
-  refusalOf(ask: WorkAsk, nowMs: number): Refusal | undefined {
-    this.#entries = this.#entries.filter(({ untilMs }) => nowMs < untilMs);
+  refusalFor(ask: WorkAsk, nowMs: number): Refusal | undefined {
+    this.#entries = this.#entries.filter(({ expiresAtMs }) =>
+      nowMs < expiresAtMs
+    );
     const entry = this.#entries.findLast((one) =>
-      IS_NO_BETTER[one.refusal.refusal]?.(ask, one.ask) === true
+      IS_COVERED[one.refusal.refusal]?.(ask, one.ask) === true
     );
     return entry && {
       askId: ask.askId,
@@ -92,7 +94,7 @@
       retryAfterMs: entry.refusal.retryAfterMs,
       figures: {
         ...entry.refusal.figures,
-        rememberedMs: Math.round(nowMs - entry.atMs),
+        rememberedMs: Math.round(nowMs - entry.recordedAtMs),
       },
     };
   }
--- a/packages/routing/src/recent_refusals_test.ts
+++ b/packages/routing/src/recent_refusals_test.ts
@@ -25,9 +25,9 @@
   refused: Parameters<typeof askOf>[1] = {},
 ) {
   const refusals = new RecentRefusals();
-  refusals.note(askOf("a0", refused), refusal, 0);
+  refusals.record(askOf("a0", refused), refusal, 0);
   return (over: Parameters<typeof askOf>[1], nowMs: number) =>
-    refusals.refusalOf(askOf("a1", over), nowMs)?.refusal;
+    refusals.refusalFor(askOf("a1", over), nowMs)?.refusal;
 }
 
 test("what a full queue has just refused is refused again, for 100 ms", () => {
@@ -62,8 +62,8 @@
 
 test("the refusal is that of the new ask, and tells its age", () => {
   const refusals = new RecentRefusals();
-  refusals.note(askOf("a0"), refusalOf(AskRefusal.Overload), 0);
-  assert.equal(refusals.refusalOf(askOf("a1"), 40), {
+  refusals.record(askOf("a0"), refusalOf(AskRefusal.Overload), 0);
+  assert.equal(refusals.refusalFor(askOf("a1"), 40), {
     askId: "a1",
     holderId: "i1",
     refusal: AskRefusal.Overload,
--- a/packages/routing/src/refused_callers.ts
+++ b/packages/routing/src/refused_callers.ts
@@ -8,25 +8,28 @@
  */
 
 /** Callers that were told to come back do so within their own deadlines. */
-const REMEMBERED_MS = 15_000;
+const MAX_AGE_MS = 15_000;
 
 /** Refused requests, by what is the same for all attempts at one. */
 export class RefusedCallers {
   /** When the first attempt came, the one refused longest ago first. */
-  readonly #byCall = new Map<number, { firstAtMs: number; atMs: number }>();
+  readonly #byCall = new Map<
+    number,
+    { firstAttemptAtMs: number; refusedAtMs: number }
+  >();
 
   /**
    * Notes a refusal.
    *
    * @param callHash What all attempts share; 0 where nothing tells.
-   * @param firstAtMs Local time of the caller's first attempt.
+   * @param firstAttemptAtMs Local time of the caller's first attempt.
    * @param nowMs The local time.
    */
-  note(callHash: number, firstAtMs: number, nowMs: number): void {
-    this.#forgetOld(nowMs);
+  record(callHash: number, firstAttemptAtMs: number, nowMs: number): void {
+    this.#evictExpired(nowMs);
     if (callHash !== 0) {
       this.#byCall.delete(callHash);
-      this.#byCall.set(callHash, { firstAtMs, atMs: nowMs });
+      this.#byCall.set(callHash, { firstAttemptAtMs, refusedAtMs: nowMs });
     }
   }
 
@@ -36,16 +39,16 @@
    * @returns Local time of the caller's first attempt: now, unless it was
    * refused lately.
    */
-  firstAtMs(callHash: number, nowMs: number): number {
+  firstAttemptAtMs(callHash: number, nowMs: number): number {
     const refused = this.#byCall.get(callHash);
     const isRecent = refused !== undefined &&
-      nowMs - refused.atMs <= REMEMBERED_MS;
-    return isRecent ? refused.firstAtMs : nowMs;
+      nowMs - refused.refusedAtMs <= MAX_AGE_MS;
+    return isRecent ? refused.firstAttemptAtMs : nowMs;
   }
 
-  #forgetOld(nowMs: number): void {
-    for (const [callHash, { atMs }] of this.#byCall) {
-      if (nowMs - atMs <= REMEMBERED_MS) {
+  #evictExpired(nowMs: number): void {
+    for (const [callHash, { refusedAtMs }] of this.#byCall) {
+      if (nowMs - refusedAtMs <= MAX_AGE_MS) {
         return;
       }
       this.#byCall.delete(callHash);
--- a/packages/routing/src/refused_callers_test.ts
+++ b/packages/routing/src/refused_callers_test.ts
@@ -4,25 +4,25 @@
 
 test("a caller that was refused is known when it comes back", () => {
   const refused = new RefusedCallers();
-  assert.is(refused.firstAtMs(7, 1000), 1000);
-  refused.note(7, 1000, 1200);
-  assert.is(refused.firstAtMs(7, 2000), 1000);
-  refused.note(7, 1000, 2100);
-  assert.is(refused.firstAtMs(7, 3000), 1000);
-  assert.is(refused.firstAtMs(8, 3000), 3000);
+  assert.is(refused.firstAttemptAtMs(7, 1000), 1000);
+  refused.record(7, 1000, 1200);
+  assert.is(refused.firstAttemptAtMs(7, 2000), 1000);
+  refused.record(7, 1000, 2100);
+  assert.is(refused.firstAttemptAtMs(7, 3000), 1000);
+  assert.is(refused.firstAttemptAtMs(8, 3000), 3000);
 });
 
 test("what was refused long ago does not count", () => {
   const refused = new RefusedCallers();
-  refused.note(7, 0, 0);
-  assert.is(refused.firstAtMs(7, 15_000), 0);
-  assert.is(refused.firstAtMs(7, 15_001), 15_001);
+  refused.record(7, 0, 0);
+  assert.is(refused.firstAttemptAtMs(7, 15_000), 0);
+  assert.is(refused.firstAttemptAtMs(7, 15_001), 15_001);
 });
 
 test("calls that nothing tells apart are never taken for one another", () => {
   const refused = new RefusedCallers();
-  refused.note(0, 0, 0);
-  assert.is(refused.firstAtMs(0, 100), 100);
+  refused.record(0, 0, 0);
+  assert.is(refused.firstAttemptAtMs(0, 100), 100);
 });
 
 test.run();
--- a/packages/routing/src/heard_spending.ts
+++ b/packages/routing/src/reported_spending.ts
@@ -9,7 +9,7 @@
  * Spending by workspace over all holders. A report costs time in proportion to
  * its own size and not to that of the fleet.
  */
-export class HeardSpending {
+export class ReportedSpending {
   readonly #byHolder = new Map<string, readonly WorkspaceSpending[]>();
   readonly #totals = new Map<string, number>();
 
--- a/packages/routing/src/retry_budget.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -7,7 +7,7 @@
  * Share of the users' bound that is handed out. The rest covers repeats that
  * instances send on their own while they cannot hear the coordinator.
  */
-const SHARE_HANDED_OUT = 0.6;
+const USED_BOUND_SHARE = 0.6;
 
 /** Bound on repeats, as the users gave it. */
 export interface RetryBudgetBound {
@@ -44,7 +44,7 @@
    *
    * @param nowMs The local time.
    */
-  noteFirst(nowMs: number): void {
+  recordFirst(nowMs: number): void {
     this.#slice(nowMs).first++;
   }
 
@@ -55,7 +55,7 @@
    * @param nowMs The local time.
    * @returns Whether the repeat may be sent.
    */
-  take(share: number, nowMs: number): boolean {
+  tryTake(share: number, nowMs: number): boolean {
     const slice = this.#slice(nowMs);
     let first = 0;
     let repeats = 0;
@@ -64,7 +64,7 @@
       repeats += r;
     }
     const bound = this.#bound.ratio * first + this.#bound.slack * share;
-    if (repeats + 1 > bound * SHARE_HANDED_OUT) {
+    if (repeats + 1 > bound * USED_BOUND_SHARE) {
       return false;
     }
     slice.repeats++;
--- a/packages/routing/src/refusal.ts
+++ b/packages/routing/src/routed_error.ts
@@ -41,7 +41,7 @@
 }
 
 /** Status codes that callers take for a promise that it never runs. */
-export const PROMISES_NOT_RUN: ReadonlySet<number> = new Set([
+export const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([
   408,
   421,
   429,
--- a/packages/routing/src/routing_test_support.ts
+++ b/packages/routing/src/routing_test_support.ts
@@ -21,12 +21,12 @@
 
 /**
  * @param instanceId The member's id.
- * @param over What differs from one in failure domain `a`.
+ * @param overrides What differs from one in failure domain `a`.
  * @returns What it says of itself.
  */
 export function memberOf(
   instanceId: string,
-  over: Partial<MemberNews> = {},
+  overrides: Partial<MemberNews> = {},
 ): MemberNews {
   return {
     instanceId,
@@ -35,15 +35,15 @@
     incarnation: 1,
     leaving: false,
     cores: 1,
-    ...over,
+    ...overrides,
   };
 }
 
 /**
- * @param over What differs from a plain route.
+ * @param overrides What differs from a plain route.
  * @returns A route of pool `p`.
  */
-export function routeOf(over: Partial<RoutePolicy> = {}): RoutePolicy {
+export function routeOf(overrides: Partial<RoutePolicy> = {}): RoutePolicy {
   return {
     name: "r",
     host: "h.example",
@@ -56,16 +56,16 @@
     longestGapMs: 300,
     maxAttempts: 2,
     isPublic: false,
-    ...over,
+    ...overrides,
   };
 }
 
 /**
- * @param over What differs from a configuration with one engine pool `p`.
+ * @param overrides What differs from a configuration with one engine pool `p`.
  * @returns A configuration.
  */
 export function configurationOf(
-  over: Partial<FleetConfiguration> = {},
+  overrides: Partial<FleetConfiguration> = {},
 ): FleetConfiguration {
   return {
     version: 1,
@@ -82,7 +82,7 @@
       headerTimeoutMs: 3000,
       idleTimeoutMs: 15_000,
     },
-    ...over,
+    ...overrides,
   };
 }
 
@@ -132,10 +132,13 @@
 
 /**
  * @param askId The ask's id.
- * @param over What differs from a small stream of rank 0.
+ * @param overrides What differs from a small stream of rank 0.
  * @returns An ask.
  */
-export function askOf(askId: string, over: Partial<WorkAsk> = {}): WorkAsk {
+export function askOf(
+  askId: string,
+  overrides: Partial<WorkAsk> = {},
+): WorkAsk {
   return {
     askId,
     holderId: "i1",
@@ -152,6 +155,6 @@
     failureDomain: "a",
     excluded: [],
     cause: AskCause.First,
-    ...over,
+    ...overrides,
   };
 }
--- a/packages/routing/src/spending_log.ts
+++ b/packages/routing/src/spending_log.ts
@@ -34,15 +34,15 @@
 ): SpendingHistory {
   // Spending within a second that has left in part may not have left yet, and
   // what remains is never taken for older than it may be.
-  const left = Math.ceil(ageMs / MS_PER_S);
-  const passed = Math.floor(ageMs / MS_PER_S);
-  const kept = bySecond.slice(0, Math.max(0, bySecond.length - left));
+  const expiredSeconds = Math.ceil(ageMs / MS_PER_S);
+  const elapsedSeconds = Math.floor(ageMs / MS_PER_S);
+  const kept = bySecond.slice(0, Math.max(0, bySecond.length - expiredSeconds));
   const aged = {
     workspace,
     spent: sumOf(kept),
-    bySecond: [...new Array<number>(passed).fill(0), ...kept],
+    bySecond: [...new Array<number>(elapsedSeconds).fill(0), ...kept],
   };
-  return grownBy(aged, spent - aged.spent);
+  return withRecentCost(aged, spent - aged.spent);
 }
 
 /**
@@ -50,7 +50,7 @@
  * @param cost Cost units.
  * @returns The same with so much more in the last second.
  */
-export function grownBy(
+export function withRecentCost(
   { workspace, spent, bySecond }: SpendingHistory,
   cost: number,
 ): SpendingHistory {
@@ -65,12 +65,12 @@
 export function roundedUp(
   { workspace, bySecond }: SpendingHistory,
 ): SpendingHistory {
-  const whole = bySecond.map(Math.ceil);
-  return { workspace, spent: sumOf(whole), bySecond: whole };
+  const rounded = bySecond.map(Math.ceil);
+  return { workspace, spent: sumOf(rounded), bySecond: rounded };
 }
 
-function sumOf(figures: readonly number[]): number {
-  return figures.reduce((sum, figure) => sum + figure, 0);
+function sumOf(values: readonly number[]): number {
+  return values.reduce((sum, value) => sum + value, 0);
 }
 
 /** Spending by workspace, in slices of time. */
@@ -88,7 +88,7 @@
    * @param cost Cost units; negative where spending is taken back.
    * @param nowMs The local time.
    */
-  note(workspace: string, cost: number, nowMs: number): void {
+  record(workspace: string, cost: number, nowMs: number): void {
     const slices = this.#byWorkspace.get(workspace) ?? [];
     this.#byWorkspace.set(workspace, slices);
     const newest = slices.at(-1);
@@ -126,7 +126,7 @@
    * @returns When it spent what it spent within the window.
    */
   history(workspace: string, nowMs: number): SpendingHistory {
-    const seconds = Math.ceil(this.#lengthMs() / MS_PER_S);
+    const seconds = Math.ceil(this.#retentionMs() / MS_PER_S);
     const bySecond: number[] = new Array(seconds).fill(0);
     for (const { beganAtMs, spent } of this.#slices(workspace, nowMs)) {
       const age = Math.floor((nowMs - beganAtMs) / MS_PER_S);
@@ -158,36 +158,36 @@
    * @param nowMs The local time.
    * @returns A duration; that of the whole window where less was spent.
    */
-  untilLeft(workspace: string, amount: number, nowMs: number): number {
-    let left = 0;
+  timeUntilExpiredMs(workspace: string, amount: number, nowMs: number): number {
+    let expired = 0;
     for (const slice of this.#slices(workspace, nowMs)) {
-      left += slice.spent;
-      if (left >= amount) {
-        return Math.max(0, slice.beganAtMs + this.#lengthMs() - nowMs);
+      expired += slice.spent;
+      if (expired >= amount) {
+        return Math.max(0, slice.beganAtMs + this.#retentionMs() - nowMs);
       }
     }
-    return this.#lengthMs();
+    return this.#retentionMs();
   }
 
   /**
    * @param nowMs The local time.
    * @returns What each workspace spent within the window.
    */
-  lately(nowMs: number): WorkspaceSpending[] {
+  totals(nowMs: number): WorkspaceSpending[] {
     return [...this.#byWorkspace.keys()]
       .map((workspace) => ({ workspace, spent: this.spent(workspace, nowMs) }))
       .filter(({ spent }) => spent > 0);
   }
 
   /** A slice counts until its last moment has left the window. */
-  #lengthMs(): number {
+  #retentionMs(): number {
     return this.#windowMs + SLICE_MS;
   }
 
   #slices(workspace: string, nowMs: number): readonly Slice[] {
     const slices = this.#byWorkspace.get(workspace) ?? [];
     while (
-      slices.length > 0 && nowMs - slices[0]!.beganAtMs > this.#lengthMs()
+      slices.length > 0 && nowMs - slices[0]!.beganAtMs > this.#retentionMs()
     ) {
       slices.shift();
     }
--- a/packages/routing/src/target_choice.ts
+++ b/packages/routing/src/target_choice.ts
@@ -17,13 +17,13 @@
  * Part that a first event is allowed to take longer than foreseen where it is
  * judged whether it will be in time.
  */
-const FIRST_EVENT_MARGIN = 1.3;
+const FIRST_EVENT_MARGIN_RATIO = 1.3;
 
 /** A target counts as faster where the first event comes in this part. */
-const FASTER_PART = 0.7;
+const FASTER_RATIO = 0.7;
 
 /** What runs at a target that is idle. */
-export const IDLE: TargetUse = { running: 0, tokensAhead: 0, kvTokens: 0 };
+export const IDLE_USE: TargetUse = { running: 0, tokensAhead: 0, kvTokens: 0 };
 
 /** A target that could take a request. */
 export interface Candidate {
@@ -45,7 +45,7 @@
  * Time that a target in another failure domain has to be faster by. Bytes
  * between domains cost money and the way there a few milliseconds.
  */
-const OTHER_DOMAIN_MS = 15;
+const CROSS_DOMAIN_PENALTY_MS = 15;
 
 /** Output tokens in one event of a stream, as a starting figure. */
 const TOKENS_PER_EVENT = 5;
@@ -71,10 +71,10 @@
       continue;
     }
     const firstMs = firstMsAt(candidate, ask, candidate.use);
-    const doneMs = firstMs + restMsAt(candidate, ask) +
+    const doneMs = firstMs + generationMsAt(candidate, ask) +
       (candidate.target.failureDomain === ask.failureDomain
         ? 0
-        : OTHER_DOMAIN_MS);
+        : CROSS_DOMAIN_PENALTY_MS);
     if (doneMs < bestMs) {
       best = { target: candidate.target, firstMs };
       bestMs = doneMs;
@@ -91,23 +91,23 @@
  *
  * @param ask The request.
  * @param best The best choice that is free.
- * @param of All targets that may get it, and the time left in which its first
+ * @param limits All targets that may get it, and the time left in which its first
  * event would be in time.
  * @returns Whether to wait.
  */
 export function isWorthWaiting(
   ask: WorkAsk,
   best: Choice,
-  of: { candidates: () => readonly Candidate[]; leftMs: number },
+  limits: { candidates: () => readonly Candidate[]; leftMs: number },
 ): boolean {
-  const inTimeMs = of.leftMs / FIRST_EVENT_MARGIN;
-  if (best.firstMs <= inTimeMs) {
+  const onTimeMs = limits.leftMs / FIRST_EVENT_MARGIN_RATIO;
+  if (best.firstMs <= onTimeMs) {
     return false;
   }
-  const longestMs = Math.min(inTimeMs, FASTER_PART * best.firstMs);
-  return of.candidates().some((candidate) =>
+  const maxMs = Math.min(onTimeMs, FASTER_RATIO * best.firstMs);
+  return limits.candidates().some((candidate) =>
     !ask.excluded.includes(candidate.target.targetId) &&
-    firstMsAt(candidate, ask, candidate.use) <= longestMs
+    firstMsAt(candidate, ask, candidate.use) <= maxMs
   );
 }
 
@@ -121,7 +121,7 @@
   const [first] = candidates;
   return first && {
     ...first,
-    use: IDLE,
+    use: IDLE_USE,
     pace: TargetPace.mean(candidates.map(({ pace }) => pace)),
   };
 }
@@ -159,7 +159,7 @@
  * @param ask A request.
  * @returns Expected time from its first event there to its last one.
  */
-export function restMsAt(candidate: Candidate, ask: WorkAsk): number {
+export function generationMsAt(candidate: Candidate, ask: WorkAsk): number {
   if (candidate.kvCapacityTokens === undefined) {
     return 0;
   }
--- a/packages/routing/src/target_pace.ts
+++ b/packages/routing/src/target_pace.ts
@@ -1,36 +1,36 @@
 /** How fast targets are, as learned from what they did. */
 
 /** How much one observation moves what was learned. */
-const LEARNING_RATE = 0.2;
+const SMOOTHING_FACTOR = 0.2;
 
 /**
  * Time to the first event of an empty prompt on an idle engine, and time to
  * read a prompt token. Where learning starts; of the order that large
  * mixture-of-experts engines need, and corrected within some tens of requests.
  */
-const FIRST_EVENT_MS = 45;
+const BASE_FIRST_EVENT_MS = 45;
 const PROMPT_TOKEN_MS = 0.012;
 /** Extra time that long prompts take, for each million of token pairs. */
-const PROMPT_PAIRS_MS_PER_M = 0.25;
+const TOKEN_PAIRS_MS_PER_M = 0.25;
 
 /** Time between two events of a stream where learning starts. */
-export const EVENT_GAP_MS = 25;
+export const INITIAL_EVENT_GAP_MS = 25;
 
 /** Time that a plain call takes where learning starts. */
-export const CALL_MS = 50;
+export const INITIAL_CALL_MS = 50;
 
 /** Slowest and fastest that a target is believed to be, against the average. */
-const MAX_SLOWNESS = 20;
-const MIN_SLOWNESS = 0.1;
+const MAX_SLOWNESS_RATIO = 20;
+const MIN_SLOWNESS_RATIO = 0.1;
 
 const PAIRS_PER_M = 1e6;
 
 /** Learned figures of one target. */
 export class TargetPace {
   /** How much slower than the starting figures it reads prompts. */
-  #slowness = 1;
-  #eventGapMs = EVENT_GAP_MS;
-  #callMs = CALL_MS;
+  #slownessRatio = 1;
+  #eventGapMs = INITIAL_EVENT_GAP_MS;
+  #callMs = INITIAL_CALL_MS;
 
   /**
    * @param paces Paces of targets, one at least.
@@ -38,7 +38,7 @@
    */
   static mean(paces: readonly TargetPace[]): TargetPace {
     const mean = new TargetPace();
-    mean.#slowness = meanOf(paces.map((pace) => pace.#slowness));
+    mean.#slownessRatio = meanOf(paces.map((pace) => pace.#slownessRatio));
     mean.#eventGapMs = meanOf(paces.map((pace) => pace.#eventGapMs));
     mean.#callMs = meanOf(paces.map((pace) => pace.#callMs));
     return mean;
@@ -52,7 +52,8 @@
    * @returns A time in milliseconds.
    */
   firstEventMs(promptTokens: number, tokensAhead: number): number {
-    return this.#slowness * plainFirstEventMs(promptTokens, tokensAhead);
+    return this.#slownessRatio *
+      baselineFirstEventMs(promptTokens, tokensAhead);
   }
 
   /** Time between two events of one stream. */
@@ -77,21 +78,21 @@
     tokensAhead: number,
     tookMs: number,
   ): void {
-    const seen = tookMs / plainFirstEventMs(promptTokens, tokensAhead);
-    this.#slowness = learned(
-      this.#slowness,
-      Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, seen)),
+    const observed = tookMs / baselineFirstEventMs(promptTokens, tokensAhead);
+    this.#slownessRatio = smoothed(
+      this.#slownessRatio,
+      Math.min(MAX_SLOWNESS_RATIO, Math.max(MIN_SLOWNESS_RATIO, observed)),
     );
   }
 
   /** @param gapMs Mean time between the events of a stream that ended. */
   learnEventGap(gapMs: number): void {
-    this.#eventGapMs = learned(this.#eventGapMs, gapMs);
+    this.#eventGapMs = smoothed(this.#eventGapMs, gapMs);
   }
 
   /** @param tookMs Time that a plain call took. */
   learnCall(tookMs: number): void {
-    this.#callMs = learned(this.#callMs, tookMs);
+    this.#callMs = smoothed(this.#callMs, tookMs);
   }
 }
 
@@ -101,18 +102,18 @@
  * @returns Time to the first event where learning starts, to compare times of
  * prompts of unlike sizes by.
  */
-export function plainFirstEventMs(
+export function baselineFirstEventMs(
   promptTokens: number,
   tokensAhead: number,
 ): number {
-  return FIRST_EVENT_MS + PROMPT_TOKEN_MS * (promptTokens + tokensAhead) +
-    PROMPT_PAIRS_MS_PER_M * promptTokens * promptTokens / PAIRS_PER_M;
+  return BASE_FIRST_EVENT_MS + PROMPT_TOKEN_MS * (promptTokens + tokensAhead) +
+    TOKEN_PAIRS_MS_PER_M * promptTokens * promptTokens / PAIRS_PER_M;
 }
 
-function learned(before: number, seen: number): number {
-  return before + LEARNING_RATE * (seen - before);
+function smoothed(previous: number, observed: number): number {
+  return previous + SMOOTHING_FACTOR * (observed - previous);
 }
 
-function meanOf(figures: readonly number[]): number {
-  return figures.reduce((sum, figure) => sum + figure, 0) / figures.length;
+function meanOf(values: readonly number[]): number {
+  return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
--- a/packages/routing/src/placement_choice.ts
+++ b/packages/routing/src/target_selector.ts
@@ -3,8 +3,8 @@
 import { CandidateIndex, hasFreeSlot } from "./candidate_index.ts";
 import type { PoolPolicy } from "./fleet_configuration.ts";
 import type { RateLimiter } from "./rate_limiter.ts";
-import type { PlacedWorks } from "./placed_works.ts";
-import { onTimeUntilMs, type WaitingWork } from "./queue_order.ts";
+import type { PlacedWorkIndex } from "./placed_work_index.ts";
+import { onTimeDeadlineMs, type WaitingWork } from "./queue_order.ts";
 import type { RoutingBoard } from "./routing_board.ts";
 import {
   type Candidate,
@@ -17,7 +17,7 @@
 import { AskCause, type WorkAsk } from "./work_ask.ts";
 
 /** The pool's targets at one moment. */
-export interface PlacementLook {
+export interface TargetSnapshot {
   readonly nowMs: number;
   /** Targets that may get new work. */
   readonly targets: CandidateIndex;
@@ -26,17 +26,17 @@
 }
 
 /** What choices depend on. */
-export interface PlacementParts {
+export interface TargetSelectorParts {
   readonly board: RoutingBoard;
-  readonly placed: PlacedWorks;
+  readonly placed: PlacedWorkIndex;
   readonly limiter: RateLimiter;
 }
 
 /** Chooses among the targets of one pool. */
-export class PlacementChoice {
+export class TargetSelector {
   readonly #pool: string;
   readonly #board: RoutingBoard;
-  readonly #placed: PlacedWorks;
+  readonly #placed: PlacedWorkIndex;
   readonly #limiter: RateLimiter;
   #targets?: CandidateIndex;
   /** What the index was made from. */
@@ -47,7 +47,7 @@
    * @param pool The pool's name.
    * @param parts What choices depend on.
    */
-  constructor(pool: string, parts: PlacementParts) {
+  constructor(pool: string, parts: TargetSelectorParts) {
     this.#pool = pool;
     this.#board = parts.board;
     this.#placed = parts.placed;
@@ -58,15 +58,15 @@
    * @param targetId A target.
    * @param use What runs there by now.
    */
-  used(targetId: string, use: TargetUse): void {
-    this.#targets?.used(targetId, use);
+  updateUse(targetId: string, use: TargetUse): void {
+    this.#targets?.updateUse(targetId, use);
   }
 
   /**
    * @param nowMs The local time.
    * @returns The targets that may get requests now.
    */
-  look(nowMs: number): PlacementLook {
+  snapshot(nowMs: number): TargetSnapshot {
     const { targets, rollouts } = this.#board;
     const { serving, canary } = rollouts
       .split(this.#pool, targets.usable(this.#pool, nowMs), nowMs);
@@ -103,7 +103,7 @@
    */
   chooseCanary(
     ask: WorkAsk,
-    { canary }: PlacementLook,
+    { canary }: TargetSnapshot,
   ): Choice | undefined {
     const mayTry = ask.cause !== AskCause.Repeat &&
       !this.#board.suspects.isSuspect(ask.fingerprint);
@@ -115,7 +115,7 @@
    * @param look The targets.
    * @returns The best that can take it; undefined where none can.
    */
-  choose(ask: WorkAsk, { targets, nowMs }: PlacementLook): Choice | undefined {
+  choose(ask: WorkAsk, { targets, nowMs }: TargetSnapshot): Choice | undefined {
     if (!targets.hasFree) {
       return undefined;
     }
@@ -124,9 +124,9 @@
     if (this.#board.suspects.isSuspect(ask.fingerprint)) {
       return chooseAmong(this.#freeForTrial(ask, targets));
     }
-    const compared = targets.free(ask.failureDomain);
-    const choice = chooseAmong(compared);
-    return choice === undefined && compared.length < targets.freeCount
+    const sampled = targets.sampleFree(ask.failureDomain);
+    const choice = chooseAmong(sampled);
+    return choice === undefined && sampled.length < targets.freeCount
       ? chooseAmong(targets.allFree())
       : choice;
   }
@@ -167,9 +167,9 @@
   isWorthWaiting(
     waiting: WaitingWork,
     choice: Choice,
-    { targets, nowMs }: PlacementLook,
+    { targets, nowMs }: TargetSnapshot,
   ): boolean {
-    const leftMs = onTimeUntilMs(waiting) - nowMs;
+    const leftMs = onTimeDeadlineMs(waiting) - nowMs;
     return isWorthWaiting(waiting.ask, choice, {
       candidates: () => this.#withinLimits(targets.all(), nowMs),
       leftMs,
@@ -181,7 +181,7 @@
     return {
       target,
       use: this.#placed.use(targetId),
-      pace: this.#board.paces.of(targetId),
+      pace: this.#board.paces.get(targetId),
       kvCapacityTokens: this.#policy()?.engine?.kvCapacityTokens,
     };
   }
--- a/packages/routing/src/waiting_queue.ts
+++ b/packages/routing/src/waiting_queue.ts
@@ -3,33 +3,33 @@
  * order.
  */
 
-import { LateMargin } from "./late_margin.ts";
+import { FirstEventMargin } from "./first_event_margin.ts";
 import {
+  firstInOrder,
   inOrder,
   type KeyedWork,
-  nextOf,
-  type OrderFacts,
+  type OrderContext,
   orderKeyOf,
   type WaitingWork,
 } from "./queue_order.ts";
-import { type Candidate, firstMsAt, IDLE } from "./target_choice.ts";
+import { type Candidate, firstMsAt, IDLE_USE } from "./target_choice.ts";
 
 /**
  * A queue longer than this is looked at as a whole only every so often: a look
  * costs time in proportion to its length. In between, only free slots are given
  * away.
  */
-const LONG_QUEUE = 32;
-const LOOK_MS = 10;
+const LONG_QUEUE_LENGTH = 32;
+const MIN_REORDER_INTERVAL_MS = 10;
 
 /** Time between two looks for each request that waits. */
-const LOOK_MS_PER_WAITING = 0.25;
+const REORDER_MS_PER_REQUEST = 0.25;
 
 /** Waiting requests by ask. */
 export class WaitingQueue {
   readonly #byAsk = new Map<string, KeyedWork>();
-  readonly #margin = new LateMargin();
-  #lookedAtMs = -Infinity;
+  readonly #margin = new FirstEventMargin();
+  #reorderedAtMs = -Infinity;
   /** An idle target of their mean pace, as of the last look. */
   #typical?: Candidate;
 
@@ -64,7 +64,7 @@
   askIdsOf(holderId: string, beforeMs: number): string[] {
     return [...this.#byAsk.values()]
       .filter(({ work }) =>
-        work.ask.holderId === holderId && work.sinceMs < beforeMs
+        work.ask.holderId === holderId && work.waitingSinceMs < beforeMs
       )
       .map(({ work }) => work.ask.askId);
   }
@@ -73,39 +73,46 @@
    * @param nowMs The local time.
    * @returns Whether it is time to look at the queue as a whole.
    */
-  isDue(nowMs: number): boolean {
-    const everyMs = Math.max(LOOK_MS, LOOK_MS_PER_WAITING * this.size);
-    return this.size <= LONG_QUEUE || nowMs - this.#lookedAtMs >= everyMs;
+  isReorderDue(nowMs: number): boolean {
+    const intervalMs = Math.max(
+      MIN_REORDER_INTERVAL_MS,
+      REORDER_MS_PER_REQUEST * this.size,
+    );
+    return this.size <= LONG_QUEUE_LENGTH ||
+      nowMs - this.#reorderedAtMs >= intervalMs;
   }
 
   /**
    * Looks at the queue as a whole.
    *
    * @param typical An idle target of the mean pace; absent where there is none.
-   * @param facts What else decides on the order.
+   * @param context What else decides on the order.
    * @returns All requests, the next one first.
    */
-  lookAt(typical: Candidate | undefined, facts: OrderFacts): WaitingWork[] {
-    this.#lookedAtMs = facts.nowMs;
+  reorder(
+    typical: Candidate | undefined,
+    context: OrderContext,
+  ): WaitingWork[] {
+    this.#reorderedAtMs = context.nowMs;
     this.#typical = typical;
     for (const { work } of this.#byAsk.values()) {
       this.add(work);
     }
-    return inOrder(this.#byAsk.values(), facts).map(({ work }) => work);
+    return inOrder(this.#byAsk.values(), context).map(({ work }) => work);
   }
 
   /**
-   * @param facts What else decides on the order.
-   * @param passed Asks that are passed by.
+   * @param context What else decides on the order.
+   * @param skipped Asks that are passed by.
    * @returns The one that is next, by the paces of the last look.
    */
   next(
-    facts: OrderFacts,
-    passed: ReadonlySet<string>,
+    context: OrderContext,
+    skipped: ReadonlySet<string>,
   ): WaitingWork | undefined {
-    const left = [...this.#byAsk.values()]
-      .filter(({ work }) => !passed.has(work.ask.askId));
-    return nextOf(left, facts)?.work;
+    const candidates = [...this.#byAsk.values()]
+      .filter(({ work }) => !skipped.has(work.ask.askId));
+    return firstInOrder(candidates, context)?.work;
   }
 
   /**
@@ -114,16 +121,16 @@
    * @param promptTokens Tokens of its prompt.
    * @param firstMs The time it took at its target.
    */
-  learnFirst(promptTokens: number, firstMs: number): void {
+  recordFirstEvent(promptTokens: number, firstMs: number): void {
     if (this.#typical !== undefined) {
-      const foreseenMs = firstMsAt(this.#typical, { promptTokens }, IDLE);
-      this.#margin.learn(firstMs, foreseenMs);
+      const predictedMs = firstMsAt(this.#typical, { promptTokens }, IDLE_USE);
+      this.#margin.learn(firstMs, predictedMs);
     }
   }
 
   #keyed(work: WaitingWork): KeyedWork {
     const typical = this.#typical;
-    const marginTimes = this.#margin.times;
-    return { work, key: orderKeyOf(work, { typical, marginTimes }) };
+    const marginRatio = this.#margin.ratio;
+    return { work, key: orderKeyOf(work, { typical, marginRatio }) };
   }
 }
