--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -499,7 +499,9 @@
       reachesStore: () => this.#news.reachesStore,
       spending: () =>
         this.#wasCoordinator
-          ? this.#coordinator.spendingNearBound(this.#clock.nowMs()).map(roundedUp)
+          ? this.#coordinator.spendingNearBound(this.#clock.nowMs()).map(
+            roundedUp,
+          )
           : [],
       suspects: () =>
         this.#wasCoordinator
--- a/packages/gateway/src/silence_watch.ts
+++ b/packages/gateway/src/silence_watch.ts
@@ -71,7 +71,7 @@
       ? firstEventLimitMs(route, expectedMs)
       : gapLimitMs({
         route,
-        pace: this.#paces.get(target.targetId),
+        pace: this.#paces.of(target.targetId),
         promptTokens: facts.tokens?.prompt ?? 0,
         seenGapMs,
       });
--- a/packages/routing/src/allotment_ledger.ts
+++ b/packages/routing/src/allotment_ledger.ts
@@ -132,16 +132,16 @@
    *
    * @param workspace Name of the workspace.
    * @param allotment What it may spend, over the whole fleet.
-   * @param request The request's cost and its rank within the workspace, and what
+   * @param of The request's cost and its rank within the workspace, and what
    * this ledger may hand out.
    * @returns Whether it was charged, and else when to come back.
    */
   charge(
     workspace: string,
     allotment: Allotment,
-    request: { cost: number; rank: number; scope: LedgerScope },
+    of: { cost: number; rank: number; scope: LedgerScope },
   ): ChargeResult {
-    const { cost, rank, scope } = request;
+    const { cost, rank, scope } = of;
     const { nowMs } = scope;
     const spent = this.#spent(workspace, nowMs);
     const reservedShare = Math.min(
--- a/packages/routing/src/allotment_ledger_test.ts
+++ b/packages/routing/src/allotment_ledger_test.ts
@@ -58,8 +58,8 @@
 test("a refusal tells when the charge would pass", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   spendAll(ledger, scope(0));
-  const request = { cost: 5, rank: 0, scope: scope(2000) };
-  const { allowed, retryAfterMs } = ledger.charge("w", ALLOTMENT, request);
+  const of = { cost: 5, rank: 0, scope: scope(2000) };
+  const { allowed, retryAfterMs } = ledger.charge("w", ALLOTMENT, of);
   assert.is(allowed, false);
   const later = { cost: 5, rank: 0, scope: scope(2000 + retryAfterMs + 1) };
   assert.ok(ledger.charge("w", ALLOTMENT, later).allowed);
@@ -112,8 +112,8 @@
   let recorded = 0;
   for (let atMs = 0; atMs < 30_000; atMs += 50) {
     const cost = atMs < 15_000 ? 60 : 5;
-    const request = { cost, rank: 0, scope: scope(atMs) };
-    ledger.charge("w", ALLOTMENT, request);
+    const of = { cost, rank: 0, scope: scope(atMs) };
+    ledger.charge("w", ALLOTMENT, of);
     const record = ledger.spendingToRecord(atMs);
     recorded = record === undefined ? recorded : record[0]?.spent ?? 0;
     const [spent] = ledger.spendingNearBound(atMs);
@@ -128,8 +128,8 @@
     let spent = 0;
     let record: readonly SpendingHistory[] = [];
     while (spent < WHOLE_BOUND * part) {
-      const request = { cost: 100, rank: 0, scope: scope(0) };
-      if (!before.charge("w", ALLOTMENT, request).allowed) {
+      const of = { cost: 100, rank: 0, scope: scope(0) };
+      if (!before.charge("w", ALLOTMENT, of).allowed) {
         break;
       }
       spent += 100;
@@ -145,8 +145,8 @@
 test("a new coordinator goes on from the account of the one before", () => {
   const before = new AllotmentLedger(TOLERANCE);
   for (let atMs = 0; atMs < 8000; atMs += 1000) {
-    const request = { cost: 1000, rank: 0, scope: scope(atMs) };
-    assert.ok(before.charge("w", ALLOTMENT, request).allowed);
+    const of = { cost: 1000, rank: 0, scope: scope(atMs) };
+    assert.ok(before.charge("w", ALLOTMENT, of).allowed);
   }
   const after = new AllotmentLedger(TOLERANCE);
   after.importHistories(before.spendingNearBound(7500), 7500);
@@ -161,8 +161,8 @@
   const record = [{ workspace: "w", spent: 6000, bySecond: [6000] }];
   first.importHistories(record, 0);
   second.importHistories(record, 0);
-  const request = { cost: 2000, rank: 0, scope: scope(3000) };
-  assert.ok(first.charge("w", ALLOTMENT, request).allowed);
+  const of = { cost: 2000, rank: 0, scope: scope(3000) };
+  assert.ok(first.charge("w", ALLOTMENT, of).allowed);
   second.importHistories(first.spendingNearBound(3000), 3000);
   assert.is(spendAll(second, scope(3000)), WHOLE_BOUND - 8000);
 });
@@ -182,8 +182,8 @@
 
 test("while much is spent, the record is made anew every second", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
-  const request = { cost: WHOLE_BOUND * 0.6, rank: 0, scope: scope(0) };
-  ledger.charge("w", ALLOTMENT, request);
+  const of = { cost: WHOLE_BOUND * 0.6, rank: 0, scope: scope(0) };
+  ledger.charge("w", ALLOTMENT, of);
   assert.is(ledger.spendingToRecord(0)!.length, 1);
   assert.is(ledger.spendingToRecord(900), undefined);
   assert.is(ledger.spendingToRecord(1000)!.length, 1);
@@ -193,16 +193,16 @@
   const ledger = new AllotmentLedger(TOLERANCE);
   spendAll(ledger, scope(0));
   const lower = { ...ALLOTMENT, perS: 100 };
-  const request = { cost: 5, rank: 0, scope: scope(1000) };
-  assert.is(ledger.charge("w", lower, request).allowed, false);
+  const of = { cost: 5, rank: 0, scope: scope(1000) };
+  assert.is(ledger.charge("w", lower, of).allowed, false);
 });
 
 test("the least valuable work is refused first, and gets the plain allotment", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   const spend = (rank: number) => {
     let spent = 0;
-    const request = { cost: 10, rank, scope: scope(0) };
-    while (ledger.charge("w", ALLOTMENT, request).allowed) {
+    const of = { cost: 10, rank, scope: scope(0) };
+    while (ledger.charge("w", ALLOTMENT, of).allowed) {
       spent += 10;
     }
     return spent;
@@ -216,9 +216,9 @@
 
 test("a single request beyond the bound passes when nothing was spent", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
-  const request = { cost: WHOLE_BOUND * 2, rank: 0, scope: scope(0) };
-  assert.ok(ledger.charge("w", ALLOTMENT, request).allowed);
-  assert.is(ledger.charge("w", ALLOTMENT, request).allowed, false);
+  const of = { cost: WHOLE_BOUND * 2, rank: 0, scope: scope(0) };
+  assert.ok(ledger.charge("w", ALLOTMENT, of).allowed);
+  assert.is(ledger.charge("w", ALLOTMENT, of).allowed, false);
 });
 
 test("a refund can be spent again", () => {
--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -341,7 +341,7 @@
   /** What came of work tells of the version of its target. */
   #recordVersionAnswer(
     end: WorkEnd,
-    context: {
+    of: {
       isStream: boolean;
       tokensAhead: number;
       route?: string;
@@ -358,11 +358,11 @@
     if (!isAnswer || target === undefined) {
       return;
     }
-    const isWarm = context.nowMs >= target.warmAtMs;
+    const isWarm = of.nowMs >= target.warmAtMs;
     rollouts.answered(target, {
-      route: context.route ?? "",
+      route: of.route ?? "",
       failed,
-      slowness: failed || !isWarm ? undefined : slownessRatioOf(end, context),
+      slowness: failed || !isWarm ? undefined : slownessRatioOf(end, of),
     });
   }
 
--- a/packages/routing/src/coordinator_test.ts
+++ b/packages/routing/src/coordinator_test.ts
@@ -160,7 +160,7 @@
 function beforeFullFastTarget(): Coordinator {
   const board = boardOf(["fast", "slow"]);
   for (let i = 0; i < 40; i++) {
-    board.paces.get("slow").learnFirstEvent(1000, 0, 180);
+    board.paces.of("slow").learnFirstEvent(1000, 0, 180);
   }
   const coordinator = new Coordinator(board, BOUNDS);
   coordinator.ask(askOf("a1"), scope(0));
--- a/packages/routing/src/target_choice.ts
+++ b/packages/routing/src/target_choice.ts
@@ -91,21 +91,21 @@
  *
  * @param ask The request.
  * @param best The best choice that is free.
- * @param limits All targets that may get it, and the time left in which its first
+ * @param of All targets that may get it, and the time left in which its first
  * event would be in time.
  * @returns Whether to wait.
  */
 export function isWorthWaiting(
   ask: WorkAsk,
   best: Choice,
-  limits: { candidates: () => readonly Candidate[]; leftMs: number },
+  of: { candidates: () => readonly Candidate[]; leftMs: number },
 ): boolean {
-  const onTimeMs = limits.leftMs / FIRST_EVENT_MARGIN_RATIO;
+  const onTimeMs = of.leftMs / FIRST_EVENT_MARGIN_RATIO;
   if (best.firstMs <= onTimeMs) {
     return false;
   }
   const maxMs = Math.min(onTimeMs, FASTER_RATIO * best.firstMs);
-  return limits.candidates().some((candidate) =>
+  return of.candidates().some((candidate) =>
     !ask.excluded.includes(candidate.target.targetId) &&
     firstMsAt(candidate, ask, candidate.use) <= maxMs
   );
--- a/packages/routing/src/target_paces.ts
+++ b/packages/routing/src/target_paces.ts
@@ -11,7 +11,7 @@
    * @param targetId A target.
    * @returns What was learned of it, or where learning starts.
    */
-  get(targetId: string): TargetPace {
+  of(targetId: string): TargetPace {
     let pace = this.#byId.get(targetId);
     if (pace === undefined) {
       pace = new TargetPace();
@@ -24,22 +24,22 @@
    * Learns from work that ended.
    *
    * @param end How it ended.
-   * @param context Whether it was a stream, and the prompt tokens that waited at the
+   * @param of Whether it was a stream, and the prompt tokens that waited at the
    * target when it was sent there.
    */
   learn(
     end: WorkEnd,
-    context: { isStream: boolean; tokensAhead: number },
+    of: { isStream: boolean; tokensAhead: number },
   ): void {
-    const pace = this.get(end.targetId);
+    const pace = this.of(end.targetId);
     if (end.failed || end.firstMs === undefined) {
       return;
     }
-    if (!context.isStream) {
+    if (!of.isStream) {
       pace.learnCall(end.firstMs);
       return;
     }
-    pace.learnFirstEvent(end.promptTokens, context.tokensAhead, end.firstMs);
+    pace.learnFirstEvent(end.promptTokens, of.tokensAhead, end.firstMs);
     if (end.eventGapMs !== undefined) {
       pace.learnEventGap(end.eventGapMs);
     }
--- a/packages/routing/src/target_selector.ts
+++ b/packages/routing/src/target_selector.ts
@@ -181,7 +181,7 @@
     return {
       target,
       use: this.#placed.use(targetId),
-      pace: this.#board.paces.get(targetId),
+      pace: this.#board.paces.of(targetId),
       kvCapacityTokens: this.#policy()?.engine?.kvCapacityTokens,
     };
   }
