--- a/packages/routing/src/allotment_ledger.ts
+++ b/packages/routing/src/allotment_ledger.ts
@@ -1,7 +1,7 @@
 /**
- * Holds workspaces to their allotments over a sliding window, as the operators
- * judge them: what was spent within the window may not pass what the allotment
- * and its tolerance give for it.
+ * Rate-limits the spending of workspaces to their allotments over a sliding
+ * window. The operators' rule is that the spending within any window may not
+ * exceed what the allotment and its tolerance allow for it.
  */
 
 import type { Allotment } from "./fleet_configuration.ts";
@@ -15,26 +15,26 @@
 const MS_PER_S = 1000;
 
 /**
- * Share of the tolerance that is handed out. Where the whole fleet is heard the
- * account is exact; the rest covers charges that only cut-off or killed
- * coordinators knew of.
+ * Share of the tolerance that is handed out. While all instances are reachable
+ * the accounting is exact; the rest of the tolerance covers charges known only
+ * to coordinators that were partitioned or killed.
  */
 const TOLERANCE_USED_SHARE = 0.75;
 
 /**
- * Part of the bound that each rank below the highest leaves to those above it,
- * and the most that any leaves, so that where an allotment runs short the least
- * valuable work is refused first. With the tolerance, every rank still gets what
- * the plain allotment allows.
+ * Share of the bound that each rank below the highest reserves for those above
+ * it, and the upper bound of that reserve, so that the least valuable work is
+ * refused first where an allotment runs short. With the tolerance, every rank
+ * still gets what the plain allotment allows.
  */
 const RESERVE_PER_RANK_SHARE = 0.05;
 const MAX_RESERVE_SHARE = 0.1;
 
 /**
- * Share of a window's bound from which on spending is recorded in the platform's
- * store. A fleet that lost its memory and finds no record hands out the other
- * part of the bound until it has seen a whole window. Workspaces usually spend
- * about half of their allotments, so calm days write nothing.
+ * Share of a window's bound from which spending is recorded in the platform's
+ * store. A fleet that lost its state and finds no record hands out only the
+ * other part of the bound until it has observed a whole window. Workspaces
+ * usually spend about half of their allotments, so normal load writes nothing.
  */
 const RECORDED_SHARE = 0.5;
 
@@ -42,86 +42,97 @@
 const RECORD_STEP_SHARE = 0.05;
 
 /**
- * Age at which a record of workspaces near their bounds is made anew, so that
- * their spending leaves the account of a fleet that was lost second by second,
- * as it leaves the window, and not all at once. One write a second, while some
+ * Age at which a record of workspaces near their bounds is rewritten. A
+ * restarted fleet then expires their spending second by second, as it leaves
+ * the window, and not all at once. The cost is one write per second while any
  * workspace has spent half of its bound.
  */
 const MAX_RECORD_AGE_MS = 1000;
 
 /**
- * Share of the bound below which a recorded workspace is taken off the record,
- * well under where it came on, so that it does not go on and off.
+ * Share of the bound below which a recorded workspace is removed from the
+ * record; well below the share at which it is added, as hysteresis.
  */
 const UNRECORDED_SHARE = 0.35;
 
-/**
- * Age that a report of a holder may have: what was charged since is not in it.
- */
+/** Maximum age of a holder's report: it does not contain charges made since. */
 const MAX_REPORT_AGE_MS = 500;
 
 /** How far spending may go beyond an allotment, by the operators' word. */
 export interface AllotmentTolerance {
   readonly windowMs: number;
-  /** Part of the allotment of one window. */
+  /** Ratio of the permitted excess to the allotment of one window. */
   readonly overage: number;
-  /** Cost units. */
+  /** Permitted excess in one window in cost units, in addition to the ratio. */
   readonly slack: number;
 }
 
-/** What a ledger may hand out, and when. */
+/** Part of the fleet's allotments that a ledger may hand out at a moment. */
 export interface LedgerScope {
-  /** Share of the fleet's allotments, above 0, at most 1. */
+  /** Share of the fleet's allotments, greater than 0 and at most 1. */
   readonly share: number;
-  /** How long the fleet has remembered all spending. */
+  /** Time for which the fleet has retained all spending, in milliseconds. */
   readonly memoryMs: number;
   readonly nowMs: number;
 }
 
-/** What a request cost its workspace. */
+/** Cost units charged to a workspace for one request. */
 export interface Charge {
   readonly workspace: string;
   readonly cost: number;
 }
 
-/** Outcome of a charge. */
+/** Result of an attempt to charge a request. */
 export interface ChargeResult {
   readonly allowed: boolean;
-  /** When the charge would pass, where it does not. */
+  /**
+   * Time in milliseconds until a refused charge would be allowed; 0 if allowed.
+   */
   readonly retryAfterMs: number;
   /** Cost units spent in the window, and the bound on them. */
   readonly spent: number;
   readonly bound: number;
 }
 
-/** Spending of all workspaces, here and through other coordinators. */
+/**
+ * Ledger of the spending of all workspaces, charged here and by other
+ * coordinators.
+ */
 export class AllotmentLedger {
   #tolerance: AllotmentTolerance;
   readonly #ownSpending: SpendingLog;
-  /** Spent through other coordinators, as holders told last. */
+  /**
+   * Cost units charged elsewhere, as derived from the holders' last reports.
+   */
   readonly #spentElsewhere = new Map<string, number>();
-  /** Bounds of one window, by workspace, as last charged by. */
+  /** Bounds of one window by workspace, as computed for the last charge. */
   readonly #windowBounds = new Map<string, number>();
-  /** The last record of this ledger; absent until it has made one. */
+  /**
+   * Spending in the last record that this ledger made; absent before the first.
+   */
   #recorded?: Map<string, number>;
   #recordedAtMs = -Infinity;
   /**
-   * Until when the window holds spending of which only holders' reports tell, or
-   * another coordinator's account.
+   * Local time until which the window contains spending that only holders'
+   * reports or another coordinator's account cover.
    */
   #incompleteUntilMs = -Infinity;
-  /** Workspaces whose spending before the start of this process is known. */
+  /**
+   * Workspaces whose spending before the start of this process was imported.
+   */
   readonly #imported = new Set<string>();
 
-  /** @param tolerance How far spending may go beyond an allotment. */
+  /** @param tolerance Amount by which spending may exceed an allotment. */
   constructor(tolerance: AllotmentTolerance) {
     this.#tolerance = tolerance;
     this.#ownSpending = new SpendingLog(tolerance.windowMs);
   }
 
   /**
-   * @param tolerance The tolerance from now on. Spending is remembered for as
-   * long as the window was at the start.
+   * Replaces the tolerance. Spending is still retained for the window given at
+   * construction.
+   *
+   * @param tolerance The tolerance that applies from now on.
    */
   setTolerance(tolerance: AllotmentTolerance): void {
     this.#tolerance = tolerance;
@@ -131,10 +142,10 @@
    * Charges a request to its workspace if the allotment allows it.
    *
    * @param workspace Name of the workspace.
-   * @param allotment What it may spend, over the whole fleet.
-   * @param of The request's cost and its rank within the workspace, and what
-   * this ledger may hand out.
-   * @returns Whether it was charged, and else when to come back.
+   * @param allotment The workspace's allotment in the whole fleet.
+   * @param of Cost of the request, its rank within the workspace, and the part
+   * of the allotment that this ledger may hand out.
+   * @returns Whether it was charged, and otherwise when to retry.
    */
   charge(
     workspace: string,
@@ -150,8 +161,8 @@
     );
     const bound = this.#bound(workspace, allotment, scope) *
       (1 - reservedShare);
-    // A request dearer than the bound passes when nothing else was spent;
-    // else it could never run at all.
+    // A request that costs more than the bound is allowed when nothing else was
+    // spent; otherwise it could never run.
     if (spent > 0 && spent + cost > bound) {
       const excess = spent + cost - bound;
       const retryAfterMs = this.#ownSpending
@@ -163,35 +174,37 @@
   }
 
   /**
-   * Gives back a charge whose request never ran.
+   * Refunds a charge whose request never ran.
    *
-   * @param charge What was charged, and to whom.
-   * @param nowMs The local time.
+   * @param charge Cost units and the workspace that they were charged to.
+   * @param nowMs Current local time in milliseconds.
    */
   refund({ workspace, cost }: Charge, nowMs: number): void {
     this.#ownSpending.record(workspace, -cost, nowMs);
   }
 
   /**
-   * A part of the spending within the window is known from others only: this
-   * ledger is new, or a holder reports after it was silent.
+   * Marks the local log as incomplete for one window: this ledger is new, or a
+   * holder reports again after a timeout, so some spending is known only from
+   * reports.
    *
-   * @param nowMs The local time.
+   * @param nowMs Current local time in milliseconds.
    */
   markIncomplete(nowMs: number): void {
     this.#incompleteUntilMs = nowMs + this.#tolerance.windowMs;
   }
 
   /**
-   * Counts what was charged elsewhere: by a coordinator before this one, or by
-   * holders on their own.
+   * Derives what was charged elsewhere, by an earlier coordinator or by holders
+   * on their own, from the totals of all holders.
    *
-   * @param totals What all holders told that they spent, wherever charged.
-   * @param nowMs The local time.
+   * @param totals Spending reported by all holders, wherever it was charged.
+   * @param nowMs Current local time in milliseconds.
    */
   setReportedTotals(totals: readonly WorkspaceSpending[], nowMs: number): void {
     this.#spentElsewhere.clear();
-    // Charges that no report can tell of yet must not stand for others' spending.
+    // Charges too recent to be in any report must not be subtracted from
+    // spending that was charged elsewhere.
     const reportedUntilMs = nowMs < this.#incompleteUntilMs
       ? nowMs - MAX_REPORT_AGE_MS
       : nowMs;
@@ -206,13 +219,13 @@
   }
 
   /**
-   * Tells what has to be recorded so that a fleet that loses all its instances
-   * still knows it. What the last record says is never less than what its
-   * workspaces have spent, however old it is.
+   * Determines what must be recorded so that spending is still known after all
+   * instances are lost. The spending in the last record is never below the
+   * actual spending of its workspaces, whatever its age.
    *
-   * @param nowMs The local time.
-   * @returns Spending of all workspaces near their bounds, where the last record
-   * no longer holds; undefined where it does.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Spending of all workspaces near their bounds, if the last record
+   * no longer covers it; undefined if it does.
    */
   spendingToRecord(nowMs: number): SpendingHistory[] | undefined {
     const nearBound = this.spendingNearBound(nowMs);
@@ -223,7 +236,7 @@
     if (isCurrent) {
       return undefined;
     }
-    // What is spent until the next record is counted ahead.
+    // Includes in advance what may be spent before the next record.
     const record = nearBound.map((history) =>
       withRecentCost(
         history,
@@ -235,12 +248,18 @@
     return record;
   }
 
-  /** Forgets the last record: another ledger may have made a newer one. */
+  /**
+   * Discards the last record, so that the next one is written in any case:
+   * another ledger may have written a newer one.
+   */
   invalidateRecord(): void {
     this.#recorded = undefined;
   }
 
-  /** Whether the record holds a workspace to what it spent long ago. */
+  /**
+   * Whether the record is too old, or still lists a workspace whose spending
+   * has mostly left the window.
+   */
   #isRecordStale(nowMs: number): boolean {
     const ageMs = nowMs - this.#recordedAtMs;
     if (this.#recorded!.size > 0 && ageMs >= MAX_RECORD_AGE_MS) {
@@ -253,8 +272,10 @@
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns Spending of the workspaces that are near their bounds.
+   * Returns the spending of the workspaces that are near their bounds.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns One history for each of these workspaces.
    */
   spendingNearBound(nowMs: number): SpendingHistory[] {
     return [...this.#windowBounds].flatMap(([workspace, bound]) => {
@@ -264,20 +285,23 @@
     });
   }
 
-  /** What was spent elsewhere has no times: it counts as spent just now. */
+  /**
+   * Spending of a workspace by age. Spending elsewhere has no timestamps, so it
+   * counts as of the last second.
+   */
   #history(workspace: string, nowMs: number): SpendingHistory {
     const own = this.#ownSpending.history(workspace, nowMs);
     return withRecentCost(own, this.#spentElsewhere.get(workspace) ?? 0);
   }
 
   /**
-   * Goes on from the account of another ledger. Where this one has counted more,
-   * its own account stands: the two have spending in common, and adding them up
-   * held workspaces to nothing for a window after every second loss of a
+   * Imports the account of another ledger. Where this ledger has counted more,
+   * its own account is kept. The two overlap, and adding them up refused
+   * workspaces everything for one window after every second loss of a
    * coordinator.
    *
-   * @param histories What workspaces spent, and when.
-   * @param atMs Local time that the ages in it count from.
+   * @param histories Spending of workspaces by age.
+   * @param atMs Local time in milliseconds that the ages count from.
    */
   importHistories(histories: readonly SpendingHistory[], atMs: number): void {
     this.markIncomplete(atMs);
@@ -285,7 +309,7 @@
       const own = this.#ownSpending.history(history.workspace, atMs);
       this.#imported.add(history.workspace);
       if (own.spent < history.spent) {
-        // What was charged here last may not have been told.
+        // The other ledger may not know of the latest charges made here.
         const lastSecond = own.bySecond[0] ?? 0;
         this.#ownSpending.setHistory(withRecentCost(history, lastSecond), atMs);
       }
--- a/packages/routing/src/candidate_index.ts
+++ b/packages/routing/src/candidate_index.ts
@@ -1,20 +1,26 @@
 /**
- * The targets of one pool with what runs there, kept between choices: what a
- * choice costs does not grow with the number of targets.
+ * Index of a pool's targets and their use, kept between choices so that the
+ * cost of a choice does not grow with the number of targets.
  */
 
 import { type Candidate, type TargetUse, typicalOf } from "./target_choice.ts";
 
-/** Free targets that are compared for one request, if there are as many. */
+/** Upper bound of free targets that are compared for one request. */
 const MAX_COMPARED = 64;
 
-/** How many of them are of the request's own failure domain, at the least. */
+/**
+ * Lower bound of compared targets that are in the request's own failure domain,
+ * if it has as many free ones.
+ */
 const MIN_LOCAL_COMPARED = 48;
 
-/** Time for which the mean pace of a large pool is not made anew. */
+/** Maximum age of the cached mean pace of a large pool. */
 const TYPICAL_MAX_AGE_MS = 100;
 
-/** Free targets of one failure domain, in no order. */
+/**
+ * Unordered set of free targets of one failure domain with constant-time
+ * changes.
+ */
 class FreeList {
   readonly #ids: string[] = [];
   readonly #positions = new Map<string, number>();
@@ -30,7 +36,7 @@
     }
   }
 
-  /** The last one takes its place. */
+  /** Removes a target; the last one of the list takes its position. */
   remove(targetId: string): void {
     const position = this.#positions.get(targetId);
     if (position === undefined) {
@@ -44,7 +50,7 @@
     }
   }
 
-  /** As many as are wanted, others with each turn. */
+  /** Returns up to `count` ids, starting after those of the call before. */
   sample(count: number): string[] {
     if (count >= this.size) {
       return this.#ids;
@@ -55,9 +61,11 @@
   }
 }
 
-/** Candidates by id, and those with free slots by failure domain. */
+/**
+ * Index of candidates by id, and of those with free slots by failure domain.
+ */
 export class CandidateIndex {
-  /** Slots of all targets. */
+  /** Total number of slots of all targets. */
   readonly slots: number;
   readonly #byId = new Map<string, Candidate>();
   readonly #freeByDomain = new Map<string, FreeList>();
@@ -65,7 +73,7 @@
   #typical?: Candidate;
   #typicalAtMs = -Infinity;
 
-  /** @param candidates Every target that serves the pool. */
+  /** @param candidates All targets that serve the pool. */
   constructor(candidates: readonly Candidate[]) {
     this.slots = candidates
       .reduce((sum, { target }) => sum + target.slots, 0);
@@ -91,23 +99,23 @@
   }
 
   /**
-   * @param targetId A target.
-   * @returns The candidate, if it serves the pool.
+   * @param targetId Id of a target.
+   * @returns The candidate; undefined if the target does not serve the pool.
    */
   get(targetId: string): Candidate | undefined {
     return this.#byId.get(targetId);
   }
 
-  /** @returns Every target that serves the pool. */
+  /** @returns All targets that serve the pool. */
   all(): Candidate[] {
     return [...this.#byId.values()];
   }
 
   /**
-   * Takes in what runs at a target by now.
+   * Updates the use of a target.
    *
-   * @param targetId The target; one that does not serve the pool is left out.
-   * @param use What runs there.
+   * @param targetId Id of the target; ignored if it does not serve the pool.
+   * @param use Sums over the work that runs there now.
    */
   updateUse(targetId: string, use: TargetUse): void {
     const known = this.#byId.get(targetId);
@@ -119,9 +127,11 @@
   }
 
   /**
-   * @param failureDomain Domain of who asks.
-   * @returns Targets with a free slot to choose among: all of a small pool, else
-   * some, most of them in that domain.
+   * Samples targets with a free slot to choose among.
+   *
+   * @param failureDomain Failure domain of the holder that asks.
+   * @returns All free targets of a small pool; of a large one some that change
+   * with each call, most of them in the holder's domain.
    */
   sampleFree(failureDomain: string): Candidate[] {
     if (this.#freeCount <= MAX_COMPARED) {
@@ -149,8 +159,12 @@
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns An idle target of their mean pace; undefined where there are none.
+   * Returns a target that stands for the pool's average in predictions. Its
+   * pace is cached for a large pool.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns An idle candidate with the mean pace of all targets; undefined
+   * where there are none.
    */
   typical(nowMs: number): Candidate | undefined {
     const isStale = this.size <= MAX_COMPARED ||
@@ -185,8 +199,8 @@
 }
 
 /**
- * @param candidate A target.
- * @returns Whether it can take one request more.
+ * @param candidate A target and its use.
+ * @returns Whether it has a free slot.
  */
 export function hasFreeSlot({ target, use }: Candidate): boolean {
   return use.running < target.slots;
--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -1,7 +1,8 @@
 /**
- * Decides where the fleet's requests run. Every instance has one and serves any
- * ask that reaches it; the members agree on whose they ask by rendezvous
- * hashing. Its account is soft state that holders' reports renew.
+ * Places the fleet's requests at targets. Every instance has a coordinator and
+ * answers any ask that reaches it; the instances choose the acting one by
+ * rendezvous hashing. Its accounting is soft state: the holders' periodic
+ * reports rebuild it.
  */
 
 import { RateLimiter } from "./rate_limiter.ts";
@@ -34,39 +35,50 @@
 } from "./target_pace.ts";
 
 /**
- * Age below which work that a holder's report leaves out is kept: the report
- * may have been made before the grant reached the holder.
+ * Minimum age of work that is released because a holder's report does not list
+ * it: the report may have been made before the placement reached the holder.
  */
 const REPORT_LAG_MS = 400;
 
-/** Silence after which the work of a holder is no longer counted. */
+/**
+ * Time without an ask or a report after which a holder counts as failed and its
+ * work is released.
+ */
 const HOLDER_TIMEOUT_MS = 1500;
 
 const RETRY_BUDGET_RETRY_AFTER_MS = 1000;
 
-/** Bounds that the operators set on the fleet as a whole. */
+/** Limits that the operators set for the fleet as a whole. */
 export interface FleetBounds {
   readonly retryBudget: RetryBudgetBound;
   readonly allotmentTolerance: AllotmentTolerance;
 }
 
-/** What is known of an ask that waits or was placed. */
+/** An ask that is queued or placed. */
 interface OpenAsk {
   readonly pool: string;
-  /** The same for all attempts of a caller at one request; 0 if unknown. */
+  /** Hash that all attempts of a caller at one request share; 0 if unknown. */
   readonly callHash: number;
-  /** When its caller first came with the request. */
+  /** Local time of the caller's first attempt at the request. */
   readonly firstAttemptAtMs: number;
-  /** Absent where it cost nothing, or was charged by another coordinator. */
+  /**
+   * Charge to refund if the request never runs; absent where it cost nothing or
+   * another coordinator charged it.
+   */
   readonly charge?: Charge;
 }
 
-/** Whether an ask may wait for a place. */
+/** Result of admission control: a refusal, or the charge that was made. */
 type AdmissionResult = { readonly refusal: AskDecision } | {
   readonly charge?: Charge;
 };
 
-/** Coordinates asks of all holders that reach this instance. */
+/**
+ * Queues and places the asks of all holders that reach this instance.
+ *
+ * An ask is a holder's request for a slot at a target of a pool; a holder is
+ * the instance that keeps a caller's connection.
+ */
 export class Coordinator {
   readonly #board: RoutingBoard;
   readonly #pools = new Map<string, PoolSchedule>();
@@ -77,13 +89,13 @@
   readonly #openAsks = new Map<string, OpenAsk>();
   readonly #refusedCallers = new RefusedCallers();
   readonly #lastContactAtMs = new Map<string, number>();
-  /** When each holder last told what was spent through it. */
+  /** Local time at which each holder last reported its spending. */
   readonly #spendingReportedAtMs = new Map<string, number>();
   readonly #spending = new ReportedSpending();
 
   /**
-   * @param board What the instance believes.
-   * @param bounds Bounds that hold for the whole fleet.
+   * @param board Shared routing state of the instance.
+   * @param bounds Limits that apply to the whole fleet.
    */
   constructor(board: RoutingBoard, bounds: FleetBounds) {
     this.#board = board;
@@ -93,13 +105,14 @@
   }
 
   /**
-   * Takes in an ask. One that was sent again gets the same decision again.
+   * Handles an ask: places, queues or refuses it. Idempotent: an ask that was
+   * sent again gets the same decision.
    *
    * @param ask The ask.
-   * @param scope What of the fleet's allotments, retry budgets and targets'
-   * limits this instance may hand out, and the local time.
-   * @returns Decisions, for this ask and for others; none for this one while
-   * it waits.
+   * @param scope Share of the fleet's allotments, retry budgets and targets'
+   * rate limits that this instance may hand out, and the current local time.
+   * @returns Decisions on this ask and on others; none for this one while it is
+   * queued.
    */
   ask(ask: WorkAsk, scope: LedgerScope): AskDecision[] {
     const schedule = this.#poolSchedule(ask.pool);
@@ -131,20 +144,20 @@
   }
 
   /**
-   * Notes that a stream's first event came.
+   * Records that the first event of a stream was received.
    *
-   * @param askId The ask it was placed by.
+   * @param askId Id of the ask that the stream was placed by.
    */
   firstSeen(askId: string): void {
     this.#scheduleOf(askId)?.firstSeen(askId);
   }
 
   /**
-   * Frees what ended work held, and learns from it.
+   * Releases the slot of work that ended, and updates the estimates from it.
    *
-   * @param end How it ended.
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param end Outcome of the work.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   ended(end: WorkEnd, nowMs: number): AskDecision[] {
     this.#updateSuspects(end, nowMs);
@@ -167,11 +180,12 @@
   }
 
   /**
-   * Drops an ask whose caller has left or that was placed elsewhere.
+   * Withdraws an ask whose caller has left or that was placed elsewhere, and
+   * refunds its charge.
    *
-   * @param askId The ask.
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param askId Id of the ask.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   dropped(askId: string, nowMs: number): AskDecision[] {
     const schedule = this.#scheduleOf(askId);
@@ -185,11 +199,12 @@
   }
 
   /**
-   * Brings the account in line with what a holder has open and has spent.
+   * Reconciles the accounting with a holder's report of its open work and its
+   * spending.
    *
    * @param report The holder's report.
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   report(report: HolderReport, nowMs: number): AskDecision[] {
     this.#lastContactAtMs.set(report.holderId, nowMs);
@@ -200,7 +215,7 @@
     this.#spendingReportedAtMs.set(report.holderId, nowMs);
     this.#spending.put(report.holderId, report.spent);
     this.#board.suspects.merge(report.suspects ?? [], nowMs);
-    // Counts what all holders told that they spent, here or elsewhere.
+    // These totals include charges made by other coordinators.
     this.#allotmentLedger.setReportedTotals(this.#spending.totals(), nowMs);
     for (const running of report.running) {
       this.#recordAdopted(running, nowMs);
@@ -214,12 +229,12 @@
   }
 
   /**
-   * Looks up asks that their holder has no word of.
+   * Looks up asks for which a holder has received no decision.
    *
-   * @param askIds Asks that the holder waits for.
-   * @param nowMs The local time.
-   * @returns Decisions on those that were placed, unless they may still be on
-   * their way, and which are not known here.
+   * @param askIds Ids of the asks that the holder waits for.
+   * @param nowMs Current local time in milliseconds.
+   * @returns The placements to send again, without those that may still be in
+   * transit, and the ids of asks that this coordinator does not know.
    */
   lookUp(
     askIds: readonly string[],
@@ -233,11 +248,11 @@
   }
 
   /**
-   * Lets time pass: waiting asks are looked at again, and the work of holders
-   * that fell silent is no longer counted.
+   * Runs periodic work: processes the queues again, releases the work of
+   * holders that timed out, and drops expired state.
    *
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   tick(nowMs: number): AskDecision[] {
     this.#board.suspects.forgetOld(nowMs);
@@ -257,38 +272,50 @@
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns Spending to be recorded in the platform's store, if any is.
+   * Returns the spending record to write to the platform's store.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns Spending of workspaces near their bounds; undefined while the last
+   * record still holds.
    */
   spendingToRecord(nowMs: number): SpendingHistory[] | undefined {
     return this.#allotmentLedger.spendingToRecord(nowMs);
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns Spending of workspaces near their bounds.
+   * Returns the spending of workspaces near their bounds.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns One history for each of these workspaces.
    */
   spendingNearBound(nowMs: number): SpendingHistory[] {
     return this.#allotmentLedger.spendingNearBound(nowMs);
   }
 
   /**
-   * Goes on from what another coordinator counted, or the fleet recorded before
-   * it lost its instances.
+   * Imports spending that another coordinator accounted for, or that the fleet
+   * recorded before all its instances stopped.
    *
-   * @param histories What workspaces spent, and when.
-   * @param atMs Local time that the ages in it count from.
+   * @param histories Spending of workspaces by age.
+   * @param atMs Local time in milliseconds that the ages count from.
    */
   importSpending(histories: readonly SpendingHistory[], atMs: number): void {
     this.#allotmentLedger.importHistories(histories, atMs);
   }
 
-  /** Spending is to be recorded anew: another instance may have done so. */
+  /**
+   * Discards the last spending record, so that a new one is written: another
+   * instance may have overwritten it.
+   */
   invalidateRecord(): void {
     this.#allotmentLedger.invalidateRecord();
   }
 
-  /** @param bounds Bounds that hold from now on. */
+  /**
+   * Replaces the fleet's limits.
+   *
+   * @param bounds Limits that apply from now on.
+   */
   setBounds(bounds: FleetBounds): void {
     this.#bounds = bounds;
     this.#allotmentLedger.setTolerance(bounds.allotmentTolerance);
@@ -297,7 +324,11 @@
     }
   }
 
-  /** @param targetId A target whose process started again under its id. */
+  /**
+   * Releases the work at a target that restarted.
+   *
+   * @param targetId Target whose process started again under the same id.
+   */
   targetRestarted(targetId: string): void {
     for (const schedule of this.#pools.values()) {
       schedule.targetRestarted(targetId);
@@ -305,22 +336,26 @@
   }
 
   /**
-   * @param holderId A holder.
-   * @returns When it last told here what was spent through it; -Infinity where it
-   * never did.
+   * Returns when a holder last reported its spending to this instance.
+   *
+   * @param holderId Id of the holder.
+   * @returns Local time in milliseconds; -Infinity if it never did.
    */
   spendingReportedAtMs(holderId: string): number {
     return this.#spendingReportedAtMs.get(holderId) ?? -Infinity;
   }
 
-  /** Forgets all asks, after a pause in which holders went elsewhere. */
+  /**
+   * Drops all asks, after a pause of this process in which the holders turned
+   * to another coordinator.
+   */
   clearAsks(): void {
     this.#pools.clear();
     this.#openAsks.clear();
     this.#lastContactAtMs.clear();
   }
 
-  /** @returns Requests that wait and that run, by pool. */
+  /** @returns Numbers of queued and of placed requests, by pool. */
   load(): { pool: string; waiting: number; placed: number }[] {
     return [...this.#pools].map(([pool, schedule]) => ({
       pool,
@@ -330,15 +365,20 @@
   }
 
   /**
-   * @param pool A pool.
-   * @param targetIds Targets of it.
-   * @returns Requests that they work on.
+   * Counts the requests that run at some of a pool's targets.
+   *
+   * @param pool Name of the pool.
+   * @param targetIds Ids of the targets.
+   * @returns Number of placed requests.
    */
   runningAt(pool: string, targetIds: readonly string[]): number {
     return this.#poolSchedule(pool).runningAt(targetIds);
   }
 
-  /** What came of work tells of the version of its target. */
+  /**
+   * Feeds an outcome into the comparison of versions while a roll-out of the
+   * pool is in progress.
+   */
   #recordVersionAnswer(
     end: WorkEnd,
     of: {
@@ -434,7 +474,7 @@
     return { refusal };
   }
 
-  /** Work that another coordinator placed. */
+  /** Registers work that another coordinator placed. */
   #recordAdopted({ askId, pool }: RunningWork, nowMs: number): void {
     if (!this.#openAsks.has(askId)) {
       this.#openAsks.set(askId, { pool, callHash: 0, firstAttemptAtMs: nowMs });
@@ -515,7 +555,7 @@
   }
 }
 
-/** Time that work took, in parts of what is usual for its size. */
+/** Duration of work as a ratio of the baseline for its size. */
 function slownessRatioOf(
   { firstMs, eventGapMs, promptTokens }: WorkEnd,
   { isStream, tokensAhead }: { isStream: boolean; tokensAhead: number },
--- a/packages/routing/src/placed_work_index.ts
+++ b/packages/routing/src/placed_work_index.ts
@@ -1,8 +1,11 @@
-/** What runs at the targets of one pool, with sums for each target. */
+/**
+ * Index of the work placed at the targets of one pool, with sums for each
+ * target.
+ */
 
 import { IDLE_USE, type TargetUse } from "./target_choice.ts";
 
-/** Work at a target. */
+/** One piece of work placed at a target. */
 export interface PlacedWork {
   readonly askId: string;
   readonly holderId: string;
@@ -11,60 +14,66 @@
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly placedAtMs: number;
-  /** Prompt tokens that waited at the target when it was placed. */
+  /** Prompt tokens that the target had queued when the work was placed. */
   readonly tokensAhead: number;
-  /** When its first event was expected, from its placement; 0 if unknown. */
+  /** Predicted time from the placement to the first event; 0 if unknown. */
   readonly expectedMs: number;
-  /** Time since its caller's first attempt, where that was refused. */
+  /**
+   * Time from the caller's first attempt to this ask, if that was refused; else
+   * 0.
+   */
   readonly cameBackMs: number;
-  /** Whether its first event came, so that its prompt was read. */
+  /** Whether its first event was received, so that its prompt is processed. */
   readonly firstSeen: boolean;
-  /** Fingerprint of a request that runs on trial; absent for all others. */
+  /**
+   * Fingerprint of a request under suspicion that runs isolated, on trial;
+   * absent for all others.
+   */
   readonly trialOf?: string;
-  /** Its route, while versions of the pool's targets are compared. */
+  /** Route name, while versions of the pool's targets are compared. */
   readonly route?: string;
 }
 
-/** Placed work by ask, by target and by holder. */
+/** Index of placed work by ask, by target and by holder. */
 export class PlacedWorkIndex {
   readonly #byAsk = new Map<string, PlacedWork>();
   readonly #askIdsByHolder = new Map<string, Set<string>>();
   readonly #useByTarget = new Map<string, TargetUse>();
-  /** Those that run on trial; hardly ever any. */
+  /** Work on trial by ask; nearly always empty. */
   readonly #trials = new Map<string, PlacedWork>();
   readonly #onUseChange: (targetId: string, use: TargetUse) => void;
 
-  /** @param onUseChange Called when what runs at a target has changed. */
+  /** @param onUseChange Called when the use of a target has changed. */
   constructor(
     onUseChange: (targetId: string, use: TargetUse) => void = () => {},
   ) {
     this.#onUseChange = onUseChange;
   }
 
-  /** Number of works. */
+  /** Number of placed requests. */
   get size(): number {
     return this.#byAsk.size;
   }
 
   /**
-   * @param askId An ask.
-   * @returns Its work, if it was placed.
+   * @param askId Id of an ask.
+   * @returns The work placed by it; undefined if there is none.
    */
   get(askId: string): PlacedWork | undefined {
     return this.#byAsk.get(askId);
   }
 
   /**
-   * @param targetId A target.
-   * @returns What runs there.
+   * @param targetId Id of a target.
+   * @returns Sums over the work that runs there.
    */
   use(targetId: string): TargetUse {
     return this.#useByTarget.get(targetId) ?? IDLE_USE;
   }
 
   /**
-   * @param holderId A holder.
-   * @returns Its works.
+   * @param holderId Id of a holder.
+   * @returns The work of all its placed asks.
    */
   ofHolder(holderId: string): PlacedWork[] {
     const askIds = this.#askIdsByHolder.get(holderId) ?? [];
@@ -72,8 +81,8 @@
   }
 
   /**
-   * @param targetId A target.
-   * @returns Its works.
+   * @param targetId Id of a target.
+   * @returns All work placed there.
    */
   ofTarget(targetId: string): PlacedWork[] {
     return [...this.#byAsk.values()]
@@ -81,8 +90,8 @@
   }
 
   /**
-   * @param fingerprint A request.
-   * @returns Whether it runs on trial now.
+   * @param fingerprint Fingerprint of a request.
+   * @returns Whether that request runs on trial now.
    */
   isOnTrial(fingerprint: string): boolean {
     return [...this.#trials.values()]
@@ -90,15 +99,19 @@
   }
 
   /**
-   * @param targetId A target.
-   * @returns Whether a request runs there on trial.
+   * @param targetId Id of a target.
+   * @returns Whether any request runs on trial there.
    */
   hasTrialAt(targetId: string): boolean {
     return [...this.#trials.values()]
       .some((work) => work.targetId === targetId);
   }
 
-  /** @param work Work that a target has got; known work is replaced. */
+  /**
+   * Adds work, or replaces the work of the same ask.
+   *
+   * @param work Work placed at a target.
+   */
   put(work: PlacedWork): void {
     this.remove(work.askId);
     this.#byAsk.set(work.askId, work);
@@ -110,7 +123,12 @@
     this.#count(work, 1);
   }
 
-  /** @param askId Work whose first event came. */
+  /**
+   * Records the first event of work, so that its prompt no longer counts as
+   * queued at the target.
+   *
+   * @param askId Id of the work's ask.
+   */
   firstSeen(askId: string): void {
     const work = this.#byAsk.get(askId);
     if (work !== undefined && !work.firstSeen) {
@@ -119,8 +137,10 @@
   }
 
   /**
-   * @param askId Work that has ended.
-   * @returns The work, if there was any.
+   * Removes work that has ended.
+   *
+   * @param askId Id of the work's ask.
+   * @returns The removed work; undefined if there was none.
    */
   remove(askId: string): PlacedWork | undefined {
     const work = this.#byAsk.get(askId);
--- a/packages/routing/src/pool_schedule.ts
+++ b/packages/routing/src/pool_schedule.ts
@@ -1,10 +1,11 @@
 /**
- * The account of one pool: what runs at each target, and which requests wait.
+ * Scheduler of one pool: accounts for the work at each target and queues what
+ * finds no free slot.
  *
  * Targets admit work in order of arrival and know no ranks, so the order is
- * made here: no target is given more than it has slots for, and what finds no
- * slot waits in order of rank. A request whose turn would come too late for its
- * caller is refused as soon as that can be foreseen.
+ * established here: no target gets more work than it has slots, and the rest is
+ * queued by rank. A request that would not start within its caller's patience
+ * is refused as soon as that can be predicted.
  */
 
 import type { RateLimiter } from "./rate_limiter.ts";
@@ -26,47 +27,51 @@
 
 const NO_RANKS: ReadonlySet<number> = new Set();
 
-/** Time that work holds a slot where learning starts. */
+/** Initial estimate of the time for which work occupies a slot. */
 const INITIAL_HOLD_MS = 600;
 const HOLD_SMOOTHING_FACTOR = 0.05;
 
 /**
- * Share of the time at targets that neglected ranks get ahead of their turn, so
- * that their queues don't hold up all ranks above. It is counted in time and not
- * in placements, as work of a low rank may hold a slot for much longer.
+ * Share of the targets' time that starved ranks get ahead of their turn, so
+ * that their queues don't hold up all ranks above. It is accounted in time and
+ * not in placements, because work of a low rank may occupy a slot for much
+ * longer.
  */
 const STARVED_TIME_SHARE = 0.15;
 
-/** Time at targets that neglected ranks may save up, about one long stream. */
+/**
+ * Upper bound of the time credit that starved ranks accumulate, about one long
+ * stream.
+ */
 const MAX_STARVED_CREDIT_MS = 1000;
 
-/** Least number of slots that waits are estimated with. */
+/** Lower bound of the number of slots in wait estimates. */
 const MIN_SLOTS = 0.1;
 
-/** Requests that may be passed by while a free slot is given away. */
+/** Upper bound of requests that are skipped while a free slot is filled. */
 const MAX_SKIPPED = 8;
 
 /**
- * Age of a decision from which it counts as lost where its holder still waits.
- * Under load, reports are a tenth of a second old when they are read.
+ * Age at which a decision counts as lost if its holder still waits for it.
+ * Under load, reports are 100 ms old when they are processed.
  */
 const LOST_DECISION_AGE_MS = 150;
 
-/** Shortest time after which a refused caller is asked to come back. */
+/** Lower bound of the retry delay that a refused caller is given. */
 const MIN_RETRY_AFTER_MS = 500;
 
-/** How long a pool without any usable target is waited for. */
+/** Retry delay of requests to a pool without a usable target. */
 const NO_TARGET_RETRY_AFTER_MS = 1000;
 
-/** What one pass at the queue works with. */
+/** State of one pass over the queue. */
 interface SchedulingPass extends TargetSnapshot {
-  /** Requests that stay ahead in the queue. */
+  /** Requests passed so far that stay queued ahead of the next one. */
   ahead: number;
-  /** Slots that can be busy; absent until a wait is estimated. */
+  /** Slots that rate limits leave usable; absent until a wait is estimated. */
   usableSlots?: number;
 }
 
-/** Places and queue of one pool. */
+/** Placed work and queue of one pool. */
 export class PoolSchedule {
   readonly #board: RoutingBoard;
   readonly #limiter: RateLimiter;
@@ -78,12 +83,13 @@
   readonly #shares = new RankShares();
   readonly #load = new RankLoad();
   #holdMs = INITIAL_HOLD_MS;
-  /** Time at targets that neglected ranks may take ahead of their turn. */
+  /** Time at targets that starved ranks may still get ahead of their turn. */
   #starvedCreditMs = 0;
 
   /**
    * @param pool The pool's name.
-   * @param parts What the instance believes, and the limiter of targets' rates.
+   * @param parts Shared routing state of the instance, and the limiter of the
+   * rates of placements at targets.
    */
   constructor(
     pool: string,
@@ -95,19 +101,21 @@
     this.#selector = new TargetSelector(pool, { board, placed, limiter });
   }
 
-  /** Number of requests that wait. */
+  /** Number of queued requests. */
   get waitingCount(): number {
     return this.#waiting.size;
   }
 
-  /** Number of requests at targets. */
+  /** Number of requests placed at targets. */
   get placedCount(): number {
     return this.#placed.size;
   }
 
   /**
-   * @param askId An ask.
-   * @returns The decision that placed it, if it was placed.
+   * Returns the placement of an ask.
+   *
+   * @param askId Id of the ask.
+   * @returns The decision that placed it; undefined if it is not placed.
    */
   decisionOn(askId: string): AskDecision | undefined {
     const work = this.#placed.get(askId);
@@ -115,9 +123,13 @@
   }
 
   /**
-   * @param askId An ask that its holder still waits for.
-   * @param nowMs The local time.
-   * @returns The decision that placed it, if its holder should have it by now.
+   * Returns the placement of an ask if its holder should have received it by
+   * now.
+   *
+   * @param askId Id of an ask that its holder still waits for.
+   * @param nowMs Current local time in milliseconds.
+   * @returns The decision to send again; undefined if it may still be in
+   * transit or the ask is not placed.
    */
   lostDecisionOn(askId: string, nowMs: number): AskDecision | undefined {
     const work = this.#placed.get(askId);
@@ -127,21 +139,21 @@
   }
 
   /**
-   * @param askId An ask.
-   * @returns Whether it waits here.
+   * @param askId Id of an ask.
+   * @returns Whether it is queued.
    */
   isWaiting(askId: string): boolean {
     return this.#waiting.has(askId);
   }
 
   /**
-   * Takes in an ask: it is placed, waits, or is refused.
+   * Adds an ask, which is then placed, queued or refused.
    *
    * @param ask The ask.
-   * @param of Time since its caller's first attempt, where that was refused,
-   * and the local time.
-   * @returns Decisions on this ask and on others that it displaced; those of a
-   * long queue follow with the next pass at it.
+   * @param of Time since the caller's first attempt, if that was refused, and
+   * the current local time, both in milliseconds.
+   * @returns Decisions on this ask and on others that it displaced. Those of a
+   * long queue follow with its next full pass.
    */
   add(
     ask: WorkAsk,
@@ -154,30 +166,32 @@
   }
 
   /**
-   * Notes that a stream's prompt was read.
+   * Records that the prompt of a stream was processed, as its first event was
+   * received.
    *
-   * @param askId The ask it was placed by.
+   * @param askId Id of the ask that the stream was placed by.
    */
   firstSeen(askId: string): void {
     this.#placed.firstSeen(askId);
   }
 
   /**
-   * Learns from how long a first event, or the answer of a plain call, took.
+   * Updates the prediction of start times from an observed latency.
    *
-   * @param promptTokens Tokens of its prompt.
-   * @param firstMs The time it took at its target.
+   * @param promptTokens Tokens of the request's prompt.
+   * @param firstMs Time to the first event, or to the answer of a plain call.
    */
   recordFirstEvent(promptTokens: number, firstMs: number): void {
     this.#waiting.recordFirstEvent(promptTokens, firstMs);
   }
 
   /**
-   * Frees what an ask holds or waits for.
+   * Removes an ask from the queue or frees its slot.
    *
-   * @param askId The ask.
-   * @param nowMs The local time.
-   * @returns What it held, and decisions on those that waited for it.
+   * @param askId Id of the ask.
+   * @param nowMs Current local time in milliseconds.
+   * @returns The placed work that was removed, if any, and decisions on queued
+   * asks that the slot was given to.
    */
   release(
     askId: string,
@@ -195,12 +209,11 @@
   }
 
   /**
-   * Counts work that a holder has at a target and that another coordinator
-   * placed there.
+   * Accounts for work that another coordinator placed.
    *
-   * @param holderId The holder.
+   * @param holderId Id of the holder that reports the work.
    * @param running The work.
-   * @param nowMs The local time.
+   * @param nowMs Current local time in milliseconds.
    */
   adopt(holderId: string, running: RunningWork, nowMs: number): void {
     const {
@@ -236,10 +249,10 @@
   }
 
   /**
-   * Forgets the work at a target whose process started again: it is lost, and
-   * its holders will say so.
+   * Drops the work at a target whose process restarted. The work is lost; its
+   * holders report its end separately.
    *
-   * @param targetId The target.
+   * @param targetId Id of the target.
    */
   targetRestarted(targetId: string): void {
     for (const { askId } of this.#placed.ofTarget(targetId)) {
@@ -248,8 +261,10 @@
   }
 
   /**
-   * @param targetIds Targets of the pool.
-   * @returns Requests that they work on.
+   * Counts the requests that run at some of the pool's targets.
+   *
+   * @param targetIds Ids of the targets.
+   * @returns Number of placed requests.
    */
   runningAt(targetIds: readonly string[]): number {
     return targetIds.map((targetId) => this.#placed.use(targetId).running)
@@ -257,12 +272,13 @@
   }
 
   /**
-   * Finds what the account holds for a holder, but for what is newer than a
-   * report of the holder's can tell of.
+   * Finds the asks of a holder, without those too recent to be in its last
+   * report.
    *
-   * @param holderId The holder.
-   * @param beforeMs Only asks that were placed or began to wait before this.
-   * @returns Ids of its asks, placed or waiting.
+   * @param holderId Id of the holder.
+   * @param beforeMs Local time in milliseconds; asks that were placed or queued
+   * at this time or later are left out.
+   * @returns Ids of placed and queued asks.
    */
   askIdsOf(holderId: string, beforeMs: number): string[] {
     const placed = this.#placed.ofHolder(holderId)
@@ -274,10 +290,10 @@
   }
 
   /**
-   * Looks at the queue again: time has passed or targets have changed.
+   * Processes the queue again, as time has passed or targets have changed.
    *
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   tick(nowMs: number): AskDecision[] {
     return this.#processQueue(nowMs);
@@ -292,7 +308,7 @@
       : this.#fillSlots(nowMs);
   }
 
-  /** Decides on all that can be decided now. */
+  /** Orders the whole queue and decides every request that can be decided. */
   #decideAll(nowMs: number): AskDecision[] {
     const pass = this.#beginPass(nowMs);
     const context = this.#orderContext(nowMs);
@@ -310,7 +326,7 @@
     return decisions;
   }
 
-  /** Gives free slots to those that are next, in the order of the last pass. */
+  /** Fills free slots in the order of the last full pass. */
   #fillSlots(nowMs: number): AskDecision[] {
     const pass = this.#beginPass(nowMs);
     if (!pass.targets.hasFree) {
@@ -353,7 +369,7 @@
     return { ...this.#selector.snapshot(nowMs), ahead: 0 };
   }
 
-  /** Ranks that go ahead of their turn with the next placement. */
+  /** Ranks that are served first with the next placement. */
   #promoted(nowMs: number): ReadonlySet<number> {
     return this.#starvedCreditMs > 0 ? this.#shares.starved(nowMs) : NO_RANKS;
   }
@@ -412,7 +428,7 @@
     return this.#refuseIfTooLate(waiting, pass, excludedTargets);
   }
 
-  /** Refuses a request that would wait for longer than its caller. */
+  /** Refuses a request whose predicted wait exceeds its caller's patience. */
   #refuseIfTooLate(
     { ask, waitingSinceMs }: WaitingWork,
     pass: SchedulingPass,
@@ -445,7 +461,7 @@
     };
   }
 
-  /** Slots of the pool, less those that rate limits keep idle. */
+  /** Slots of the pool without those that rate limits keep idle. */
   #usableSlots(pass: SchedulingPass): number {
     pass.usableSlots ??= this.#board.rateLimits.limitedIds()
       .flatMap((targetId) => pass.targets.get(targetId) ?? [])
@@ -499,9 +515,11 @@
 }
 
 /**
- * @param ask A request under which targets ended.
- * @param heldForMs How long it is still held back.
- * @returns The decision that gives it no place.
+ * Builds the refusal of a quarantined request.
+ *
+ * @param ask Ask of a request during which targets' processes ended.
+ * @param heldForMs Remaining time of its quarantine in milliseconds.
+ * @returns The decision that refuses it.
  */
 export function quarantineRefusal(
   { askId, holderId }: WorkAsk,
--- a/packages/routing/src/queue_order.ts
+++ b/packages/routing/src/queue_order.ts
@@ -1,4 +1,4 @@
-/** The order in which requests that wait for a target get their turn. */
+/** Order in which queued requests are placed at targets. */
 
 import {
   type Candidate,
@@ -8,46 +8,56 @@
 } from "./target_choice.ts";
 import type { WorkAsk } from "./work_ask.ts";
 
-/** A deadline within so many times the caller's patience bounds the start. */
+/**
+ * A deadline counts as short if the time left to it is below the caller's
+ * patience times this ratio; the start then has to meet it too.
+ */
 const SHORT_DEADLINE_RATIO = 2;
 
-/** A request that waits. */
+/** A queued request. */
 export interface WaitingWork {
   readonly ask: WorkAsk;
-  /** Time since its caller's first attempt, where that was refused. */
+  /**
+   * Time from the caller's first attempt to this ask, if that was refused; else
+   * 0.
+   */
   readonly cameBackMs: number;
   readonly waitingSinceMs: number;
 }
 
-/** What decides on a request's place in a queue. */
+/** Sort key of a queued request. */
 export interface OrderKey {
-  /** Local time until which a start is soon enough to be on time. */
+  /** Latest local start time that meets the request's latency objective. */
   readonly latestOnTimeStartMs: number;
-  /** Local time by which it has to start at all. */
+  /**
+   * Latest local start time that meets the caller's patience and, if it is
+   * short, the deadline.
+   */
   readonly latestStartMs: number;
 }
 
-/** A request with its key. */
+/** A queued request with its sort key. */
 export interface KeyedWork {
   readonly work: WaitingWork;
   readonly key: OrderKey;
 }
 
-/** What an order depends on besides the requests. */
+/** What the order depends on besides the requests. */
 export interface OrderContext {
-  /** Ranks that go first for now. */
+  /** Ranks that are served first at this moment. */
   readonly promoted: ReadonlySet<number>;
   readonly nowMs: number;
 }
 
 /**
- * Orders a queue: promoted ranks first, then by rank; within a rank what can
- * still be on time goes before what cannot, and among these what has to start
- * soonest. Large requests need longer before their deadline: by age alone, the
- * largest tenth of short-lived work was served half as often.
+ * Sorts a queue: promoted ranks first, then by rank. Within a rank, requests
+ * that can still meet their objective go before those that cannot, and
+ * otherwise the earliest latest start goes first. Large requests need more time
+ * before their deadline: ordered by age alone, the largest tenth of requests
+ * with short deadlines was served half as often.
  *
- * @param waiting The requests.
- * @param context What else decides.
+ * @param waiting The queued requests.
+ * @param context Promoted ranks and the current local time.
  * @returns The requests, the next one first.
  */
 export function inOrder(
@@ -58,9 +68,11 @@
 }
 
 /**
- * @param waiting Requests.
- * @param context What else decides.
- * @returns The one that is next; undefined where there is none.
+ * Finds the first request in the order of {@link inOrder} in linear time.
+ *
+ * @param waiting The queued requests.
+ * @param context Promoted ranks and the current local time.
+ * @returns The next request; undefined for an empty queue.
  */
 export function firstInOrder(
   waiting: Iterable<KeyedWork>,
@@ -89,8 +101,11 @@
 }
 
 /**
- * @param waiting A request that waits.
- * @returns Local time until which its first event would be in time.
+ * Returns the time by which a request's first event meets its objective,
+ * counted from the caller's first attempt.
+ *
+ * @param waiting The queued request.
+ * @returns Local time in milliseconds.
  */
 export function onTimeDeadlineMs(
   { ask, cameBackMs, waitingSinceMs }: WaitingWork,
@@ -99,13 +114,14 @@
 }
 
 /**
- * Makes a key with the mean pace of the targets, so that its cost does not grow
- * with their number.
+ * Computes the sort key of a request from the mean pace of the targets, so that
+ * its cost does not grow with their number.
  *
- * @param work A request that waits.
- * @param of An idle target of their mean pace, absent where there is none, and
- * times its first event within which first events come.
- * @returns What decides on its place in the queue.
+ * @param work The queued request.
+ * @param of An idle target with the mean pace, absent where there is none; and
+ * the ratio of actual to predicted times to the first event that is allowed
+ * for.
+ * @returns The sort key.
  */
 export function orderKeyOf(
   work: WaitingWork,
@@ -125,7 +141,9 @@
   };
 }
 
-/** Whether the deadline is about as near as the end of the caller's patience. */
+/**
+ * Whether the deadline is not much later than the end of the caller's patience.
+ */
 function hasShortDeadline(ask: WorkAsk): boolean {
   return ask.deadlineLeftMs < SHORT_DEADLINE_RATIO * ask.patienceLeftMs;
 }
--- a/packages/routing/src/rank_load.ts
+++ b/packages/routing/src/rank_load.ts
@@ -1,37 +1,38 @@
 /**
- * How much of a pool the requests of each rank take up, by what comes in.
+ * Offered load of each rank of a pool: the slots that its arriving requests
+ * need.
  *
- * A request of a low rank waits not only for what is before it, but also for
- * what will come before its turn. Where higher ranks alone fill a pool, its wait
- * is as long as their surge; told so at once, its caller comes back to a pool
- * that has room.
+ * A request of a low rank waits not only for those ahead of it, but also for
+ * those of higher ranks that arrive before its turn. Where higher ranks alone
+ * fill a pool, its wait lasts as long as their surge. If it is refused at once,
+ * its caller retries when the pool has room again.
  */
 
 /**
- * Times over which what comes in is averaged. The lower average counts: the
- * longer time tells a surge from some requests that come together, the shorter
- * one when the surge is over.
+ * Time constants of two moving averages of the arriving work; the lower average
+ * counts. The longer one distinguishes a surge from a short burst, the shorter
+ * one reacts to the end of a surge.
  */
 const SHORT_AVERAGE_MS = 500;
 const LONG_AVERAGE_MS = 3000;
 
-/** What came in of one rank, in milliseconds of work, faded by age. */
+/** Arrived work of one rank in milliseconds, exponentially decayed by age. */
 interface Load {
   shortWorkMs: number;
   longWorkMs: number;
   atMs: number;
 }
 
-/** Slots that each rank's requests need. */
+/** Offered load by rank. */
 export class RankLoad {
   readonly #byRank = new Map<number, Load>();
 
   /**
-   * Notes a request that came in.
+   * Records the arrival of a request.
    *
-   * @param rank Its rank.
-   * @param workMs Time that its work takes at a target.
-   * @param nowMs The local time.
+   * @param rank Rank of the request; 0 is the highest.
+   * @param workMs Time that its work occupies a slot.
+   * @param nowMs Current local time in milliseconds.
    */
   record(rank: number, workMs: number, nowMs: number): void {
     const { shortWorkMs, longWorkMs } = this.#decayed(rank, nowMs);
@@ -43,9 +44,11 @@
   }
 
   /**
-   * @param rank A rank.
-   * @param nowMs The local time.
-   * @returns Slots that requests of the ranks above it need, on average.
+   * Returns the offered load of all ranks above a rank.
+   *
+   * @param rank The rank.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Mean number of slots that their requests need.
    */
   slotsAbove(rank: number, nowMs: number): number {
     const above = [...this.#byRank.keys()].filter((other) => other < rank)
--- a/packages/routing/src/rank_shares.ts
+++ b/packages/routing/src/rank_shares.ts
@@ -1,51 +1,60 @@
 /**
- * How large a share of each rank's requests was served lately, so that a surge
- * of higher ranks does not shut a lower one out altogether.
+ * Share of each rank's recent requests that was served, to detect starvation of
+ * a low rank under a surge of higher ranks.
  */
 
-/** Time in which what was counted fades to half. */
+/** Half-life of the exponentially decayed counts. */
 const HALF_LIFE_MS = 3000;
 
 /**
- * A rank goes first while its served share is below this part of the least
- * served rank above it. Operators require at least a quarter of what all
- * requests get.
+ * A rank is starved while its served share is below this ratio of the lowest
+ * served share above it. Operators require at least a quarter of the share of
+ * all requests.
  */
 const MIN_SERVED_RATIO = 0.35;
 
 /**
- * The same for a rank of short work, which takes next to nothing from the ranks
- * above: it is to be served as often as the best served of them, but not more.
+ * Ratio that applies to a rank of short work instead, relative to the highest
+ * served share above it: such work takes hardly any time from the ranks above,
+ * so it should be served as often as the best served of them, but not more.
  */
 const MIN_SERVED_RATIO_SHORT = 0.95;
 
-/** Work is short if it takes this part of the time of the ranks above. */
+/**
+ * Work counts as short if its mean duration is below this ratio of the longest
+ * mean duration of a rank above.
+ */
 const SHORT_WORK_RATIO = 0.4;
 
-/** How much one observation moves the time that a rank's work takes. */
+/**
+ * Weight of one observation in the moving average of a rank's work duration.
+ */
 const DURATION_SMOOTHING_FACTOR = 0.05;
 
-/** Counts below this are chance. */
+/**
+ * Minimum number of requests of a rank below which its share is not
+ * significant.
+ */
 const MIN_COUNT = 3;
 
 interface Counts {
   served: number;
   refused: number;
   atMs: number;
-  /** Time that its work takes at a target; 0 until some has ended. */
+  /** Mean time that the rank's work occupies a slot; 0 until some has ended. */
   workMs: number;
 }
 
-/** Served shares by rank. */
+/** Served shares and work durations by rank. */
 export class RankShares {
   readonly #byRank = new Map<number, Counts>();
 
   /**
-   * Notes what became of a request.
+   * Records whether a request was placed or refused.
    *
-   * @param rank Its rank.
-   * @param isServed Whether it got a place, or else was refused.
-   * @param nowMs The local time.
+   * @param rank Rank of the request; 0 is the highest.
+   * @param isServed True if it was placed, false if it was refused.
+   * @param nowMs Current local time in milliseconds.
    */
   recordOutcome(rank: number, isServed: boolean, nowMs: number): void {
     const counts = this.#decayed(rank, nowMs);
@@ -57,11 +66,11 @@
   }
 
   /**
-   * Notes how long work took at its target.
+   * Records the duration of work at its target.
    *
-   * @param rank The work's rank.
-   * @param durationMs The time it took.
-   * @param nowMs The local time.
+   * @param rank Rank of the work.
+   * @param durationMs Time that it occupied a slot.
+   * @param nowMs Current local time in milliseconds.
    */
   recordDuration(rank: number, durationMs: number, nowMs: number): void {
     const counts = this.#decayed(rank, nowMs);
@@ -71,17 +80,19 @@
 
   /**
    * @param rank A rank.
-   * @returns Time that its work takes at a target; undefined until some ended.
+   * @returns Mean time in milliseconds that its work occupies a slot; undefined
+   * until some has ended.
    */
   workMs(rank: number): number | undefined {
     return this.#byRank.get(rank)?.workMs || undefined;
   }
 
   /**
-   * Finds ranks that get too little beside the ranks above them.
+   * Finds the ranks that are served too rarely compared with the ranks above
+   * them.
    *
-   * @param nowMs The local time.
-   * @returns Ranks whose requests go first for now.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Ranks whose requests should be served first.
    */
   starved(nowMs: number): ReadonlySet<number> {
     const starved = new Set<number>();
--- a/packages/routing/src/ranks.ts
+++ b/packages/routing/src/ranks.ts
@@ -1,20 +1,24 @@
-/** How requests are ranked: by their workspaces first, then by their routes. */
+/** Ranks (priority classes) of requests: by workspace first, then by route. */
 
-/** Ranks that routes have at most. */
+/** Upper bound, exclusive, of the ranks of routes. */
 const MAX_ROUTE_RANKS = 1000;
 
 /**
+ * Combines the ranks of a workspace and of a route into one.
+ *
  * @param workspaceRank Rank of the workspace; 0 where it has none.
  * @param routeRank Rank of the route.
- * @returns A rank that orders both; 0 is the most valuable.
+ * @returns Rank by which requests are ordered; 0 is the highest priority.
  */
 export function rankOf(workspaceRank: number, routeRank: number): number {
   return workspaceRank * MAX_ROUTE_RANKS + routeRank;
 }
 
 /**
+ * Extracts the route's rank.
+ *
  * @param rank A rank made by {@link rankOf}.
- * @returns The route's part of it.
+ * @returns Rank of the route.
  */
 export function routeRankOf(rank: number): number {
   return rank % MAX_ROUTE_RANKS;
--- a/packages/routing/src/rate_limiter.ts
+++ b/packages/routing/src/rate_limiter.ts
@@ -8,13 +8,13 @@
 
 const MS_PER_S = 1000;
 
-/** Burst that a bucket holds, as time at the target's rate. */
+/** Capacity of a bucket, as time at the target's rate. */
 const BURST_S = 0.5;
 const MIN_BURST = 1;
 
 /**
- * Least rate at which a limited target is still probed: only its answers show
- * that a limit was lifted.
+ * Lower bound of the rate at which a limited target is probed: only its answers
+ * show that a limit was lifted.
  */
 const PROBE_PER_S = 0.5;
 
@@ -23,22 +23,22 @@
   filledAtMs: number;
 }
 
-/** One token bucket for each limited target. */
+/** Token buckets of the targets that advertise a rate limit. */
 export class RateLimiter {
   readonly #limits: TargetRateLimits;
   readonly #buckets = new Map<string, Bucket>();
-  /** Share of each limit that this instance may use. */
+  /** Share (0 to 1) of each limit that this instance may use. */
   share = 1;
 
-  /** @param limits Rate limits of targets. */
+  /** @param limits Rate limits that targets advertise. */
   constructor(limits: TargetRateLimits) {
     this.#limits = limits;
   }
 
   /**
-   * @param targetId A target.
-   * @param nowMs The local time.
-   * @returns Whether its limit, if any, allows another request.
+   * @param targetId Id of a target.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Whether its rate limit, if any, allows another request.
    */
   allows(targetId: string, nowMs: number): boolean {
     const bucket = this.#bucket(targetId, nowMs);
@@ -46,10 +46,10 @@
   }
 
   /**
-   * Takes one token.
+   * Takes one token from the bucket of a target.
    *
-   * @param targetId A target that a request was placed at.
-   * @param nowMs The local time.
+   * @param targetId Id of the target that a request was placed at.
+   * @param nowMs Current local time in milliseconds.
    */
   consume(targetId: string, nowMs: number): void {
     const bucket = this.#bucket(targetId, nowMs);
@@ -59,8 +59,10 @@
   }
 
   /**
-   * @param target A target.
-   * @param holdMs How long work holds a slot.
+   * Estimates the slots that a target's rate limit leaves usable.
+   *
+   * @param target The target.
+   * @param holdMs Mean time in milliseconds for which work occupies a slot.
    * @returns Slots that can be busy on average under its limit.
    */
   usableSlots({ targetId, slots }: KnownTarget, holdMs: number): number {
@@ -70,7 +72,7 @@
       : Math.min(slots, ratePerS * holdMs / MS_PER_S);
   }
 
-  /** Drops buckets of targets without a limit. */
+  /** Evicts the buckets of targets that no longer have a limit. */
   evictUnlimited(): void {
     for (const targetId of this.#buckets.keys()) {
       if (this.#limits.limitPerS(targetId) === undefined) {
--- a/packages/routing/src/recent_refusals.ts
+++ b/packages/routing/src/recent_refusals.ts
@@ -1,32 +1,34 @@
 /**
- * What a coordinator refused lately, for the holder that asked: what is sure to
- * be refused as well is refused at once and costs the coordinator nothing.
+ * Short-lived cache of a coordinator's refusals, kept by the holder that asked.
+ * An ask that would certainly be refused as well is refused locally at no cost
+ * to the coordinator.
  *
- * It answers to a surge in which refused callers come back within a second:
- * there, most asks are such that the coordinator has just refused the like, and
- * they would take the processor time in which it gives places.
+ * It limits the load of a surge in which refused callers retry within a second.
+ * Most asks then resemble one that was just refused, and they would take the
+ * processor time in which the coordinator places requests.
  */
 
 import type { AskDecision, WorkAsk } from "./work_ask.ts";
 import { AskRefusal } from "./work_ask.ts";
 
-/** A decision that gives no place. */
+/** A decision that refuses an ask. */
 export type Refusal = Extract<AskDecision, { refusal: AskRefusal }>;
 
 /**
- * Time for which a full queue stands for itself. A queue at its bound moves by
- * some tens of places meanwhile, and a caller that might have got one is asked
- * back like all others.
+ * Time for which a refusal for overload is reused. A queue at its bound
+ * advances by tens of requests meanwhile; a caller that might have been placed
+ * gets the same retry delay as all others.
  */
 const OVERLOAD_TTL_MS = 100;
 
 /**
- * The longest that a spent allotment stands for itself. It frees up no sooner
- * than the coordinator said, unless a request that was charged never runs.
+ * Upper bound of the time for which a refusal for a spent allotment is reused.
+ * The allotment frees up no sooner than the coordinator predicted, unless a
+ * request that was charged never runs.
  */
 const MAX_ALLOTMENT_TTL_MS = 200;
 
-/** Entries that are kept; the oldest make way. */
+/** Upper bound of cached entries; the oldest are evicted first. */
 const MAX_ENTRIES = 64;
 
 interface Entry {
@@ -36,7 +38,9 @@
   readonly expiresAtMs: number;
 }
 
-/** How long each kind of refusal holds for asks alike; others don't. */
+/**
+ * Time for which each kind of refusal is reused; other kinds are not cached.
+ */
 const TTL_MS: Readonly<
   Partial<Record<AskRefusal, (refusal: Refusal) => number>>
 > = {
@@ -45,7 +49,7 @@
     Math.min(MAX_ALLOTMENT_TTL_MS, retryAfterMs),
 };
 
-/** Whether an ask would fare no better than one that was refused. */
+/** Whether an ask would certainly be refused where another one was. */
 const IS_COVERED: Readonly<
   Partial<Record<AskRefusal, (ask: WorkAsk, refused: WorkAsk) => boolean>>
 > = {
@@ -57,14 +61,16 @@
     ask.cost >= refused.cost,
 };
 
-/** Refusals of the last moments. */
+/** Cache of the last refusals. */
 export class RecentRefusals {
   #entries: Entry[] = [];
 
   /**
-   * @param ask An ask that was refused.
-   * @param refusal How.
-   * @param nowMs The local time.
+   * Caches a refusal, if its kind may be reused.
+   *
+   * @param ask The refused ask.
+   * @param refusal The coordinator's refusal.
+   * @param nowMs Current local time in milliseconds.
    */
   record(ask: WorkAsk, refusal: Refusal, nowMs: number): void {
     const ttlMs = TTL_MS[refusal.refusal]?.(refusal) ?? 0;
@@ -76,9 +82,12 @@
   }
 
   /**
-   * @param ask An ask.
-   * @param nowMs The local time.
-   * @returns Its refusal, where the like of it was refused just now.
+   * Finds a cached refusal that covers an ask.
+   *
+   * @param ask The ask.
+   * @param nowMs Current local time in milliseconds.
+   * @returns A refusal of this ask with the figures and retry delay of the
+   * cached one; undefined if none covers it.
    */
   refusalFor(ask: WorkAsk, nowMs: number): Refusal | undefined {
     this.#entries = this.#entries.filter(({ expiresAtMs }) =>
@@ -99,7 +108,7 @@
     };
   }
 
-  /** Forgets all: another coordinator may decide otherwise. */
+  /** Clears the cache, as another coordinator may decide otherwise. */
   clear(): void {
     this.#entries = [];
   }
--- a/packages/routing/src/refused_callers.ts
+++ b/packages/routing/src/refused_callers.ts
@@ -1,29 +1,32 @@
 /**
- * Remembers which requests were refused, so that a caller that comes back is
- * known by its request.
+ * Record of recently refused requests, by which a caller that retries is
+ * recognised.
  *
- * Who comes back is late already: within a rank those who can still be on time
- * go first. The time that a caller still has does not tell the two apart, since
- * callers of one route set deadlines that differ.
+ * A caller that retries is late already: within a rank, requests that can still
+ * meet their objective go first. The time left to a deadline does not
+ * distinguish the two, as callers of one route set different deadlines.
  */
 
-/** Callers that were told to come back do so within their own deadlines. */
+/** Retention of a refusal: refused callers retry within their own deadlines. */
 const MAX_AGE_MS = 15_000;
 
-/** Refused requests, by what is the same for all attempts at one. */
+/** Recently refused requests, by the hash that all attempts at one share. */
 export class RefusedCallers {
-  /** When the first attempt came, the one refused longest ago first. */
+  /**
+   * Times of the first attempt and of the last refusal, the oldest refusal
+   * first.
+   */
   readonly #byCall = new Map<
     number,
     { firstAttemptAtMs: number; refusedAtMs: number }
   >();
 
   /**
-   * Notes a refusal.
+   * Records a refusal.
    *
-   * @param callHash What all attempts share; 0 where nothing tells.
+   * @param callHash Hash that all attempts share; 0 if unknown.
    * @param firstAttemptAtMs Local time of the caller's first attempt.
-   * @param nowMs The local time.
+   * @param nowMs Current local time in milliseconds.
    */
   record(callHash: number, firstAttemptAtMs: number, nowMs: number): void {
     this.#evictExpired(nowMs);
@@ -34,10 +37,12 @@
   }
 
   /**
-   * @param callHash What all attempts share; 0 where nothing tells.
-   * @param nowMs The local time.
-   * @returns Local time of the caller's first attempt: now, unless it was
-   * refused lately.
+   * Returns when a caller first attempted a request.
+   *
+   * @param callHash Hash that all attempts share; 0 if unknown.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Local time of the first attempt if the request was refused
+   * recently; otherwise the current time.
    */
   firstAttemptAtMs(callHash: number, nowMs: number): number {
     const refused = this.#byCall.get(callHash);
--- a/packages/routing/src/reported_spending.ts
+++ b/packages/routing/src/reported_spending.ts
@@ -1,21 +1,27 @@
-/** What holders told last that workspaces spent through them, added up. */
+/** Sums of the spending of workspaces in the last reports of all holders. */
 
 import type { WorkspaceSpending } from "./spending_log.ts";
 
-/** Less than any request costs; what is left below it is rounding. */
+/**
+ * Total below the cost of any request; what is left below it is a rounding
+ * error.
+ */
 const NEGLIGIBLE = 0.001;
 
 /**
- * Spending by workspace over all holders. A report costs time in proportion to
- * its own size and not to that of the fleet.
+ * Totals by workspace over all holders. A report costs time in proportion to
+ * its own size and not to the number of holders.
  */
 export class ReportedSpending {
   readonly #byHolder = new Map<string, readonly WorkspaceSpending[]>();
   readonly #totals = new Map<string, number>();
 
   /**
-   * @param holderId Who told.
-   * @param spending All that it told now; replaces what it told before.
+   * Replaces the spending reported by a holder.
+   *
+   * @param holderId Id of the holder.
+   * @param spending All spending in its last report; empty to remove the
+   * holder.
    */
   put(holderId: string, spending: readonly WorkspaceSpending[]): void {
     for (const before of this.#byHolder.get(holderId) ?? []) {
@@ -30,7 +36,7 @@
     }
   }
 
-  /** @returns Spending over all holders. */
+  /** @returns Total spending of each workspace over all holders. */
   totals(): WorkspaceSpending[] {
     return [...this.#totals]
       .map(([workspace, spent]) => ({ workspace, spent }));
--- a/packages/routing/src/retry_budget.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -1,19 +1,22 @@
-/** How many repeats the fleet may send, so that retries never feed a surge. */
+/**
+ * Retry budget: bounds the repeats that the fleet sends, so that retries don't
+ * amplify an overload.
+ */
 
 const MS_PER_S = 1000;
 const SLICE_MS = 500;
 
 /**
  * Share of the users' bound that is handed out. The rest covers repeats that
- * instances send on their own while they cannot hear the coordinator.
+ * instances send on their own while they cannot reach the coordinator.
  */
 const USED_BOUND_SHARE = 0.6;
 
-/** Bound on repeats, as the users gave it. */
+/** Bound on repeats in a sliding window, as the users set it. */
 export interface RetryBudgetBound {
-  /** Repeats for each request. */
+  /** Permitted repeats per first send. */
   readonly ratio: number;
-  /** Repeats that are free in each window. */
+  /** Permitted repeats per window in addition to the ratio. */
   readonly slack: number;
   readonly windowS: number;
 }
@@ -24,35 +27,40 @@
   repeats: number;
 }
 
-/** Counts first sends and repeats of a pool over a sliding window. */
+/** Counts the first sends and repeats of a pool over a sliding window. */
 export class RetryBudget {
   #bound: RetryBudgetBound;
   readonly #slices: Slice[] = [];
 
-  /** @param bound The bound that holds for the whole fleet. */
+  /** @param bound Bound that applies to the whole fleet. */
   constructor(bound: RetryBudgetBound) {
     this.#bound = bound;
   }
 
-  /** @param bound The bound from now on. */
+  /**
+   * Replaces the bound.
+   *
+   * @param bound Bound that applies from now on.
+   */
   setBound(bound: RetryBudgetBound): void {
     this.#bound = bound;
   }
 
   /**
-   * Notes a request's first send.
+   * Records the first send of a request.
    *
-   * @param nowMs The local time.
+   * @param nowMs Current local time in milliseconds.
    */
   recordFirst(nowMs: number): void {
     this.#slice(nowMs).first++;
   }
 
   /**
-   * Takes one repeat from the budget.
+   * Takes one repeat from the budget, if any is left.
    *
-   * @param share Share (0 to 1) of the fleet's budget this instance may use.
-   * @param nowMs The local time.
+   * @param share Share (0 to 1) of the fleet's slack that this instance may
+   * use.
+   * @param nowMs Current local time in milliseconds.
    * @returns Whether the repeat may be sent.
    */
   tryTake(share: number, nowMs: number): boolean {
--- a/packages/routing/src/routing_board.ts
+++ b/packages/routing/src/routing_board.ts
@@ -1,6 +1,7 @@
 /**
- * What one instance believes about the fleet. Each section is written by the
- * part named in its comment and only read by the others.
+ * Shared routing state (blackboard) of one instance: its view of the fleet.
+ * Each section is written only by the components that its comment names, and
+ * read by the others.
  */
 
 import type { ConfigurationAge } from "./configuration_age.ts";
@@ -15,28 +16,55 @@
 import type { TargetPaces } from "./target_paces.ts";
 import type { TargetBackoffs } from "./target_backoffs.ts";
 
-/** The beliefs of one instance. */
+/** Shared routing state of one instance. */
 export interface RoutingBoard {
-  /** Written by the configuration keeper; absent until a version is known. */
+  /**
+   * Routes, pools and workspaces of the configuration in force. Written by the
+   * configuration keeper; absent until a version is known.
+   */
   routes?: RouteTable;
-  /** Written by the configuration keeper, from the store and from peers. */
+  /**
+   * Age of the configuration. Written by the configuration keeper, from the
+   * store and from peers.
+   */
   readonly configurationAge: ConfigurationAge;
-  /** Written by the target keeper. */
+  /** Known targets. Written by the target keeper. */
   readonly targets: TargetDirectory;
-  /** Written by the membership keeper. */
+  /** Known instances. Written by the membership keeper. */
   readonly members: MemberView;
-  /** Written by the holder, from what targets did to its own requests. */
+  /**
+   * Health of targets. Written by the holder, from the outcomes of its own
+   * requests.
+   */
   readonly health: TargetHealth;
-  /** Written by the holder, from targets that gave no sign of life. */
+  /**
+   * Failure domains that this instance cannot reach. Written by the holder,
+   * from targets that did not respond at all.
+   */
   readonly cutDomains: CutDomains;
-  /** Written by the signal keeper, from answers of targets and from peers. */
+  /**
+   * Rate limits that targets advertise. Written by the signal keeper, from
+   * answers of targets and from peers.
+   */
   readonly rateLimits: TargetRateLimits;
-  /** Written by the signal keeper, from targets that rejected requests. */
+  /**
+   * Backoff periods of targets. Written by the signal keeper, from targets that
+   * rejected requests.
+   */
   readonly backoffs: TargetBackoffs;
-  /** Written by the coordinator, from how work ended. */
+  /**
+   * Learned latencies of targets. Written by the coordinator, from the outcomes
+   * of work.
+   */
   readonly paces: TargetPaces;
-  /** Written by the roll-out keeper, and by the coordinator from answers. */
+  /**
+   * Roll-outs of new versions. Written by the roll-out keeper, and by the
+   * coordinator from answers.
+   */
   readonly rollouts: Rollouts;
-  /** Written by the coordinator and by holders, from targets that ended. */
+  /**
+   * Requests suspected of ending targets. Written by the coordinator and by
+   * holders, from targets whose processes ended.
+   */
   readonly suspects: SuspectRequests;
 }
--- a/packages/routing/src/spending_log.ts
+++ b/packages/routing/src/spending_log.ts
@@ -1,8 +1,8 @@
-/** What workspaces spent within the last seconds. */
+/** Sliding-window log of the spending of workspaces. */
 
 const MS_PER_S = 1000;
 
-/** Spending is added up in slices of this length. */
+/** Length of a slice of time in which spending is summed. */
 export const SLICE_MS = 250;
 
 interface Slice {
@@ -10,30 +10,32 @@
   spent: number;
 }
 
-/** Cost units that a workspace spent. */
+/** Cost units that a workspace spent within the window. */
 export interface WorkspaceSpending {
   readonly workspace: string;
   readonly spent: number;
 }
 
-/** When a workspace spent, for another instance that goes on from it. */
+/** Spending of a workspace by age, for transfer to another instance. */
 export interface SpendingHistory extends WorkspaceSpending {
-  /** Cost units by whole seconds of age, the last second first. */
+  /** Cost units by whole seconds of age, the latest second first. */
   readonly bySecond: readonly number[];
 }
 
 /**
- * @param history Spending of a workspace as it was some time ago.
- * @param ageMs How long ago.
- * @returns The same as of now. What may have been spent since is not known: as
- * much as has left the window counts as spent just now.
+ * Ages a history. What was spent since then is unknown, so as much as has left
+ * the window counts as spent in the latest second.
+ *
+ * @param history Spending of a workspace at an earlier time.
+ * @param ageMs Time since then in milliseconds.
+ * @returns Spending of the workspace as of now.
  */
 export function agedHistory(
   { workspace, spent, bySecond }: SpendingHistory,
   ageMs: number,
 ): SpendingHistory {
-  // Spending within a second that has left in part may not have left yet, and
-  // what remains is never taken for older than it may be.
+  // A second that has left the window only in part may still count, and the
+  // remaining spending must never be treated as older than it may be.
   const expiredSeconds = Math.ceil(ageMs / MS_PER_S);
   const elapsedSeconds = Math.floor(ageMs / MS_PER_S);
   const kept = bySecond.slice(0, Math.max(0, bySecond.length - expiredSeconds));
@@ -46,9 +48,11 @@
 }
 
 /**
+ * Adds cost to the latest second of a history.
+ *
  * @param history Spending of a workspace.
- * @param cost Cost units.
- * @returns The same with so much more in the last second.
+ * @param cost Cost units to add.
+ * @returns A new history with the cost added.
  */
 export function withRecentCost(
   { workspace, spent, bySecond }: SpendingHistory,
@@ -59,8 +63,10 @@
 }
 
 /**
+ * Rounds a history up to whole cost units, which halves its encoded size.
+ *
  * @param history Spending of a workspace.
- * @returns The same in whole cost units, which take half the bytes.
+ * @returns A new history of whole cost units.
  */
 export function roundedUp(
   { workspace, bySecond }: SpendingHistory,
@@ -73,20 +79,22 @@
   return values.reduce((sum, value) => sum + value, 0);
 }
 
-/** Spending by workspace, in slices of time. */
+/** Sliding-window log of spending by workspace, in slices of time. */
 export class SpendingLog {
   readonly #windowMs: number;
   readonly #byWorkspace = new Map<string, Slice[]>();
 
-  /** @param windowMs How long spending is remembered. */
+  /** @param windowMs Length of the sliding window in milliseconds. */
   constructor(windowMs: number) {
     this.#windowMs = windowMs;
   }
 
   /**
-   * @param workspace Who spent.
-   * @param cost Cost units; negative where spending is taken back.
-   * @param nowMs The local time.
+   * Records spending.
+   *
+   * @param workspace Name of the workspace.
+   * @param cost Cost units; negative for a refund.
+   * @param nowMs Current local time in milliseconds.
    */
   record(workspace: string, cost: number, nowMs: number): void {
     const slices = this.#byWorkspace.get(workspace) ?? [];
@@ -100,19 +108,20 @@
   }
 
   /**
-   * @param workspace A workspace.
-   * @param nowMs The local time.
-   * @returns Cost units that it spent within the window.
+   * @param workspace Name of a workspace.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Cost units that the workspace spent within the window.
    */
   spent(workspace: string, nowMs: number): number {
     return sumOf(this.#slices(workspace, nowMs).map(({ spent }) => spent));
   }
 
   /**
-   * @param workspace A workspace.
-   * @param untilMs Spending that began to be added up later is left out.
-   * @param nowMs The local time.
-   * @returns Cost units that it spent within the window until then.
+   * @param workspace Name of a workspace.
+   * @param untilMs Local time in milliseconds; slices that began later are left
+   * out.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Cost units that the workspace spent within the window until then.
    */
   spentUntil(workspace: string, untilMs: number, nowMs: number): number {
     const slices = this.#slices(workspace, nowMs)
@@ -121,9 +130,9 @@
   }
 
   /**
-   * @param workspace A workspace.
-   * @param nowMs The local time.
-   * @returns When it spent what it spent within the window.
+   * @param workspace Name of a workspace.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Spending of the workspace within the window by age.
    */
   history(workspace: string, nowMs: number): SpendingHistory {
     const seconds = Math.ceil(this.#retentionMs() / MS_PER_S);
@@ -136,11 +145,11 @@
   }
 
   /**
-   * Replaces what is known of a workspace. Each second's spending counts as
-   * spent at its end, so never too early.
+   * Replaces the spending of a workspace. The spending of each second counts at
+   * the second's end, so that it never expires too early.
    *
-   * @param history When it spent.
-   * @param atMs Local time that the history's ages count from.
+   * @param history Spending by age.
+   * @param atMs Local time in milliseconds that the ages count from.
    */
   setHistory({ workspace, bySecond }: SpendingHistory, atMs: number): void {
     const slices = bySecond.map((spent, age) => ({
@@ -151,12 +160,13 @@
   }
 
   /**
-   * Tells when old spending will have left the window.
+   * Computes when a given amount of spending will have left the window.
    *
-   * @param workspace A workspace.
-   * @param amount Cost units that have to leave.
-   * @param nowMs The local time.
-   * @returns A duration; that of the whole window where less was spent.
+   * @param workspace Name of the workspace.
+   * @param amount Cost units that have to expire.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Duration in milliseconds; that of the whole window where less was
+   * spent.
    */
   timeUntilExpiredMs(workspace: string, amount: number, nowMs: number): number {
     let expired = 0;
@@ -170,8 +180,8 @@
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns What each workspace spent within the window.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Total spending of each workspace within the window.
    */
   totals(nowMs: number): WorkspaceSpending[] {
     return [...this.#byWorkspace.keys()]
@@ -179,7 +189,7 @@
       .filter(({ spent }) => spent > 0);
   }
 
-  /** A slice counts until its last moment has left the window. */
+  /** Retention of a slice: until its last moment has left the window. */
   #retentionMs(): number {
     return this.#windowMs + SLICE_MS;
   }
--- a/packages/routing/src/target_choice.ts
+++ b/packages/routing/src/target_choice.ts
@@ -1,64 +1,74 @@
-/** Chooses the target that is expected to finish a request first. */
+/** Chooses the target that is expected to complete a request first. */
 
 import type { KnownTarget } from "./target_directory.ts";
 import { TargetPace } from "./target_pace.ts";
 import type { WorkAsk } from "./work_ask.ts";
 
-/** What runs at one target, as the coordinator accounts for it. */
+/**
+ * Sums over the work that runs at one target, as the coordinator accounts for
+ * it.
+ */
 export interface TargetUse {
   readonly running: number;
-  /** Tokens of prompts that it has still to read. */
+  /** Prompt tokens that the target has still to process. */
   readonly tokensAhead: number;
-  /** Tokens of memory that running requests will come to need. */
+  /** KV cache tokens that running requests will need by their ends. */
   readonly kvTokens: number;
 }
 
 /**
- * Part that a first event is allowed to take longer than foreseen where it is
- * judged whether it will be in time.
+ * Safety factor on the predicted time to the first event when it is compared
+ * with the time left.
  */
 const FIRST_EVENT_MARGIN_RATIO = 1.3;
 
-/** A target counts as faster where the first event comes in this part. */
+/**
+ * Ratio of predicted times to the first event at or below which another target
+ * counts as faster.
+ */
 const FASTER_RATIO = 0.7;
 
-/** What runs at a target that is idle. */
+/** Use of an idle target. */
 export const IDLE_USE: TargetUse = { running: 0, tokensAhead: 0, kvTokens: 0 };
 
-/** A target that could take a request. */
+/**
+ * A target that a request may be placed at, with what its prediction depends
+ * on.
+ */
 export interface Candidate {
   readonly target: KnownTarget;
   readonly use: TargetUse;
   readonly pace: TargetPace;
-  /** Memory of a model engine; absent for plain services. */
+  /** Capacity of the KV cache of a model engine; absent for plain services. */
   readonly kvCapacityTokens?: number;
 }
 
-/** A choice, with what is expected of it. */
+/** A chosen target and its predicted latency. */
 export interface Choice {
   readonly target: KnownTarget;
-  /** Expected time to the first event, or to the answer of a plain call. */
+  /** Predicted time to the first event, or to the answer of a plain call. */
   readonly firstMs: number;
 }
 
 /**
- * Time that a target in another failure domain has to be faster by. Bytes
- * between domains cost money and the way there a few milliseconds.
+ * Penalty on targets in other failure domains: traffic between domains costs
+ * money, and the network path adds a few milliseconds.
  */
 const CROSS_DOMAIN_PENALTY_MS = 15;
 
-/** Output tokens in one event of a stream, as a starting figure. */
+/** Estimated output tokens in one event of a stream. */
 const TOKENS_PER_EVENT = 5;
 
-/** Share of a maximal answer that is generated on average. */
+/** Average share of the maximum answer length that is generated. */
 const EXPECTED_OUTPUT_SHARE = 0.7;
 
 /**
- * Chooses among targets that have a free slot and room in memory.
+ * Chooses among the targets that have a free slot and enough free memory.
  *
  * @param ask The request.
  * @param candidates Targets of its pool.
- * @returns The best, or undefined where none can hold it now.
+ * @returns The target expected to complete it first; undefined where none can
+ * hold it now.
  */
 export function chooseTarget(
   ask: WorkAsk,
@@ -84,16 +94,17 @@
 }
 
 /**
- * Tells whether a request had better wait for a faster target than go to the
- * best that has a free slot: where it would be late there, and in time at one
- * that is busy now. Large prompts need it where some targets are several times
- * as slow as others: a fast slot comes free within some tens of milliseconds.
+ * Decides whether a request should wait for a faster target instead of going to
+ * the best one with a free slot. That holds if it would miss its objective
+ * there, and would meet it at a target that is busy now. It matters for large
+ * prompts where some targets are several times slower than others: a slot at a
+ * fast target becomes free within tens of milliseconds.
  *
  * @param ask The request.
- * @param best The best choice that is free.
- * @param of All targets that may get it, and the time left in which its first
- * event would be in time.
- * @returns Whether to wait.
+ * @param best The best choice with a free slot.
+ * @param of All targets that may be given it, and the time in milliseconds
+ * within which its first event meets the objective.
+ * @returns Whether it should wait.
  */
 export function isWorthWaiting(
   ask: WorkAsk,
@@ -112,8 +123,11 @@
 }
 
 /**
+ * Builds a candidate that stands for the average of a pool in predictions.
+ *
  * @param candidates Targets of one pool.
- * @returns An idle one of their mean pace; undefined where there are none.
+ * @returns An idle candidate with their mean pace; undefined where there are
+ * none.
  */
 export function typicalOf(
   candidates: readonly Candidate[],
@@ -136,10 +150,13 @@
 }
 
 /**
- * @param candidate A target.
- * @param ask A request.
- * @param use What runs there beside it.
- * @returns Expected time to its first event there, or to its answer.
+ * Predicts the latency of a request at a target.
+ *
+ * @param candidate The target.
+ * @param ask The request.
+ * @param use The work that runs there beside the request.
+ * @returns Predicted time in milliseconds to the first event, or to the answer
+ * of a plain call.
  */
 export function firstMsAt(
   candidate: Candidate,
@@ -150,14 +167,17 @@
   if (kvCapacityTokens !== undefined) {
     return pace.firstEventMs(ask.promptTokens, use.tokensAhead);
   }
-  // A plain target shares its processor among what it runs.
+  // A plain service shares its processor among the calls that it runs.
   return pace.callMs * (1 + use.running / candidate.target.slots);
 }
 
 /**
- * @param candidate A target.
- * @param ask A request.
- * @returns Expected time from its first event there to its last one.
+ * Predicts how long a stream takes after its first event.
+ *
+ * @param candidate The target.
+ * @param ask The request.
+ * @returns Predicted time in milliseconds from the first event to the last one;
+ * 0 for a plain call.
  */
 export function generationMsAt(candidate: Candidate, ask: WorkAsk): number {
   if (candidate.kvCapacityTokens === undefined) {
--- a/packages/routing/src/target_selector.ts
+++ b/packages/routing/src/target_selector.ts
@@ -1,4 +1,4 @@
-/** Which targets of one pool a request may go to now, and which suits it best. */
+/** Selects the target for a request among the usable targets of one pool. */
 
 import { CandidateIndex, hasFreeSlot } from "./candidate_index.ts";
 import type { PoolPolicy } from "./fleet_configuration.ts";
@@ -16,36 +16,39 @@
 import type { KnownTarget } from "./target_directory.ts";
 import { AskCause, type WorkAsk } from "./work_ask.ts";
 
-/** The pool's targets at one moment. */
+/** The pool's usable targets at one moment. */
 export interface TargetSnapshot {
   readonly nowMs: number;
-  /** Targets that may get new work. */
+  /** Targets that may be given new work. */
   readonly targets: CandidateIndex;
-  /** Targets of a new version for the next request, where it is to get one. */
+  /**
+   * Targets of a new version with a free slot; empty unless the next request is
+   * a canary request.
+   */
   canary: readonly Candidate[];
 }
 
-/** What choices depend on. */
+/** State that a target selector reads. */
 export interface TargetSelectorParts {
   readonly board: RoutingBoard;
   readonly placed: PlacedWorkIndex;
   readonly limiter: RateLimiter;
 }
 
-/** Chooses among the targets of one pool. */
+/** Selects targets of one pool. */
 export class TargetSelector {
   readonly #pool: string;
   readonly #board: RoutingBoard;
   readonly #placed: PlacedWorkIndex;
   readonly #limiter: RateLimiter;
   #targets?: CandidateIndex;
-  /** What the index was made from. */
+  /** Targets that the index was built from. */
   #serving: readonly KnownTarget[] = [];
   #kvCapacityTokens?: number;
 
   /**
    * @param pool The pool's name.
-   * @param parts What choices depend on.
+   * @param parts State that the selector reads.
    */
   constructor(pool: string, parts: TargetSelectorParts) {
     this.#pool = pool;
@@ -55,16 +58,21 @@
   }
 
   /**
-   * @param targetId A target.
-   * @param use What runs there by now.
+   * Updates the use of a target.
+   *
+   * @param targetId Id of the target.
+   * @param use Sums over the work that runs there now.
    */
   updateUse(targetId: string, use: TargetUse): void {
     this.#targets?.updateUse(targetId, use);
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns The targets that may get requests now.
+   * Returns the targets that may be given requests now.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns The serving targets, and the canary targets if the next request is
+   * a canary request.
    */
   snapshot(nowMs: number): TargetSnapshot {
     const { targets, rollouts } = this.#board;
@@ -95,11 +103,13 @@
   }
 
   /**
-   * What a target has failed already is not tried on a version on trial.
+   * Chooses a canary target for a request. A request that a target has failed
+   * already is not sent to a version under evaluation.
    *
-   * @param ask A request.
-   * @param look The targets.
-   * @returns A target of the new version, where the request is to go there.
+   * @param ask The request.
+   * @param snapshot The pool's usable targets.
+   * @returns A target of the new version; undefined if the request is to go to
+   * the serving targets.
    */
   chooseCanary(
     ask: WorkAsk,
@@ -111,9 +121,12 @@
   }
 
   /**
-   * @param ask A request.
-   * @param look The targets.
-   * @returns The best that can take it; undefined where none can.
+   * Chooses a serving target for a request.
+   *
+   * @param ask The request.
+   * @param snapshot The pool's usable targets.
+   * @returns The target expected to complete it first; undefined where none can
+   * take it now.
    */
   choose(ask: WorkAsk, { targets, nowMs }: TargetSnapshot): Choice | undefined {
     if (!targets.hasFree) {
@@ -131,7 +144,7 @@
       : choice;
   }
 
-  /** Leaves out targets that have used up their rate limits. */
+  /** Leaves out targets whose rate limits are exhausted. */
   #withinLimits(
     candidates: readonly Candidate[],
     nowMs: number,
@@ -144,8 +157,9 @@
   }
 
   /**
-   * A suspect runs at one target at a time and beside no other suspect: where
-   * the target ends, it is known under which request.
+   * Free targets for a request on trial. A suspect request runs at one target
+   * at a time and never beside another suspect, so that the end of the target's
+   * process can be attributed to one request.
    */
   #freeForTrial(
     { fingerprint }: WorkAsk,
@@ -159,10 +173,13 @@
   }
 
   /**
-   * @param waiting A request that waits.
-   * @param choice The best target that is free.
-   * @param look The targets.
-   * @returns Whether it had better wait for another.
+   * Decides whether a request should stay queued for a faster target.
+   *
+   * @param waiting The queued request.
+   * @param choice The best target with a free slot.
+   * @param snapshot The pool's usable targets.
+   * @returns True if it would miss its objective at the free target and meet it
+   * at a busy one.
    */
   isWorthWaiting(
     waiting: WaitingWork,
--- a/packages/routing/src/waiting_queue.ts
+++ b/packages/routing/src/waiting_queue.ts
@@ -1,6 +1,5 @@
 /**
- * The requests of one pool that wait for a target, with what decides on their
- * order.
+ * Queue of one pool: the requests that wait for a target, with their sort keys.
  */
 
 import { FirstEventMargin } from "./first_event_margin.ts";
@@ -15,51 +14,62 @@
 import { type Candidate, firstMsAt, IDLE_USE } from "./target_choice.ts";
 
 /**
- * A queue longer than this is looked at as a whole only every so often: a look
- * costs time in proportion to its length. In between, only free slots are given
- * away.
+ * Length above which a queue is reordered only at intervals, as the cost of a
+ * reorder is proportional to the length. In between, only free slots are
+ * filled.
  */
 const LONG_QUEUE_LENGTH = 32;
 const MIN_REORDER_INTERVAL_MS = 10;
 
-/** Time between two looks for each request that waits. */
+/** Interval between two reorders for each queued request. */
 const REORDER_MS_PER_REQUEST = 0.25;
 
-/** Waiting requests by ask. */
+/** Queued requests by ask. */
 export class WaitingQueue {
   readonly #byAsk = new Map<string, KeyedWork>();
   readonly #margin = new FirstEventMargin();
   #reorderedAtMs = -Infinity;
-  /** An idle target of their mean pace, as of the last look. */
+  /** Idle target with the pool's mean pace at the last reorder. */
   #typical?: Candidate;
 
-  /** Number of requests. */
+  /** Number of queued requests. */
   get size(): number {
     return this.#byAsk.size;
   }
 
   /**
-   * @param askId An ask.
-   * @returns Whether it waits here.
+   * @param askId Id of an ask.
+   * @returns Whether it is queued.
    */
   has(askId: string): boolean {
     return this.#byAsk.has(askId);
   }
 
-  /** @param work A request that begins to wait. */
+  /**
+   * Adds a request, or recomputes the sort key of a queued one.
+   *
+   * @param work The request.
+   */
   add(work: WaitingWork): void {
     this.#byAsk.set(work.ask.askId, this.#keyed(work));
   }
 
-  /** @param askId An ask that no longer waits. */
+  /**
+   * Removes a request, if it is queued.
+   *
+   * @param askId Id of its ask.
+   */
   remove(askId: string): void {
     this.#byAsk.delete(askId);
   }
 
   /**
-   * @param holderId A holder.
-   * @param beforeMs Only requests that began to wait before this.
-   * @returns Ids of its asks.
+   * Finds the queued asks of a holder.
+   *
+   * @param holderId Id of the holder.
+   * @param beforeMs Local time in milliseconds; asks queued at this time or
+   * later are left out.
+   * @returns Ids of the asks.
    */
   askIdsOf(holderId: string, beforeMs: number): string[] {
     return [...this.#byAsk.values()]
@@ -70,8 +80,8 @@
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns Whether it is time to look at the queue as a whole.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Whether the whole queue should be reordered now.
    */
   isReorderDue(nowMs: number): boolean {
     const intervalMs = Math.max(
@@ -83,10 +93,11 @@
   }
 
   /**
-   * Looks at the queue as a whole.
+   * Recomputes all sort keys and returns the whole queue in order.
    *
-   * @param typical An idle target of the mean pace; absent where there is none.
-   * @param context What else decides on the order.
+   * @param typical Idle target with the pool's mean pace; absent where the pool
+   * has no targets.
+   * @param context Promoted ranks and the current local time.
    * @returns All requests, the next one first.
    */
   reorder(
@@ -102,9 +113,11 @@
   }
 
   /**
-   * @param context What else decides on the order.
-   * @param skipped Asks that are passed by.
-   * @returns The one that is next, by the paces of the last look.
+   * Finds the next request by the sort keys of the last reorder.
+   *
+   * @param context Promoted ranks and the current local time.
+   * @param skipped Ids of asks to leave out.
+   * @returns The next request; undefined where there is none.
    */
   next(
     context: OrderContext,
@@ -116,10 +129,10 @@
   }
 
   /**
-   * Learns from how long a first event, or the answer of a plain call, took.
+   * Adapts the prediction margin to an observed latency.
    *
-   * @param promptTokens Tokens of its prompt.
-   * @param firstMs The time it took at its target.
+   * @param promptTokens Tokens of the request's prompt.
+   * @param firstMs Time to the first event, or to the answer of a plain call.
    */
   recordFirstEvent(promptTokens: number, firstMs: number): void {
     if (this.#typical !== undefined) {
