--- a/packages/gateway/src/target_attempt.ts
+++ b/packages/gateway/src/target_attempt.ts
@@ -4,7 +4,7 @@
 import type { IncomingMessage } from "node:http";
 import { RequestKind } from "@chestnuthatch/routing/fleet_configuration";
 import { AttemptEnd } from "@chestnuthatch/routing/next_step";
-import { NOT_RUN_STATUSES } from "@chestnuthatch/routing/routed_error";
+import { NOT_RUN_STATUS_CODES } from "@chestnuthatch/routing/routed_error";
 import type { KnownTarget } from "@chestnuthatch/routing/target_directory";
 import type { WorkEnd } from "@chestnuthatch/routing/work_ask";
 import { EventSplitter, type StreamedEvent } from "./event_splitter.ts";
@@ -242,7 +242,7 @@
     if (this.#passesEvents()) {
       this.#over = true;
       this.#sink.streamEnded(this.#splitter.rest);
-    } else if (NOT_RUN_STATUSES.has(status)) {
+    } else if (NOT_RUN_STATUS_CODES.has(status)) {
       // Without the target's word that it did not run, the status cannot be
       // passed on: callers take it for a promise.
       this.#end(AttemptEnd.Lost, `unfounded status ${status}`);
--- a/packages/routing/src/allotment_ledger.ts
+++ b/packages/routing/src/allotment_ledger.ts
@@ -58,7 +58,9 @@
 /** Maximum age of a holder's report: it does not contain charges made since. */
 const MAX_REPORT_AGE_MS = 500;
 
-/** How far spending may go beyond an allotment, by the operators' word. */
+/**
+ * Amount by which spending may exceed an allotment, as the operators set it.
+ */
 export interface AllotmentTolerance {
   readonly windowMs: number;
   /** Ratio of the permitted excess to the allotment of one window. */
--- a/packages/routing/src/allotment_ledger_test.ts
+++ b/packages/routing/src/allotment_ledger_test.ts
@@ -26,14 +26,14 @@
   return spent;
 }
 
-test("a window holds the allotment and the used part of its tolerance", () => {
+test("a window allows the allotment and the used share of its tolerance", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   assert.is(spendAll(ledger, scope(0)), WHOLE_BOUND);
   assert.is(spendAll(ledger, scope(7999)), 0);
   assert.is(spendAll(ledger, scope(8300)), WHOLE_BOUND);
 });
 
-test("no sliding window holds more, however spending is timed", () => {
+test("no sliding window exceeds the bound, however spending is timed", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   const charges: { atMs: number; cost: number }[] = [];
   for (let atMs = 0; atMs < 40_000; atMs += 37) {
@@ -55,7 +55,7 @@
   }
 });
 
-test("a refusal tells when the charge would pass", () => {
+test("a refusal contains the time until the charge would be allowed", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   spendAll(ledger, scope(0));
   const of = { cost: 5, rank: 0, scope: scope(2000) };
@@ -65,26 +65,26 @@
   assert.ok(ledger.charge("w", ALLOTMENT, later).allowed);
 });
 
-test("a part of the fleet hands out its share only", () => {
+test("a partition of the fleet hands out only its share", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   const spent = spendAll(ledger, scope(0, { share: 0.25 }));
   assert.ok(spent <= WHOLE_BOUND / 4, String(spent));
 });
 
-test("what was charged elsewhere counts for a new coordinator", () => {
+test("a new coordinator counts what was charged elsewhere", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   ledger.setReportedTotals([{ workspace: "w", spent: WHOLE_BOUND - 100 }], 0);
   assert.is(spendAll(ledger, scope(0)), 100);
 });
 
-test("reports of its own charges change nothing", () => {
+test("reports of charges that the ledger made itself change nothing", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   ledger.charge("w", ALLOTMENT, { cost: 4000, rank: 0, scope: scope(0) });
   ledger.setReportedTotals([{ workspace: "w", spent: 3900 }], 500);
   assert.is(spendAll(ledger, scope(500)), WHOLE_BOUND - 4000);
 });
 
-test("a fleet that lost its memory hands out what is never recorded", () => {
+test("a fleet that lost its state hands out only the part of the bound that is not recorded", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   const spent = spendAll(ledger, scope(0, { memoryMs: 1000 }));
   assert.is(spent, Math.floor(WHOLE_BOUND / 10) * 5);
@@ -95,7 +95,7 @@
   const spend = (cost: number) =>
     ledger.charge("w", ALLOTMENT, { cost, rank: 0, scope: scope(0) });
   spend(WHOLE_BOUND * 0.4);
-  // The first record, so that none of an earlier ledger is left.
+  // The first record, which replaces that of an earlier ledger.
   assert.equal(ledger.spendingToRecord(0), []);
   assert.is(ledger.spendingToRecord(0), undefined);
   spend(WHOLE_BOUND * 0.2);
@@ -107,7 +107,7 @@
   assert.is(ledger.spendingToRecord(0)!.length, 1);
 });
 
-test("a record never says less than was spent, and is cleared in the end", () => {
+test("a record is never below the actual spending, and is cleared in the end", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   let recorded = 0;
   for (let atMs = 0; atMs < 30_000; atMs += 50) {
@@ -122,7 +122,7 @@
   assert.is(recorded, 0);
 });
 
-test("before and after the loss of all instances, a window holds its bound", () => {
+test("a window keeps to its bound across the loss of all instances", () => {
   for (const part of [0.3, 0.5, 0.7, 1]) {
     const before = new AllotmentLedger(TOLERANCE);
     let spent = 0;
@@ -142,7 +142,7 @@
   }
 });
 
-test("a new coordinator goes on from the account of the one before", () => {
+test("a new coordinator continues from the account of its predecessor", () => {
   const before = new AllotmentLedger(TOLERANCE);
   for (let atMs = 0; atMs < 8000; atMs += 1000) {
     const of = { cost: 1000, rank: 0, scope: scope(atMs) };
@@ -151,11 +151,11 @@
   const after = new AllotmentLedger(TOLERANCE);
   after.importHistories(before.spendingNearBound(7500), 7500);
   assert.is(spendAll(after, scope(7500)), WHOLE_BOUND - 8000);
-  // Each second's spending leaves the window with the second.
+  // The spending of each second leaves the window with that second.
   assert.is(spendAll(after, scope(9300)), 1000);
 });
 
-test("what two accounts have in common counts once", () => {
+test("overlapping spending of two accounts counts once", () => {
   const first = new AllotmentLedger(TOLERANCE);
   const second = new AllotmentLedger(TOLERANCE);
   const record = [{ workspace: "w", spent: 6000, bySecond: [6000] }];
@@ -167,20 +167,20 @@
   assert.is(spendAll(second, scope(3000)), WHOLE_BOUND - 8000);
 });
 
-test("a record that is some seconds old still counts in full", () => {
+test("a record that is several seconds old still counts in full", () => {
   const record = { workspace: "w", spent: 900, bySecond: [100, 200, 0, 600] };
   const aged = agedHistory(record, 1200);
-  // What was up to a second old is between 1.2 and 2.2 s old by now.
+  // Spending that was up to 1 s old is between 1.2 s and 2.2 s old now.
   assert.equal(aged, { ...record, bySecond: [600, 100, 200] });
 });
 
-test("spending is told in whole units, and never too little", () => {
+test("spending is rounded up to whole units", () => {
   const history = { workspace: "w", spent: 3.3, bySecond: [1.2, 0, 2.1] };
-  const told = roundedUp(history);
-  assert.equal(told, { workspace: "w", spent: 5, bySecond: [2, 0, 3] });
+  const rounded = roundedUp(history);
+  assert.equal(rounded, { workspace: "w", spent: 5, bySecond: [2, 0, 3] });
 });
 
-test("while much is spent, the record is made anew every second", () => {
+test("the record of a workspace near its bound is rewritten every second", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   const of = { cost: WHOLE_BOUND * 0.6, rank: 0, scope: scope(0) };
   ledger.charge("w", ALLOTMENT, of);
@@ -189,7 +189,7 @@
   assert.is(ledger.spendingToRecord(1000)!.length, 1);
 });
 
-test("a lowered limit binds what was spent before, too", () => {
+test("a lowered limit also applies to earlier spending", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   spendAll(ledger, scope(0));
   const lower = { ...ALLOTMENT, perS: 100 };
@@ -197,7 +197,7 @@
   assert.is(ledger.charge("w", lower, of).allowed, false);
 });
 
-test("the least valuable work is refused first, and gets the plain allotment", () => {
+test("the least valuable work is refused first, and still gets the plain allotment", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   const spend = (rank: number) => {
     let spent = 0;
@@ -214,7 +214,7 @@
   assert.ok(spend(0) > WHOLE_BOUND * 0.04);
 });
 
-test("a single request beyond the bound passes when nothing was spent", () => {
+test("a single request above the bound is allowed when nothing was spent", () => {
   const ledger = new AllotmentLedger(TOLERANCE);
   const of = { cost: WHOLE_BOUND * 2, rank: 0, scope: scope(0) };
   assert.ok(ledger.charge("w", ALLOTMENT, of).allowed);
--- a/packages/routing/src/candidate_index_test.ts
+++ b/packages/routing/src/candidate_index_test.ts
@@ -29,7 +29,7 @@
   );
 }
 
-function use(running: number) {
+function useOf(running: number) {
   return { running, tokensAhead: 0, kvTokens: 0 };
 }
 
@@ -37,16 +37,16 @@
   return candidates.map(({ target }) => target.targetId);
 }
 
-test("of a small pool all free targets are compared", () => {
+test("all free targets of a small pool are compared", () => {
   const index = indexOf(6);
-  index.updateUse("t1", use(SLOTS));
-  index.updateUse("t2", use(1));
+  index.updateUse("t1", useOf(SLOTS));
+  index.updateUse("t2", useOf(1));
   assert.equal(idsOf(index.sampleFree("a")), ["t0", "t2", "t3", "t4", "t5"]);
-  index.updateUse("t1", use(1));
+  index.updateUse("t1", useOf(1));
   assert.is(index.sampleFree("a").length, 6);
 });
 
-test("of a large pool few are, most of the own domain, others each time", () => {
+test("a sample of a large pool is compared, mostly local targets, changing each time", () => {
   const index = indexOf(2000);
   const seen = new Set<string>();
   for (let turn = 0; turn < 60; turn++) {
@@ -57,26 +57,26 @@
     assert.is(new Set(idsOf(free)).size, free.length);
     idsOf(own).forEach((id) => seen.add(id));
   }
-  assert.is(seen.size, 500, "all of the domain had their turn");
+  assert.is(seen.size, 500, "every target of the domain was sampled");
 });
 
-test("a domain that is full leaves its requests to the others", () => {
+test("the sample for a domain without free targets comes from the other domains", () => {
   const index = indexOf(400);
   for (let i = 0; i < 400; i += DOMAINS.length) {
-    index.updateUse(`t${i}`, use(SLOTS));
+    index.updateUse(`t${i}`, useOf(SLOTS));
   }
   const free = index.sampleFree("a");
   assert.ok(free.length >= 48);
   assert.ok(free.every(({ target }) => target.failureDomain !== "a"));
 });
 
-test("a pool knows when none is free", () => {
+test("a pool without a free target is detected", () => {
   const index = indexOf(2);
-  index.updateUse("t0", use(SLOTS));
+  index.updateUse("t0", useOf(SLOTS));
   assert.ok(index.hasFree);
-  index.updateUse("t1", use(SLOTS));
+  index.updateUse("t1", useOf(SLOTS));
   assert.not.ok(index.hasFree);
-  index.updateUse("elsewhere", use(0));
+  index.updateUse("elsewhere", useOf(0));
   assert.not.ok(index.hasFree);
 });
 
--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -118,7 +118,7 @@
     const schedule = this.#poolSchedule(ask.pool);
     this.#limiter.share = scope.share;
     this.#lastContactAtMs.set(ask.holderId, scope.nowMs);
-    const decision = schedule.decisionOn(ask.askId);
+    const decision = schedule.decisionFor(ask.askId);
     if (decision !== undefined) {
       return [decision];
     }
@@ -241,7 +241,7 @@
     nowMs: number,
   ): { decisions: AskDecision[]; unknownIds: string[] } {
     const decisions = askIds.flatMap((askId) =>
-      this.#scheduleOf(askId)?.lostDecisionOn(askId, nowMs) ?? []
+      this.#scheduleOf(askId)?.lostDecisionFor(askId, nowMs) ?? []
     );
     const unknownIds = askIds.filter((askId) => !this.#openAsks.has(askId));
     return { decisions, unknownIds };
--- a/packages/routing/src/coordinator_test.ts
+++ b/packages/routing/src/coordinator_test.ts
@@ -25,14 +25,14 @@
   return { askId, targetId, pool: "p", promptTokens: 500, failed: false };
 }
 
-/** `ask -> target` or `ask: refusal`. */
-function texts(decisions: readonly AskDecision[]): string[] {
+/** Formats decisions as `ask -> target` or `ask: refusal`. */
+function summariesOf(decisions: readonly AskDecision[]): string[] {
   return decisions.map((d) =>
     "targetId" in d ? `${d.askId} -> ${d.targetId}` : `${d.askId}: ${d.refusal}`
   );
 }
 
-test("no target gets more than its slots; the rest waits by rank", () => {
+test("no target gets more work than it has slots; the rest is queued by rank", () => {
   const coordinator = coordinatorOf(["t1"]);
   const asks = [
     askOf("a1"),
@@ -41,21 +41,23 @@
     askOf("high", { rank: 0 }),
   ];
   const decided = asks.flatMap((ask) => coordinator.ask(ask, scope(0)));
-  assert.equal(texts(decided), ["a1 -> t1", "a2 -> t1"]);
-  assert.equal(texts(coordinator.ended(endOf("a1", "t1"), 50)), [
+  assert.equal(summariesOf(decided), ["a1 -> t1", "a2 -> t1"]);
+  assert.equal(summariesOf(coordinator.ended(endOf("a1", "t1"), 50)), [
     "high -> t1",
   ]);
-  assert.equal(texts(coordinator.ended(endOf("a2", "t1"), 60)), ["low -> t1"]);
+  assert.equal(summariesOf(coordinator.ended(endOf("a2", "t1"), 60)), [
+    "low -> t1",
+  ]);
 });
 
-test("an ask that is sent again gets the same place", () => {
+test("an ask that is sent again gets the same placement", () => {
   const coordinator = coordinatorOf(["t1", "t2"]);
   const first = coordinator.ask(askOf("a1"), scope(0));
   assert.equal(coordinator.ask(askOf("a1"), scope(40)), first);
   assert.equal(coordinator.load(), [{ pool: "p", waiting: 0, placed: 1 }]);
 });
 
-test("a long queue is looked at once in a while, and whenever work ends", () => {
+test("a long queue is reordered at intervals, and slots are filled whenever work ends", () => {
   const coordinator = coordinatorOf(["t1"]);
   const asks = Array.from(
     { length: 40 },
@@ -63,23 +65,25 @@
   );
   asks.forEach((ask) => coordinator.ask(ask, scope(0)));
   const late = askOf("late", { rank: 2, patienceLeftMs: 0 });
-  assert.equal(texts(coordinator.ask(late, scope(5))), []);
-  assert.equal(texts(coordinator.tick(20)), ["late: overload"]);
+  assert.equal(summariesOf(coordinator.ask(late, scope(5))), []);
+  assert.equal(summariesOf(coordinator.tick(20)), ["late: overload"]);
   coordinator.ask(askOf("high"), scope(25));
-  assert.equal(texts(coordinator.ended(endOf("a0", "t1"), 26)), ["high -> t1"]);
+  assert.equal(summariesOf(coordinator.ended(endOf("a0", "t1"), 26)), [
+    "high -> t1",
+  ]);
 });
 
-test("what would wait longer than its caller is refused at once", () => {
+test("a request whose predicted wait exceeds its caller's patience is refused at once", () => {
   const coordinator = coordinatorOf(["t1"]);
   coordinator.ask(askOf("a1"), scope(0));
   coordinator.ask(askOf("a2"), scope(0));
   const hasty = askOf("hasty", { patienceLeftMs: 100 });
   const [refusal] = coordinator.ask(hasty, scope(0));
-  assert.equal(texts([refusal!]), ["hasty: overload"]);
+  assert.equal(summariesOf([refusal!]), ["hasty: overload"]);
   assert.ok("retryAfterMs" in refusal! && refusal.retryAfterMs >= 500);
 });
 
-test("what needs longer before its deadline starts first", () => {
+test("the request that needs more time before its deadline starts first", () => {
   const coordinator = coordinatorOf(["t1"]);
   const soon = { deadlineLeftMs: 3000 };
   const asks = [
@@ -89,38 +93,43 @@
     askOf("large", { ...soon, outputTokens: 700 }),
   ];
   asks.forEach((ask, index) => coordinator.ask(ask, scope(index)));
-  assert.equal(texts(coordinator.ended(endOf("a1", "t1"), 50)), [
+  assert.equal(summariesOf(coordinator.ended(endOf("a1", "t1"), 50)), [
     "large -> t1",
   ]);
 });
 
-test("within a rank, who was refused before goes after who is still on time", () => {
+test("within a rank, a caller that was refused before goes after one that is still on time", () => {
   const coordinator = coordinatorOf(["t1"]);
   coordinator.ask(askOf("a1"), scope(0));
   coordinator.ask(askOf("a2"), scope(0));
   const again = { callHash: 7 };
   const first = askOf("first", { ...again, patienceLeftMs: 0 });
-  assert.equal(texts(coordinator.ask(first, scope(0))), ["first: overload"]);
+  assert.equal(summariesOf(coordinator.ask(first, scope(0))), [
+    "first: overload",
+  ]);
   coordinator.ask(askOf("second", again), scope(1000));
   coordinator.ask(askOf("new", { deadlineLeftMs: 8000 }), scope(1001));
   const decided = coordinator.ended(endOf("a1", "t1"), 1010);
-  assert.equal(texts(decided), ["new -> t1"]);
+  assert.equal(summariesOf(decided), ["new -> t1"]);
   const [late] = coordinator.ended(endOf("a2", "t1"), 1020);
-  assert.equal(texts([late!]), ["second -> t1"]);
+  assert.equal(summariesOf([late!]), ["second -> t1"]);
   assert.is("targetId" in late! && late.cameBackMs, 1000);
 });
 
-test("a request of a higher rank pushes the lowest out, not itself", () => {
+test("a request of a higher rank displaces one of the lowest, and is not refused itself", () => {
   const coordinator = coordinatorOf(["t1"]);
   coordinator.ask(askOf("a1"), scope(0));
   coordinator.ask(askOf("a2"), scope(0));
   coordinator.ask(askOf("low", { rank: 2, patienceLeftMs: 400 }), scope(0));
   const high = askOf("high", { patienceLeftMs: 400 });
-  assert.equal(texts(coordinator.ask(high, scope(10))), ["low: overload"]);
+  assert.equal(summariesOf(coordinator.ask(high, scope(10))), [
+    "low: overload",
+  ]);
 });
 
-test("a neglected rank of long work goes ahead for its share of time only", () => {
-  // Short work of rank 0 fills all 20 slots; rank 2 holds one ten times as long.
+test("a starved rank of long work goes ahead for its share of time only", () => {
+  // Short work of rank 0 fills all 20 slots; work of rank 2 occupies a slot ten
+  // times as long.
   const targetIds = Array.from({ length: 10 }, (_, index) => `t${index}`);
   const coordinator = coordinatorOf(targetIds);
   const holdMs = { high: 100, low: 1000 };
@@ -156,8 +165,11 @@
   assert.ok(share > 0.05 && share < 0.2, String(share));
 });
 
-/** A target that is full, and one three times as slow that is idle. */
-function beforeFullFastTarget(): Coordinator {
+/**
+ * Coordinator of a fast target without a free slot and an idle one three times
+ * as slow.
+ */
+function coordinatorOfBusyFastTarget(): Coordinator {
   const board = boardOf(["fast", "slow"]);
   for (let i = 0; i < 40; i++) {
     board.paces.of("slow").learnFirstEvent(1000, 0, 180);
@@ -168,45 +180,49 @@
   return coordinator;
 }
 
-test("a large prompt waits for a fast target rather than be late at a slow one", () => {
-  const coordinator = beforeFullFastTarget();
+test("a large prompt waits for a fast target if it would be late at a slow one", () => {
+  const coordinator = coordinatorOfBusyFastTarget();
   const large = { promptTokens: 10_000, objectiveLeftMs: 400 };
   assert.equal(coordinator.ask(askOf("large", large), scope(0)), []);
-  // Small ones do not wait for it, and go where there is room.
+  // Small prompts don't wait behind it and go to the free target.
   const small = askOf("small", { objectiveLeftMs: 400 });
-  assert.equal(texts(coordinator.ask(small, scope(0))), ["small -> slow"]);
-  assert.equal(texts(coordinator.ended(endOf("a1", "fast"), 60)), [
+  assert.equal(summariesOf(coordinator.ask(small, scope(0))), [
+    "small -> slow",
+  ]);
+  assert.equal(summariesOf(coordinator.ended(endOf("a1", "fast"), 60)), [
     "large -> fast",
   ]);
 });
 
-test("a large prompt that is late anyway goes where there is room", () => {
-  const coordinator = beforeFullFastTarget();
+test("a large prompt that is late anyway goes to the free target", () => {
+  const coordinator = coordinatorOfBusyFastTarget();
   const late = askOf("late", { promptTokens: 10_000, objectiveLeftMs: 100 });
-  assert.equal(texts(coordinator.ask(late, scope(0))), ["late -> slow"]);
+  assert.equal(summariesOf(coordinator.ask(late, scope(0))), ["late -> slow"]);
 });
 
-test("an engine is never promised more memory than it has", () => {
+test("the memory of an engine is never oversubscribed", () => {
   const coordinator = coordinatorOf(["t1"]);
   const big = { promptTokens: 60_000, outputTokens: 1000 };
-  assert.equal(texts(coordinator.ask(askOf("b1", big), scope(0))), [
+  assert.equal(summariesOf(coordinator.ask(askOf("b1", big), scope(0))), [
     "b1 -> t1",
   ]);
   assert.equal(coordinator.ask(askOf("b2", big), scope(0)), []);
 });
 
-test("a target that failed the request is not given it again", () => {
+test("a request is not placed again at a target that failed it", () => {
   const coordinator = coordinatorOf(["t1", "t2"]);
   const ask = askOf("a1", { excluded: ["t1"], cause: AskCause.Repeat });
-  assert.equal(texts(coordinator.ask(ask, scope(0))), ["a1 -> t2"]);
+  assert.equal(summariesOf(coordinator.ask(ask, scope(0))), ["a1 -> t2"]);
   const none = askOf("a2", { excluded: ["t1", "t2"] });
-  assert.equal(texts(coordinator.ask(none, scope(0))), ["a2: no_target"]);
+  assert.equal(summariesOf(coordinator.ask(none, scope(0))), ["a2: no_target"]);
 });
 
-test("repeats draw on a budget of the whole fleet", () => {
+test("repeats draw on the retry budget of the whole fleet", () => {
   const coordinator = coordinatorOf(["t1", "t2", "t3"]);
   const again = (id: string) =>
-    texts(coordinator.ask(askOf(id, { cause: AskCause.Repeat }), scope(0)));
+    summariesOf(
+      coordinator.ask(askOf(id, { cause: AskCause.Repeat }), scope(0)),
+    );
   assert.equal(
     [...again("r1"), ...again("r2"), ...again("r3"), ...again("r4")]
       .filter((text) => text.endsWith("retry_budget")),
@@ -214,7 +230,7 @@
   );
 });
 
-test("a holder's report frees what it no longer has, and brings work along", () => {
+test("a holder's report releases work that it no longer lists and adds work that it does", () => {
   const coordinator = coordinatorOf(["t1"]);
   coordinator.ask(askOf("a1", { holderId: "i2" }), scope(0));
   const running = {
@@ -233,7 +249,7 @@
   assert.equal(coordinator.load()[0], { pool: "p", waiting: 0, placed: 0 });
 });
 
-test("the work of a holder that fell silent is no longer counted", () => {
+test("the work of a holder that timed out is released", () => {
   const coordinator = coordinatorOf(["t1"]);
   coordinator.ask(askOf("a1", { holderId: "i2" }), scope(0));
   coordinator.ask(askOf("a2", { holderId: "i2" }), scope(0));
@@ -242,51 +258,53 @@
     { holderId: "i1", running: [], waiting: ["a3"], spent: [] },
     1000,
   );
-  assert.equal(texts(coordinator.tick(1600)), ["a3 -> t1"]);
+  assert.equal(summariesOf(coordinator.tick(1600)), ["a3 -> t1"]);
 });
 
-test("what ran at a target that started again is no longer counted", () => {
+test("the work at a target that restarted is released", () => {
   const coordinator = coordinatorOf(["t1"]);
   coordinator.ask(askOf("a1"), scope(0));
   coordinator.ask(askOf("a2"), scope(0));
   assert.equal(coordinator.ask(askOf("a3"), scope(10)), []);
   coordinator.targetRestarted("t1");
-  assert.equal(texts(coordinator.tick(20)), ["a3 -> t1"]);
-  // The holder tells of the end later.
+  assert.equal(summariesOf(coordinator.tick(20)), ["a3 -> t1"]);
+  // The holder reports the end later.
   coordinator.ended(endOf("a1", "t1"), 30);
   assert.is(coordinator.load()[0]!.placed, 1);
 });
 
-test("an allotment is charged once, and given back for what never ran", () => {
+test("an allotment is charged once, and refunded for a request that never ran", () => {
   const allotment = { perS: 100, burst: 200, inTokens: true, plainTokens: 1 };
   const coordinator = coordinatorOf(["t1"], {
     workspaces: [{ name: "w", keys: [], allotment }],
   });
   const ask = askOf("a1", { cost: 1000 });
-  assert.equal(texts(coordinator.ask(ask, scope(0))), ["a1 -> t1"]);
+  assert.equal(summariesOf(coordinator.ask(ask, scope(0))), ["a1 -> t1"]);
   coordinator.ask(ask, scope(40));
   const second = askOf("a2", { cost: 100 });
-  assert.equal(texts(coordinator.ask(second, scope(50))), ["a2: allotment"]);
+  assert.equal(summariesOf(coordinator.ask(second, scope(50))), [
+    "a2: allotment",
+  ]);
   coordinator.dropped("a1", 60);
   const third = askOf("a3", { cost: 100 });
-  assert.equal(texts(coordinator.ask(third, scope(70))), ["a3 -> t1"]);
+  assert.equal(summariesOf(coordinator.ask(third, scope(70))), ["a3 -> t1"]);
 });
 
-test("a holder without word gets a lost decision again, not one on its way", () => {
+test("a lost decision is sent to its holder again, one still in transit is not", () => {
   const coordinator = coordinatorOf(["t1"]);
   const [placed] = coordinator.ask(askOf("a1"), scope(0));
   assert.equal(coordinator.lookUp(["a1"], 100).decisions, []);
   assert.equal(coordinator.lookUp(["a1"], 200).decisions, [placed]);
 });
 
-test("a holder is told of asks that are not known", () => {
+test("unknown asks are reported to their holder", () => {
   const coordinator = coordinatorOf(["t1"]);
   ["a1", "a2", "a3"].forEach((id) => coordinator.ask(askOf(id), scope(0)));
   const { unknownIds } = coordinator.lookUp(["a1", "a3", "lost"], 200);
   assert.equal(unknownIds, ["lost"]);
 });
 
-test("between looks at a long queue, free slots go to those that are next", () => {
+test("between reorders of a long queue, free slots go to the next requests", () => {
   const coordinator = coordinatorOf(["t1"]);
   const waits = { rank: 1, patienceLeftMs: 60_000, deadlineLeftMs: 200_000 };
   for (let i = 0; i < 200; i++) {
@@ -296,10 +314,10 @@
   coordinator.ask(askOf("first", { ...waits, rank: 0 }), scope(101));
   const soonest = { ...waits, patienceLeftMs: 50_000 };
   coordinator.ask(askOf("soonest", soonest), scope(102));
-  assert.equal(texts(coordinator.ended(endOf("a0", "t1"), 103)), [
+  assert.equal(summariesOf(coordinator.ended(endOf("a0", "t1"), 103)), [
     "first -> t1",
   ]);
-  assert.equal(texts(coordinator.ended(endOf("a1", "t1"), 104)), [
+  assert.equal(summariesOf(coordinator.ended(endOf("a1", "t1"), 104)), [
     "soonest -> t1",
   ]);
 });
@@ -315,7 +333,7 @@
       }
     }
     const low = askOf("low", { rank: 2, patienceLeftMs: 900 });
-    return texts(coordinator.ask(low, scope(6000)));
+    return summariesOf(coordinator.ask(low, scope(6000)));
   };
   assert.equal(refusedAt(20), ["low: overload"]);
   assert.equal(refusedAt(1), []);
--- a/packages/routing/src/first_event_margin.ts
+++ b/packages/routing/src/first_event_margin.ts
@@ -1,45 +1,47 @@
 /**
- * How much longer than foreseen a first event may take, learned from those that
- * came.
+ * Adaptive margin on the predicted time to the first event: a running estimate
+ * of a quantile of the ratio of actual to predicted times.
  *
- * Requests that wait are started just before it is too late when a pool is full,
- * so an error of the forecast makes most of them late at once.
+ * When a pool is full, queued requests are placed just before their latest
+ * start time, so a systematic prediction error makes most of them late at once.
  */
 
-/** Where learning starts. */
+/** Initial ratio. */
 const INITIAL_MARGIN_RATIO = 1.4;
 
-/** Bounds of what is believed, against single targets that fail or stall. */
+/**
+ * Bounds of the ratio, against outliers of single targets that fail or stall.
+ */
 const MIN_MARGIN_RATIO = 1.1;
 const MAX_MARGIN_RATIO = 4;
 
 /**
- * Part of the first events that are to come within the margin. More would give
- * up requests that might be on time, fewer would let work in time wait behind
- * work that is late after all.
+ * Quantile: the share of first events that should arrive within the margin. A
+ * higher one would give up requests that could still be on time; a lower one
+ * would queue requests that are on time behind requests that turn out late.
  */
 const WITHIN_SHARE = 0.8;
 
 /**
- * Step by which one observation moves the margin: it follows a change of load
- * within some tens of requests.
+ * Step of the estimate per observation: it follows a change of load within tens
+ * of requests.
  */
 const STEP_RATIO = 0.05;
 
-/** A margin that holds for a part of the first events. */
+/** Margin within which a fixed share of the first events arrive. */
 export class FirstEventMargin {
   #ratio = INITIAL_MARGIN_RATIO;
 
-  /** Times the foreseen time within which a first event comes. */
+  /** Ratio to the predicted time within which a first event is expected. */
   get ratio(): number {
     return this.#ratio;
   }
 
   /**
-   * Learns from a first event.
+   * Updates the margin from an observed first event.
    *
-   * @param durationMs The time it took.
-   * @param predictedMs What an idle target would have taken.
+   * @param durationMs Time to the first event.
+   * @param predictedMs Time predicted for an idle target.
    */
   learn(durationMs: number, predictedMs: number): void {
     const isWithin = durationMs <= this.#ratio * predictedMs;
--- a/packages/routing/src/fleet_configuration.ts
+++ b/packages/routing/src/fleet_configuration.ts
@@ -1,6 +1,6 @@
-/** The fleet's configuration for routed requests, as the operators agreed it. */
+/** Types of the operators' configuration for routed requests. */
 
-/** What may be repeated of a request. */
+/** Whether requests of a route may be run again. */
 export enum RequestKind {
   /** May run any number of times, at any target. */
   Repeatable = "repeatable",
@@ -8,40 +8,42 @@
   AtMostOnce = "at_most_once",
   /** A stream of events that is never run twice. */
   Stream = "stream",
-  /** A stream that another target may continue after the last whole event. */
+  /** A stream that another target may resume after the last complete event. */
   ResumableStream = "resumable_stream",
 }
 
-/** One way that a route's requests may go. */
+/** Weighted share of a route's requests that goes to one pool. */
 export interface PoolShare {
   readonly pool: string;
   /** Relative to the other shares of the route. */
   readonly weight: number;
 }
 
-/** How the requests of one route are treated. */
+/** Policy for the requests of one route. */
 export interface RoutePolicy {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly prefix: string;
   readonly kind: RequestKind;
-  /** 0 is the most valuable. */
+  /** Priority class; 0 is the highest. */
   readonly rank: number;
   readonly pools: readonly PoolShare[];
-  /** Longest time that a caller may be kept waiting for the whole answer. */
+  /** Maximum time to the complete answer. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to a stream's first event, that callers expect. */
+  /**
+   * Latency objective: time to the answer, or to the first event of a stream.
+   */
   readonly objectiveMs: number;
-  /** Longest pause between two events of a stream that callers accept. */
+  /** Maximum time between two events of a stream that callers accept. */
   readonly longestGapMs: number;
-  /** Most targets that one request may run on. */
+  /** Maximum number of targets that one request may run on. */
   readonly maxAttempts: number;
   /** Whether callers need no key. */
   readonly isPublic: boolean;
 }
 
-/** What is known of a pool of model engines. */
+/** Properties of a pool of model engines. */
 export interface EnginePolicy {
   readonly slots: number;
   readonly kvCapacityTokens: number;
@@ -56,29 +58,29 @@
   readonly engine?: EnginePolicy;
 }
 
-/** What a workspace may spend, over all instances together. */
+/** Rate of spending that a workspace is allowed over all instances together. */
 export interface Allotment {
   /** Cost units a second. */
   readonly perS: number;
-  /** Cost units that may be spent at once. */
+  /** Cost units that may be spent in a burst. */
   readonly burst: number;
-  /** Whether a request costs its tokens or counts as one. */
+  /** Whether a request costs its tokens or counts as one unit. */
   readonly inTokens: boolean;
-  /** Cost of a request that tells no token counts. */
+  /** Cost of a request without token counts. */
   readonly plainTokens: number;
 }
 
-/** One workspace: who holds which keys, and what they may spend. */
+/** Keys, rank and allotment of one workspace. */
 export interface WorkspacePolicy {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the route's rank where present. */
+  /** Rank that takes precedence over the route's rank; absent for none. */
   readonly rank?: number;
-  /** Absent where there is no limit. */
+  /** Absent where spending is not limited. */
   readonly allotment?: Allotment;
 }
 
-/** What a caller may send, and how slowly. */
+/** Limits on the size of callers' requests and on the time to send them. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -86,9 +88,9 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One whole version of the configuration. */
+/** One complete version of the configuration. */
 export interface FleetConfiguration {
-  /** Rises with every change. */
+  /** Increases with every change. */
   readonly version: number;
   readonly routes: readonly RoutePolicy[];
   readonly pools: readonly PoolPolicy[];
--- a/packages/routing/src/fleet_configuration_schema.ts
+++ b/packages/routing/src/fleet_configuration_schema.ts
@@ -1,4 +1,4 @@
-/** Checks a configuration that a peer hands over. */
+/** Schema that validates a configuration received from a peer. */
 
 import * as z from "zod";
 import { type FleetConfiguration, RequestKind } from "./fleet_configuration.ts";
--- a/packages/routing/src/next_step.ts
+++ b/packages/routing/src/next_step.ts
@@ -1,47 +1,56 @@
-/** What follows when an attempt at a target ended without a whole answer. */
+/**
+ * Decides what follows when an attempt at a target ended without a complete
+ * answer.
+ */
 
 import { RequestKind } from "./fleet_configuration.ts";
 
-/** How an attempt ended. */
+/** Outcome of an attempt without a complete answer. */
 export enum AttemptEnd {
-  /** No byte of it reached a target. */
+  /** No byte of the request reached a target. */
   NotSent = "not_sent",
-  /** The target said that it did not run it. */
+  /** The target answered that it did not run the request. */
   Rejected = "rejected",
-  /** The target answered with a failure of its own. */
+  /** The target answered with an error of its own. */
   Failed = "failed",
-  /** It was sent, and its answer broke off, is wrong, or never came. */
+  /** The request was sent, and its answer was truncated, wrong, or missing. */
   Lost = "lost",
-  /** The same, and the target's process is gone. */
+  /**
+   * The request was sent without a valid answer, and the target's process
+   * ended.
+   */
   TargetEnded = "target_ended",
 }
 
-/** What to do next. */
+/** What the holder does after the attempt. */
 export enum NextStep {
-  /** Ask for another place. */
+  /** Ask the coordinator for another placement. */
   AskAgain = "ask_again",
-  /** Pass the target's own failure on. */
+  /** Forward the target's own error to the caller. */
   PassOn = "pass_on",
-  /** Tell the caller that it has not run. */
+  /** Answer that the request has not run. */
   RefuseNotRun = "refuse_not_run",
-  /** Tell the caller that it may have run. */
+  /** Answer that the request may have run. */
   FailMayHaveRun = "fail_may_have_run",
 }
 
-/** What the decision depends on. */
+/** State of a request after an attempt. */
 export interface AttemptState {
   readonly kind: RequestKind;
   readonly end: AttemptEnd;
-  /** Targets that may have run it, this one included. */
+  /**
+   * Number of targets that may have run the request, that of this attempt
+   * included.
+   */
   readonly runs: number;
   readonly maxAttempts: number;
-  /** Sends that no target ran, this one included. */
+  /** Number of sends that no target ran, that of this attempt included. */
   readonly rejections: number;
 }
 
 /**
- * Rejections after which a request is given up: by then each of several targets
- * has said that it is full or gone.
+ * Rejections after which a request is not sent again: by then, several targets
+ * have answered that they are full or unavailable.
  */
 const MAX_REJECTIONS = 4;
 
@@ -53,10 +62,10 @@
 };
 
 /**
- * Whether a request of a kind may run more than once.
+ * Decides whether requests of a kind may run more than once.
  *
- * @param kind The kind.
- * @returns False for those that run at most once.
+ * @param kind Kind of the request.
+ * @returns False for kinds that run at most once.
  */
 export function mayRunAgain(kind: RequestKind): boolean {
   return MAY_RUN_AGAIN[kind];
@@ -77,10 +86,10 @@
 };
 
 /**
- * Decides what follows on an attempt.
+ * Decides what follows an attempt.
  *
- * @param state How the attempt ended, and what went before.
- * @returns The next step.
+ * @param state Outcome of the attempt and counts of those before it.
+ * @returns What the holder does next.
  */
 export function nextStep(state: AttemptState): NextStep {
   return HANDLERS[state.end](state);
--- a/packages/routing/src/next_step_test.ts
+++ b/packages/routing/src/next_step_test.ts
@@ -43,7 +43,7 @@
   });
 }
 
-test("only what no target ran is told not to have run", () => {
+test("only a request that no target ran is answered as not run", () => {
   const state = {
     kind: RequestKind.AtMostOnce,
     end: AttemptEnd.Rejected,
--- a/packages/routing/src/placed_work_index.ts
+++ b/packages/routing/src/placed_work_index.ts
@@ -75,7 +75,7 @@
    * @param holderId Id of a holder.
    * @returns The work of all its placed asks.
    */
-  ofHolder(holderId: string): PlacedWork[] {
+  workOfHolder(holderId: string): PlacedWork[] {
     const askIds = this.#askIdsByHolder.get(holderId) ?? [];
     return [...askIds].map((askId) => this.#byAsk.get(askId)!);
   }
@@ -84,7 +84,7 @@
    * @param targetId Id of a target.
    * @returns All work placed there.
    */
-  ofTarget(targetId: string): PlacedWork[] {
+  workOfTarget(targetId: string): PlacedWork[] {
     return [...this.#byAsk.values()]
       .filter((work) => work.targetId === targetId);
   }
@@ -162,10 +162,10 @@
     const { targetId, promptTokens, outputTokens, firstSeen } = work;
     const before = this.use(targetId);
     const running = before.running + sign;
-    const unread = firstSeen ? 0 : promptTokens;
+    const unprocessed = firstSeen ? 0 : promptTokens;
     const use = running === 0 ? IDLE_USE : {
       running,
-      tokensAhead: before.tokensAhead + sign * unread,
+      tokensAhead: before.tokensAhead + sign * unprocessed,
       kvTokens: before.kvTokens + sign * (promptTokens + outputTokens),
     };
     if (use === IDLE_USE) {
--- a/packages/routing/src/placed_work_index_test.ts
+++ b/packages/routing/src/placed_work_index_test.ts
@@ -19,7 +19,7 @@
   };
 }
 
-test("sums of a target follow its index", () => {
+test("the sums of a target follow its work", () => {
   const index = new PlacedWorkIndex();
   index.put(workOf("a"));
   index.put(workOf("b", { promptTokens: 50 }));
@@ -37,14 +37,14 @@
   assert.equal(index.use("t1"), { running: 0, tokensAhead: 0, kvTokens: 0 });
 });
 
-test("work that is put again counts once", () => {
+test("work that is added again counts once", () => {
   const index = new PlacedWorkIndex();
   index.put(workOf("a"));
   index.put(workOf("a", { targetId: "t2", holderId: "i2" }));
   assert.is(index.size, 1);
   assert.is(index.use("t1").running, 0);
-  assert.equal(index.ofHolder("i1"), []);
-  assert.equal(index.ofHolder("i2").map(({ askId }) => askId), ["a"]);
+  assert.equal(index.workOfHolder("i1"), []);
+  assert.equal(index.workOfHolder("i2").map(({ askId }) => askId), ["a"]);
 });
 
 test.run();
--- a/packages/routing/src/pool_schedule.ts
+++ b/packages/routing/src/pool_schedule.ts
@@ -117,7 +117,7 @@
    * @param askId Id of the ask.
    * @returns The decision that placed it; undefined if it is not placed.
    */
-  decisionOn(askId: string): AskDecision | undefined {
+  decisionFor(askId: string): AskDecision | undefined {
     const work = this.#placed.get(askId);
     return work && decisionOf(work);
   }
@@ -131,7 +131,7 @@
    * @returns The decision to send again; undefined if it may still be in
    * transit or the ask is not placed.
    */
-  lostDecisionOn(askId: string, nowMs: number): AskDecision | undefined {
+  lostDecisionFor(askId: string, nowMs: number): AskDecision | undefined {
     const work = this.#placed.get(askId);
     const isLost = work !== undefined &&
       nowMs - work.placedAtMs >= LOST_DECISION_AGE_MS;
@@ -255,7 +255,7 @@
    * @param targetId Id of the target.
    */
   targetRestarted(targetId: string): void {
-    for (const { askId } of this.#placed.ofTarget(targetId)) {
+    for (const { askId } of this.#placed.workOfTarget(targetId)) {
       this.#placed.remove(askId);
     }
   }
@@ -281,7 +281,7 @@
    * @returns Ids of placed and queued asks.
    */
   askIdsOf(holderId: string, beforeMs: number): string[] {
-    const placed = this.#placed.ofHolder(holderId)
+    const placed = this.#placed.workOfHolder(holderId)
       .filter(({ placedAtMs }) => placedAtMs < beforeMs);
     return [
       ...placed.map(({ askId }) => askId),
--- a/packages/routing/src/rank_load_test.ts
+++ b/packages/routing/src/rank_load_test.ts
@@ -5,7 +5,7 @@
 const EVERY_MS = 10;
 const SPAN_MS = 20_000;
 
-/** Requests of one rank that come in evenly, each of 200 ms of work. */
+/** Load of requests of one rank that arrive evenly, each of 200 ms of work. */
 function loadedWith(rank: number): RankLoad {
   const load = new RankLoad();
   for (let nowMs = 0; nowMs <= SPAN_MS; nowMs += EVERY_MS) {
@@ -19,13 +19,13 @@
   assert.ok(Math.abs(slots - 20) < 0.5, String(slots));
 });
 
-test("a rank has nothing before it of its own or of those below", () => {
+test("a rank's own load and that of lower ranks are not counted as above it", () => {
   const load = loadedWith(1);
   assert.is(load.slotsAbove(1, SPAN_MS), 0);
   assert.is(load.slotsAbove(0, SPAN_MS), 0);
 });
 
-test("a surge that is over is forgotten within some seconds", () => {
+test("a surge that is over decays within a few seconds", () => {
   const load = loadedWith(1);
   assert.ok(load.slotsAbove(2, SPAN_MS + 1000) < 10);
   assert.ok(load.slotsAbove(2, SPAN_MS + 5000) < 0.5);
--- a/packages/routing/src/rank_shares_test.ts
+++ b/packages/routing/src/rank_shares_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { RankShares } from "./rank_shares.ts";
 
-function note(
+function recordOutcomes(
   shares: RankShares,
   rank: number,
   served: number,
@@ -16,40 +16,40 @@
   }
 }
 
-test("a rank that gets far less than those above goes first", () => {
+test("a rank that is served far less than those above is starved", () => {
   const shares = new RankShares();
-  note(shares, 0, 8, 2);
-  note(shares, 1, 6, 4);
-  note(shares, 2, 1, 9);
+  recordOutcomes(shares, 0, 8, 2);
+  recordOutcomes(shares, 1, 6, 4);
+  recordOutcomes(shares, 2, 1, 9);
   assert.equal([...shares.starved(0)], [2]);
 });
 
-test("a rank of short work is to be served as often as the best above", () => {
+test("a rank of short work is starved unless it is served as often as the best above", () => {
   const shares = new RankShares();
-  note(shares, 0, 8, 2);
-  note(shares, 1, 5, 5);
-  note(shares, 2, 8, 2);
+  recordOutcomes(shares, 0, 8, 2);
+  recordOutcomes(shares, 1, 5, 5);
+  recordOutcomes(shares, 2, 8, 2);
   assert.equal([...shares.starved(0)], []);
   shares.recordDuration(0, 2000, 0);
   shares.recordDuration(1, 1500, 0);
   shares.recordDuration(2, 200, 0);
   assert.equal([...shares.starved(0)], []);
-  note(shares, 2, 0, 2);
+  recordOutcomes(shares, 2, 0, 2);
   assert.equal([...shares.starved(0)], [2]);
 });
 
-test("the highest rank is never neglected, nor is a rank seldom seen", () => {
+test("neither the highest rank nor one with few requests counts as starved", () => {
   const shares = new RankShares();
-  note(shares, 0, 1, 9);
-  note(shares, 1, 9, 1);
-  note(shares, 2, 0, 2);
+  recordOutcomes(shares, 0, 1, 9);
+  recordOutcomes(shares, 1, 9, 1);
+  recordOutcomes(shares, 2, 0, 2);
   assert.equal([...shares.starved(0)], []);
 });
 
-test("what was long ago does not count", () => {
+test("old outcomes do not count", () => {
   const shares = new RankShares();
-  note(shares, 0, 10, 0);
-  note(shares, 2, 0, 10);
+  recordOutcomes(shares, 0, 10, 0);
+  recordOutcomes(shares, 2, 0, 10);
   assert.equal([...shares.starved(0)], [2]);
   assert.equal([...shares.starved(30_000)], []);
 });
--- a/packages/routing/src/rate_limiter.ts
+++ b/packages/routing/src/rate_limiter.ts
@@ -88,7 +88,9 @@
       : Math.max(PROBE_PER_S, limitPerS) * this.share;
   }
 
-  /** A new bucket is empty: another coordinator may just have used the limit. */
+  /**
+   * A new bucket is empty: another coordinator may just have used the limit.
+   */
   #bucket(targetId: string, nowMs: number): Bucket | undefined {
     const perS = this.#ratePerS(targetId);
     if (perS === undefined) {
--- a/packages/routing/src/recent_refusals_test.ts
+++ b/packages/routing/src/recent_refusals_test.ts
@@ -19,7 +19,9 @@
   };
 }
 
-/** Refuses one ask by its coordinator, and asks for others after a while. */
+/**
+ * Caches the refusal of one ask and returns a function that looks up others.
+ */
 function afterRefusal(
   refusal: Refusal,
   refused: Parameters<typeof askOf>[1] = {},
@@ -30,21 +32,21 @@
     refusals.refusalFor(askOf("a1", over), nowMs)?.refusal;
 }
 
-test("what a full queue has just refused is refused again, for 100 ms", () => {
+test("a refusal for overload is reused for 100 ms", () => {
   const ask = afterRefusal(refusalOf(AskRefusal.Overload), { rank: 2 });
   assert.is(ask({ rank: 2 }, 99), AskRefusal.Overload);
   assert.is(ask({ rank: 3 }, 99), AskRefusal.Overload);
   assert.is(ask({ rank: 2 }, 100), undefined);
 });
 
-test("a higher rank, a longer patience or another pool is asked for", () => {
+test("a higher rank, a longer patience or another pool is not covered by it", () => {
   const ask = afterRefusal(refusalOf(AskRefusal.Overload), { rank: 2 });
   assert.is(ask({ rank: 1 }, 10), undefined);
   assert.is(ask({ rank: 2, patienceLeftMs: 2001 }, 10), undefined);
   assert.is(ask({ rank: 2, pool: "other" }, 10), undefined);
 });
 
-test("a spent allotment refuses what costs as much, until it may free up", () => {
+test("a refusal for a spent allotment covers equal costs until it may free up", () => {
   const refusal = refusalOf(AskRefusal.Allotment, { retryAfterMs: 150 });
   const ask = afterRefusal(refusal, { cost: 100, rank: 1 });
   assert.is(ask({ cost: 100, rank: 1 }, 149), AskRefusal.Allotment);
@@ -54,13 +56,13 @@
   assert.is(ask({ cost: 100, rank: 1 }, 150), undefined);
 });
 
-test("what says nothing of other asks is not remembered", () => {
+test("refusals that do not apply to other asks are not cached", () => {
   for (const refusal of [AskRefusal.NoTarget, AskRefusal.RetryBudget]) {
     assert.is(afterRefusal(refusalOf(refusal))({}, 1), undefined);
   }
 });
 
-test("the refusal is that of the new ask, and tells its age", () => {
+test("a reused refusal is that of the new ask, and contains its age", () => {
   const refusals = new RecentRefusals();
   refusals.record(askOf("a0"), refusalOf(AskRefusal.Overload), 0);
   assert.equal(refusals.refusalFor(askOf("a1"), 40), {
--- a/packages/routing/src/reported_spending_test.ts
+++ b/packages/routing/src/reported_spending_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { ReportedSpending } from "./reported_spending.ts";
 
-test("a holder's spending is that of its last report", () => {
+test("a holder's spending is that in its last report", () => {
   const reported = new ReportedSpending();
   reported.put("i1", [{ workspace: "a", spent: 100 }]);
   reported.put("i2", [
@@ -16,7 +16,7 @@
   ]);
 });
 
-test("what a holder no longer tells of is no longer counted", () => {
+test("spending that a holder no longer reports is not counted", () => {
   const reported = new ReportedSpending();
   reported.put("i1", [{ workspace: "a", spent: 100 }]);
   reported.put("i1", []);
--- a/packages/routing/src/retry_budget.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -23,7 +23,7 @@
 
 interface Slice {
   readonly beganAtMs: number;
-  first: number;
+  firstSends: number;
   repeats: number;
 }
 
@@ -52,7 +52,7 @@
    * @param nowMs Current local time in milliseconds.
    */
   recordFirst(nowMs: number): void {
-    this.#slice(nowMs).first++;
+    this.#slice(nowMs).firstSends++;
   }
 
   /**
@@ -67,7 +67,7 @@
     const slice = this.#slice(nowMs);
     let first = 0;
     let repeats = 0;
-    for (const { first: f, repeats: r } of this.#slices) {
+    for (const { firstSends: f, repeats: r } of this.#slices) {
       first += f;
       repeats += r;
     }
@@ -86,7 +86,7 @@
     }
     let newest = this.#slices.at(-1);
     if (newest === undefined || nowMs - newest.beganAtMs >= SLICE_MS) {
-      newest = { beganAtMs: nowMs, first: 0, repeats: 0 };
+      newest = { beganAtMs: nowMs, firstSends: 0, repeats: 0 };
       this.#slices.push(newest);
     }
     return newest;
--- a/packages/routing/src/route_table.ts
+++ b/packages/routing/src/route_table.ts
@@ -1,4 +1,4 @@
-/** Finds the route, the workspace and the pool of a request. */
+/** Lookup tables for the route, the workspace and the pool of a request. */
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
 import type {
@@ -8,16 +8,16 @@
   WorkspacePolicy,
 } from "./fleet_configuration.ts";
 
-/** Lookups over one version of the configuration. */
+/** Lookup tables over one version of the configuration. */
 export class RouteTable {
   readonly configuration: FleetConfiguration;
-  /** Routes of a host, the longest prefix first. */
+  /** Routes by host, the longest prefix first. */
   readonly #routesByHost = new Map<string, RoutePolicy[]>();
   readonly #workspaceByKey = new Map<string, WorkspacePolicy>();
   readonly #workspaceByName = new Map<string, WorkspacePolicy>();
   readonly #poolByName = new Map<string, PoolPolicy>();
 
-  /** @param configuration The version to look things up in. */
+  /** @param configuration Version of the configuration to index. */
   constructor(configuration: FleetConfiguration) {
     this.configuration = configuration;
     for (const route of configuration.routes) {
@@ -39,17 +39,17 @@
     }
   }
 
-  /** Whether callers have to show a key on routes that are not public. */
+  /** Whether callers must present a key on routes that are not public. */
   get needsKeys(): boolean {
     return this.configuration.workspaces.length > 0;
   }
 
   /**
-   * Finds the route with the longest prefix that begins a path.
+   * Finds the route with the longest prefix of a path.
    *
-   * @param host Host that the caller named, without its port.
+   * @param host Host in the request, without its port.
    * @param path Path of the request, without its query.
-   * @returns The route, or undefined where none matches.
+   * @returns The route; undefined where none matches.
    */
   match(host: string, path: string): RoutePolicy | undefined {
     return this.#routesByHost.get(host)
@@ -57,8 +57,8 @@
   }
 
   /**
-   * @param key Key that a caller showed.
-   * @returns The workspace that holds it, if any does.
+   * @param key Key that a caller presented.
+   * @returns The workspace of the key; undefined if there is none.
    */
   workspaceOfKey(key: string): WorkspacePolicy | undefined {
     return this.#workspaceByKey.get(key);
@@ -66,7 +66,7 @@
 
   /**
    * @param name Name of a workspace.
-   * @returns The workspace, if it is configured.
+   * @returns The workspace; undefined if it is not configured.
    */
   workspace(name: string): WorkspacePolicy | undefined {
     return this.#workspaceByName.get(name);
@@ -74,19 +74,19 @@
 
   /**
    * @param name Name of a pool.
-   * @returns The pool, if it is configured.
+   * @returns The pool; undefined if it is not configured.
    */
   pool(name: string): PoolPolicy | undefined {
     return this.#poolByName.get(name);
   }
 
   /**
-   * Picks the pool of a request by the weights of its route. The same request
-   * id always gets the same pool under the same weights.
+   * Picks the pool of a request by the weights of its route. The choice is a
+   * hash of the request id, so it is stable under unchanged weights.
    *
-   * @param route The request's route.
-   * @param requestId The request's id.
-   * @returns Name of a pool, or undefined where no share has any weight.
+   * @param route Route of the request.
+   * @param requestId Id of the request.
+   * @returns Name of a pool; undefined where no share has any weight.
    */
   pickPool(route: RoutePolicy, requestId: string): string | undefined {
     const total = route.pools.reduce((sum, share) => sum + share.weight, 0);
--- a/packages/routing/src/route_table_test.ts
+++ b/packages/routing/src/route_table_test.ts
@@ -16,19 +16,19 @@
   workspaces: [{ name: "w", keys: ["k1", "k2"] }],
 }));
 
-test("the longest prefix that begins the path decides", () => {
+test("the route with the longest prefix of the path matches", () => {
   assert.is(TABLE.match("h.example", "/a/b/c")?.name, "long");
   assert.is(TABLE.match("h.example", "/a/bc")?.name, "short");
   assert.is(TABLE.match("h.example", "/a"), undefined);
   assert.is(TABLE.match("other.example", "/a/b/"), undefined);
 });
 
-test("a key leads to its workspace", () => {
+test("a key identifies its workspace", () => {
   assert.is(TABLE.workspaceOfKey("k2")?.name, "w");
   assert.is(TABLE.workspaceOfKey("k3"), undefined);
 });
 
-test("requests are split by weight, and one request always the same way", () => {
+test("requests are split by weight, and each request id always the same way", () => {
   const route = TABLE.match("h.example", "/s/")!;
   const pools = Array.from(
     { length: 2000 },
--- a/packages/routing/src/routed_error.ts
+++ b/packages/routing/src/routed_error.ts
@@ -1,6 +1,6 @@
-/** The closed table of errors that callers of routed requests can get. */
+/** Closed table of the errors that callers of routed requests can receive. */
 
-/** Kinds of error. */
+/** Kinds of error answered to callers. */
 export enum RoutedError {
   /** No configuration is known yet. */
   NoConfiguration = "no_configuration",
@@ -12,17 +12,17 @@
   Leaving = "leaving",
   /** The workspace has spent its allotment. */
   Allotment = "allotment",
-  /** It would wait longer than its caller does. */
+  /** The predicted wait exceeds the caller's patience. */
   Overload = "overload",
-  /** No target can be reached, or none may get it. */
+  /** No target can be reached, or none may be given the request. */
   NoTarget = "no_target",
-  /** Targets ended while they ran it. */
+  /** Targets' processes ended while they ran the request. */
   Quarantined = "quarantined",
-  /** The time was over before a target got it. */
+  /** The deadline passed before a target received the request. */
   TimeoutNotRun = "timeout_not_run",
-  /** The time was over; a target may have run it. */
+  /** The deadline passed; a target may have run the request. */
   TimeoutMayHaveRun = "timeout_may_have_run",
-  /** Its target gave no whole answer, and it may not run again. */
+  /** The target gave no complete answer, and the request may not run again. */
   AnswerLost = "answer_lost",
 }
 
@@ -32,23 +32,28 @@
   MayHaveRun = "may_have_run",
 }
 
-/** How an error is answered. */
+/** Answer to a caller for one kind of error. */
 export interface ErrorAnswer {
   readonly status: number;
   readonly ran: RanState;
-  /** What a caller reads. */
+  /** Text of the answer's body. */
   readonly text: string;
 }
 
-/** Status codes that callers take for a promise that it never runs. */
-export const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([
+/**
+ * Status codes that callers take as a guarantee that the request never runs.
+ */
+export const NOT_RUN_STATUS_CODES: ReadonlySet<number> = new Set([
   408,
   421,
   429,
   503,
 ]);
 
-/** Status codes and texts by kind. 429 and 503 promise that it never runs. */
+/**
+ * Answers by kind of error. Status codes 429 and 503 guarantee that the request
+ * never runs.
+ */
 export const ERROR_ANSWERS: Readonly<Record<RoutedError, ErrorAnswer>> = {
   [RoutedError.NoConfiguration]: {
     status: 503,
--- a/packages/routing/src/routing_test_support.ts
+++ b/packages/routing/src/routing_test_support.ts
@@ -1,4 +1,4 @@
-/** Builders for tests. */
+/** Test fixtures of the routing package. */
 
 import {
   type FleetConfiguration,
@@ -20,9 +20,11 @@
 import { AskCause, type WorkAsk } from "./work_ask.ts";
 
 /**
- * @param instanceId The member's id.
- * @param overrides What differs from one in failure domain `a`.
- * @returns What it says of itself.
+ * Builds the membership news of an instance.
+ *
+ * @param instanceId Id of the instance.
+ * @param overrides Fields that differ from an instance in failure domain `a`.
+ * @returns What the instance announces of itself.
  */
 export function memberOf(
   instanceId: string,
@@ -40,7 +42,9 @@
 }
 
 /**
- * @param overrides What differs from a plain route.
+ * Builds a route.
+ *
+ * @param overrides Fields that differ from the default route.
  * @returns A route of pool `p`.
  */
 export function routeOf(overrides: Partial<RoutePolicy> = {}): RoutePolicy {
@@ -61,8 +65,11 @@
 }
 
 /**
- * @param overrides What differs from a configuration with one engine pool `p`.
- * @returns A configuration.
+ * Builds a configuration.
+ *
+ * @param overrides Fields that differ from a configuration with one engine pool
+ * `p`.
+ * @returns The configuration.
  */
 export function configurationOf(
   overrides: Partial<FleetConfiguration> = {},
@@ -87,13 +94,15 @@
 }
 
 /**
- * @param targetIds Targets of pool `p` with two slots each.
- * @param over What differs in the configuration.
- * @returns A board of instance `i1`.
+ * Builds the routing state of instance `i1`.
+ *
+ * @param targetIds Ids of targets of pool `p` with two slots each.
+ * @param overrides Fields of the configuration that differ from the default.
+ * @returns The routing state.
  */
 export function boardOf(
   targetIds: readonly string[],
-  over: Partial<FleetConfiguration> = {},
+  overrides: Partial<FleetConfiguration> = {},
 ): RoutingBoard {
   const targets = new TargetDirectory();
   targets.listAnswers(0);
@@ -116,7 +125,7 @@
   );
   const members = new MemberView(memberOf("i1"));
   return {
-    routes: new RouteTable(configurationOf(over)),
+    routes: new RouteTable(configurationOf(overrides)),
     targets,
     members,
     configurationAge: new ConfigurationAge(),
@@ -131,9 +140,11 @@
 }
 
 /**
- * @param askId The ask's id.
- * @param overrides What differs from a small stream of rank 0.
- * @returns An ask.
+ * Builds an ask.
+ *
+ * @param askId Id of the ask.
+ * @param overrides Fields that differ from a small stream of rank 0.
+ * @returns The ask.
  */
 export function askOf(
   askId: string,
--- a/packages/routing/src/target_pace.ts
+++ b/packages/routing/src/target_pace.ts
@@ -1,40 +1,45 @@
-/** How fast targets are, as learned from what they did. */
+/**
+ * Latency model of a target, estimated from observed latencies by moving
+ * averages.
+ */
 
-/** How much one observation moves what was learned. */
+/** Weight of one observation in the moving averages. */
 const SMOOTHING_FACTOR = 0.2;
 
 /**
  * Time to the first event of an empty prompt on an idle engine, and time to
- * read a prompt token. Where learning starts; of the order that large
- * mixture-of-experts engines need, and corrected within some tens of requests.
+ * process a prompt token. These initial estimates are in the range of large
+ * mixture-of-experts engines and are corrected within tens of requests.
  */
 const BASE_FIRST_EVENT_MS = 45;
 const PROMPT_TOKEN_MS = 0.012;
-/** Extra time that long prompts take, for each million of token pairs. */
+/** Additional time for long prompts, per million pairs of prompt tokens. */
 const TOKEN_PAIRS_MS_PER_M = 0.25;
 
-/** Time between two events of a stream where learning starts. */
+/** Initial estimate of the time between two events of a stream. */
 export const INITIAL_EVENT_GAP_MS = 25;
 
-/** Time that a plain call takes where learning starts. */
+/** Initial estimate of the duration of a plain call. */
 export const INITIAL_CALL_MS = 50;
 
-/** Slowest and fastest that a target is believed to be, against the average. */
+/** Bounds of a target's slowness relative to the baseline. */
 const MAX_SLOWNESS_RATIO = 20;
 const MIN_SLOWNESS_RATIO = 0.1;
 
 const PAIRS_PER_M = 1e6;
 
-/** Learned figures of one target. */
+/** Latency estimates of one target. */
 export class TargetPace {
-  /** How much slower than the starting figures it reads prompts. */
+  /** Ratio of the observed times to the first event to the baseline. */
   #slownessRatio = 1;
   #eventGapMs = INITIAL_EVENT_GAP_MS;
   #callMs = INITIAL_CALL_MS;
 
   /**
-   * @param paces Paces of targets, one at least.
-   * @returns A pace whose predictions are the means of theirs.
+   * Averages the estimates of several targets.
+   *
+   * @param paces Estimates of at least one target.
+   * @returns Estimates whose predictions are the means of theirs.
    */
   static mean(paces: readonly TargetPace[]): TargetPace {
     const mean = new TargetPace();
@@ -45,33 +50,33 @@
   }
 
   /**
-   * Predicts the time to a stream's first event.
+   * Predicts the time to the first event of a stream.
    *
    * @param promptTokens Tokens of its prompt.
-   * @param tokensAhead Prompt tokens that wait there to be read before it.
-   * @returns A time in milliseconds.
+   * @param tokensAhead Prompt tokens that the target processes before it.
+   * @returns Time in milliseconds.
    */
   firstEventMs(promptTokens: number, tokensAhead: number): number {
     return this.#slownessRatio *
       baselineFirstEventMs(promptTokens, tokensAhead);
   }
 
-  /** Time between two events of one stream. */
+  /** Estimated time between two events of one stream. */
   get eventGapMs(): number {
     return this.#eventGapMs;
   }
 
-  /** Time that a plain call takes. */
+  /** Estimated duration of a plain call. */
   get callMs(): number {
     return this.#callMs;
   }
 
   /**
-   * Learns from a stream's first event.
+   * Updates the estimates from the first event of a stream.
    *
    * @param promptTokens Tokens of its prompt.
-   * @param tokensAhead Prompt tokens that waited there before it.
-   * @param tookMs The time it took.
+   * @param tokensAhead Prompt tokens that the target had queued before it.
+   * @param tookMs Time to the first event.
    */
   learnFirstEvent(
     promptTokens: number,
@@ -85,22 +90,32 @@
     );
   }
 
-  /** @param gapMs Mean time between the events of a stream that ended. */
+  /**
+   * Updates the estimate of the time between events.
+   *
+   * @param gapMs Mean time between the events of a stream that ended.
+   */
   learnEventGap(gapMs: number): void {
     this.#eventGapMs = smoothed(this.#eventGapMs, gapMs);
   }
 
-  /** @param tookMs Time that a plain call took. */
+  /**
+   * Updates the estimate of the duration of plain calls.
+   *
+   * @param tookMs Duration of a plain call.
+   */
   learnCall(tookMs: number): void {
     this.#callMs = smoothed(this.#callMs, tookMs);
   }
 }
 
 /**
- * @param promptTokens Tokens of a prompt.
- * @param tokensAhead Prompt tokens that waited at the target before it.
- * @returns Time to the first event where learning starts, to compare times of
- * prompts of unlike sizes by.
+ * Computes the baseline time to a first event, by which times of prompts of
+ * different sizes are compared.
+ *
+ * @param promptTokens Tokens of the prompt.
+ * @param tokensAhead Prompt tokens that the target had queued before it.
+ * @returns Time in milliseconds under the initial estimates.
  */
 export function baselineFirstEventMs(
   promptTokens: number,
--- a/packages/routing/src/target_paces.ts
+++ b/packages/routing/src/target_paces.ts
@@ -1,15 +1,17 @@
-/** The learned paces of all targets. */
+/** Learned latencies of all targets. */
 
 import { TargetPace } from "./target_pace.ts";
 import type { WorkEnd } from "./work_ask.ts";
 
-/** Paces by target. */
+/** Learned latencies by target id. */
 export class TargetPaces {
   readonly #byId = new Map<string, TargetPace>();
 
   /**
-   * @param targetId A target.
-   * @returns What was learned of it, or where learning starts.
+   * Returns the learned latencies of a target.
+   *
+   * @param targetId Id of the target.
+   * @returns Its estimates; initial ones where nothing was observed yet.
    */
   of(targetId: string): TargetPace {
     let pace = this.#byId.get(targetId);
@@ -21,11 +23,11 @@
   }
 
   /**
-   * Learns from work that ended.
+   * Updates the estimates of a target from work that ended.
    *
-   * @param end How it ended.
-   * @param of Whether it was a stream, and the prompt tokens that waited at the
-   * target when it was sent there.
+   * @param end Outcome of the work.
+   * @param of Whether it was a stream, and the prompt tokens that the target
+   * had queued when the work was placed.
    */
   learn(
     end: WorkEnd,
@@ -45,7 +47,11 @@
     }
   }
 
-  /** @param targetIds Targets that still exist; others are forgotten. */
+  /**
+   * Evicts the estimates of targets that no longer exist.
+   *
+   * @param targetIds Ids of the targets that still exist.
+   */
   keepOnly(targetIds: ReadonlySet<string>): void {
     for (const targetId of this.#byId.keys()) {
       if (!targetIds.has(targetId)) {
--- a/packages/routing/src/work_ask.ts
+++ b/packages/routing/src/work_ask.ts
@@ -1,81 +1,98 @@
-/** What a holder asks a coordinator, and what it gets back. */
+/**
+ * Asks (placement requests) of holders, the decisions of coordinators on them,
+ * and the outcomes and reports that holders send.
+ */
 
 import type { WorkspaceSpending } from "./spending_log.ts";
 import type { EndedTarget, SuspectNews } from "./suspect_requests.ts";
 
-/** Why a request asks for a place. */
+/** Why a holder asks for the placement of a request. */
 export enum AskCause {
-  /** No target has got it yet. */
+  /** No target has received the request yet. */
   First = "first",
   /** It was sent, but certainly reached no target. */
   NeverArrived = "never_arrived",
-  /** A target got it: another send draws on the retry budget. */
+  /** A target received it, so another send draws on the retry budget. */
   Repeat = "repeat",
 }
 
-/** One request that needs a place at a target. */
+/**
+ * An ask: a holder's request for a slot at a target. The holder is the instance
+ * that keeps the caller's connection.
+ */
 export interface WorkAsk {
-  /** Unique in the fleet; a repeat of the request asks under a new id. */
+  /** Unique in the fleet; a repeat of the request is asked under a new id. */
   readonly askId: string;
   readonly holderId: string;
-  /** The same for all attempts of a caller at one request; 0 if unknown. */
+  /** Hash that all attempts of a caller at one request share; 0 if unknown. */
   readonly callHash: number;
   readonly pool: string;
   readonly workspace: string;
-  /** 0 is the most valuable. */
+  /** Priority class; 0 is the highest. */
   readonly rank: number;
   /** Cost units to charge to the workspace; 0 once they were charged. */
   readonly cost: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Time left to the first event or the answer for the full value. */
+  /**
+   * Time left until the first event or the answer has to arrive to meet the
+   * route's latency objective.
+   */
   readonly objectiveLeftMs: number;
   /** Time left until the caller gives up. */
   readonly patienceLeftMs: number;
-  /** Time left until the whole answer has to be there. */
+  /** Time left until the whole answer has to arrive. */
   readonly deadlineLeftMs: number;
   /** The holder's failure domain. */
   readonly failureDomain: string;
-  /** Targets that must not get it. */
+  /** Ids of targets that must not be given the request. */
   readonly excluded: readonly string[];
   readonly cause: AskCause;
   /**
-   * The same for all attempts at the request, on all instances; absent while no
-   * request is suspected of ending targets.
+   * Fingerprint that all attempts at the request share on all instances; absent
+   * while no request is suspected of ending targets.
    */
   readonly fingerprint?: string;
-  /** Its route; absent unless versions of the pool's targets are compared. */
+  /** Route name; absent unless versions of the pool's targets are compared. */
   readonly route?: string;
 }
 
-/** Why a coordinator gives no place. */
+/** Why a coordinator refuses an ask. */
 export enum AskRefusal {
-  /** Its wait would outlast the caller's patience. */
+  /** The predicted wait exceeds the caller's patience. */
   Overload = "overload",
   /** The workspace has spent its allotment. */
   Allotment = "allotment",
-  /** No target may get it. */
+  /** No usable target may be given it. */
   NoTarget = "no_target",
-  /** The fleet has sent too many repeats lately. */
+  /** The fleet's retry budget is exhausted. */
   RetryBudget = "retry_budget",
-  /** Targets ended under it. */
+  /** It is quarantined, as targets' processes ended while they ran it. */
   Quarantined = "quarantined",
 }
 
-/** A place at a target. */
+/** Decision that places a request at a target. */
 export interface PlaceDecision {
   readonly askId: string;
   readonly holderId: string;
   readonly targetId: string;
-  /** When the first event or the answer is expected, from now. */
+  /**
+   * Predicted time in milliseconds from now to the first event or the answer.
+   */
   readonly expectedMs: number;
-  /** Time since its caller's first attempt, where that was refused. */
+  /**
+   * Time from the caller's first attempt to this ask, if that was refused; else
+   * 0.
+   */
   readonly cameBackMs: number;
-  /** Whether it runs on trial, as targets ended under it; absent if not. */
+  /**
+   * Set if it runs isolated, on trial, because targets ended under it; absent
+   * if not.
+   */
   readonly isTrial?: boolean;
 }
 
-/** What a coordinator decided about an ask. */
+/** A coordinator's decision on an ask: a placement or a refusal. */
 export type AskDecision =
   | PlaceDecision
   | {
@@ -83,34 +100,36 @@
     readonly holderId: string;
     readonly refusal: AskRefusal;
     readonly retryAfterMs: number;
-    /** What it was decided by, for the log. */
+    /** Figures that the decision is based on, for the log. */
     readonly figures: Readonly<Record<string, number>>;
   };
 
-/** How work at a target ended, told by its holder. */
+/** Outcome of work at a target, as its holder sends it. */
 export interface WorkEnd {
   readonly askId: string;
   readonly targetId: string;
   readonly pool: string;
   readonly promptTokens: number;
-  /** Time to the first event or the answer; absent where none came. */
+  /** Time to the first event or the answer; absent where none arrived. */
   readonly firstMs?: number;
-  /** Mean time between events; absent where too few came. */
+  /** Mean time between events; absent where too few arrived. */
   readonly eventGapMs?: number;
   /** Whether the target failed it: no answer, a broken or a wrong one. */
   readonly failed: boolean;
   /**
-   * Whether the target answered with a failure or gave no whole answer, and was
-   * not merely out of reach; absent where it did not.
+   * Set if the target answered with a failure or an incomplete answer, and was
+   * not merely unreachable; absent otherwise.
    */
   readonly answerFailed?: boolean;
-  /** The target's process, where that ended before the answer. */
+  /** The target's process, if it ended before the answer. */
   readonly endedTarget?: EndedTarget;
-  /** Fingerprint of a suspect that was served. */
+  /** Fingerprint of a suspect request that a target answered. */
   readonly clearedFingerprint?: string;
 }
 
-/** Work that a holder has at a target, for a coordinator that is new to it. */
+/**
+ * Work that a holder has at a target, for a coordinator that does not know it.
+ */
 export interface RunningWork {
   readonly askId: string;
   readonly pool: string;
@@ -119,20 +138,23 @@
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly firstSeen: boolean;
-  /** Fingerprint of a request that runs on trial; absent for all others. */
+  /**
+   * Fingerprint of a suspect request that runs isolated, on trial; absent for
+   * all others.
+   */
   readonly trialOf?: string;
 }
 
-/** All that a holder has open, told regularly. */
+/** Periodic report of a holder's open asks and of the spending through it. */
 export interface HolderReport {
   readonly holderId: string;
   readonly running: readonly RunningWork[];
   readonly waiting: readonly string[];
-  /** What workspaces spent within the window, through this holder. */
+  /** Spending of workspaces through this holder within the window. */
   readonly spent: readonly WorkspaceSpending[];
   /**
-   * Requests under which targets ended, where the coordinator may not know of
-   * them; absent where there are none.
+   * Requests suspected of ending targets that the coordinator may not know of;
+   * absent where there are none.
    */
   readonly suspects?: readonly SuspectNews[];
 }
