--- a/packages/routing/src/first_event_margin.ts
+++ b/packages/routing/src/late_margin.ts
@@ -1,6 +1,7 @@
 /**
- * Adaptive margin on the predicted time to the first event: a running estimate
- * of a quantile of the ratio of actual to predicted times.
+ * Adaptive margin that decides when a queued request counts as late: a running
+ * estimate of a quantile of the ratio of actual to predicted times to the first
+ * event.
  *
  * When a pool is full, queued requests are placed just before their latest
  * start time, so a systematic prediction error makes most of them late at once.
@@ -29,7 +30,7 @@
 const STEP_RATIO = 0.05;
 
 /** Margin within which a fixed share of the first events arrive. */
-export class FirstEventMargin {
+export class LateMargin {
   #ratio = INITIAL_MARGIN_RATIO;
 
   /** Ratio to the predicted time within which a first event is expected. */
--- a/packages/routing/src/first_event_margin_test.ts
+++ b/packages/routing/src/late_margin_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { FirstEventMargin } from "./first_event_margin.ts";
+import { LateMargin } from "./late_margin.ts";
 
 const PREDICTED_MS = 50;
 const OBSERVATIONS = 2000;
@@ -10,7 +10,7 @@
  * predicted.
  */
 function learnedFrom(maxRatio: number): number {
-  const margin = new FirstEventMargin();
+  const margin = new LateMargin();
   for (let i = 0; i < OBSERVATIONS; i++) {
     // Evenly spread, in an order that is not monotonic.
     const fraction = (i * 7 % 100) / 100;
--- a/packages/routing/src/reported_spending_test.ts
+++ b/packages/routing/src/reported_spending_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { ReportedSpending } from "./reported_spending.ts";
 
-test("a holder's spending is that in its last report", () => {
+test("a holder's spending is that of its last report", () => {
   const reported = new ReportedSpending();
   reported.put("i1", [{ workspace: "a", spent: 100 }]);
   reported.put("i2", [
--- a/packages/routing/src/waiting_queue.ts
+++ b/packages/routing/src/waiting_queue.ts
@@ -2,7 +2,7 @@
  * Queue of one pool: the requests that wait for a target, with their sort keys.
  */
 
-import { FirstEventMargin } from "./first_event_margin.ts";
+import { LateMargin } from "./late_margin.ts";
 import {
   firstInOrder,
   inOrder,
@@ -27,7 +27,7 @@
 /** Queued requests by ask. */
 export class WaitingQueue {
   readonly #byAsk = new Map<string, KeyedWork>();
-  readonly #margin = new FirstEventMargin();
+  readonly #margin = new LateMargin();
   #reorderedAtMs = -Infinity;
   /** Idle target with the pool's mean pace at the last reorder. */
   #typical?: Candidate;
