--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -6,7 +6,7 @@
  */
 
 import { RateLimiter } from "./rate_limiter.ts";
-import { PoolSchedule, quarantineRefusal } from "./pool_schedule.ts";
+import { PoolScheduler, quarantineRefusal } from "./pool_scheduler.ts";
 import { RetryBudget, type RetryBudgetBound } from "./retry_budget.ts";
 import {
   AllotmentLedger,
@@ -81,7 +81,7 @@
  */
 export class Coordinator {
   readonly #board: RoutingBoard;
-  readonly #pools = new Map<string, PoolSchedule>();
+  readonly #schedulers = new Map<string, PoolScheduler>();
   readonly #budgets = new Map<string, RetryBudget>();
   readonly #allotmentLedger: AllotmentLedger;
   readonly #limiter: RateLimiter;
@@ -115,14 +115,14 @@
    * queued.
    */
   ask(ask: WorkAsk, scope: LedgerScope): AskDecision[] {
-    const schedule = this.#poolSchedule(ask.pool);
+    const scheduler = this.#poolScheduler(ask.pool);
     this.#limiter.share = scope.share;
     this.#lastContactAtMs.set(ask.holderId, scope.nowMs);
-    const decision = schedule.decisionFor(ask.askId);
+    const decision = scheduler.decisionFor(ask.askId);
     if (decision !== undefined) {
       return [decision];
     }
-    if (schedule.isWaiting(ask.askId)) {
+    if (scheduler.isWaiting(ask.askId)) {
       return [];
     }
     const { askId, callHash } = ask;
@@ -140,7 +140,10 @@
     const { charge } = admission;
     this.#openAsks.set(askId, { pool, callHash, firstAttemptAtMs, charge });
     const cameBackMs = nowMs - firstAttemptAtMs;
-    return this.#applyRefusals(schedule.add(ask, { cameBackMs, nowMs }), nowMs);
+    return this.#applyRefusals(
+      scheduler.add(ask, { cameBackMs, nowMs }),
+      nowMs,
+    );
   }
 
   /**
@@ -149,7 +152,7 @@
    * @param askId Id of the ask that the stream was placed by.
    */
   firstSeen(askId: string): void {
-    this.#scheduleOf(askId)?.firstSeen(askId);
+    this.#schedulerOf(askId)?.firstSeen(askId);
   }
 
   /**
@@ -161,8 +164,8 @@
    */
   ended(end: WorkEnd, nowMs: number): AskDecision[] {
     this.#updateSuspects(end, nowMs);
-    const schedule = this.#poolSchedule(end.pool);
-    const { work, decisions } = schedule.release(end.askId, nowMs);
+    const scheduler = this.#poolScheduler(end.pool);
+    const { work, decisions } = scheduler.release(end.askId, nowMs);
     const isStream = this.#board.routes?.pool(end.pool)?.engine !== undefined;
     const tokensAhead = work?.tokensAhead ?? 0;
     this.#recordVersionAnswer(end, {
@@ -173,7 +176,7 @@
     });
     this.#board.paces.learn(end, { isStream, tokensAhead });
     if (work !== undefined && !end.failed && end.firstMs !== undefined) {
-      schedule.recordFirstEvent(end.promptTokens, end.firstMs);
+      scheduler.recordFirstEvent(end.promptTokens, end.firstMs);
     }
     this.#removeAsk(end.askId);
     return this.#applyRefusals(decisions, nowMs);
@@ -188,12 +191,12 @@
    * @returns Decisions on queued asks.
    */
   dropped(askId: string, nowMs: number): AskDecision[] {
-    const schedule = this.#scheduleOf(askId);
-    if (schedule === undefined) {
+    const scheduler = this.#schedulerOf(askId);
+    if (scheduler === undefined) {
       return [];
     }
     this.#refund(askId, nowMs);
-    const { decisions } = schedule.release(askId, nowMs);
+    const { decisions } = scheduler.release(askId, nowMs);
     this.#removeAsk(askId);
     return this.#applyRefusals(decisions, nowMs);
   }
@@ -219,7 +222,7 @@
     this.#allotmentLedger.setReportedTotals(this.#spending.totals(), nowMs);
     for (const running of report.running) {
       this.#recordAdopted(running, nowMs);
-      this.#poolSchedule(running.pool).adopt(report.holderId, running, nowMs);
+      this.#poolScheduler(running.pool).adopt(report.holderId, running, nowMs);
     }
     const open = new Set([
       ...report.running.map(({ askId }) => askId),
@@ -241,7 +244,7 @@
     nowMs: number,
   ): { decisions: AskDecision[]; unknownIds: string[] } {
     const decisions = askIds.flatMap((askId) =>
-      this.#scheduleOf(askId)?.lostDecisionFor(askId, nowMs) ?? []
+      this.#schedulerOf(askId)?.lostDecisionFor(askId, nowMs) ?? []
     );
     const unknownIds = askIds.filter((askId) => !this.#openAsks.has(askId));
     return { decisions, unknownIds };
@@ -265,8 +268,8 @@
         decisions.push(...this.#releaseUnlisted(holderId, new Set(), nowMs));
       }
     }
-    for (const schedule of this.#pools.values()) {
-      decisions.push(...this.#applyRefusals(schedule.tick(nowMs), nowMs));
+    for (const scheduler of this.#schedulers.values()) {
+      decisions.push(...this.#applyRefusals(scheduler.tick(nowMs), nowMs));
     }
     return decisions;
   }
@@ -330,8 +333,8 @@
    * @param targetId Target whose process started again under the same id.
    */
   targetRestarted(targetId: string): void {
-    for (const schedule of this.#pools.values()) {
-      schedule.targetRestarted(targetId);
+    for (const scheduler of this.#schedulers.values()) {
+      scheduler.targetRestarted(targetId);
     }
   }
 
@@ -350,17 +353,17 @@
    * to another coordinator.
    */
   clearAsks(): void {
-    this.#pools.clear();
+    this.#schedulers.clear();
     this.#openAsks.clear();
     this.#lastContactAtMs.clear();
   }
 
   /** @returns Numbers of queued and of placed requests, by pool. */
   load(): { pool: string; waiting: number; placed: number }[] {
-    return [...this.#pools].map(([pool, schedule]) => ({
+    return [...this.#schedulers].map(([pool, scheduler]) => ({
       pool,
-      waiting: schedule.waitingCount,
-      placed: schedule.placedCount,
+      waiting: scheduler.waitingCount,
+      placed: scheduler.placedCount,
     }));
   }
 
@@ -372,7 +375,7 @@
    * @returns Number of placed requests.
    */
   runningAt(pool: string, targetIds: readonly string[]): number {
-    return this.#poolSchedule(pool).runningAt(targetIds);
+    return this.#poolScheduler(pool).runningAt(targetIds);
   }
 
   /**
@@ -499,10 +502,10 @@
     nowMs: number,
   ): AskDecision[] {
     const decisions: AskDecision[] = [];
-    for (const schedule of this.#pools.values()) {
-      for (const askId of schedule.askIdsOf(holderId, nowMs - REPORT_LAG_MS)) {
+    for (const scheduler of this.#schedulers.values()) {
+      for (const askId of scheduler.askIdsOf(holderId, nowMs - REPORT_LAG_MS)) {
         if (!open.has(askId)) {
-          decisions.push(...schedule.release(askId, nowMs).decisions);
+          decisions.push(...scheduler.release(askId, nowMs).decisions);
           this.#removeAsk(askId);
         }
       }
@@ -528,21 +531,21 @@
     this.#openAsks.delete(askId);
   }
 
-  #scheduleOf(askId: string): PoolSchedule | undefined {
+  #schedulerOf(askId: string): PoolScheduler | undefined {
     const pool = this.#openAsks.get(askId)?.pool;
-    return pool === undefined ? undefined : this.#pools.get(pool);
+    return pool === undefined ? undefined : this.#schedulers.get(pool);
   }
 
-  #poolSchedule(name: string): PoolSchedule {
-    let schedule = this.#pools.get(name);
-    if (schedule === undefined) {
-      schedule = new PoolSchedule(name, {
+  #poolScheduler(name: string): PoolScheduler {
+    let scheduler = this.#schedulers.get(name);
+    if (scheduler === undefined) {
+      scheduler = new PoolScheduler(name, {
         board: this.#board,
         limiter: this.#limiter,
       });
-      this.#pools.set(name, schedule);
+      this.#schedulers.set(name, scheduler);
     }
-    return schedule;
+    return scheduler;
   }
 
   #budget(pool: string): RetryBudget {
--- a/packages/routing/src/pool_schedule.ts
+++ b/packages/routing/src/pool_scheduler.ts
@@ -72,7 +72,7 @@
 }
 
 /** Placed work and queue of one pool. */
-export class PoolSchedule {
+export class PoolScheduler {
   readonly #board: RoutingBoard;
   readonly #limiter: RateLimiter;
   readonly #placed = new PlacedWorkIndex((targetId, use) =>
