--- a/packages/routing/src/queue_order.ts
+++ b/packages/routing/src/queue_order.ts
@@ -51,8 +51,8 @@
 
 /**
  * Sorts a queue: promoted ranks first, then by rank. Within a rank, requests
- * that can still meet their objective go before those that cannot, and
- * otherwise the earliest latest start goes first. Large requests need more time
+ * that can still meet their objective go before those that cannot, and each of
+ * the two groups is sorted by latest start time. Large requests need more time
  * before their deadline: ordered by age alone, the largest tenth of requests
  * with short deadlines was served half as often.
  *
