--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -1,11 +1,12 @@
 /**
- * Decides where the fleet's requests run. Every instance has one and serves any
- * ask that reaches it; the members agree on whose they ask by rendezvous
- * hashing. Its account is soft state that holders' reports renew.
+ * Places the fleet's requests at targets. Every instance has a coordinator and
+ * answers any ask that reaches it; the instances choose the acting one by
+ * rendezvous hashing. Its accounting is soft state: the holders' periodic
+ * reports rebuild it.
  */
 
 import { RateLimiter } from "./rate_limiter.ts";
-import { PoolSchedule, quarantined } from "./pool_schedule.ts";
+import { PoolScheduler, quarantineRefusal } from "./pool_scheduler.ts";
 import { RetryBudget, type RetryBudgetBound } from "./retry_budget.ts";
 import {
   AllotmentLedger,
@@ -13,7 +14,7 @@
   type Charge,
   type LedgerScope,
 } from "./allotment_ledger.ts";
-import { HeardSpending } from "./heard_spending.ts";
+import { ReportedSpending } from "./reported_spending.ts";
 import type { SpendingHistory } from "./spending_log.ts";
 import type { RoutingBoard } from "./routing_board.ts";
 import {
@@ -27,125 +28,147 @@
 } from "./work_ask.ts";
 import { routeRankOf } from "./ranks.ts";
 import { RefusedCallers } from "./refused_callers.ts";
-import { CALL_MS, EVENT_GAP_MS, plainFirstEventMs } from "./target_pace.ts";
+import {
+  baselineFirstEventMs,
+  INITIAL_CALL_MS,
+  INITIAL_EVENT_GAP_MS,
+} from "./target_pace.ts";
 
 /**
- * Age below which work that a holder's report leaves out is kept: the report
- * may have been made before the grant reached the holder.
+ * Minimum age of work that is released because a holder's report does not list
+ * it: the report may have been made before the placement reached the holder.
  */
 const REPORT_LAG_MS = 400;
 
-/** Silence after which the work of a holder is no longer counted. */
-const HOLDER_GONE_MS = 1500;
+/**
+ * Time without an ask or a report after which a holder counts as failed and its
+ * work is released.
+ */
+const HOLDER_TIMEOUT_MS = 1500;
 
-const RETRY_BUDGET_AFTER_MS = 1000;
+const RETRY_BUDGET_RETRY_AFTER_MS = 1000;
 
-/** Bounds that the operators set on the fleet as a whole. */
+/** Limits that the operators set for the fleet as a whole. */
 export interface FleetBounds {
   readonly retryBudget: RetryBudgetBound;
   readonly allotmentTolerance: AllotmentTolerance;
 }
 
-/** What is known of an ask that waits or was placed. */
+/** An ask that is queued or placed. */
 interface OpenAsk {
   readonly pool: string;
-  /** The same for all attempts of a caller at one request; 0 if unknown. */
+  /** Hash that all attempts of a caller at one request share; 0 if unknown. */
   readonly callHash: number;
-  /** When its caller first came with the request. */
-  readonly firstAtMs: number;
-  /** Absent where it cost nothing, or was charged by another coordinator. */
+  /** Local time of the caller's first attempt at the request. */
+  readonly firstAttemptAtMs: number;
+  /**
+   * Charge to refund if the request never runs; absent where it cost nothing or
+   * another coordinator charged it.
+   */
   readonly charge?: Charge;
 }
 
-/** Whether an ask may wait for a place. */
-type DoorCheck = { readonly refusal: AskDecision } | {
+/** Result of admission control: a refusal, or the charge that was made. */
+type AdmissionResult = { readonly refusal: AskDecision } | {
   readonly charge?: Charge;
 };
 
-/** Coordinates asks of all holders that reach this instance. */
+/**
+ * Queues and places the asks of all holders that reach this instance.
+ *
+ * An ask is a holder's request for a slot at a target of a pool; a holder is
+ * the instance that keeps a caller's connection.
+ */
 export class Coordinator {
   readonly #board: RoutingBoard;
-  readonly #pools = new Map<string, PoolSchedule>();
+  readonly #schedulers = new Map<string, PoolScheduler>();
   readonly #budgets = new Map<string, RetryBudget>();
-  readonly #ledger: AllotmentLedger;
+  readonly #allotmentLedger: AllotmentLedger;
   readonly #limiter: RateLimiter;
   #bounds: FleetBounds;
   readonly #openAsks = new Map<string, OpenAsk>();
   readonly #refusedCallers = new RefusedCallers();
-  readonly #reportedAtMs = new Map<string, number>();
-  /** When each holder last told what was spent through it. */
-  readonly #spendingToldAtMs = new Map<string, number>();
-  readonly #spending = new HeardSpending();
+  readonly #lastContactAtMs = new Map<string, number>();
+  /** Local time at which each holder last reported its spending. */
+  readonly #spendingReportedAtMs = new Map<string, number>();
+  readonly #spending = new ReportedSpending();
 
   /**
-   * @param board What the instance believes.
-   * @param bounds Bounds that hold for the whole fleet.
+   * @param board Shared routing state of the instance.
+   * @param bounds Limits that apply to the whole fleet.
    */
   constructor(board: RoutingBoard, bounds: FleetBounds) {
     this.#board = board;
     this.#bounds = bounds;
-    this.#ledger = new AllotmentLedger(bounds.allotmentTolerance);
+    this.#allotmentLedger = new AllotmentLedger(bounds.allotmentTolerance);
     this.#limiter = new RateLimiter(board.rateLimits);
   }
 
   /**
-   * Takes in an ask. One that was sent again gets the same decision again.
+   * Handles an ask: places, queues or refuses it. Idempotent: an ask that was
+   * sent again gets the same decision.
    *
    * @param ask The ask.
-   * @param scope What of the fleet's allotments, retry budgets and targets'
-   * limits this instance may hand out, and the local time.
-   * @returns Decisions, for this ask and for others; none for this one while
-   * it waits.
+   * @param scope Share of the fleet's allotments, retry budgets and targets'
+   * rate limits that this instance may hand out, and the current local time.
+   * @returns Decisions on this ask and on others; none for this one while it is
+   * queued.
    */
   ask(ask: WorkAsk, scope: LedgerScope): AskDecision[] {
-    const schedule = this.#pool(ask.pool);
+    const scheduler = this.#poolScheduler(ask.pool);
     this.#limiter.share = scope.share;
-    this.#reportedAtMs.set(ask.holderId, scope.nowMs);
-    const decision = schedule.decisionOn(ask.askId);
+    this.#lastContactAtMs.set(ask.holderId, scope.nowMs);
+    const decision = scheduler.decisionFor(ask.askId);
     if (decision !== undefined) {
       return [decision];
     }
-    if (schedule.isWaiting(ask.askId)) {
+    if (scheduler.isWaiting(ask.askId)) {
       return [];
     }
     const { askId, callHash } = ask;
     const { nowMs } = scope;
-    const firstAtMs = this.#refusedCallers.firstAtMs(callHash, nowMs);
-    const checked = this.#checkAtDoor(ask, scope);
-    if ("refusal" in checked) {
-      this.#refusedCallers.note(callHash, firstAtMs, nowMs);
-      return [checked.refusal];
+    const firstAttemptAtMs = this.#refusedCallers.firstAttemptAtMs(
+      callHash,
+      nowMs,
+    );
+    const admission = this.#admit(ask, scope);
+    if ("refusal" in admission) {
+      this.#refusedCallers.record(callHash, firstAttemptAtMs, nowMs);
+      return [admission.refusal];
     }
     const { pool } = ask;
-    const { charge } = checked;
-    this.#openAsks.set(askId, { pool, callHash, firstAtMs, charge });
-    const cameBackMs = nowMs - firstAtMs;
-    return this.#settled(schedule.add(ask, { cameBackMs, nowMs }), nowMs);
+    const { charge } = admission;
+    this.#openAsks.set(askId, { pool, callHash, firstAttemptAtMs, charge });
+    const cameBackMs = nowMs - firstAttemptAtMs;
+    return this.#applyRefusals(
+      scheduler.add(ask, { cameBackMs, nowMs }),
+      nowMs,
+    );
   }
 
   /**
-   * Notes that a stream's first event came.
+   * Records that the first event of a stream was received.
    *
-   * @param askId The ask it was placed by.
+   * @param askId Id of the ask that the stream was placed by.
    */
   firstSeen(askId: string): void {
-    this.#scheduleOf(askId)?.firstSeen(askId);
+    this.#schedulerOf(askId)?.firstSeen(askId);
   }
 
   /**
-   * Frees what ended work held, and learns from it.
+   * Releases the slot of work that ended, and updates the estimates from it.
    *
-   * @param end How it ended.
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param end Outcome of the work.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   ended(end: WorkEnd, nowMs: number): AskDecision[] {
-    this.#learnOfSuspect(end, nowMs);
-    const schedule = this.#pool(end.pool);
-    const { work, decisions } = schedule.release(end.askId, nowMs);
+    this.#updateSuspects(end, nowMs);
+    const scheduler = this.#poolScheduler(end.pool);
+    const { work, decisions } = scheduler.release(end.askId, nowMs);
     const isStream = this.#board.routes?.pool(end.pool)?.engine !== undefined;
     const tokensAhead = work?.tokensAhead ?? 0;
-    this.#compareVersions(end, {
+    this.#recordVersionAnswer(end, {
       isStream,
       tokensAhead,
       route: work?.route,
@@ -153,51 +176,53 @@
     });
     this.#board.paces.learn(end, { isStream, tokensAhead });
     if (work !== undefined && !end.failed && end.firstMs !== undefined) {
-      schedule.learnFirst(end.promptTokens, end.firstMs);
+      scheduler.recordFirstEvent(end.promptTokens, end.firstMs);
     }
-    this.#forget(end.askId);
-    return this.#settled(decisions, nowMs);
+    this.#removeAsk(end.askId);
+    return this.#applyRefusals(decisions, nowMs);
   }
 
   /**
-   * Drops an ask whose caller has left or that was placed elsewhere.
+   * Withdraws an ask whose caller has left or that was placed elsewhere, and
+   * refunds its charge.
    *
-   * @param askId The ask.
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param askId Id of the ask.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   dropped(askId: string, nowMs: number): AskDecision[] {
-    const schedule = this.#scheduleOf(askId);
-    if (schedule === undefined) {
+    const scheduler = this.#schedulerOf(askId);
+    if (scheduler === undefined) {
       return [];
     }
     this.#refund(askId, nowMs);
-    const { decisions } = schedule.release(askId, nowMs);
-    this.#forget(askId);
-    return this.#settled(decisions, nowMs);
+    const { decisions } = scheduler.release(askId, nowMs);
+    this.#removeAsk(askId);
+    return this.#applyRefusals(decisions, nowMs);
   }
 
   /**
-   * Brings the account in line with what a holder has open and has spent.
+   * Reconciles the accounting with a holder's report of its open work and its
+   * spending.
    *
    * @param report The holder's report.
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   report(report: HolderReport, nowMs: number): AskDecision[] {
-    this.#reportedAtMs.set(report.holderId, nowMs);
-    const toldBeforeMs = this.spendingToldAtMs(report.holderId);
-    if (nowMs - toldBeforeMs > HOLDER_GONE_MS) {
-      this.#ledger.reliesOnReports(nowMs);
+    this.#lastContactAtMs.set(report.holderId, nowMs);
+    const previousReportAtMs = this.spendingReportedAtMs(report.holderId);
+    if (nowMs - previousReportAtMs > HOLDER_TIMEOUT_MS) {
+      this.#allotmentLedger.markIncomplete(nowMs);
     }
-    this.#spendingToldAtMs.set(report.holderId, nowMs);
+    this.#spendingReportedAtMs.set(report.holderId, nowMs);
     this.#spending.put(report.holderId, report.spent);
     this.#board.suspects.merge(report.suspects ?? [], nowMs);
-    // Counts what all holders told that they spent, here or elsewhere.
-    this.#ledger.heard(this.#spending.totals(), nowMs);
+    // These totals include charges made by other coordinators.
+    this.#allotmentLedger.setReportedTotals(this.#spending.totals(), nowMs);
     for (const running of report.running) {
-      this.#noteAdopted(running, nowMs);
-      this.#pool(running.pool).adopt(report.holderId, running, nowMs);
+      this.#recordAdopted(running, nowMs);
+      this.#poolScheduler(running.pool).adopt(report.holderId, running, nowMs);
     }
     const open = new Set([
       ...report.running.map(({ askId }) => askId),
@@ -207,132 +232,157 @@
   }
 
   /**
-   * Looks up asks that their holder has no word of.
+   * Looks up asks for which a holder has received no decision.
    *
-   * @param askIds Asks that the holder waits for.
-   * @param nowMs The local time.
-   * @returns Decisions on those that were placed, unless they may still be on
-   * their way, and which are not known here.
+   * @param askIds Ids of the asks that the holder waits for.
+   * @param nowMs Current local time in milliseconds.
+   * @returns The placements to send again, without those that may still be in
+   * transit, and the ids of asks that this coordinator does not know.
    */
   lookUp(
     askIds: readonly string[],
     nowMs: number,
   ): { decisions: AskDecision[]; unknownIds: string[] } {
     const decisions = askIds.flatMap((askId) =>
-      this.#scheduleOf(askId)?.lostDecisionOn(askId, nowMs) ?? []
+      this.#schedulerOf(askId)?.lostDecisionFor(askId, nowMs) ?? []
     );
     const unknownIds = askIds.filter((askId) => !this.#openAsks.has(askId));
     return { decisions, unknownIds };
   }
 
   /**
-   * Lets time pass: waiting asks are looked at again, and the work of holders
-   * that fell silent is no longer counted.
+   * Runs periodic work: processes the queues again, releases the work of
+   * holders that timed out, and drops expired state.
    *
-   * @param nowMs The local time.
-   * @returns Decisions on asks that waited.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
    */
   tick(nowMs: number): AskDecision[] {
     this.#board.suspects.evictExpired(nowMs);
-    this.#limiter.forgetLifted();
+    this.#limiter.evictUnlimited();
     const decisions: AskDecision[] = [];
-    for (const [holderId, heardAtMs] of this.#reportedAtMs) {
-      if (nowMs - heardAtMs > HOLDER_GONE_MS) {
-        this.#reportedAtMs.delete(holderId);
+    for (const [holderId, contactAtMs] of this.#lastContactAtMs) {
+      if (nowMs - contactAtMs > HOLDER_TIMEOUT_MS) {
+        this.#lastContactAtMs.delete(holderId);
         this.#spending.put(holderId, []);
         decisions.push(...this.#releaseUnlisted(holderId, new Set(), nowMs));
       }
     }
-    for (const schedule of this.#pools.values()) {
-      decisions.push(...this.#settled(schedule.tick(nowMs), nowMs));
+    for (const scheduler of this.#schedulers.values()) {
+      decisions.push(...this.#applyRefusals(scheduler.tick(nowMs), nowMs));
     }
     return decisions;
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns Spending to be recorded in the platform's store, if any is.
+   * Returns the spending record to write to the platform's store.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns Spending of workspaces near their bounds; undefined while the last
+   * record still holds.
    */
   spendingToRecord(nowMs: number): SpendingHistory[] | undefined {
-    return this.#ledger.toRecord(nowMs);
+    return this.#allotmentLedger.spendingToRecord(nowMs);
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns Spending of workspaces near their bounds.
+   * Returns the spending of workspaces near their bounds.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns One history for each of these workspaces.
    */
-  muchSpent(nowMs: number): SpendingHistory[] {
-    return this.#ledger.muchSpent(nowMs);
+  spendingNearBound(nowMs: number): SpendingHistory[] {
+    return this.#allotmentLedger.spendingNearBound(nowMs);
   }
 
   /**
-   * Goes on from what another coordinator counted, or the fleet recorded before
-   * it lost its instances.
+   * Imports spending that another coordinator accounted for, or that the fleet
+   * recorded before all its instances stopped.
    *
-   * @param histories What workspaces spent, and when.
-   * @param atMs Local time that the ages in it count from.
+   * @param histories Spending of workspaces by age.
+   * @param atMs Local time in milliseconds that the ages count from.
    */
-  takeUpSpending(histories: readonly SpendingHistory[], atMs: number): void {
-    this.#ledger.takeUp(histories, atMs);
+  importSpending(histories: readonly SpendingHistory[], atMs: number): void {
+    this.#allotmentLedger.importHistories(histories, atMs);
   }
 
-  /** Spending is to be recorded anew: another instance may have done so. */
-  recordAnew(): void {
-    this.#ledger.recordAnew();
+  /**
+   * Discards the last spending record, so that a new one is written: another
+   * instance may have overwritten it.
+   */
+  invalidateRecord(): void {
+    this.#allotmentLedger.invalidateRecord();
   }
 
-  /** @param bounds Bounds that hold from now on. */
+  /**
+   * Replaces the fleet's limits.
+   *
+   * @param bounds Limits that apply from now on.
+   */
   setBounds(bounds: FleetBounds): void {
     this.#bounds = bounds;
-    this.#ledger.setTolerance(bounds.allotmentTolerance);
+    this.#allotmentLedger.setTolerance(bounds.allotmentTolerance);
     for (const budget of this.#budgets.values()) {
       budget.setBound(bounds.retryBudget);
     }
   }
 
-  /** @param targetId A target whose process started again under its id. */
+  /**
+   * Releases the work at a target that restarted.
+   *
+   * @param targetId Target whose process started again under the same id.
+   */
   targetRestarted(targetId: string): void {
-    for (const schedule of this.#pools.values()) {
-      schedule.targetRestarted(targetId);
+    for (const scheduler of this.#schedulers.values()) {
+      scheduler.targetRestarted(targetId);
     }
   }
 
   /**
-   * @param holderId A holder.
-   * @returns When it last told here what was spent through it; -Infinity where it
-   * never did.
+   * Returns when a holder last reported its spending to this instance.
+   *
+   * @param holderId Id of the holder.
+   * @returns Local time in milliseconds; -Infinity if it never did.
    */
-  spendingToldAtMs(holderId: string): number {
-    return this.#spendingToldAtMs.get(holderId) ?? -Infinity;
+  spendingReportedAtMs(holderId: string): number {
+    return this.#spendingReportedAtMs.get(holderId) ?? -Infinity;
   }
 
-  /** Forgets all asks, after a pause in which holders went elsewhere. */
-  forgetAll(): void {
-    this.#pools.clear();
+  /**
+   * Drops all asks, after a pause of this process in which the holders turned
+   * to another coordinator.
+   */
+  clearAsks(): void {
+    this.#schedulers.clear();
     this.#openAsks.clear();
-    this.#reportedAtMs.clear();
+    this.#lastContactAtMs.clear();
   }
 
-  /** @returns Requests that wait and that run, by pool. */
+  /** @returns Numbers of queued and of placed requests, by pool. */
   load(): { pool: string; waiting: number; placed: number }[] {
-    return [...this.#pools].map(([pool, schedule]) => ({
+    return [...this.#schedulers].map(([pool, scheduler]) => ({
       pool,
-      waiting: schedule.waitingCount,
-      placed: schedule.placedCount,
+      waiting: scheduler.waitingCount,
+      placed: scheduler.placedCount,
     }));
   }
 
   /**
-   * @param pool A pool.
-   * @param targetIds Targets of it.
-   * @returns Requests that they work on.
+   * Counts the requests that run at some of a pool's targets.
+   *
+   * @param pool Name of the pool.
+   * @param targetIds Ids of the targets.
+   * @returns Number of placed requests.
    */
   runningAt(pool: string, targetIds: readonly string[]): number {
-    return this.#pool(pool).runningAt(targetIds);
+    return this.#poolScheduler(pool).runningAt(targetIds);
   }
 
-  /** What came of work tells of the version of its target. */
-  #compareVersions(
+  /**
+   * Feeds an outcome into the comparison of versions while a roll-out of the
+   * pool is in progress.
+   */
+  #recordVersionAnswer(
     end: WorkEnd,
     of: {
       isStream: boolean;
@@ -355,11 +405,11 @@
     rollouts.answered(target, {
       route: of.route ?? "",
       failed,
-      slowness: failed || !isWarm ? undefined : slownessOf(end, of),
+      slowness: failed || !isWarm ? undefined : slownessRatioOf(end, of),
     });
   }
 
-  #learnOfSuspect(
+  #updateSuspects(
     { endedTarget, clearedFingerprint }: WorkEnd,
     nowMs: number,
   ): void {
@@ -372,40 +422,40 @@
     }
   }
 
-  #checkAtDoor(ask: WorkAsk, scope: LedgerScope): DoorCheck {
+  #admit(ask: WorkAsk, scope: LedgerScope): AdmissionResult {
     const { askId, holderId, fingerprint } = ask;
     const { suspects } = this.#board;
     const heldForMs = suspects.quarantineLeftMs(fingerprint, scope.nowMs);
     if (heldForMs > 0) {
-      return { refusal: quarantined(ask, heldForMs) };
+      return { refusal: quarantineRefusal(ask, heldForMs) };
     }
     const budget = this.#budget(ask.pool);
     if (
-      ask.cause === AskCause.Repeat && !budget.take(scope.share, scope.nowMs)
+      ask.cause === AskCause.Repeat && !budget.tryTake(scope.share, scope.nowMs)
     ) {
       const refusal = {
         askId,
         holderId,
         refusal: AskRefusal.RetryBudget,
-        retryAfterMs: RETRY_BUDGET_AFTER_MS,
+        retryAfterMs: RETRY_BUDGET_RETRY_AFTER_MS,
         figures: { share: scope.share },
       };
       return { refusal };
     }
     if (ask.cause === AskCause.First) {
-      budget.noteFirst(scope.nowMs);
+      budget.recordFirst(scope.nowMs);
     }
     return this.#charge(ask, scope);
   }
 
-  #charge(ask: WorkAsk, scope: LedgerScope): DoorCheck {
+  #charge(ask: WorkAsk, scope: LedgerScope): AdmissionResult {
     const { askId, holderId, workspace, cost } = ask;
     const allotment = this.#board.routes?.workspace(workspace)?.allotment;
     if (allotment === undefined || cost === 0) {
       return {};
     }
     const rank = routeRankOf(ask.rank);
-    const result = this.#ledger
+    const result = this.#allotmentLedger
       .charge(workspace, allotment, { cost, rank, scope });
     if (result.allowed) {
       return { charge: { workspace, cost } };
@@ -427,20 +477,20 @@
     return { refusal };
   }
 
-  /** Work that another coordinator placed. */
-  #noteAdopted({ askId, pool }: RunningWork, nowMs: number): void {
+  /** Registers work that another coordinator placed. */
+  #recordAdopted({ askId, pool }: RunningWork, nowMs: number): void {
     if (!this.#openAsks.has(askId)) {
-      this.#openAsks.set(askId, { pool, callHash: 0, firstAtMs: nowMs });
+      this.#openAsks.set(askId, { pool, callHash: 0, firstAttemptAtMs: nowMs });
     }
   }
 
-  #settled(decisions: AskDecision[], nowMs: number): AskDecision[] {
+  #applyRefusals(decisions: AskDecision[], nowMs: number): AskDecision[] {
     for (const decision of decisions) {
       const { askId } = decision;
       if ("refusal" in decision) {
-        this.#noteRefused(askId, nowMs);
+        this.#recordRefused(askId, nowMs);
         this.#refund(askId, nowMs);
-        this.#forget(askId);
+        this.#removeAsk(askId);
       }
     }
     return decisions;
@@ -452,50 +502,50 @@
     nowMs: number,
   ): AskDecision[] {
     const decisions: AskDecision[] = [];
-    for (const schedule of this.#pools.values()) {
-      for (const askId of schedule.askIdsOf(holderId, nowMs - REPORT_LAG_MS)) {
+    for (const scheduler of this.#schedulers.values()) {
+      for (const askId of scheduler.askIdsOf(holderId, nowMs - REPORT_LAG_MS)) {
         if (!open.has(askId)) {
-          decisions.push(...schedule.release(askId, nowMs).decisions);
-          this.#forget(askId);
+          decisions.push(...scheduler.release(askId, nowMs).decisions);
+          this.#removeAsk(askId);
         }
       }
     }
-    return this.#settled(decisions, nowMs);
+    return this.#applyRefusals(decisions, nowMs);
   }
 
-  #noteRefused(askId: string, nowMs: number): void {
+  #recordRefused(askId: string, nowMs: number): void {
     const open = this.#openAsks.get(askId);
     if (open !== undefined) {
-      this.#refusedCallers.note(open.callHash, open.firstAtMs, nowMs);
+      this.#refusedCallers.record(open.callHash, open.firstAttemptAtMs, nowMs);
     }
   }
 
   #refund(askId: string, nowMs: number): void {
     const charge = this.#openAsks.get(askId)?.charge;
     if (charge !== undefined) {
-      this.#ledger.refund(charge, nowMs);
+      this.#allotmentLedger.refund(charge, nowMs);
     }
   }
 
-  #forget(askId: string): void {
+  #removeAsk(askId: string): void {
     this.#openAsks.delete(askId);
   }
 
-  #scheduleOf(askId: string): PoolSchedule | undefined {
+  #schedulerOf(askId: string): PoolScheduler | undefined {
     const pool = this.#openAsks.get(askId)?.pool;
-    return pool === undefined ? undefined : this.#pools.get(pool);
+    return pool === undefined ? undefined : this.#schedulers.get(pool);
   }
 
-  #pool(name: string): PoolSchedule {
-    let schedule = this.#pools.get(name);
-    if (schedule === undefined) {
-      schedule = new PoolSchedule(name, {
+  #poolScheduler(name: string): PoolScheduler {
+    let scheduler = this.#schedulers.get(name);
+    if (scheduler === undefined) {
+      scheduler = new PoolScheduler(name, {
         board: this.#board,
         limiter: this.#limiter,
       });
-      this.#pools.set(name, schedule);
+      this.#schedulers.set(name, scheduler);
     }
-    return schedule;
+    return scheduler;
   }
 
   #budget(pool: string): RetryBudget {
@@ -508,16 +558,16 @@
   }
 }
 
-/** Time that work took, in parts of what is usual for its size. */
-function slownessOf(
+/** Duration of work as a ratio of the baseline for its size. */
+function slownessRatioOf(
   { firstMs, eventGapMs, promptTokens }: WorkEnd,
   { isStream, tokensAhead }: { isStream: boolean; tokensAhead: number },
 ): number {
   if (!isStream) {
-    return firstMs! / CALL_MS;
+    return firstMs! / INITIAL_CALL_MS;
   }
   return Math.max(
-    firstMs! / plainFirstEventMs(promptTokens, tokensAhead),
-    (eventGapMs ?? 0) / EVENT_GAP_MS,
+    firstMs! / baselineFirstEventMs(promptTokens, tokensAhead),
+    (eventGapMs ?? 0) / INITIAL_EVENT_GAP_MS,
   );
 }
--- a/packages/routing/src/late_margin.ts
+++ b/packages/routing/src/late_margin.ts
@@ -1,50 +1,53 @@
 /**
- * How much longer than foreseen a first event may take, learned from those that
- * came.
+ * Adaptive margin that decides when a queued request counts as late: a running
+ * estimate of a quantile of the ratio of actual to predicted times to the first
+ * event.
  *
- * Requests that wait are started just before it is too late when a pool is full,
- * so an error of the forecast makes most of them late at once.
+ * When a pool is full, queued requests are placed just before their latest
+ * start time, so a systematic prediction error makes most of them late at once.
  */
 
-/** Where learning starts. */
-const STARTING_MARGIN = 1.4;
+/** Initial ratio. */
+const INITIAL_MARGIN_RATIO = 1.4;
 
-/** Bounds of what is believed, against single targets that fail or stall. */
-const LEAST_MARGIN = 1.1;
-const MOST_MARGIN = 4;
+/**
+ * Bounds of the ratio, against outliers of single targets that fail or stall.
+ */
+const MIN_MARGIN_RATIO = 1.1;
+const MAX_MARGIN_RATIO = 4;
 
 /**
- * Part of the first events that are to come within the margin. More would give
- * up requests that might be on time, fewer would let work in time wait behind
- * work that is late after all.
+ * Quantile: the share of first events that should arrive within the margin. A
+ * higher one would give up requests that could still be on time; a lower one
+ * would queue requests that are on time behind requests that turn out late.
  */
-const WITHIN_PART = 0.8;
+const WITHIN_SHARE = 0.8;
 
 /**
- * Step by which one observation moves the margin: it follows a change of load
- * within some tens of requests.
+ * Step of the estimate per observation: it follows a change of load within tens
+ * of requests.
  */
-const STEP = 0.05;
+const STEP_RATIO = 0.05;
 
-/** A margin that holds for a part of the first events. */
+/** Margin within which a fixed share of the first events arrive. */
 export class LateMargin {
-  #margin = STARTING_MARGIN;
+  #ratio = INITIAL_MARGIN_RATIO;
 
-  /** Times the foreseen time within which a first event comes. */
-  get times(): number {
-    return this.#margin;
+  /** Ratio to the predicted time within which a first event is expected. */
+  get ratio(): number {
+    return this.#ratio;
   }
 
   /**
-   * Learns from a first event.
+   * Updates the margin from an observed first event.
    *
-   * @param tookMs The time it took.
-   * @param foreseenMs What an idle target would have taken.
+   * @param durationMs Time to the first event.
+   * @param predictedMs Time predicted for an idle target.
    */
-  learn(tookMs: number, foreseenMs: number): void {
-    const isWithin = tookMs <= this.#margin * foreseenMs;
-    const moved = this.#margin +
-      (isWithin ? -(1 - WITHIN_PART) : WITHIN_PART) * STEP;
-    this.#margin = Math.min(MOST_MARGIN, Math.max(LEAST_MARGIN, moved));
+  learn(durationMs: number, predictedMs: number): void {
+    const isWithin = durationMs <= this.#ratio * predictedMs;
+    const moved = this.#ratio +
+      (isWithin ? -(1 - WITHIN_SHARE) : WITHIN_SHARE) * STEP_RATIO;
+    this.#ratio = Math.min(MAX_MARGIN_RATIO, Math.max(MIN_MARGIN_RATIO, moved));
   }
 }
--- /dev/null
+++ b/packages/routing/src/pool_scheduler.ts
@@ -0,0 +1,535 @@
+/**
+ * Scheduler of one pool: accounts for the work at each target and queues what
+ * finds no free slot.
+ *
+ * Targets admit work in order of arrival and know no ranks, so the order is
+ * established here: no target gets more work than it has slots, and the rest is
+ * queued by rank. A request that would not start within its caller's patience
+ * is refused as soon as that can be predicted.
+ */
+
+import type { RateLimiter } from "./rate_limiter.ts";
+import { type PlacedWork, PlacedWorkIndex } from "./placed_work_index.ts";
+import { TargetSelector, type TargetSnapshot } from "./target_selector.ts";
+import type { OrderContext, WaitingWork } from "./queue_order.ts";
+import { RankLoad } from "./rank_load.ts";
+import { RankShares } from "./rank_shares.ts";
+import type { RoutingBoard } from "./routing_board.ts";
+import type { Candidate, Choice } from "./target_choice.ts";
+import type { KnownTarget } from "./target_directory.ts";
+import { WaitingQueue } from "./waiting_queue.ts";
+import {
+  type AskDecision,
+  AskRefusal,
+  type RunningWork,
+  type WorkAsk,
+} from "./work_ask.ts";
+
+const NO_RANKS: ReadonlySet<number> = new Set();
+
+/** Initial estimate of the time for which work occupies a slot. */
+const INITIAL_HOLD_MS = 600;
+const HOLD_SMOOTHING_FACTOR = 0.05;
+
+/**
+ * Share of the targets' time that starved ranks get ahead of their turn, so
+ * that their queues don't hold up all ranks above. It is accounted in time and
+ * not in placements, because work of a low rank may occupy a slot for much
+ * longer.
+ */
+const STARVED_TIME_SHARE = 0.15;
+
+/**
+ * Upper bound of the time credit that starved ranks accumulate, about one long
+ * stream.
+ */
+const MAX_STARVED_CREDIT_MS = 1000;
+
+/** Lower bound of the number of slots in wait estimates. */
+const MIN_SLOTS = 0.1;
+
+/** Upper bound of requests that are skipped while a free slot is filled. */
+const MAX_SKIPPED = 8;
+
+/**
+ * Age at which a decision counts as lost if its holder still waits for it.
+ * Under load, reports are 100 ms old when they are processed.
+ */
+const LOST_DECISION_AGE_MS = 150;
+
+/** Lower bound of the retry delay that a refused caller is given. */
+const MIN_RETRY_AFTER_MS = 500;
+
+/** Retry delay of requests to a pool without a usable target. */
+const NO_TARGET_RETRY_AFTER_MS = 1000;
+
+/** State of one pass over the queue. */
+interface SchedulingPass extends TargetSnapshot {
+  /** Requests passed so far that stay queued ahead of the next one. */
+  ahead: number;
+  /** Slots that rate limits leave usable; absent until a wait is estimated. */
+  usableSlots?: number;
+}
+
+/** Placed work and queue of one pool. */
+export class PoolScheduler {
+  readonly #board: RoutingBoard;
+  readonly #limiter: RateLimiter;
+  readonly #placed = new PlacedWorkIndex((targetId, use) =>
+    this.#selector.updateUse(targetId, use)
+  );
+  readonly #selector: TargetSelector;
+  readonly #waiting = new WaitingQueue();
+  readonly #shares = new RankShares();
+  readonly #load = new RankLoad();
+  #holdMs = INITIAL_HOLD_MS;
+  /** Time at targets that starved ranks may still get ahead of their turn. */
+  #starvedCreditMs = 0;
+
+  /**
+   * @param pool The pool's name.
+   * @param parts Shared routing state of the instance, and the limiter of the
+   * rates of placements at targets.
+   */
+  constructor(
+    pool: string,
+    { board, limiter }: { board: RoutingBoard; limiter: RateLimiter },
+  ) {
+    this.#board = board;
+    this.#limiter = limiter;
+    const placed = this.#placed;
+    this.#selector = new TargetSelector(pool, { board, placed, limiter });
+  }
+
+  /** Number of queued requests. */
+  get waitingCount(): number {
+    return this.#waiting.size;
+  }
+
+  /** Number of requests placed at targets. */
+  get placedCount(): number {
+    return this.#placed.size;
+  }
+
+  /**
+   * Returns the placement of an ask.
+   *
+   * @param askId Id of the ask.
+   * @returns The decision that placed it; undefined if it is not placed.
+   */
+  decisionFor(askId: string): AskDecision | undefined {
+    const work = this.#placed.get(askId);
+    return work && decisionOf(work);
+  }
+
+  /**
+   * Returns the placement of an ask if its holder should have received it by
+   * now.
+   *
+   * @param askId Id of an ask that its holder still waits for.
+   * @param nowMs Current local time in milliseconds.
+   * @returns The decision to send again; undefined if it may still be in
+   * transit or the ask is not placed.
+   */
+  lostDecisionFor(askId: string, nowMs: number): AskDecision | undefined {
+    const work = this.#placed.get(askId);
+    const isLost = work !== undefined &&
+      nowMs - work.placedAtMs >= LOST_DECISION_AGE_MS;
+    return isLost ? decisionOf(work) : undefined;
+  }
+
+  /**
+   * @param askId Id of an ask.
+   * @returns Whether it is queued.
+   */
+  isWaiting(askId: string): boolean {
+    return this.#waiting.has(askId);
+  }
+
+  /**
+   * Adds an ask, which is then placed, queued or refused.
+   *
+   * @param ask The ask.
+   * @param of Time since the caller's first attempt, if that was refused, and
+   * the current local time, both in milliseconds.
+   * @returns Decisions on this ask and on others that it displaced. Those of a
+   * long queue follow with its next full pass.
+   */
+  add(
+    ask: WorkAsk,
+    { cameBackMs, nowMs }: { cameBackMs: number; nowMs: number },
+  ): AskDecision[] {
+    const work = { ask, cameBackMs, waitingSinceMs: nowMs };
+    this.#load.record(ask.rank, this.#workMs(ask.rank), nowMs);
+    this.#waiting.add(work);
+    return this.#processQueue(nowMs);
+  }
+
+  /**
+   * Records that the prompt of a stream was processed, as its first event was
+   * received.
+   *
+   * @param askId Id of the ask that the stream was placed by.
+   */
+  firstSeen(askId: string): void {
+    this.#placed.firstSeen(askId);
+  }
+
+  /**
+   * Updates the prediction of start times from an observed latency.
+   *
+   * @param promptTokens Tokens of the request's prompt.
+   * @param firstMs Time to the first event, or to the answer of a plain call.
+   */
+  recordFirstEvent(promptTokens: number, firstMs: number): void {
+    this.#waiting.recordFirstEvent(promptTokens, firstMs);
+  }
+
+  /**
+   * Removes an ask from the queue or frees its slot.
+   *
+   * @param askId Id of the ask.
+   * @param nowMs Current local time in milliseconds.
+   * @returns The placed work that was removed, if any, and decisions on queued
+   * asks that the slot was given to.
+   */
+  release(
+    askId: string,
+    nowMs: number,
+  ): { work?: PlacedWork; decisions: AskDecision[] } {
+    this.#waiting.remove(askId);
+    const work = this.#placed.remove(askId);
+    if (work === undefined) {
+      return { decisions: [] };
+    }
+    const durationMs = nowMs - work.placedAtMs;
+    this.#holdMs += HOLD_SMOOTHING_FACTOR * (durationMs - this.#holdMs);
+    this.#shares.recordDuration(work.rank, durationMs, nowMs);
+    return { work, decisions: this.#processQueue(nowMs) };
+  }
+
+  /**
+   * Accounts for work that another coordinator placed.
+   *
+   * @param holderId Id of the holder that reports the work.
+   * @param running The work.
+   * @param nowMs Current local time in milliseconds.
+   */
+  adopt(holderId: string, running: RunningWork, nowMs: number): void {
+    const {
+      askId,
+      targetId,
+      rank,
+      promptTokens,
+      outputTokens,
+      firstSeen,
+      trialOf,
+    } = running;
+    if (this.#placed.get(askId) !== undefined) {
+      if (firstSeen) {
+        this.firstSeen(askId);
+      }
+      return;
+    }
+    this.#waiting.remove(askId);
+    this.#placed.put({
+      askId,
+      holderId,
+      targetId,
+      rank,
+      promptTokens,
+      outputTokens,
+      placedAtMs: nowMs,
+      tokensAhead: 0,
+      expectedMs: 0,
+      cameBackMs: 0,
+      firstSeen,
+      trialOf,
+    });
+  }
+
+  /**
+   * Drops the work at a target whose process restarted. The work is lost; its
+   * holders report its end separately.
+   *
+   * @param targetId Id of the target.
+   */
+  targetRestarted(targetId: string): void {
+    for (const { askId } of this.#placed.workOfTarget(targetId)) {
+      this.#placed.remove(askId);
+    }
+  }
+
+  /**
+   * Counts the requests that run at some of the pool's targets.
+   *
+   * @param targetIds Ids of the targets.
+   * @returns Number of placed requests.
+   */
+  runningAt(targetIds: readonly string[]): number {
+    return targetIds.map((targetId) => this.#placed.use(targetId).running)
+      .reduce((sum, running) => sum + running, 0);
+  }
+
+  /**
+   * Finds the asks of a holder, without those too recent to be in its last
+   * report.
+   *
+   * @param holderId Id of the holder.
+   * @param beforeMs Local time in milliseconds; asks that were placed or queued
+   * at this time or later are left out.
+   * @returns Ids of placed and queued asks.
+   */
+  askIdsOf(holderId: string, beforeMs: number): string[] {
+    const placed = this.#placed.workOfHolder(holderId)
+      .filter(({ placedAtMs }) => placedAtMs < beforeMs);
+    return [
+      ...placed.map(({ askId }) => askId),
+      ...this.#waiting.askIdsOf(holderId, beforeMs),
+    ];
+  }
+
+  /**
+   * Processes the queue again, as time has passed or targets have changed.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns Decisions on queued asks.
+   */
+  tick(nowMs: number): AskDecision[] {
+    return this.#processQueue(nowMs);
+  }
+
+  #processQueue(nowMs: number): AskDecision[] {
+    if (this.#waiting.size === 0) {
+      return [];
+    }
+    return this.#waiting.isReorderDue(nowMs)
+      ? this.#decideAll(nowMs)
+      : this.#fillSlots(nowMs);
+  }
+
+  /** Orders the whole queue and decides every request that can be decided. */
+  #decideAll(nowMs: number): AskDecision[] {
+    const pass = this.#beginPass(nowMs);
+    const context = this.#orderContext(nowMs);
+    const decisions: AskDecision[] = [];
+    const typical = pass.targets.typical(nowMs);
+    for (const waiting of this.#waiting.reorder(typical, context)) {
+      const decision = this.#decide(waiting, pass);
+      if (decision === undefined) {
+        pass.ahead++;
+      } else {
+        this.#recordDecided(waiting, decision, nowMs);
+        decisions.push(decision);
+      }
+    }
+    return decisions;
+  }
+
+  /** Fills free slots in the order of the last full pass. */
+  #fillSlots(nowMs: number): AskDecision[] {
+    const pass = this.#beginPass(nowMs);
+    if (!pass.targets.hasFree) {
+      return [];
+    }
+    const context = this.#orderContext(nowMs);
+    const skipped = new Set<string>();
+    const decisions: AskDecision[] = [];
+    while (pass.targets.hasFree && skipped.size < MAX_SKIPPED) {
+      const next = this.#waiting.next(context, skipped);
+      if (next === undefined) {
+        break;
+      }
+      const decision = this.#decide(next, pass);
+      if (decision === undefined) {
+        pass.ahead++;
+        skipped.add(next.ask.askId);
+      } else {
+        this.#recordDecided(next, decision, nowMs);
+        decisions.push(decision);
+      }
+    }
+    return decisions;
+  }
+
+  #recordDecided(
+    { ask }: WaitingWork,
+    decision: AskDecision,
+    nowMs: number,
+  ): void {
+    this.#waiting.remove(ask.askId);
+    this.#recordOutcome(ask.rank, "targetId" in decision, nowMs);
+  }
+
+  #orderContext(nowMs: number): OrderContext {
+    return { promoted: this.#promoted(nowMs), nowMs };
+  }
+
+  #beginPass(nowMs: number): SchedulingPass {
+    return { ...this.#selector.snapshot(nowMs), ahead: 0 };
+  }
+
+  /** Ranks that are served first with the next placement. */
+  #promoted(nowMs: number): ReadonlySet<number> {
+    return this.#starvedCreditMs > 0 ? this.#shares.starved(nowMs) : NO_RANKS;
+  }
+
+  #recordOutcome(rank: number, isPlaced: boolean, nowMs: number): void {
+    this.#shares.recordOutcome(rank, isPlaced, nowMs);
+    if (!isPlaced) {
+      return;
+    }
+    const isStarved = this.#shares.starved(nowMs).has(rank);
+    const workMs = this.#workMs(rank);
+    this.#starvedCreditMs = isStarved
+      ? this.#starvedCreditMs - workMs
+      : Math.min(
+        MAX_STARVED_CREDIT_MS,
+        this.#starvedCreditMs + STARVED_TIME_SHARE * workMs,
+      );
+  }
+
+  #workMs(rank: number): number {
+    return this.#shares.workMs(rank) ?? this.#holdMs;
+  }
+
+  #decide(waiting: WaitingWork, pass: SchedulingPass): AskDecision | undefined {
+    const { ask } = waiting;
+    const { askId, holderId, excluded } = ask;
+    const { targets } = pass;
+    const excludedTargets = excluded.flatMap((targetId) =>
+      targets.get(targetId) ?? []
+    );
+    if (excludedTargets.length === targets.size) {
+      return {
+        askId,
+        holderId,
+        refusal: AskRefusal.NoTarget,
+        retryAfterMs: NO_TARGET_RETRY_AFTER_MS,
+        figures: { usable: targets.size, excluded: excluded.length },
+      };
+    }
+    const { suspects } = this.#board;
+    const heldForMs = suspects.quarantineLeftMs(ask.fingerprint, pass.nowMs);
+    if (heldForMs > 0) {
+      return quarantineRefusal(ask, heldForMs);
+    }
+    const canaryChoice = this.#selector.chooseCanary(ask, pass);
+    if (canaryChoice !== undefined) {
+      pass.canary = [];
+      return this.#placeAt(waiting, canaryChoice, pass);
+    }
+    const choice = this.#selector.choose(ask, pass);
+    if (choice !== undefined) {
+      return this.#selector.isWorthWaiting(waiting, choice, pass)
+        ? undefined
+        : this.#placeAt(waiting, choice, pass);
+    }
+    return this.#refuseIfTooLate(waiting, pass, excludedTargets);
+  }
+
+  /** Refuses a request whose predicted wait exceeds its caller's patience. */
+  #refuseIfTooLate(
+    { ask, waitingSinceMs }: WaitingWork,
+    pass: SchedulingPass,
+    excludedTargets: readonly Candidate[],
+  ): AskDecision | undefined {
+    const { nowMs, ahead } = pass;
+    const excludedSlots = excludedTargets
+      .reduce((sum, { target }) => sum + this.#slotsOf(target), 0);
+    const slots = Math.max(MIN_SLOTS, this.#usableSlots(pass) - excludedSlots);
+    const slotsAbove = this.#load.slotsAbove(ask.rank, nowMs);
+    const available = Math.max(slots - slotsAbove, STARVED_TIME_SHARE * slots);
+    const waitMs = (ahead + 1) * this.#holdMs / available;
+    const leftMs = ask.patienceLeftMs - (nowMs - waitingSinceMs);
+    if (waitMs <= leftMs) {
+      return undefined;
+    }
+    return {
+      askId: ask.askId,
+      holderId: ask.holderId,
+      refusal: AskRefusal.Overload,
+      retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, waitMs),
+      figures: {
+        ahead,
+        slots: Math.round(slots),
+        available: Math.round(available),
+        holdMs: Math.round(this.#holdMs),
+        waitMs: Math.round(waitMs),
+        leftMs: Math.round(leftMs),
+      },
+    };
+  }
+
+  /** Slots of the pool without those that rate limits keep idle. */
+  #usableSlots(pass: SchedulingPass): number {
+    pass.usableSlots ??= this.#board.rateLimits.limitedIds()
+      .flatMap((targetId) => pass.targets.get(targetId) ?? [])
+      .reduce(
+        (sum, { target }) => sum - target.slots + this.#slotsOf(target),
+        pass.targets.slots,
+      );
+    return pass.usableSlots;
+  }
+
+  #slotsOf(target: KnownTarget): number {
+    return this.#limiter.usableSlots(target, this.#holdMs);
+  }
+
+  #placeAt(
+    waiting: WaitingWork,
+    choice: Choice,
+    pass: SchedulingPass,
+  ): AskDecision {
+    const { ask, cameBackMs } = waiting;
+    const { targetId } = choice.target;
+    const { askId, holderId, rank, promptTokens, outputTokens } = ask;
+    const work = {
+      askId,
+      holderId,
+      targetId,
+      rank,
+      promptTokens,
+      outputTokens,
+      placedAtMs: pass.nowMs,
+      tokensAhead: this.#placed.use(targetId).tokensAhead,
+      expectedMs: choice.firstMs,
+      cameBackMs,
+      firstSeen: false,
+      trialOf: this.#board.suspects.isSuspect(ask.fingerprint)
+        ? ask.fingerprint
+        : undefined,
+      route: ask.route,
+    };
+    this.#placed.put(work);
+    this.#limiter.consume(targetId, pass.nowMs);
+    this.#board.rollouts.placed(choice.target);
+    return decisionOf(work);
+  }
+}
+
+function decisionOf(work: PlacedWork): AskDecision {
+  const { askId, holderId, targetId, expectedMs, cameBackMs, trialOf } = work;
+  const decision = { askId, holderId, targetId, expectedMs, cameBackMs };
+  return trialOf === undefined ? decision : { ...decision, isTrial: true };
+}
+
+/**
+ * Builds the refusal of a quarantined request.
+ *
+ * @param ask Ask of a request during which targets' processes ended.
+ * @param heldForMs Remaining time of its quarantine in milliseconds.
+ * @returns The decision that refuses it.
+ */
+export function quarantineRefusal(
+  { askId, holderId }: WorkAsk,
+  heldForMs: number,
+): AskDecision {
+  return {
+    askId,
+    holderId,
+    refusal: AskRefusal.Quarantined,
+    retryAfterMs: heldForMs,
+    figures: { heldForMs: Math.round(heldForMs) },
+  };
+}
--- a/packages/routing/src/queue_order.ts
+++ b/packages/routing/src/queue_order.ts
@@ -1,121 +1,149 @@
-/** The order in which requests that wait for a target get their turn. */
+/** Order in which queued requests are placed at targets. */
 
-import { type Candidate, firstMsAt, IDLE, restMsAt } from "./target_choice.ts";
+import {
+  type Candidate,
+  firstMsAt,
+  generationMsAt,
+  IDLE_USE,
+} from "./target_choice.ts";
 import type { WorkAsk } from "./work_ask.ts";
 
-/** A deadline within so many times the caller's patience bounds the start. */
-const SHORT_LIVED_PATIENCES = 2;
+/**
+ * A deadline counts as short if the time left to it is below the caller's
+ * patience times this ratio; the start then has to meet it too.
+ */
+const SHORT_DEADLINE_RATIO = 2;
 
-/** A request that waits. */
+/** A queued request. */
 export interface WaitingWork {
   readonly ask: WorkAsk;
-  /** Time since its caller's first attempt, where that was refused. */
+  /**
+   * Time from the caller's first attempt to this ask, if that was refused; else
+   * 0.
+   */
   readonly cameBackMs: number;
-  readonly sinceMs: number;
+  readonly waitingSinceMs: number;
 }
 
-/** What decides on a request's place in a queue. */
+/** Sort key of a queued request. */
 export interface OrderKey {
-  /** Local time until which a start is soon enough to be on time. */
-  readonly startOnTimeByMs: number;
-  /** Local time by which it has to start at all. */
-  readonly startByMs: number;
+  /** Latest local start time that meets the request's latency objective. */
+  readonly latestOnTimeStartMs: number;
+  /**
+   * Latest local start time that meets the caller's patience and, if it is
+   * short, the deadline.
+   */
+  readonly latestStartMs: number;
 }
 
-/** A request with its key. */
+/** A queued request with its sort key. */
 export interface KeyedWork {
   readonly work: WaitingWork;
   readonly key: OrderKey;
 }
 
-/** What an order depends on besides the requests. */
-export interface OrderFacts {
-  /** Ranks that go first for now. */
+/** What the order depends on besides the requests. */
+export interface OrderContext {
+  /** Ranks that are served first at this moment. */
   readonly promoted: ReadonlySet<number>;
   readonly nowMs: number;
 }
 
 /**
- * Orders a queue: promoted ranks first, then by rank; within a rank what can
- * still be on time goes before what cannot, and among these what has to start
- * soonest. Large requests need longer before their deadline: by age alone, the
- * largest tenth of short-lived work was served half as often.
+ * Sorts a queue: promoted ranks first, then by rank. Within a rank, requests
+ * that can still meet their objective go before those that cannot, and each of
+ * the two groups is sorted by latest start time. Large requests need more time
+ * before their deadline: ordered by age alone, the largest tenth of requests
+ * with short deadlines was served half as often.
  *
- * @param waiting The requests.
- * @param facts What else decides.
+ * @param waiting The queued requests.
+ * @param context Promoted ranks and the current local time.
  * @returns The requests, the next one first.
  */
 export function inOrder(
   waiting: Iterable<KeyedWork>,
-  facts: OrderFacts,
+  context: OrderContext,
 ): KeyedWork[] {
-  return [...waiting].sort((a, b) => compared(a, b, facts));
+  return [...waiting].sort((a, b) => compareWork(a, b, context));
 }
 
 /**
- * @param waiting Requests.
- * @param facts What else decides.
- * @returns The one that is next; undefined where there is none.
+ * Finds the first request in the order of {@link inOrder} in linear time.
+ *
+ * @param waiting The queued requests.
+ * @param context Promoted ranks and the current local time.
+ * @returns The next request; undefined for an empty queue.
  */
-export function nextOf(
+export function firstInOrder(
   waiting: Iterable<KeyedWork>,
-  facts: OrderFacts,
+  context: OrderContext,
 ): KeyedWork | undefined {
   let next: KeyedWork | undefined;
   for (const one of waiting) {
-    if (next === undefined || compared(one, next, facts) < 0) {
+    if (next === undefined || compareWork(one, next, context) < 0) {
       next = one;
     }
   }
   return next;
 }
 
-function compared(a: KeyedWork, b: KeyedWork, facts: OrderFacts): number {
-  const { promoted, nowMs } = facts;
+function compareWork(
+  a: KeyedWork,
+  b: KeyedWork,
+  context: OrderContext,
+): number {
+  const { promoted, nowMs } = context;
   const rankOf = ({ rank }: WorkAsk) => promoted.has(rank) ? -1 : rank;
-  const isLate = ({ key }: KeyedWork) => nowMs > key.startOnTimeByMs;
+  const isLate = ({ key }: KeyedWork) => nowMs > key.latestOnTimeStartMs;
   return rankOf(a.work.ask) - rankOf(b.work.ask) ||
     Number(isLate(a)) - Number(isLate(b)) ||
-    a.key.startByMs - b.key.startByMs;
+    a.key.latestStartMs - b.key.latestStartMs;
 }
 
 /**
- * @param waiting A request that waits.
- * @returns Local time until which its first event would be in time.
+ * Returns the time by which a request's first event meets its objective,
+ * counted from the caller's first attempt.
+ *
+ * @param waiting The queued request.
+ * @returns Local time in milliseconds.
  */
-export function onTimeUntilMs(
-  { ask, cameBackMs, sinceMs }: WaitingWork,
+export function onTimeDeadlineMs(
+  { ask, cameBackMs, waitingSinceMs }: WaitingWork,
 ): number {
-  return sinceMs + ask.objectiveLeftMs - cameBackMs;
+  return waitingSinceMs + ask.objectiveLeftMs - cameBackMs;
 }
 
 /**
- * Makes a key with the mean pace of the targets, so that its cost does not grow
- * with their number.
+ * Computes the sort key of a request from the mean pace of the targets, so that
+ * its cost does not grow with their number.
  *
- * @param work A request that waits.
- * @param of An idle target of their mean pace, absent where there is none, and
- * times its first event within which first events come.
- * @returns What decides on its place in the queue.
+ * @param work The queued request.
+ * @param of An idle target with the mean pace, absent where there is none; and
+ * the ratio of actual to predicted times to the first event that is allowed
+ * for.
+ * @returns The sort key.
  */
 export function orderKeyOf(
   work: WaitingWork,
-  { typical, marginTimes }: { typical?: Candidate; marginTimes: number },
+  { typical, marginRatio }: { typical?: Candidate; marginRatio: number },
 ): OrderKey {
-  const { ask, sinceMs } = work;
-  const firstMs = typical === undefined ? 0 : firstMsAt(typical, ask, IDLE);
-  const restMs = typical === undefined ? 0 : restMsAt(typical, ask);
-  const patientUntilMs = sinceMs + ask.patienceLeftMs;
-  const wholeUntilMs = sinceMs + ask.deadlineLeftMs - firstMs - restMs;
+  const { ask, waitingSinceMs } = work;
+  const firstMs = typical === undefined ? 0 : firstMsAt(typical, ask, IDLE_USE);
+  const generationMs = typical === undefined ? 0 : generationMsAt(typical, ask);
+  const patienceEndMs = waitingSinceMs + ask.patienceLeftMs;
+  const latestCompleteStartMs = waitingSinceMs + ask.deadlineLeftMs - firstMs -
+    generationMs;
   return {
-    startOnTimeByMs: onTimeUntilMs(work) - marginTimes * firstMs,
-    startByMs: isShortLived(ask)
-      ? Math.min(patientUntilMs, wholeUntilMs)
-      : patientUntilMs,
+    latestOnTimeStartMs: onTimeDeadlineMs(work) - marginRatio * firstMs,
+    latestStartMs: hasShortDeadline(ask)
+      ? Math.min(patienceEndMs, latestCompleteStartMs)
+      : patienceEndMs,
   };
 }
 
-/** Whether the deadline is about as near as the end of the caller's patience. */
-function isShortLived(ask: WorkAsk): boolean {
-  return ask.deadlineLeftMs < SHORT_LIVED_PATIENCES * ask.patienceLeftMs;
+/**
+ * Whether the deadline is not much later than the end of the caller's patience.
+ */
+function hasShortDeadline(ask: WorkAsk): boolean {
+  return ask.deadlineLeftMs < SHORT_DEADLINE_RATIO * ask.patienceLeftMs;
 }
--- a/packages/routing/src/rank_shares.ts
+++ b/packages/routing/src/rank_shares.ts
@@ -1,54 +1,63 @@
 /**
- * How large a share of each rank's requests was served lately, so that a surge
- * of higher ranks does not shut a lower one out altogether.
+ * Share of each rank's recent requests that was served, to detect starvation of
+ * a low rank under a surge of higher ranks.
  */
 
-/** Time in which what was counted fades to half. */
+/** Half-life of the exponentially decayed counts. */
 const HALF_LIFE_MS = 3000;
 
 /**
- * A rank goes first while its served share is below this part of the least
- * served rank above it. Operators require at least a quarter of what all
- * requests get.
+ * A rank is starved while its served share is below this ratio of the lowest
+ * served share above it. Operators require at least a quarter of the share of
+ * all requests.
  */
-const LEAST_PART = 0.35;
+const MIN_SERVED_RATIO = 0.35;
 
 /**
- * The same for a rank of short work, which takes next to nothing from the ranks
- * above: it is to be served as often as the best served of them, but not more.
+ * Ratio that applies to a rank of short work instead, relative to the highest
+ * served share above it: such work takes hardly any time from the ranks above,
+ * so it should be served as often as the best served of them, but not more.
  */
-const LEAST_PART_SHORT = 0.95;
+const MIN_SERVED_RATIO_SHORT = 0.95;
 
-/** Work is short if it takes this part of the time of the ranks above. */
-const SHORT_PART = 0.4;
+/**
+ * Work counts as short if its mean duration is below this ratio of the longest
+ * mean duration of a rank above.
+ */
+const SHORT_WORK_RATIO = 0.4;
 
-/** How much one observation moves the time that a rank's work takes. */
-const TIME_LEARNING_RATE = 0.05;
+/**
+ * Weight of one observation in the moving average of a rank's work duration.
+ */
+const DURATION_SMOOTHING_FACTOR = 0.05;
 
-/** Counts below this are chance. */
-const FEW = 3;
+/**
+ * Minimum number of requests of a rank below which its share is not
+ * significant.
+ */
+const MIN_COUNT = 3;
 
 interface Counts {
   served: number;
   refused: number;
   atMs: number;
-  /** Time that its work takes at a target; 0 until some has ended. */
+  /** Mean time that the rank's work occupies a slot; 0 until some has ended. */
   workMs: number;
 }
 
-/** Served shares by rank. */
+/** Served shares and work durations by rank. */
 export class RankShares {
   readonly #byRank = new Map<number, Counts>();
 
   /**
-   * Notes what became of a request.
+   * Records whether a request was placed or refused.
    *
-   * @param rank Its rank.
-   * @param isServed Whether it got a place, or else was refused.
-   * @param nowMs The local time.
+   * @param rank Rank of the request; 0 is the highest.
+   * @param isServed True if it was placed, false if it was refused.
+   * @param nowMs Current local time in milliseconds.
    */
-  note(rank: number, isServed: boolean, nowMs: number): void {
-    const counts = this.#faded(rank, nowMs);
+  recordOutcome(rank: number, isServed: boolean, nowMs: number): void {
+    const counts = this.#decayed(rank, nowMs);
     if (isServed) {
       counts.served++;
     } else {
@@ -57,60 +66,61 @@
   }
 
   /**
-   * Notes how long work took at its target.
+   * Records the duration of work at its target.
    *
-   * @param rank The work's rank.
-   * @param tookMs The time it took.
-   * @param nowMs The local time.
+   * @param rank Rank of the work.
+   * @param durationMs Time that it occupied a slot.
+   * @param nowMs Current local time in milliseconds.
    */
-  noteWork(rank: number, tookMs: number, nowMs: number): void {
-    const counts = this.#faded(rank, nowMs);
-    counts.workMs = counts.workMs === 0
-      ? tookMs
-      : counts.workMs + TIME_LEARNING_RATE * (tookMs - counts.workMs);
+  recordDuration(rank: number, durationMs: number, nowMs: number): void {
+    const counts = this.#decayed(rank, nowMs);
+    counts.workMs = counts.workMs === 0 ? durationMs : counts.workMs +
+      DURATION_SMOOTHING_FACTOR * (durationMs - counts.workMs);
   }
 
   /**
    * @param rank A rank.
-   * @returns Time that its work takes at a target; undefined until some ended.
+   * @returns Mean time in milliseconds that its work occupies a slot; undefined
+   * until some has ended.
    */
   workMs(rank: number): number | undefined {
     return this.#byRank.get(rank)?.workMs || undefined;
   }
 
   /**
-   * Finds ranks that get too little beside the ranks above them.
+   * Finds the ranks that are served too rarely compared with the ranks above
+   * them.
    *
-   * @param nowMs The local time.
-   * @returns Ranks whose requests go first for now.
+   * @param nowMs Current local time in milliseconds.
+   * @returns Ranks whose requests should be served first.
    */
-  neglected(nowMs: number): ReadonlySet<number> {
-    const neglected = new Set<number>();
-    let leastAbove = Infinity;
-    let mostAbove = 0;
-    let longestAboveMs = 0;
+  starved(nowMs: number): ReadonlySet<number> {
+    const starved = new Set<number>();
+    let minShareAbove = Infinity;
+    let maxShareAbove = 0;
+    let maxWorkAboveMs = 0;
     for (const rank of [...this.#byRank.keys()].sort((a, b) => a - b)) {
-      const { served, refused, workMs } = this.#faded(rank, nowMs);
+      const { served, refused, workMs } = this.#decayed(rank, nowMs);
       const total = served + refused;
-      if (total < FEW) {
+      if (total < MIN_COUNT) {
         continue;
       }
       const share = served / total;
-      const isShort = workMs < SHORT_PART * longestAboveMs;
-      const least = isShort
-        ? LEAST_PART_SHORT * mostAbove
-        : LEAST_PART * leastAbove;
-      if (leastAbove !== Infinity && share < least) {
-        neglected.add(rank);
+      const isShort = workMs < SHORT_WORK_RATIO * maxWorkAboveMs;
+      const requiredShare = isShort
+        ? MIN_SERVED_RATIO_SHORT * maxShareAbove
+        : MIN_SERVED_RATIO * minShareAbove;
+      if (minShareAbove !== Infinity && share < requiredShare) {
+        starved.add(rank);
       }
-      mostAbove = Math.max(mostAbove, share);
-      longestAboveMs = Math.max(longestAboveMs, workMs);
-      leastAbove = Math.min(leastAbove, share);
+      maxShareAbove = Math.max(maxShareAbove, share);
+      maxWorkAboveMs = Math.max(maxWorkAboveMs, workMs);
+      minShareAbove = Math.min(minShareAbove, share);
     }
-    return neglected;
+    return starved;
   }
 
-  #faded(rank: number, nowMs: number): Counts {
+  #decayed(rank: number, nowMs: number): Counts {
     let counts = this.#byRank.get(rank);
     if (counts === undefined) {
       counts = { served: 0, refused: 0, atMs: nowMs, workMs: 0 };
--- a/packages/routing/src/recent_refusals.ts
+++ b/packages/routing/src/recent_refusals.ts
@@ -1,52 +1,56 @@
 /**
- * What a coordinator refused lately, for the holder that asked: what is sure to
- * be refused as well is refused at once and costs the coordinator nothing.
+ * Short-lived cache of a coordinator's refusals, kept by the holder that asked.
+ * An ask that would certainly be refused as well is refused locally at no cost
+ * to the coordinator.
  *
- * It answers to a surge in which refused callers come back within a second:
- * there, most asks are such that the coordinator has just refused the like, and
- * they would take the processor time in which it gives places.
+ * It limits the load of a surge in which refused callers retry within a second.
+ * Most asks then resemble one that was just refused, and they would take the
+ * processor time in which the coordinator places requests.
  */
 
 import type { AskDecision, WorkAsk } from "./work_ask.ts";
 import { AskRefusal } from "./work_ask.ts";
 
-/** A decision that gives no place. */
+/** A decision that refuses an ask. */
 export type Refusal = Extract<AskDecision, { refusal: AskRefusal }>;
 
 /**
- * Time for which a full queue stands for itself. A queue at its bound moves by
- * some tens of places meanwhile, and a caller that might have got one is asked
- * back like all others.
+ * Time for which a refusal for overload is reused. A queue at its bound
+ * advances by tens of requests meanwhile; a caller that might have been placed
+ * gets the same retry delay as all others.
  */
-const QUEUE_HOLDS_MS = 100;
+const OVERLOAD_TTL_MS = 100;
 
 /**
- * The longest that a spent allotment stands for itself. It frees up no sooner
- * than the coordinator said, unless a request that was charged never runs.
+ * Upper bound of the time for which a refusal for a spent allotment is reused.
+ * The allotment frees up no sooner than the coordinator predicted, unless a
+ * request that was charged never runs.
  */
-const ALLOTMENT_HOLDS_MS = 200;
+const MAX_ALLOTMENT_TTL_MS = 200;
 
-/** Entries that are kept; the oldest make way. */
-const MOST_ENTRIES = 64;
+/** Upper bound of cached entries; the oldest are evicted first. */
+const MAX_ENTRIES = 64;
 
 interface Entry {
   readonly ask: WorkAsk;
   readonly refusal: Refusal;
-  readonly atMs: number;
-  readonly untilMs: number;
+  readonly recordedAtMs: number;
+  readonly expiresAtMs: number;
 }
 
-/** How long each kind of refusal holds for asks alike; others don't. */
-const HOLDS_MS: Readonly<
+/**
+ * Time for which each kind of refusal is reused; other kinds are not cached.
+ */
+const TTL_MS: Readonly<
   Partial<Record<AskRefusal, (refusal: Refusal) => number>>
 > = {
-  [AskRefusal.Overload]: () => QUEUE_HOLDS_MS,
+  [AskRefusal.Overload]: () => OVERLOAD_TTL_MS,
   [AskRefusal.Allotment]: ({ retryAfterMs }) =>
-    Math.min(ALLOTMENT_HOLDS_MS, retryAfterMs),
+    Math.min(MAX_ALLOTMENT_TTL_MS, retryAfterMs),
 };
 
-/** Whether an ask would fare no better than one that was refused. */
-const IS_NO_BETTER: Readonly<
+/** Whether an ask would certainly be refused where another one was. */
+const IS_COVERED: Readonly<
   Partial<Record<AskRefusal, (ask: WorkAsk, refused: WorkAsk) => boolean>>
 > = {
   [AskRefusal.Overload]: (ask, refused) =>
@@ -57,33 +61,40 @@
     ask.cost >= refused.cost,
 };
 
-/** Refusals of the last moments. */
+/** Cache of the last refusals. */
 export class RecentRefusals {
   #entries: Entry[] = [];
 
   /**
-   * @param ask An ask that was refused.
-   * @param refusal How.
-   * @param nowMs The local time.
+   * Caches a refusal, if its kind may be reused.
+   *
+   * @param ask The refused ask.
+   * @param refusal The coordinator's refusal.
+   * @param nowMs Current local time in milliseconds.
    */
-  note(ask: WorkAsk, refusal: Refusal, nowMs: number): void {
-    const holdsMs = HOLDS_MS[refusal.refusal]?.(refusal) ?? 0;
-    if (holdsMs > 0) {
-      const untilMs = nowMs + holdsMs;
-      this.#entries.push({ ask, refusal, atMs: nowMs, untilMs });
-      this.#entries = this.#entries.slice(-MOST_ENTRIES);
+  record(ask: WorkAsk, refusal: Refusal, nowMs: number): void {
+    const ttlMs = TTL_MS[refusal.refusal]?.(refusal) ?? 0;
+    if (ttlMs > 0) {
+      const expiresAtMs = nowMs + ttlMs;
+      this.#entries.push({ ask, refusal, recordedAtMs: nowMs, expiresAtMs });
+      this.#entries = this.#entries.slice(-MAX_ENTRIES);
     }
   }
 
   /**
-   * @param ask An ask.
-   * @param nowMs The local time.
-   * @returns Its refusal, where the like of it was refused just now.
+   * Finds a cached refusal that covers an ask.
+   *
+   * @param ask The ask.
+   * @param nowMs Current local time in milliseconds.
+   * @returns A refusal of this ask with the figures and retry delay of the
+   * cached one; undefined if none covers it.
    */
-  refusalOf(ask: WorkAsk, nowMs: number): Refusal | undefined {
-    this.#entries = this.#entries.filter(({ untilMs }) => nowMs < untilMs);
+  refusalFor(ask: WorkAsk, nowMs: number): Refusal | undefined {
+    this.#entries = this.#entries.filter(({ expiresAtMs }) =>
+      nowMs < expiresAtMs
+    );
     const entry = this.#entries.findLast((one) =>
-      IS_NO_BETTER[one.refusal.refusal]?.(ask, one.ask) === true
+      IS_COVERED[one.refusal.refusal]?.(ask, one.ask) === true
     );
     return entry && {
       askId: ask.askId,
@@ -92,12 +103,12 @@
       retryAfterMs: entry.refusal.retryAfterMs,
       figures: {
         ...entry.refusal.figures,
-        rememberedMs: Math.round(nowMs - entry.atMs),
+        rememberedMs: Math.round(nowMs - entry.recordedAtMs),
       },
     };
   }
 
-  /** Forgets all: another coordinator may decide otherwise. */
+  /** Clears the cache, as another coordinator may decide otherwise. */
   clear(): void {
     this.#entries = [];
   }
--- a/packages/routing/src/retry_budget.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -1,70 +1,78 @@
-/** How many repeats the fleet may send, so that retries never feed a surge. */
+/**
+ * Retry budget: bounds the repeats that the fleet sends, so that retries don't
+ * amplify an overload.
+ */
 
 const MS_PER_S = 1000;
 const SLICE_MS = 500;
 
 /**
  * Share of the users' bound that is handed out. The rest covers repeats that
- * instances send on their own while they cannot hear the coordinator.
+ * instances send on their own while they cannot reach the coordinator.
  */
-const SHARE_HANDED_OUT = 0.6;
+const USED_BOUND_SHARE = 0.6;
 
-/** Bound on repeats, as the users gave it. */
+/** Bound on repeats in a sliding window, as the users set it. */
 export interface RetryBudgetBound {
-  /** Repeats for each request. */
+  /** Permitted repeats per first send. */
   readonly ratio: number;
-  /** Repeats that are free in each window. */
+  /** Permitted repeats per window in addition to the ratio. */
   readonly slack: number;
   readonly windowS: number;
 }
 
 interface Slice {
   readonly beganAtMs: number;
-  first: number;
+  firstSends: number;
   repeats: number;
 }
 
-/** Counts first sends and repeats of a pool over a sliding window. */
+/** Counts the first sends and repeats of a pool over a sliding window. */
 export class RetryBudget {
   #bound: RetryBudgetBound;
   readonly #slices: Slice[] = [];
 
-  /** @param bound The bound that holds for the whole fleet. */
+  /** @param bound Bound that applies to the whole fleet. */
   constructor(bound: RetryBudgetBound) {
     this.#bound = bound;
   }
 
-  /** @param bound The bound from now on. */
+  /**
+   * Replaces the bound.
+   *
+   * @param bound Bound that applies from now on.
+   */
   setBound(bound: RetryBudgetBound): void {
     this.#bound = bound;
   }
 
   /**
-   * Notes a request's first send.
+   * Records the first send of a request.
    *
-   * @param nowMs The local time.
+   * @param nowMs Current local time in milliseconds.
    */
-  noteFirst(nowMs: number): void {
-    this.#slice(nowMs).first++;
+  recordFirst(nowMs: number): void {
+    this.#slice(nowMs).firstSends++;
   }
 
   /**
-   * Takes one repeat from the budget.
+   * Takes one repeat from the budget, if any is left.
    *
-   * @param share Share (0 to 1) of the fleet's budget this instance may use.
-   * @param nowMs The local time.
+   * @param share Share (0 to 1) of the fleet's slack that this instance may
+   * use.
+   * @param nowMs Current local time in milliseconds.
    * @returns Whether the repeat may be sent.
    */
-  take(share: number, nowMs: number): boolean {
+  tryTake(share: number, nowMs: number): boolean {
     const slice = this.#slice(nowMs);
     let first = 0;
     let repeats = 0;
-    for (const { first: f, repeats: r } of this.#slices) {
+    for (const { firstSends: f, repeats: r } of this.#slices) {
       first += f;
       repeats += r;
     }
     const bound = this.#bound.ratio * first + this.#bound.slack * share;
-    if (repeats + 1 > bound * SHARE_HANDED_OUT) {
+    if (repeats + 1 > bound * USED_BOUND_SHARE) {
       return false;
     }
     slice.repeats++;
@@ -78,7 +86,7 @@
     }
     let newest = this.#slices.at(-1);
     if (newest === undefined || nowMs - newest.beganAtMs >= SLICE_MS) {
-      newest = { beganAtMs: nowMs, first: 0, repeats: 0 };
+      newest = { beganAtMs: nowMs, firstSends: 0, repeats: 0 };
       this.#slices.push(newest);
     }
     return newest;
--- a/packages/routing/src/routing_test_support.ts
+++ b/packages/routing/src/routing_test_support.ts
@@ -1,4 +1,4 @@
-/** Builders for tests. */
+/** Test fixtures of the routing package. */
 
 import {
   type FleetConfiguration,
@@ -20,13 +20,15 @@
 import { AskCause, type WorkAsk } from "./work_ask.ts";
 
 /**
- * @param instanceId The member's id.
- * @param over What differs from one in failure domain `a`.
- * @returns What it says of itself.
+ * Builds the membership news of an instance.
+ *
+ * @param instanceId Id of the instance.
+ * @param overrides Fields that differ from an instance in failure domain `a`.
+ * @returns What the instance announces of itself.
  */
 export function memberOf(
   instanceId: string,
-  over: Partial<MemberInfo> = {},
+  overrides: Partial<MemberInfo> = {},
 ): MemberInfo {
   return {
     instanceId,
@@ -35,15 +37,17 @@
     incarnation: 1,
     leaving: false,
     cores: 1,
-    ...over,
+    ...overrides,
   };
 }
 
 /**
- * @param over What differs from a plain route.
+ * Builds a route.
+ *
+ * @param overrides Fields that differ from the default route.
  * @returns A route of pool `p`.
  */
-export function routeOf(over: Partial<RoutePolicy> = {}): RoutePolicy {
+export function routeOf(overrides: Partial<RoutePolicy> = {}): RoutePolicy {
   return {
     name: "r",
     host: "h.example",
@@ -56,16 +60,19 @@
     longestGapMs: 300,
     maxAttempts: 2,
     isPublic: false,
-    ...over,
+    ...overrides,
   };
 }
 
 /**
- * @param over What differs from a configuration with one engine pool `p`.
- * @returns A configuration.
+ * Builds a configuration.
+ *
+ * @param overrides Fields that differ from a configuration with one engine pool
+ * `p`.
+ * @returns The configuration.
  */
 export function configurationOf(
-  over: Partial<FleetConfiguration> = {},
+  overrides: Partial<FleetConfiguration> = {},
 ): FleetConfiguration {
   return {
     version: 1,
@@ -82,18 +89,20 @@
       headerTimeoutMs: 3000,
       idleTimeoutMs: 15_000,
     },
-    ...over,
+    ...overrides,
   };
 }
 
 /**
- * @param targetIds Targets of pool `p` with two slots each.
- * @param over What differs in the configuration.
- * @returns A board of instance `i1`.
+ * Builds the routing state of instance `i1`.
+ *
+ * @param targetIds Ids of targets of pool `p` with two slots each.
+ * @param overrides Fields of the configuration that differ from the default.
+ * @returns The routing state.
  */
 export function boardOf(
   targetIds: readonly string[],
-  over: Partial<FleetConfiguration> = {},
+  overrides: Partial<FleetConfiguration> = {},
 ): RoutingBoard {
   const targets = new TargetDirectory();
   targets.listAvailable(0);
@@ -116,7 +125,7 @@
   );
   const members = new MemberView(memberOf("i1"));
   return {
-    routes: new RouteTable(configurationOf(over)),
+    routes: new RouteTable(configurationOf(overrides)),
     targets,
     members,
     configurationAge: new ConfigurationAge(),
@@ -131,11 +140,16 @@
 }
 
 /**
- * @param askId The ask's id.
- * @param over What differs from a small stream of rank 0.
- * @returns An ask.
+ * Builds an ask.
+ *
+ * @param askId Id of the ask.
+ * @param overrides Fields that differ from a small stream of rank 0.
+ * @returns The ask.
  */
-export function askOf(askId: string, over: Partial<WorkAsk> = {}): WorkAsk {
+export function askOf(
+  askId: string,
+  overrides: Partial<WorkAsk> = {},
+): WorkAsk {
   return {
     askId,
     holderId: "i1",
@@ -152,6 +166,6 @@
     failureDomain: "a",
     excluded: [],
     cause: AskCause.First,
-    ...over,
+    ...overrides,
   };
 }
--- a/packages/routing/src/placement_choice.ts
+++ b/packages/routing/src/target_selector.ts
@@ -1,10 +1,10 @@
-/** Which targets of one pool a request may go to now, and which suits it best. */
+/** Selects the target for a request among the usable targets of one pool. */
 
 import { CandidateIndex, hasFreeSlot } from "./candidate_index.ts";
 import type { PoolPolicy } from "./fleet_configuration.ts";
 import type { RateLimiter } from "./rate_limiter.ts";
-import type { PlacedWorks } from "./placed_works.ts";
-import { onTimeUntilMs, type WaitingWork } from "./queue_order.ts";
+import type { PlacedWorkIndex } from "./placed_work_index.ts";
+import { onTimeDeadlineMs, type WaitingWork } from "./queue_order.ts";
 import type { RoutingBoard } from "./routing_board.ts";
 import {
   type Candidate,
@@ -16,38 +16,41 @@
 import type { KnownTarget } from "./target_directory.ts";
 import { AskCause, type WorkAsk } from "./work_ask.ts";
 
-/** The pool's targets at one moment. */
-export interface PlacementLook {
+/** The pool's usable targets at one moment. */
+export interface TargetSnapshot {
   readonly nowMs: number;
-  /** Targets that may get new work. */
+  /** Targets that may be given new work. */
   readonly targets: CandidateIndex;
-  /** Targets of a new version for the next request, where it is to get one. */
+  /**
+   * Targets of a new version with a free slot; empty unless the next request is
+   * a canary request.
+   */
   canary: readonly Candidate[];
 }
 
-/** What choices depend on. */
-export interface PlacementParts {
+/** State that a target selector reads. */
+export interface TargetSelectorParts {
   readonly board: RoutingBoard;
-  readonly placed: PlacedWorks;
+  readonly placed: PlacedWorkIndex;
   readonly limiter: RateLimiter;
 }
 
-/** Chooses among the targets of one pool. */
-export class PlacementChoice {
+/** Selects targets of one pool. */
+export class TargetSelector {
   readonly #pool: string;
   readonly #board: RoutingBoard;
-  readonly #placed: PlacedWorks;
+  readonly #placed: PlacedWorkIndex;
   readonly #limiter: RateLimiter;
   #targets?: CandidateIndex;
-  /** What the index was made from. */
+  /** Targets that the index was built from. */
   #serving: readonly KnownTarget[] = [];
   #kvCapacityTokens?: number;
 
   /**
    * @param pool The pool's name.
-   * @param parts What choices depend on.
+   * @param parts State that the selector reads.
    */
-  constructor(pool: string, parts: PlacementParts) {
+  constructor(pool: string, parts: TargetSelectorParts) {
     this.#pool = pool;
     this.#board = parts.board;
     this.#placed = parts.placed;
@@ -55,18 +58,23 @@
   }
 
   /**
-   * @param targetId A target.
-   * @param use What runs there by now.
+   * Updates the use of a target.
+   *
+   * @param targetId Id of the target.
+   * @param use Sums over the work that runs there now.
    */
-  used(targetId: string, use: TargetUse): void {
-    this.#targets?.used(targetId, use);
+  updateUse(targetId: string, use: TargetUse): void {
+    this.#targets?.updateUse(targetId, use);
   }
 
   /**
-   * @param nowMs The local time.
-   * @returns The targets that may get requests now.
+   * Returns the targets that may be given requests now.
+   *
+   * @param nowMs Current local time in milliseconds.
+   * @returns The serving targets, and the canary targets if the next request is
+   * a canary request.
    */
-  look(nowMs: number): PlacementLook {
+  snapshot(nowMs: number): TargetSnapshot {
     const { targets, rollouts } = this.#board;
     const { serving, canary } = rollouts
       .split(this.#pool, targets.usable(this.#pool, nowMs), nowMs);
@@ -95,15 +103,17 @@
   }
 
   /**
-   * What a target has failed already is not tried on a version on trial.
+   * Chooses a canary target for a request. A request that a target has failed
+   * already is not sent to a version under evaluation.
    *
-   * @param ask A request.
-   * @param look The targets.
-   * @returns A target of the new version, where the request is to go there.
+   * @param ask The request.
+   * @param snapshot The pool's usable targets.
+   * @returns A target of the new version; undefined if the request is to go to
+   * the serving targets.
    */
   chooseCanary(
     ask: WorkAsk,
-    { canary }: PlacementLook,
+    { canary }: TargetSnapshot,
   ): Choice | undefined {
     const mayTry = ask.cause !== AskCause.Repeat &&
       !this.#board.suspects.isSuspect(ask.fingerprint);
@@ -111,11 +121,14 @@
   }
 
   /**
-   * @param ask A request.
-   * @param look The targets.
-   * @returns The best that can take it; undefined where none can.
+   * Chooses a serving target for a request.
+   *
+   * @param ask The request.
+   * @param snapshot The pool's usable targets.
+   * @returns The target expected to complete it first; undefined where none can
+   * take it now.
    */
-  choose(ask: WorkAsk, { targets, nowMs }: PlacementLook): Choice | undefined {
+  choose(ask: WorkAsk, { targets, nowMs }: TargetSnapshot): Choice | undefined {
     if (!targets.hasFree) {
       return undefined;
     }
@@ -124,14 +137,14 @@
     if (this.#board.suspects.isSuspect(ask.fingerprint)) {
       return chooseAmong(this.#freeForTrial(ask, targets));
     }
-    const compared = targets.free(ask.failureDomain);
-    const choice = chooseAmong(compared);
-    return choice === undefined && compared.length < targets.freeCount
+    const sampled = targets.sampleFree(ask.failureDomain);
+    const choice = chooseAmong(sampled);
+    return choice === undefined && sampled.length < targets.freeCount
       ? chooseAmong(targets.allFree())
       : choice;
   }
 
-  /** Leaves out targets that have used up their rate limits. */
+  /** Leaves out targets whose rate limits are exhausted. */
   #withinLimits(
     candidates: readonly Candidate[],
     nowMs: number,
@@ -144,8 +157,9 @@
   }
 
   /**
-   * A suspect runs at one target at a time and beside no other suspect: where
-   * the target ends, it is known under which request.
+   * Free targets for a request on trial. A suspect request runs at one target
+   * at a time and never beside another suspect, so that the end of the target's
+   * process can be attributed to one request.
    */
   #freeForTrial(
     { fingerprint }: WorkAsk,
@@ -159,17 +173,20 @@
   }
 
   /**
-   * @param waiting A request that waits.
-   * @param choice The best target that is free.
-   * @param look The targets.
-   * @returns Whether it had better wait for another.
+   * Decides whether a request should stay queued for a faster target.
+   *
+   * @param waiting The queued request.
+   * @param choice The best target with a free slot.
+   * @param snapshot The pool's usable targets.
+   * @returns True if it would miss its objective at the free target and meet it
+   * at a busy one.
    */
   isWorthWaiting(
     waiting: WaitingWork,
     choice: Choice,
-    { targets, nowMs }: PlacementLook,
+    { targets, nowMs }: TargetSnapshot,
   ): boolean {
-    const leftMs = onTimeUntilMs(waiting) - nowMs;
+    const leftMs = onTimeDeadlineMs(waiting) - nowMs;
     return isWorthWaiting(waiting.ask, choice, {
       candidates: () => this.#withinLimits(targets.all(), nowMs),
       leftMs,
