--- a/packages/gateway/src/allotment_across_a_cut_test.ts
+++ b/packages/gateway/src/allotment_across_a_cut_test.ts
@@ -79,7 +79,7 @@
   }
 
   cutOffCoordinator(): void {
-    const { coordinatorId } = this.#nodes.get("i1")!.desk;
+    const { coordinatorId } = this.#nodes.get("i1")!.placementClient;
     this.#network.cutDomain = DOMAIN_OF[coordinatorId];
   }
 
@@ -116,16 +116,19 @@
 
   #request(): void {
     const holderId = IDS[this.#asked % IDS.length]!;
-    const { desk } = this.#nodes.get(holderId)!;
+    const { placementClient } = this.#nodes.get(holderId)!;
     const askId = `a${this.#asked++}`;
-    desk.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
+    placementClient.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
       if ("refusal" in decision) {
         return;
       }
       this.spent.push({ atMs: this.clock.atMs, cost: COST });
       const { targetId } = decision;
       const end = { askId, targetId, pool: "p", promptTokens: 500 };
-      this.#network.later(WORK_MS, () => desk.ended({ ...end, failed: false }));
+      this.#network.later(
+        WORK_MS,
+        () => placementClient.reportEnd({ ...end, failed: false }),
+      );
     });
   }
 
--- a/packages/gateway/src/attempt_account.ts
+++ b/packages/gateway/src/attempt_account.ts
@@ -40,12 +40,12 @@
 
   /** @param attempt An attempt whose answer was passed on. */
   served(attempt: TargetAttempt): void {
-    const { board, desk, metrics } = this.#parts;
+    const { board, placementClient, metrics } = this.#parts;
     const { call, target } = attempt.order;
     board.health.served(target.targetId);
     const end = attempt.workEnd(false);
     const clearedFingerprint = this.#suspectOf(call);
-    desk.ended(
+    placementClient.reportEnd(
       clearedFingerprint === undefined ? end : { ...end, clearedFingerprint },
     );
     metrics.attemptEnded(call.pool, "served");
@@ -60,7 +60,7 @@
   /** @param attempt An attempt that is not needed any more; no fault of its target. */
   cancelled(attempt: TargetAttempt): void {
     attempt.cancel();
-    this.#parts.desk.ended(attempt.workEnd(false));
+    this.#parts.placementClient.reportEnd(attempt.workEnd(false));
   }
 
   /**
@@ -69,7 +69,7 @@
    * @param reason Why, for the log.
    */
   failed(attempt: TargetAttempt, end: AttemptEnd, reason: string): void {
-    const { board: { health }, clock, desk, metrics } = this.#parts;
+    const { board: { health }, clock, placementClient, metrics } = this.#parts;
     const { call, target: { targetId } } = attempt.order;
     const nowMs = clock.nowMs();
     attempt.cancel();
@@ -83,10 +83,10 @@
     };
     if (end === AttemptEnd.TargetEnded) {
       const endedTarget = endedTargetOf(attempt);
-      desk.ended({ ...workEnd, endedTarget });
+      placementClient.reportEnd({ ...workEnd, endedTarget });
       this.#logEnded(endedTarget);
     } else {
-      desk.ended(workEnd);
+      placementClient.reportEnd(workEnd);
     }
     metrics.attemptEnded(call.pool, end);
     this.#log("attempt ended", {
--- /dev/null
+++ b/packages/gateway/src/coordinator_selector.ts
@@ -0,0 +1,156 @@
+/**
+ * Selection of the coordinator that an instance asks for placements, and of the
+ * share of the fleet's allotments that the instance may hand out itself.
+ */
+
+import type { LedgerScope } from "@chestnuthatch/routing/allotment_ledger";
+import {
+  MEMBER_SILENCE_MS,
+  type MemberRecord,
+  type MemberView,
+} from "@chestnuthatch/routing/member_view";
+
+/** Time for which a coordinator that does not respond is skipped. */
+const SKIP_MS = 1000;
+
+/**
+ * Time for which a selection is cached, unless a member changes. A selection
+ * costs time in proportion to the number of members. The detection of a silent
+ * member is delayed by up to this time.
+ */
+const SELECTION_TTL_MS = 60;
+
+const NO_SKIPPED_IDS: ReadonlySet<string> = new Set();
+
+/** The cached result of one evaluation of the members. */
+interface Selection {
+  readonly validUntilMs: number;
+  /** Value of `MemberView.changes` that the selection was made at. */
+  readonly memberChanges: number;
+  readonly coordinator: MemberRecord;
+  /** Share of the fleet's allotments that this instance may hand out. */
+  readonly share: number;
+  /** Local time since which the fleet has recorded workspaces' spending. */
+  readonly spendingKnownSinceMs: number;
+}
+
+/** Selects the coordinator, and again as members join, leave or fall silent. */
+export class CoordinatorSelector {
+  readonly #members: MemberView;
+  readonly #startedAtMs: number;
+  readonly #spendingReportedAtMs: (instanceId: string) => number;
+  readonly #skippedUntilMs = new Map<string, number>();
+  #selection?: Selection;
+  /** Local time since which this instance has been the agreed coordinator. */
+  #agreedSinceMs?: number;
+
+  /**
+   * @param members The members of the fleet.
+   * @param options `startedAtMs` is the local time at which this instance began
+   * to record workspaces' spending; `spendingReportedAtMs` returns the local
+   * time of a member's last report of the spending through it.
+   */
+  constructor(
+    members: MemberView,
+    options: {
+      startedAtMs: number;
+      spendingReportedAtMs: (instanceId: string) => number;
+    },
+  ) {
+    this.#members = members;
+    this.#startedAtMs = options.startedAtMs;
+    this.#spendingReportedAtMs = options.spendingReportedAtMs;
+  }
+
+  /**
+   * Selects the agreed coordinator, or the next candidate while it is skipped.
+   *
+   * @param nowMs The local time.
+   * @returns The instance to ask for placements.
+   */
+  current(nowMs: number): MemberRecord {
+    return this.#selectionAt(nowMs).coordinator;
+  }
+
+  /**
+   * Limits what this instance may hand out when it assigns targets.
+   *
+   * @param nowMs The local time.
+   * @returns The share of the fleet's allotments, and the time over which the
+   * fleet's spending is known.
+   */
+  scope(nowMs: number): LedgerScope {
+    const { share, spendingKnownSinceMs: remembersSinceMs } = this.#selectionAt(
+      nowMs,
+    );
+    return { share, memoryMs: nowMs - remembersSinceMs, nowMs };
+  }
+
+  /**
+   * Skips a coordinator that does not respond for `SKIP_MS`.
+   *
+   * @param instanceId The coordinator's instance id.
+   * @param nowMs The local time.
+   * @returns Whether it was not skipped already.
+   */
+  skip(instanceId: string, nowMs: number): boolean {
+    const isNew = !this.#skippedUntilMs.has(instanceId);
+    this.#skippedUntilMs.set(instanceId, nowMs + SKIP_MS);
+    this.#selection = undefined;
+    return isNew;
+  }
+
+  #selectionAt(nowMs: number): Selection {
+    const { changes } = this.#members;
+    if (
+      this.#selection === undefined || nowMs >= this.#selection.validUntilMs ||
+      changes !== this.#selection.memberChanges
+    ) {
+      const agreed = this.#members.coordinator(nowMs, NO_SKIPPED_IDS);
+      const uptimeMs = nowMs - this.#startedAtMs;
+      this.#selection = {
+        validUntilMs: nowMs + SELECTION_TTL_MS,
+        memberChanges: changes,
+        spendingKnownSinceMs: nowMs - this.#members.memoryMs(uptimeMs, nowMs),
+        coordinator: this.#selectResponsive(agreed, nowMs),
+        share: this.#share(agreed, nowMs),
+      };
+    }
+    return this.#selection;
+  }
+
+  /** Selects the agreed coordinator, or the next one while it is skipped. */
+  #selectResponsive(agreed: MemberRecord, nowMs: number): MemberRecord {
+    for (const [instanceId, untilMs] of this.#skippedUntilMs) {
+      if (untilMs <= nowMs) {
+        this.#skippedUntilMs.delete(instanceId);
+      }
+    }
+    if (this.#skippedUntilMs.size === 0) {
+      return agreed;
+    }
+    // A network partition usually cuts off a whole failure domain. Skipping all
+    // members with an overdue heartbeat avoids trying them one after another.
+    const overdueIds = this.#members.overdue(nowMs)
+      .map((member) => member.instanceId);
+    const skippedIds = new Set([...this.#skippedUntilMs.keys(), ...overdueIds]);
+    return this.#members.coordinator(nowMs, skippedIds);
+  }
+
+  /**
+   * Share of the fleet's allotments and retry budgets that this instance may
+   * hand out: that of all members it receives heartbeats from while it is the
+   * agreed coordinator, and otherwise that of one member.
+   */
+  #share(agreed: MemberRecord, nowMs: number): number {
+    if (agreed.instanceId !== this.#members.selfId) {
+      this.#agreedSinceMs = undefined;
+      const alive = this.#members.alive(nowMs).length;
+      return this.#members.heardShare(nowMs) / alive;
+    }
+    this.#agreedSinceMs ??= nowMs;
+    return nowMs - this.#agreedSinceMs < MEMBER_SILENCE_MS
+      ? this.#members.heardShare(nowMs)
+      : this.#members.directShare(nowMs, this.#spendingReportedAtMs);
+  }
+}
--- a/packages/gateway/src/event_log.ts
+++ b/packages/gateway/src/event_log.ts
@@ -1,7 +1,7 @@
 /**
- * The log: a JSON line for each decision on a request and each change of
- * belief. Lines beyond a bound are left out and counted, and a reader that is
- * slow never holds up the process.
+ * The log: a JSON line for each decision on a request and each change of an
+ * instance's state. Lines beyond a rate limit are dropped and counted, and a
+ * slow reader never blocks the process.
  */
 
 import { Writable } from "node:stream";
@@ -21,31 +21,31 @@
   Rollouts = "rollouts",
 }
 
-/** Facts of a line, beside its message. */
+/** Key-value pairs of a log line, written beside its message. */
 export type LogFacts = Readonly<
   Record<string, string | number | boolean | readonly string[] | undefined>
 >;
 
 /**
- * Lines a second. A busy instance of the target size serves about 50 requests
- * a second, with four lines each, and news beside them.
+ * Rate limit of log lines. A busy instance of the intended size serves about 50
+ * requests a second, with four lines each, and logs other events beside them.
  */
 const MAX_LINES_PER_S = 300;
 const MS_PER_S = 1000;
 
-/** Writes the lines. */
+/** Writes log lines within a rate limit. */
 export class EventLog {
   readonly #clock: Clock;
   readonly #output: LogOutput;
   readonly #winston: winston.Logger;
-  #windowBeganAtMs = -Infinity;
+  #windowStartedAtMs = -Infinity;
   #linesInWindow = 0;
-  #leftOut = 0;
+  #droppedLines = 0;
 
   /**
    * @param clock The instance's clock.
-   * @param instanceId Named in each line.
-   * @param output Where lines go; standard output where absent.
+   * @param instanceId Id of the instance, part of each line.
+   * @param output Stream that lines are written to; standard output by default.
    */
   constructor(
     clock: Clock,
@@ -71,28 +71,28 @@
   }
 
   /**
-   * Writes a line.
+   * Writes a line of level `info`.
    *
-   * @param part The part it comes from.
+   * @param part Part of the gateway that logs the line.
    * @param message A short sentence, the same for every line of its kind.
-   * @param facts What the decision or belief rests on.
+   * @param facts What the decision or the change of state is based on.
    */
   info(part: LogPart, message: string, facts: LogFacts = {}): void {
     this.#write("info", { part, message, facts });
   }
 
   /**
-   * Writes a line about something that went wrong.
+   * Writes a line of level `warn` about a failure.
    *
-   * @param part The part it comes from.
+   * @param part Part of the gateway that logs the line.
    * @param message A short sentence, the same for every line of its kind.
-   * @param facts What is known of it.
+   * @param facts Details of the failure.
    */
   warn(part: LogPart, message: string, facts: LogFacts = {}): void {
     this.#write("warn", { part, message, facts });
   }
 
-  /** Writes what was gathered; the process may end now. */
+  /** Writes buffered lines at once, for use before the process ends. */
   flush(): void {
     this.#output.flush();
   }
@@ -102,22 +102,22 @@
     line: { part: LogPart; message: string; facts: LogFacts },
   ): void {
     const atMs = Math.round(this.#clock.nowMs());
-    if (!this.#hasRoom(atMs)) {
-      this.#leftOut++;
+    if (!this.#mayWriteLine(atMs)) {
+      this.#droppedLines++;
       return;
     }
     const { part, message, facts } = line;
-    const leftOut = this.#leftOut === 0 ? undefined : this.#leftOut;
-    this.#leftOut = 0;
+    const leftOut = this.#droppedLines === 0 ? undefined : this.#droppedLines;
+    this.#droppedLines = 0;
     this.#winston.log({ level, atMs, part, message, leftOut, ...facts });
   }
 
-  #hasRoom(atMs: number): boolean {
-    if (atMs - this.#windowBeganAtMs >= MS_PER_S) {
-      this.#windowBeganAtMs = atMs;
+  #mayWriteLine(atMs: number): boolean {
+    if (atMs - this.#windowStartedAtMs >= MS_PER_S) {
+      this.#windowStartedAtMs = atMs;
       this.#linesInWindow = 0;
     }
     this.#linesInWindow++;
-    return this.#linesInWindow <= MAX_LINES_PER_S && this.#output.hasRoom;
+    return this.#linesInWindow <= MAX_LINES_PER_S && this.#output.hasCapacity;
   }
 }
--- a/packages/gateway/src/event_log_test.ts
+++ b/packages/gateway/src/event_log_test.ts
@@ -6,8 +6,8 @@
 import * as assert from "uvu/assert";
 import { EventLog, LogPart } from "./event_log.ts";
 
-/** Writes more than any pipe holds, then tells on the standard error. */
-const BUSY_PROCESS = `
+/** Writes more than a pipe buffers, then a text to the standard error. */
+const VERBOSE_PROCESS = `
   const { EventLog, LogPart } = await import("./event_log.js");
   let nowMs = 0;
   const log = new EventLog({ nowMs: () => nowMs }, "i1");
@@ -21,7 +21,7 @@
   process.exit(0);
 `;
 
-function lines(count: number): { nowMs: () => number; texts: string[] } {
+function logLines(count: number): { nowMs: () => number; texts: string[] } {
   const texts: string[] = [];
   let nowMs = 0;
   const output = new Writable({
@@ -40,8 +40,8 @@
   return { nowMs: () => nowMs, texts };
 }
 
-test("lines are JSON, and those beyond the bound are counted", () => {
-  const all = lines(500).texts.join("").trimEnd().split("\n")
+test("lines are JSON, and those beyond the rate limit are counted", () => {
+  const all = logLines(500).texts.join("").trimEnd().split("\n")
     .map((text) => JSON.parse(text));
   assert.is(all.length, 301);
   assert.is(all[0].line, 0);
@@ -56,14 +56,14 @@
   });
 });
 
-test("a reader that does not read holds nothing up", async () => {
+test("a reader that does not read does not block the process", async () => {
   const child = spawn(
     process.execPath,
-    ["--input-type=module", "--eval", BUSY_PROCESS],
+    ["--input-type=module", "--eval", VERBOSE_PROCESS],
     { stdio: ["ignore", "pipe", "pipe"], cwd: import.meta.dirname },
   );
-  const [told] = await once(child.stderr, "data");
-  assert.is(String(told), "served on");
+  const [output] = await once(child.stderr, "data");
+  assert.is(String(output), "served on");
   child.kill();
 });
 
--- a/packages/gateway/src/fleet_news.ts
+++ b/packages/gateway/src/fleet_news.ts
@@ -297,7 +297,7 @@
    */
   storeWentBack(): void {
     const { board, clock, log, metrics, onStoreWentBack } = this.#parts;
-    metrics.storeWentBack();
+    metrics.storeRestored();
     log.warn(LogPart.Platform, "store came back from an older copy", {
       targetsVersion: board.targets.version,
       configurationVersion: board.routes?.configuration.version,
--- a/packages/gateway/src/front_server.ts
+++ b/packages/gateway/src/front_server.ts
@@ -318,7 +318,7 @@
   ): void {
     const { board, clock, log, metrics } = this.#parts;
     const ageMs = board.configurationAge.ageMs(clock.nowMs());
-    metrics.failed("none", of.error);
+    metrics.errorAnswered("none", of.error);
     log.info(LogPart.Request, "refused at the door", {
       requestId: facts.requestId,
       error: of.error,
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** One entry instance that routes requests: its parts, wired together. */
+/** Composition root of one entry instance, which routes requests to targets. */
 
 import { setTimeout as pause } from "node:timers/promises";
 import { Coordinator } from "@chestnuthatch/routing/coordinator";
@@ -31,11 +31,11 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { GracefulStop } from "./graceful_stop.ts";
 import { hostPortOf } from "./host_port.ts";
-import { LoopWatch } from "./loop_watch.ts";
+import { EventLoopMonitor } from "./event_loop_monitor.ts";
 import { MembershipKeeper } from "./membership_keeper.ts";
 import { PeerCatalog } from "./peer_catalog.ts";
 import { PeerSocket } from "./peer_socket.ts";
-import { PlacementDesk } from "./placement_desk.ts";
+import { PlacementClient } from "./placement_client.ts";
 import { RolloutKeeper } from "./rollout_keeper.ts";
 import type { CallProtocol, Clock, PlatformPort } from "./ports.ts";
 import { SpendingKeeper } from "./spending_keeper.ts";
@@ -45,16 +45,16 @@
 import { TargetProbes } from "./target_probes.ts";
 import { TargetUpkeep } from "./target_upkeep.ts";
 
-/** Time between two looks at what depends on time, while requests wait. */
-const TICK_MS = 20;
+/** Time between two ticks, which run all timeouts, while requests wait. */
+const BUSY_TICK_MS = 20;
 
-/** The same while nothing waits: half of the time between two heartbeats. */
-const RESTING_TICK_MS = 110;
+/** Maximum time between two ticks otherwise: half a heartbeat interval. */
+const IDLE_TICK_MS = 110;
 
-/** A tick this late means that the process stood still. */
-const PAUSE_MS = 400;
+/** Minimum delay of a tick that counts as a stall of the process. */
+const MIN_STALL_MS = 400;
 
-/** What a gateway is made of beside its settings. */
+/** Ports of a gateway: the calls' protocol, the platform, and the log. */
 export interface GatewayOptions {
   readonly protocol: CallProtocol;
   readonly platform: PlatformPort;
@@ -64,7 +64,7 @@
 
 const MONOTONIC_CLOCK: Clock = { nowMs: () => performance.now() };
 
-/** Runs one entry instance within this process. */
+/** One entry instance, running within this process. */
 export class Gateway {
   readonly board: RoutingBoard;
   #settings: GatewaySettings;
@@ -78,31 +78,32 @@
   readonly #catalog: PeerCatalog;
   readonly #connections = new TargetConnections();
   readonly #coordinator: Coordinator;
-  readonly #desk: PlacementDesk;
+  readonly #placementClient: PlacementClient;
   readonly #membership: MembershipKeeper;
-  readonly #news: FleetNews;
+  readonly #fleetState: FleetNews;
   readonly #spending: SpendingKeeper;
   readonly #suspects: SuspectKeeper;
   readonly #rollouts: RolloutKeeper;
   readonly #targetSignals: TargetSignalKeeper;
-  readonly #upkeep: TargetUpkeep;
+  readonly #targetMaintenance: TargetUpkeep;
   readonly #front: FrontServer;
   readonly #status: StatusServer;
-  readonly #loop: LoopWatch;
+  readonly #loopMonitor: EventLoopMonitor;
   #askCounter = 0;
-  #leaving = false;
-  #closed = false;
+  #isLeaving = false;
+  #isClosed = false;
   #tickTimer?: NodeJS.Timeout;
-  /** When the next tick is due. */
+  /** Local time at which the next tick is due. */
   #tickDueMs = 0;
-  /** By how much the latest tick was late. */
+  /** Delay of the latest tick. */
   #lateMs = 0;
   #wasCoordinator = false;
   #stopping?: Promise<void>;
 
   /**
    * @param settings Start settings.
-   * @param options How calls look and where the platform is.
+   * @param options The calls' protocol, the platform, and optionally the log's
+   * output and a clock.
    */
   constructor(settings: GatewaySettings, options: GatewayOptions) {
     this.#settings = settings;
@@ -135,7 +136,7 @@
     };
     this.#socket = new PeerSocket(this.#log, this.#metrics);
     this.#coordinator = new Coordinator(this.board, settings.bounds);
-    this.#desk = new PlacementDesk({
+    this.#placementClient = new PlacementClient({
       board: this.board,
       coordinator: this.#coordinator,
       clock: this.#clock,
@@ -143,8 +144,8 @@
       send: (member, message) => this.#socket.send(member.address, message),
       startedAtMs: this.#startedAtMs,
       spendingWindowMs: settings.bounds.allotmentTolerance.windowMs,
-      onWaiting: () => this.#tickWithin(TICK_MS),
-      onStandIn: (share) => this.#spending.standsIn(share),
+      onWaiting: () => this.#scheduleTick(BUSY_TICK_MS),
+      onTakeover: (share) => this.#spending.standsIn(share),
     });
     this.#spending = new SpendingKeeper({
       board: this.board,
@@ -166,9 +167,9 @@
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
-      reachesStore: () => this.#news.reachesStore,
+      reachesStore: () => this.#fleetState.reachesStore,
     });
-    this.#upkeep = new TargetUpkeep({
+    this.#targetMaintenance = new TargetUpkeep({
       board: this.board,
       clock: this.#clock,
       coordinator: this.#coordinator,
@@ -179,18 +180,18 @@
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
-      onLeaving: (targetId) => this.#news.targetLeaves(targetId),
+      onLeaving: (targetId) => this.#fleetState.targetLeaves(targetId),
     });
-    this.#news = this.#makeNews();
-    this.#catalog = new PeerCatalog((item) => this.#news.content(item));
-    this.#membership = this.#makeMembership();
-    this.#front = new FrontServer(this.#makeParts(options.protocol));
-    this.#loop = new LoopWatch({
+    this.#fleetState = this.#createFleetState();
+    this.#catalog = new PeerCatalog((item) => this.#fleetState.content(item));
+    this.#membership = this.#createMembership();
+    this.#front = new FrontServer(this.#createParts(options.protocol));
+    this.#loopMonitor = new EventLoopMonitor({
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
       busyMs: () => performance.eventLoopUtilization().active,
-      load: () => this.#load(),
+      loadFacts: () => this.#loadFacts(),
     });
     this.#status = new StatusServer({
       metrics: this.#metrics,
@@ -198,9 +199,9 @@
     });
   }
 
-  /** Whether callers may be sent here. */
+  /** Whether the instance can serve callers: configured, and not stopping. */
   get isReady(): boolean {
-    return this.#news.isComplete && !this.#leaving;
+    return this.#fleetState.isComplete && !this.#isLeaving;
   }
 
   /** `ip:port` that callers connect to. */
@@ -208,24 +209,24 @@
     return this.#front.address;
   }
 
-  /** The instance that gives places to requests now. */
+  /** Instance id of the coordinator that assigns requests to targets now. */
   get coordinatorId(): string {
-    return this.#desk.coordinatorId;
+    return this.#placementClient.coordinatorId;
   }
 
   /**
-   * Takes in a version of the configuration, as from the platform.
+   * Applies a version of the configuration as if it came from the platform.
    *
-   * @param configuration The version; an older one than that in force is
-   * ignored.
+   * @param configuration The configuration; ignored if it is older than the one
+   * in force.
    */
-  takeConfiguration(configuration: FleetConfiguration): void {
-    this.#news.configurationRead(configuration);
+  applyConfiguration(configuration: FleetConfiguration): void {
+    this.#fleetState.configurationRead(configuration);
   }
 
   /**
-   * Takes in changed start settings. Bounds and the grace time change at once;
-   * addresses and names are those of the process until it starts again.
+   * Applies changed start settings. Bounds and the grace period change at once;
+   * addresses and names stay until the process restarts.
    *
    * @param settings The new settings.
    */
@@ -240,21 +241,26 @@
     };
     this.#coordinator.setBounds(bounds);
     this.board.rollouts.setBound(exposure);
-    this.#log.info(LogPart.Process, "reloaded", { graceMs });
+    this.#log.info(LogPart.Process, "settings reloaded", { graceMs });
   }
 
-  /** @param faults Why changed start settings cannot be used. */
-  cannotReload(faults: readonly string[]): void {
-    this.#log.warn(LogPart.Process, "settings not usable", { faults });
+  /**
+   * Logs that changed start settings are invalid. The previous ones stay in
+   * force.
+   *
+   * @param faults Descriptions of what is invalid.
+   */
+  logInvalidSettings(faults: readonly string[]): void {
+    this.#log.warn(LogPart.Process, "changed settings are invalid", { faults });
   }
 
   /**
-   * Tells of an error that nothing handled. The process goes on: the requests in
-   * progress are worth more than a clean start.
+   * Logs an unhandled error. The process continues, as a restart would abort
+   * the requests in progress.
    *
    * @param error The error.
    */
-  unexpected(error: unknown): void {
+  logUnexpectedError(error: unknown): void {
     this.#log.warn(LogPart.Process, "unexpected error", {
       reason: reasonOf(error),
     });
@@ -262,11 +268,11 @@
   }
 
   /**
-   * Tells that stopping has failed, before the process ends.
+   * Logs that the graceful stop has failed, before the process ends.
    *
    * @param error The error.
    */
-  cannotStop(error: unknown): void {
+  logStopFailure(error: unknown): void {
     this.#log.warn(LogPart.Process, "stopping failed", {
       reason: reasonOf(error),
       ...this.#front.connections,
@@ -274,18 +280,25 @@
     this.#log.flush();
   }
 
-  /** @returns Once callers and peers can connect. */
+  /**
+   * Opens all sockets, and starts to read from the platform.
+   *
+   * @returns A promise that is fulfilled when callers and peers can connect.
+   */
   async start(): Promise<void> {
     const settings = this.#settings;
     const { host } = hostPortOf(settings.peerAddress);
     await this.#socket.open(settings.peerAddress, (message, from) => {
-      this.#loop.run(message.kind, () => this.#heard(message, from));
+      this.#loopMonitor.runTask(
+        message.kind,
+        () => this.#handlePeerMessage(message, from),
+      );
     });
     await this.#catalog.open(`${host}:${settings.catalogPort}`);
     await this.#status.open(settings.statusAddress, settings.metricsAddress);
     await this.#front.open(settings.callerAddress);
-    this.#platform.start(this.#self, this.#news);
-    this.#tickWithin(TICK_MS);
+    this.#platform.start(this.#self, this.#fleetState);
+    this.#scheduleTick(BUSY_TICK_MS);
     this.#log.info(LogPart.Process, "started", {
       callerAddress: settings.callerAddress,
       peerAddress: settings.peerAddress,
@@ -296,10 +309,10 @@
   }
 
   /**
-   * Ends gracefully: no longer ready at once, then every request in progress is
-   * finished, and only what outlasts the grace time is broken off.
+   * Stops gracefully: ends readiness at once, finishes the requests in
+   * progress, and aborts only those that outlast the grace period.
    *
-   * @returns Once all is closed.
+   * @returns A promise that is fulfilled when everything is closed.
    */
   stop(): Promise<void> {
     this.#stopping ??= this.#stop();
@@ -307,7 +320,7 @@
   }
 
   async #stop(): Promise<void> {
-    this.#leaving = true;
+    this.#isLeaving = true;
     this.#membership.leave();
     await new GracefulStop({
       front: this.#front,
@@ -319,22 +332,25 @@
     this.#close();
   }
 
-  /** By how much this process is late, its next tick included. */
+  /**
+   * Delay of the event loop in milliseconds: that of the latest tick, or of the
+   * next one if it is overdue by more.
+   */
   get lateMs(): number {
     return Math.max(0, this.#lateMs, this.#clock.nowMs() - this.#tickDueMs);
   }
 
-  /** Ends at once, as a killed process would; for tests. */
+  /** Closes everything at once, as a killed process would; for tests. */
   kill(): void {
     this.#close();
     this.#front.kill();
   }
 
   #close(): void {
-    if (this.#closed) {
+    if (this.#isClosed) {
       return;
     }
-    this.#closed = true;
+    this.#isClosed = true;
     clearTimeout(this.#tickTimer);
     this.#front.close();
     this.#platform.stop();
@@ -345,25 +361,29 @@
     this.#log.flush();
   }
 
-  #heard(message: RoutingMessage, fromAddress: string): void {
+  #handlePeerMessage(message: RoutingMessage, fromAddress: string): void {
     if (message.kind === MessageKind.Beat) {
       this.#membership.heard(message);
       const isCoordinator =
-        message.from.instanceId === this.#desk.coordinatorId;
+        message.from.instanceId === this.#placementClient.coordinatorId;
       if (isCoordinator && message.spending !== undefined) {
         this.#spending.told(message.spending);
       }
-      this.#news.heard(message);
+      this.#fleetState.heard(message);
       return;
     }
-    this.#desk.heard(message, this.board.members.idAt(fromAddress));
+    this.#placementClient.handleMessage(
+      message,
+      this.board.members.idAt(fromAddress),
+    );
   }
 
-  /** Sees to it that a tick is due within a time, unless the process ends. */
-  #tickWithin(withinMs: number): void {
+  /** Schedules the next tick within a time, unless the gateway is closed. */
+  #scheduleTick(withinMs: number): void {
     const dueMs = this.#clock.nowMs() + withinMs;
-    const isDue = this.#tickTimer !== undefined && this.#tickDueMs <= dueMs;
-    if (this.#closed || isDue) {
+    const isScheduled = this.#tickTimer !== undefined &&
+      this.#tickDueMs <= dueMs;
+    if (this.#isClosed || isScheduled) {
       return;
     }
     clearTimeout(this.#tickTimer);
@@ -371,26 +391,27 @@
     this.#tickTimer = setTimeout(() => {
       this.#tickTimer = undefined;
       this.#tick();
-      this.#tickWithin(this.#restMs());
+      this.#scheduleTick(this.#tickDelayMs());
     }, withinMs);
   }
 
-  /** Time for which nothing has to be looked at. */
-  #restMs(): number {
-    const beatMs = this.#membership.untilBeatMs(this.#clock.nowMs());
-    return this.#desk.hasWaiting
-      ? TICK_MS
-      : Math.min(RESTING_TICK_MS, Math.max(TICK_MS, beatMs));
+  /** Time until the next tick is needed. */
+  #tickDelayMs(): number {
+    const untilHeartbeatMs = this.#membership.untilBeatMs(this.#clock.nowMs());
+    return this.#placementClient.hasWaiting
+      ? BUSY_TICK_MS
+      : Math.min(IDLE_TICK_MS, Math.max(BUSY_TICK_MS, untilHeartbeatMs));
   }
 
   #tick(): void {
     const nowMs = this.#clock.nowMs();
     this.#lateMs = nowMs - this.#tickDueMs;
-    this.#loop.timerFired(this.#lateMs);
-    this.board.members.isLoaded = this.#loop.isLoaded;
-    if (this.#lateMs > PAUSE_MS) {
-      // Holders went elsewhere meanwhile; their reports tell what is left.
-      this.#log.warn(LogPart.Process, "process stood still", {
+    this.#loopMonitor.recordTimer(this.#lateMs);
+    this.board.members.isLoaded = this.#loopMonitor.isLoaded;
+    if (this.#lateMs > MIN_STALL_MS) {
+      // Holders have moved to another coordinator meanwhile. Their reports will
+      // restore what is still open.
+      this.#log.warn(LogPart.Process, "process was stalled", {
         lateMs: Math.round(this.#lateMs),
       });
       this.#coordinator.forgetAll();
@@ -400,27 +421,28 @@
       nowMs - this.#startedAtMs,
       nowMs,
     );
-    this.#loop.run("tick", () => {
-      this.#news.tick();
+    this.#loopMonitor.runTask("tick", () => {
+      this.#fleetState.tick();
       this.#membership.tick();
-      this.#desk.tick();
+      this.#placementClient.tick();
     });
-    this.#noteCoordinator();
+    this.#updateCoordinatorRole();
   }
 
-  /** What there is to do, here and for other instances. */
-  #load(): LogFacts {
+  /** Requests of this instance, and asks of all holders at this coordinator. */
+  #loadFacts(): LogFacts {
     const pools = this.#coordinator.load();
     return {
       open: this.#front.openCount,
-      coordinatorId: this.#desk.coordinatorId,
+      coordinatorId: this.#placementClient.coordinatorId,
       waiting: pools.reduce((sum, { waiting }) => sum + waiting, 0),
       placed: pools.reduce((sum, { placed }) => sum + placed, 0),
     };
   }
 
-  #noteCoordinator(): void {
-    const isCoordinator = this.#desk.coordinatorId === this.#self.instanceId;
+  #updateCoordinatorRole(): void {
+    const isCoordinator =
+      this.#placementClient.coordinatorId === this.#self.instanceId;
     if (isCoordinator !== this.#wasCoordinator) {
       this.#wasCoordinator = isCoordinator;
       if (isCoordinator) {
@@ -428,7 +450,7 @@
         this.#rollouts.becameCoordinator();
       }
       this.#log.info(LogPart.Placement, "coordinator changed", {
-        coordinatorId: this.#desk.coordinatorId,
+        coordinatorId: this.#placementClient.coordinatorId,
         alive: this.board.members.alive(this.#clock.nowMs()).length,
       });
     }
@@ -439,7 +461,7 @@
     }
   }
 
-  #makeParts(protocol: CallProtocol): GatewayParts {
+  #createParts(protocol: CallProtocol): GatewayParts {
     const { instanceId, failureDomain } = this.#settings;
     const prefix = `${instanceId}.${this.#self.incarnation.toString(36)}`;
     return {
@@ -447,11 +469,12 @@
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
-      desk: this.#desk,
+      placementClient: this.#placementClient,
       protocol,
       probes: new TargetProbes(),
       targetSignals: this.#targetSignals,
-      onPlacedAtLeaving: (targetId) => this.#news.targetLeaves(targetId),
+      onPlacedAtLeavingTarget: (targetId) =>
+        this.#fleetState.targetLeaves(targetId),
       failureDomain,
       lateMs: () => this.#lateMs,
       nextAskId: () => `${prefix}.${(this.#askCounter++).toString(36)}`,
@@ -463,7 +486,7 @@
     };
   }
 
-  #makeNews(): FleetNews {
+  #createFleetState(): FleetNews {
     return new FleetNews({
       board: this.board,
       clock: this.#clock,
@@ -472,13 +495,13 @@
       catalogPort: this.#settings.catalogPort,
       configurationApplyMs: () => this.#settings.configurationApplyMs,
       rollouts: this.#rollouts,
-      followsStore: () => this.#followsStore(),
-      onTargets: (beliefs) => this.#upkeep.changed(beliefs),
-      onConfiguration: (configuration) => this.#configured(configuration),
+      followsStore: () => this.#shouldFollowStore(),
+      onTargets: (beliefs) => this.#targetMaintenance.changed(beliefs),
+      onConfiguration: (configuration) => this.#applyLimits(configuration),
       onSpending: (record, ageMs) => this.#spending.takeUpRecord(record, ageMs),
       onSuspects: (news) => this.#suspects.told(news),
       onRateLimits: (news) => this.#targetSignals.toldOfRateLimits(news),
-      // What silenced one connection may have silenced others.
+      // The cause of one silent connection may affect others.
       onSilentConnection: () => this.#connections.dropAllIdle(),
       onStoreWentBack: () => {
         this.#coordinator.recordAnew();
@@ -487,16 +510,16 @@
     });
   }
 
-  #makeMembership(): MembershipKeeper {
+  #createMembership(): MembershipKeeper {
     return new MembershipKeeper({
       board: this.board,
       clock: this.#clock,
       log: this.#log,
       seedAddresses: this.#settings.seedAddresses,
       send: (addresses, message) => this.#socket.sendAll(addresses, message),
-      coordinatorId: () => this.#desk.coordinatorId,
+      coordinatorId: () => this.#placementClient.coordinatorId,
       memoryMs: () => this.#clock.nowMs() - this.#startedAtMs,
-      reachesStore: () => this.#news.reachesStore,
+      reachesStore: () => this.#fleetState.reachesStore,
       spending: () =>
         this.#wasCoordinator
           ? this.#coordinator.muchSpent(this.#clock.nowMs()).map(roundedUp)
@@ -507,18 +530,18 @@
           : [],
       rollouts: () => this.board.rollouts.toTell(this.#clock.nowMs()),
       rateLimits: (of) => this.board.rateLimits.toTell(this.#clock.nowMs(), of),
-      targetNews: () => this.#news.targetNews(),
+      targetNews: () => this.#fleetState.targetNews(),
     }, this.#self);
   }
 
-  /** The coordinator does, and everyone while it does not reach the store. */
-  #followsStore(): boolean {
-    const { coordinatorId } = this.#desk;
+  /** True on the coordinator, and on all while it does not reach the store. */
+  #shouldFollowStore(): boolean {
+    const { coordinatorId } = this.#placementClient;
     return coordinatorId === this.#self.instanceId ||
       !this.#membership.reachesStore(coordinatorId);
   }
 
-  #configured(configuration: FleetConfiguration): void {
+  #applyLimits(configuration: FleetConfiguration): void {
     this.#front.setLimits(configuration.limits);
   }
 }
--- a/packages/gateway/src/gateway_connections_test.ts
+++ b/packages/gateway/src/gateway_connections_test.ts
@@ -303,7 +303,7 @@
   harness.clockFails = true;
   const stopped = harness.gateway.stop();
   harness.clockFails = false;
-  harness.gateway.cannotStop(await stopped.catch((error) => error));
+  harness.gateway.logStopFailure(await stopped.catch((error) => error));
   const { reason, level } = await harness.line("stopping failed");
   assert.is(level, "warn");
   assert.match(String(reason), "no time");
--- a/packages/gateway/src/gateway_metrics.ts
+++ b/packages/gateway/src/gateway_metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and histograms, served on the metrics address. */
+/** Counters, gauges and histograms, served on the metrics address. */
 
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
@@ -18,7 +18,7 @@
   15_000,
 ];
 
-/** All metrics of one instance. */
+/** All metrics of one instance; each method records an event or a value. */
 export class GatewayMetrics {
   readonly #registry = new Registry();
   readonly #requests = this.#counter("requests_total", "Requests read.", [
@@ -44,32 +44,32 @@
     "Messages from other instances.",
     ["kind"],
   );
-  readonly #storeReturns = this.#counter(
+  readonly #storeRestores = this.#counter(
     "store_went_back_total",
     "Returns of the platform's store from an older copy",
     [],
   );
-  readonly #first = this.#histogram(
+  readonly #firstByteMs = this.#histogram(
     "first_byte_ms",
     "Time to a stream's first event or to the answer.",
     ["route"],
   );
-  readonly #placement = this.#histogram(
+  readonly #placementMs = this.#histogram(
     "placement_ms",
     "Time until a place at a target was given.",
     ["pool"],
   );
-  readonly #connectionEnds = this.#counter(
+  readonly #endedConnections = this.#counter(
     "caller_connections_ended_total",
     "Connections of callers, by what ended them.",
     ["end"],
   );
-  readonly #unanswered = this.#counter(
+  readonly #unansweredRequests = this.#counter(
     "unanswered_requests_total",
     "Requests whose connection ended before their answer was written out.",
     ["end", "answer"],
   );
-  readonly #timerLate = this.#histogram(
+  readonly #timerDelayMs = this.#histogram(
     "timer_late_ms",
     "By how much regular timers were late.",
     [],
@@ -84,12 +84,15 @@
     "Changes of belief about targets that answers brought.",
     ["signal", "source"],
   );
-  readonly #open = this.#gauge("open_requests", "Requests in progress.");
-  readonly #version = this.#gauge(
+  readonly #openRequests = this.#gauge(
+    "open_requests",
+    "Requests in progress.",
+  );
+  readonly #configurationVersion = this.#gauge(
     "configuration_version",
     "Version of the configuration in force.",
   );
-  readonly #configurationAge = this.#gauge(
+  readonly #configurationAgeMs = this.#gauge(
     "configuration_age_ms",
     "Time since the configuration in force was last known to be the newest.",
   );
@@ -98,34 +101,44 @@
     "Rows of the platform's store that could not be read.",
     ["what"],
   );
-  readonly #storeFailures = this.#counter(
+  readonly #storeCallFailures = this.#counter(
     "store_call_failures_total",
     "Calls to the platform's store that failed.",
     ["table"],
   );
 
-  /** @param route Name of the route of a request that was read. */
+  /**
+   * Counts a request that was read.
+   *
+   * @param route Name of the route.
+   */
   requestRead(route: string): void {
     this.#requests.inc({ route });
   }
 
   /**
+   * Counts a target's answer that was forwarded whole.
+   *
    * @param route Name of the route.
-   * @param status Status code passed on.
+   * @param status Status code of the answer.
    */
-  answered(route: string, status: number): void {
+  answerForwarded(route: string, status: number): void {
     this.#answers.inc({ route, status });
   }
 
   /**
+   * Counts a request that the gateway answered with an error of its own.
+   *
    * @param route Name of the route.
    * @param error Kind of the error.
    */
-  failed(route: string, error: string): void {
+  errorAnswered(route: string, error: string): void {
     this.#errors.inc({ route, error });
   }
 
   /**
+   * Counts an attempt to send a request to a target.
+   *
    * @param pool Name of the pool.
    * @param end How the attempt ended.
    */
@@ -133,92 +146,126 @@
     this.#attempts.inc({ pool, end });
   }
 
-  /** The platform's store came back from an older copy. */
-  storeWentBack(): void {
-    this.#storeReturns.inc();
+  /** Counts a return of the platform's store from an older copy. */
+  storeRestored(): void {
+    this.#storeRestores.inc();
   }
 
   /**
+   * Counts a step of a roll-out that this instance decided.
+   *
    * @param pool Name of the pool.
-   * @param phase The phase that its roll-out has entered.
+   * @param phase The phase that the roll-out has entered.
    */
   rolloutStep(pool: string, phase: string): void {
     this.#rolloutSteps.inc({ pool, phase });
   }
 
   /**
-   * @param signal What an answer told of its target.
-   * @param source Whether an answer or another instance told it.
+   * Counts a change in the known state of a target.
+   *
+   * @param signal The signal that an answer of the target carried.
+   * @param source Whether the signal came from an answer or another instance.
    */
   targetSignal(signal: string, source: string): void {
     this.#targetSignals.inc({ signal, source });
   }
 
-  /** @param kind Kind of a message from another instance. */
+  /**
+   * Counts a message from another instance.
+   *
+   * @param kind Kind of the message.
+   */
   peerMessage(kind: string): void {
     this.#peerMessages.inc({ kind });
   }
 
   /**
+   * Records the latency of a request.
+   *
    * @param route Name of the route.
-   * @param tookMs Time to the first event or the answer.
+   * @param latencyMs Time to a stream's first event, or to the answer.
    */
-  firstByte(route: string, tookMs: number): void {
-    this.#first.observe({ route }, tookMs);
+  firstByte(route: string, latencyMs: number): void {
+    this.#firstByteMs.observe({ route }, latencyMs);
   }
 
   /**
+   * Records the latency of a placement.
+   *
    * @param pool Name of the pool.
-   * @param tookMs Time until a place was given.
+   * @param latencyMs Time from the ask to the placement.
    */
-  placed(pool: string, tookMs: number): void {
-    this.#placement.observe({ pool }, tookMs);
+  placed(pool: string, latencyMs: number): void {
+    this.#placementMs.observe({ pool }, latencyMs);
   }
 
-  /** @param end What ended a connection of a caller. */
+  /**
+   * Counts a caller's connection that ended.
+   *
+   * @param end What ended the connection.
+   */
   connectionEnded(end: string): void {
-    this.#connectionEnds.inc({ end });
+    this.#endedConnections.inc({ end });
   }
 
   /**
-   * @param end What ended the connection of a request.
-   * @param answer How far its answer had come.
+   * Counts a request whose connection ended before its answer was written out.
+   *
+   * @param end What ended the connection.
+   * @param answer Progress of the answer at that time.
    */
   unanswered(end: string, answer: string): void {
-    this.#unanswered.inc({ end, answer });
+    this.#unansweredRequests.inc({ end, answer });
   }
 
-  /** @param lateMs By how much a regular timer was late. */
-  timerLate(lateMs: number): void {
-    this.#timerLate.observe(lateMs);
+  /**
+   * Records the delay of a periodic timer.
+   *
+   * @param delayMs Time from when the timer was due until it fired.
+   */
+  timerDelayed(delayMs: number): void {
+    this.#timerDelayMs.observe(delayMs);
   }
 
-  /** @param count Requests in progress. */
+  /** @param count Number of requests in progress now. */
   openRequests(count: number): void {
-    this.#open.set(count);
+    this.#openRequests.set(count);
   }
 
   /** @param version Version of the configuration in force. */
   configurationVersion(version: number): void {
-    this.#version.set(version);
+    this.#configurationVersion.set(version);
   }
 
-  /** @param ageMs Time since it was last known to be the newest. */
+  /**
+   * Sets the age of the configuration in force.
+   *
+   * @param ageMs Time since the configuration was last known to be the newest.
+   */
   configurationAge(ageMs: number): void {
-    this.#configurationAge.set(Math.round(ageMs));
+    this.#configurationAgeMs.set(Math.round(ageMs));
   }
 
-  /** @param what What the row that could not be read holds. */
+  /**
+   * Counts a row of the platform's store that could not be read.
+   *
+   * @param what Content of the row.
+   */
   unreadableRow(what: string): void {
     this.#unreadableRows.inc({ what });
   }
 
-  /** @param table Table of the store that the call was for. */
+  /**
+   * Counts a failed call to the platform's store.
+   *
+   * @param table Table of the store that was called.
+   */
   storeCallFailed(table: string): void {
-    this.#storeFailures.inc({ table });
+    this.#storeCallFailures.inc({ table });
   }
 
-  /** @returns All metrics as text. */
+  /** @returns All metrics in the Prometheus text format. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
--- a/packages/gateway/src/gateway_parts.ts
+++ b/packages/gateway/src/gateway_parts.ts
@@ -1,32 +1,42 @@
-/** What the parts of one gateway share. */
+/** The collaborators that all requests of one gateway share. */
 
 import type { Agent } from "node:http";
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
 import type { TargetSignalKeeper } from "./target_signal_keeper.ts";
 import type { EventLog } from "./event_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
-import type { PlacementDesk } from "./placement_desk.ts";
+import type { PlacementClient } from "./placement_client.ts";
 import type { CallProtocol, Clock } from "./ports.ts";
 import type { TargetProbes } from "./target_probes.ts";
 
-/** Handed to every request. */
+/** Collaborators of a request, the same for all requests of a gateway. */
 export interface GatewayParts {
   readonly board: RoutingBoard;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
-  readonly desk: PlacementDesk;
+  readonly placementClient: PlacementClient;
   readonly protocol: CallProtocol;
   readonly probes: TargetProbes;
   readonly targetSignals: TargetSignalKeeper;
-  /** The instance's own failure domain. */
+  /** Failure domain of this instance. */
   readonly failureDomain: string;
-  /** @returns By how much this process was late for its latest tick. */
+  /** @returns Delay of the latest tick in milliseconds. */
   lateMs(): number;
-  /** Called when the coordinator placed a request at a leaving target. */
-  onPlacedAtLeaving(targetId: string): void;
-  /** @returns An ask's id, unique in the fleet. */
+  /**
+   * Called when the coordinator assigned a request to a leaving target.
+   *
+   * @param targetId The target's id.
+   */
+  onPlacedAtLeavingTarget(targetId: string): void;
+  /** @returns A new ask id, unique in the fleet. */
   nextAskId(): string;
-  /** @returns The agent that keeps connections to a target of a pool. */
+  /**
+   * Gets the connection pool of a target.
+   *
+   * @param pool Name of the target's pool.
+   * @param address The target's `ip:port`.
+   * @returns The agent that keeps the connections.
+   */
   agentFor(pool: string, address: string): Agent;
 }
--- a/packages/gateway/src/gateway_settings.ts
+++ b/packages/gateway/src/gateway_settings.ts
@@ -1,32 +1,32 @@
-/** What one gateway process has to know at its start. */
+/** Start settings of one gateway process. */
 
 import type { FleetBounds } from "@chestnuthatch/routing/coordinator";
 import type { ExposureBound } from "@chestnuthatch/routing/rollouts";
 
-/** Start settings of a gateway. */
+/** Start settings of a gateway, read from the settings file. */
 export interface GatewaySettings {
   readonly instanceId: string;
   readonly failureDomain: string;
   /** `ip:port` that callers connect to. */
   readonly callerAddress: string;
-  /** `ip:port` that tells whether this instance is ready. */
+  /** `ip:port` of the readiness endpoint. */
   readonly statusAddress: string;
-  /** `ip:port` of metrics. */
+  /** `ip:port` of the metrics endpoint. */
   readonly metricsAddress: string;
-  /** `ip:port` of datagrams between instances. */
+  /** `ip:port` of the UDP socket for messages between instances. */
   readonly peerAddress: string;
-  /** Port at which instances hand each other what is too large for those. */
+  /** TCP port that serves other instances what is too large for a datagram. */
   readonly catalogPort: number;
-  /** Peer addresses of instances that may be asked first. */
+  /** Peer addresses of instances that heartbeats are sent to first. */
   readonly seedAddresses: readonly string[];
-  /** Processor cores that the instance may use; it may be part of one. */
+  /** Processor cores that the instance may use; may be a fraction. */
   readonly cores: number;
-  /** Time from a stop signal until the process is killed. */
+  /** Grace period: time from a stop signal until the process is killed. */
   readonly graceMs: number;
   /** Time within which a confirmed configuration has to be in force. */
   readonly configurationApplyMs: number;
-  /** Bounds that hold for all instances together. */
+  /** Bounds on retries and spending that hold for the whole fleet. */
   readonly bounds: FleetBounds;
-  /** Requests that a version may get which turns out to be bad. */
+  /** Bound on the requests that are sent to a bad version in a roll-out. */
   readonly exposure: ExposureBound;
 }
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -1,4 +1,4 @@
-/** Instances of a fleet on a clock of a test, without sockets. */
+/** Simulated instances of a fleet on a test's clock, without sockets. */
 
 import { Writable } from "node:stream";
 import {
@@ -16,44 +16,46 @@
 import type { TargetRateLimits } from "@chestnuthatch/routing/target_rate_limits";
 import { EventLog } from "./event_log.ts";
 import { MembershipKeeper } from "./membership_keeper.ts";
-import { PlacementDesk } from "./placement_desk.ts";
+import { PlacementClient } from "./placement_client.ts";
 import { type Clock, type PlatformPort, StatusWrite } from "./ports.ts";
 import { SpendingKeeper } from "./spending_keeper.ts";
 
-/** Time for which instances have run, on a clock that begins at 0. */
-export const RUN_MS = 60_000;
+/** Uptime of all instances at time 0 of the test's clock, in milliseconds. */
+export const UPTIME_MS = 60_000;
 
-/** One instance: whom it knows, its heartbeats and its places. */
+/** One simulated instance: its members, heartbeats and placements. */
 export interface FleetNode {
   readonly members: MemberView;
   readonly rateLimits: TargetRateLimits;
-  readonly keeper: MembershipKeeper;
-  readonly desk: PlacementDesk;
+  readonly membership: MembershipKeeper;
+  readonly placementClient: PlacementClient;
   readonly spending: SpendingKeeper;
-  /** Lets time pass for all of its parts. */
+  /** Runs the timeouts of all components at the clock's present time. */
   tick(): void;
-  /** @returns The test's clock. */
+  /** @returns The time of the test's clock. */
   nowMs(): number;
 }
 
-/** What a fleet's instances have in common. */
+/** Options that all instances of a simulated fleet share. */
 export interface FleetOptions {
   readonly clock: Clock;
   readonly bounds: FleetBounds;
-  /** What workspace `w` may spend. */
+  /** Allotment of workspace `w`. */
   readonly allotment: Allotment;
   readonly targetIds: readonly string[];
-  /** Instances that each tells of itself at first. */
+  /** Instances that each instance sends its first heartbeats to. */
   readonly seedIds: readonly string[];
-  /** @returns An instance's failure domain; `a` for all where absent. */
+  /** @returns An instance's failure domain; `a` for all if absent. */
   domainOf?(instanceId: string): string;
-  /** Takes a message from one instance to another. */
+  /** Delivers a message from one instance to another. */
   send(fromId: string, toId: string, message: RoutingMessage): void;
 }
 
 /**
+ * Creates a simulated instance.
+ *
  * @param instanceId The instance's id.
- * @param options What it has in common with the others.
+ * @param options Options that it shares with the other instances.
  * @returns The instance.
  */
 export function fleetNode(
@@ -70,27 +72,27 @@
     members,
     cutDomains: new CutDomains(members),
   };
-  const nowhere = new Writable({ write: (_chunk, _code, done) => done() });
-  const log = new EventLog(clock, instanceId, nowhere);
+  const discard = new Writable({ write: (_chunk, _code, done) => done() });
+  const log = new EventLog(clock, instanceId, discard);
   const coordinator = new Coordinator(board, bounds);
   const spending = new SpendingKeeper({
     board,
     coordinator,
-    platform: NO_PLATFORM,
+    platform: NO_OP_PLATFORM,
     clock,
     log,
   });
-  const desk = new PlacementDesk({
+  const placementClient = new PlacementClient({
     board,
     coordinator,
     clock,
     log,
     send: (member, message) => send(instanceId, member.instanceId, message),
-    startedAtMs: -RUN_MS,
+    startedAtMs: -UPTIME_MS,
     spendingWindowMs: bounds.allotmentTolerance.windowMs,
-    onStandIn: (share) => spending.standsIn(share),
+    onTakeover: (share) => spending.standsIn(share),
   });
-  const keeper = new MembershipKeeper({
+  const membership = new MembershipKeeper({
     board,
     clock,
     log,
@@ -100,11 +102,11 @@
         send(instanceId, address.split(":")[0]!, message);
       }
     },
-    coordinatorId: () => desk.coordinatorId,
-    memoryMs: () => RUN_MS + clock.nowMs(),
+    coordinatorId: () => placementClient.coordinatorId,
+    memoryMs: () => UPTIME_MS + clock.nowMs(),
     reachesStore: () => true,
     spending: () =>
-      desk.coordinatorId === instanceId
+      placementClient.coordinatorId === instanceId
         ? coordinator.muchSpent(clock.nowMs())
         : [],
     suspects: () => [],
@@ -114,10 +116,10 @@
   }, self);
   let wasCoordinator = false;
   const tick = () => {
-    members.remembers(instanceId, RUN_MS + clock.nowMs(), clock.nowMs());
-    keeper.tick();
-    desk.tick();
-    const isCoordinator = desk.coordinatorId === instanceId;
+    members.remembers(instanceId, UPTIME_MS + clock.nowMs(), clock.nowMs());
+    membership.tick();
+    placementClient.tick();
+    const isCoordinator = placementClient.coordinatorId === instanceId;
     if (isCoordinator && !wasCoordinator) {
       spending.becameCoordinator();
     }
@@ -125,11 +127,19 @@
   };
   const { rateLimits } = board;
   const nowMs = () => clock.nowMs();
-  return { members, rateLimits, keeper, desk, spending, tick, nowMs };
+  return {
+    members,
+    rateLimits,
+    membership,
+    placementClient,
+    spending,
+    tick,
+    nowMs,
+  };
 }
 
-/** A platform that takes no records. */
-const NO_PLATFORM: PlatformPort = {
+/** A platform that stores nothing. */
+const NO_OP_PLATFORM: PlatformPort = {
   start: () => {},
   recordSpending: () => Promise.resolve(false),
   recordSuspects: () => Promise.resolve(false),
@@ -139,22 +149,24 @@
 };
 
 /**
- * Takes a message in as the instance's socket would hand it over.
+ * Delivers a message to an instance as its socket would.
  *
- * @param node The instance.
- * @param of The message, and who sent it.
+ * @param node The receiving instance.
+ * @param of The message, and the sender's instance id.
  */
 export function deliverTo(
-  { keeper, desk, spending, rateLimits, nowMs }: FleetNode,
+  { membership, placementClient, spending, rateLimits, nowMs }: FleetNode,
   { message, fromId }: { message: RoutingMessage; fromId: string },
 ): void {
   if (message.kind === MessageKind.Beat) {
-    keeper.heard(message);
+    membership.heard(message);
     rateLimits.merge(message.rateLimits ?? [], nowMs());
-    if (fromId === desk.coordinatorId && message.spending !== undefined) {
+    if (
+      fromId === placementClient.coordinatorId && message.spending !== undefined
+    ) {
       spending.told(message.spending);
     }
   } else {
-    desk.heard(message, fromId);
+    placementClient.handleMessage(message, fromId);
   }
 }
--- a/packages/gateway/src/graceful_stop.ts
+++ b/packages/gateway/src/graceful_stop.ts
@@ -1,109 +1,117 @@
-/** The end of an instance: what it has read is answered before it goes. */
+/** Graceful shutdown: requests that were read are answered before the end. */
 
 import type { OpenConnections } from "./caller_connections.ts";
 import { type EventLog, LogPart } from "./event_log.ts";
 import type { Clock } from "./ports.ts";
 
 /**
- * Least time from the handling of a stop signal to the end: the balancer needs
- * two failed readiness checks, one second apart, before it sends no more callers.
+ * Minimum time from the handling of a stop signal to the end of the process.
+ * The load balancer stops routing callers here after two failed readiness
+ * checks, one second apart.
  */
-const LEAST_STOPPING_MS = 3000;
+const MIN_STOP_MS = 3000;
 
 /**
- * Time from a stop signal after which requests are refused: by then the
- * balancer sends no new callers, and what still arrives on kept connections
- * might outlast the grace time.
+ * Maximum time from a stop signal for which requests are accepted. By then the
+ * load balancer routes no new callers here, and requests that still arrive on
+ * persistent connections might outlast the grace period.
  */
-const REFUSE_AFTER_MS = 2600;
+const MAX_ACCEPT_MS = 2600;
 
 /**
- * Most of the grace time in which requests are still taken. Twice as much is
- * left to finish them: large answers to slow callers take seconds to write out.
+ * Maximum share of the grace period in which requests are accepted. Twice as
+ * much time is left to finish them, as writing large answers to slow callers
+ * takes seconds.
  */
-const TAKING_SHARE = 1 / 3;
+const MAX_ACCEPT_SHARE = 1 / 3;
 
 /**
- * Time before the kill at which requests are ended whose callers have got no part
- * of an answer: ten looks, as a slow instance may be late for some. What is left
- * lets refusals and errors reach these callers.
+ * Time before the end of the grace period at which requests whose answers have
+ * not begun are ended. It is ten poll intervals, as a slow instance may be late
+ * for some of them, and lets refusals and errors reach the callers.
  */
 const ABORT_MARGIN_MS = 500;
 
 /**
- * Time before the kill at which begun answers are broken off, and the process
- * ends even if bytes still wait. An answer broken off is lost, so that it gets as
- * long as there is.
+ * Time before the end of the grace period at which begun answers are aborted,
+ * and the process ends even if bytes are still buffered. An aborted answer is
+ * lost, so this margin is as short as possible.
  */
 const END_MARGIN_MS = 200;
 
 /**
- * Least time for these to be written out, also where the grace time was made
- * shorter meanwhile.
+ * Minimum time to write out refusals and errors, even if the grace period was
+ * shortened during the stop.
  */
-const LEAST_WRITE_OUT_MS = 100;
+const MIN_FLUSH_MS = 100;
 
-/** Time between two looks at whether all is answered. */
-const LOOK_MS = 50;
+/** Time between two checks whether every request is answered. */
+const POLL_INTERVAL_MS = 50;
 
-/** The server for callers, as far as stopping it goes. */
+/** What a graceful stop needs of the server for callers. */
 export interface StoppingServer {
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   readonly openCount: number;
   readonly connections: OpenConnections;
   /**
-   * From now on, answers tell callers to close their connections.
+   * Makes all answers from now on ask callers to close their connections.
    *
-   * @param leftMs Tells the time until answers are broken off.
+   * @param remainingMs Returns the time until begun answers are aborted.
    */
-  announceClosing(leftMs: () => number): void;
-  /** From now on, requests are refused and idle connections are closed. */
+  announceClosing(remainingMs: () => number): void;
+  /** Refuses all requests from now on, and closes idle connections. */
   refuseRequests(): void;
-  /** Ends requests whose answers have not begun; their callers are told so. */
+  /** Ends requests whose answers have not begun, with an error answer. */
   abortRequests(): void;
-  /** Breaks off answers that have begun. */
+  /** Aborts answers that have begun. */
   breakOffAnswers(): void;
 }
 
-/** What is stopped, and how long it may take. */
-export interface StopParts {
+/** Collaborators of a `GracefulStop`, and its grace period. */
+export interface GracefulStopParts {
   readonly front: StoppingServer;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** @returns Time from the stop signal to the kill. */
+  /** @returns Time in milliseconds from the stop signal to a forced kill. */
   graceMs(): number;
-  /** @returns Once some milliseconds have passed. */
+  /**
+   * Waits.
+   *
+   * @param forMs Time to wait.
+   * @returns A promise that is fulfilled after that time.
+   */
   pause(forMs: number): Promise<void>;
 }
 
-/** Stops serving callers within the grace time. */
+/** Ends the service to callers within the grace period. */
 export class GracefulStop {
-  readonly #parts: StopParts;
-  /** When the signal came, at the earliest. */
-  readonly #beganAtMs: number;
-  /** When it was handled, and the instance said that it is not ready. */
+  readonly #parts: GracefulStopParts;
+  /** Earliest local time at which the stop signal may have arrived. */
+  readonly #signalledAtMs: number;
+  /** Local time at which it was handled, and readiness ended. */
   readonly #handledAtMs: number;
 
   /**
-   * @param parts What is stopped.
-   * @param lateMs By how much the process was late. The grace time counts from
-   * the signal, which may have waited for so long.
+   * @param parts Collaborators, and the grace period.
+   * @param lateMs Delay of the event loop. The grace period starts with the
+   * signal, which may have been pending for so long before it was handled.
    */
-  constructor(parts: StopParts, lateMs = 0) {
+  constructor(parts: GracefulStopParts, lateMs = 0) {
     this.#parts = parts;
     this.#handledAtMs = parts.clock.nowMs();
-    this.#beganAtMs = this.#handledAtMs - lateMs;
+    this.#signalledAtMs = this.#handledAtMs - lateMs;
   }
 
   /**
-   * Finishes what is in progress, refuses what comes late, and breaks off only
-   * what outlasts the grace time.
+   * Finishes requests in progress, refuses those that arrive late, and aborts
+   * only those that outlast the grace period.
    *
-   * @returns Once every answer is written out, or the time is over.
+   * @returns A promise that is fulfilled when every answer is written out or
+   * the grace period is over.
    */
   async run(): Promise<void> {
     const { front, log } = this.#parts;
-    front.announceClosing(() => this.#leftMs - END_MARGIN_MS);
+    front.announceClosing(() => this.#remainingMs - END_MARGIN_MS);
     log.info(LogPart.Process, "stopping", {
       openRequests: front.openCount,
       ...front.connections,
@@ -113,7 +121,7 @@
     const openRequests = front.openCount;
     front.abortRequests();
     const abortedRequests = openRequests - front.openCount;
-    await this.#writeOut();
+    await this.#flushAnswers();
     const cutRequests = front.openCount;
     if (cutRequests > 0) {
       front.breakOffAnswers();
@@ -122,30 +130,30 @@
       abortedRequests,
       cutRequests,
       ...front.connections,
-      tookMs: Math.round(this.#spentMs),
+      tookMs: Math.round(this.#elapsedMs),
     });
   }
 
   async #finishRequests(): Promise<void> {
     const { clock, front } = this.#parts;
-    while (!this.#isWithin(ABORT_MARGIN_MS)) {
-      const toldMs = clock.nowMs() - this.#handledAtMs;
-      if (this.#isIdle && toldMs >= LEAST_STOPPING_MS) {
+    while (!this.#endsWithin(ABORT_MARGIN_MS)) {
+      const sinceHandledMs = clock.nowMs() - this.#handledAtMs;
+      if (this.#isIdle && sinceHandledMs >= MIN_STOP_MS) {
         return;
       }
-      if (this.#spentMs >= this.#refuseAfterMs) {
+      if (this.#elapsedMs >= this.#refuseAfterMs) {
         front.refuseRequests();
       }
-      await this.#parts.pause(LOOK_MS);
+      await this.#parts.pause(POLL_INTERVAL_MS);
     }
   }
 
-  async #writeOut(): Promise<void> {
-    const leastMs = this.#spentMs + LEAST_WRITE_OUT_MS;
-    const isOver = () =>
-      this.#isWithin(END_MARGIN_MS) && this.#spentMs >= leastMs;
-    while (!this.#isIdle && !isOver()) {
-      await this.#parts.pause(LOOK_MS);
+  async #flushAnswers(): Promise<void> {
+    const minElapsedMs = this.#elapsedMs + MIN_FLUSH_MS;
+    const isTimeOver = () =>
+      this.#endsWithin(END_MARGIN_MS) && this.#elapsedMs >= minElapsedMs;
+    while (!this.#isIdle && !isTimeOver()) {
+      await this.#parts.pause(POLL_INTERVAL_MS);
     }
   }
 
@@ -156,20 +164,20 @@
   }
 
   get #refuseAfterMs(): number {
-    return Math.min(REFUSE_AFTER_MS, TAKING_SHARE * this.#parts.graceMs());
+    return Math.min(MAX_ACCEPT_MS, MAX_ACCEPT_SHARE * this.#parts.graceMs());
   }
 
-  get #spentMs(): number {
-    return this.#parts.clock.nowMs() - this.#beganAtMs;
+  get #elapsedMs(): number {
+    return this.#parts.clock.nowMs() - this.#signalledAtMs;
   }
 
-  /** Time until the kill. */
-  get #leftMs(): number {
-    return this.#parts.graceMs() - this.#spentMs;
+  /** Time until the end of the grace period. */
+  get #remainingMs(): number {
+    return this.#parts.graceMs() - this.#elapsedMs;
   }
 
-  /** Whether the kill is at most so far away. */
-  #isWithin(marginMs: number): boolean {
-    return this.#leftMs <= marginMs;
+  /** Whether the grace period ends within a time. */
+  #endsWithin(marginMs: number): boolean {
+    return this.#remainingMs <= marginMs;
   }
 }
--- a/packages/gateway/src/graceful_stop_limits_test.ts
+++ b/packages/gateway/src/graceful_stop_limits_test.ts
@@ -1,4 +1,4 @@
-/** Stopping where the grace time is short, or is shortened meanwhile. */
+/** Graceful stops whose grace period is short, or shortened during the stop. */
 
 import { Writable } from "node:stream";
 import { test } from "uvu";
@@ -6,17 +6,17 @@
 import { EventLog } from "./event_log.ts";
 import { GracefulStop } from "./graceful_stop.ts";
 
-const NOWHERE = new Writable({ write: (_chunk, _code, done) => done() });
+const DISCARD = new Writable({ write: (_chunk, _code, done) => done() });
 
-/** Stops a server with a request that never ends; tells what happened when. */
+/** Stops a server whose request never ends; returns when each call came. */
 async function stop(
   graceMs: (atMs: number) => number,
-): Promise<{ seen: Map<string, number>; endedAtMs: number }> {
+): Promise<{ firstSeenAtMs: Map<string, number>; endedAtMs: number }> {
   let atMs = 0;
-  const seen = new Map<string, number>();
-  const note = (what: string) => () => {
-    if (!seen.has(what)) {
-      seen.set(what, atMs);
+  const firstSeenAtMs = new Map<string, number>();
+  const record = (event: string) => () => {
+    if (!firstSeenAtMs.has(event)) {
+      firstSeenAtMs.set(event, atMs);
     }
   };
   const clock = { nowMs: () => atMs };
@@ -24,25 +24,25 @@
     front: {
       openCount: 1,
       connections: { openConnections: 1, owedAnswers: 1, waitingBytes: 1 },
-      announceClosing: note("announced"),
-      refuseRequests: note("refused"),
-      abortRequests: note("aborted"),
-      breakOffAnswers: note("broken off"),
+      announceClosing: record("announced"),
+      refuseRequests: record("refused"),
+      abortRequests: record("aborted"),
+      breakOffAnswers: record("broken off"),
     },
     clock,
-    log: new EventLog(clock, "i1", NOWHERE),
+    log: new EventLog(clock, "i1", DISCARD),
     graceMs: () => graceMs(atMs),
     pause: (forMs) => {
       atMs += forMs;
       return Promise.resolve();
     },
   }).run();
-  return { seen, endedAtMs: atMs };
+  return { firstSeenAtMs, endedAtMs: atMs };
 }
 
-test("requests are refused before others are broken off, however short the time", async () => {
-  const { seen } = await stop(() => 2500);
-  assert.equal([...seen.keys()], [
+test("requests are refused before others are aborted, however short the grace period", async () => {
+  const { firstSeenAtMs } = await stop(() => 2500);
+  assert.equal([...firstSeenAtMs.keys()], [
     "announced",
     "refused",
     "aborted",
@@ -50,16 +50,21 @@
   ]);
 });
 
-test("a grace time shortened meanwhile leaves time to write errors out", async () => {
-  const { seen, endedAtMs } = await stop((atMs) => atMs < 4000 ? 8000 : 4000);
-  assert.ok(endedAtMs > seen.get("aborted")!, `aborted and ended ${endedAtMs}`);
+test("a grace period shortened during the stop leaves time to write errors", async () => {
+  const { firstSeenAtMs, endedAtMs } = await stop((atMs) =>
+    atMs < 4000 ? 8000 : 4000
+  );
+  assert.ok(
+    endedAtMs > firstSeenAtMs.get("aborted")!,
+    `aborted and ended ${endedAtMs}`,
+  );
 });
 
-// Guards against large answers that are broken off, as their callers read slowly
-// and their requests were taken too late.
-test("twice as long is left to finish requests as they are taken", async () => {
-  const { seen } = await stop(() => 5000);
-  const refusedAtMs = seen.get("refused")!;
+// Guards against large answers that are aborted, as their callers read slowly
+// and their requests were accepted too late.
+test("twice as long is left to finish requests as to accept them", async () => {
+  const { firstSeenAtMs } = await stop(() => 5000);
+  const refusedAtMs = firstSeenAtMs.get("refused")!;
   assert.ok(refusedAtMs <= 1700, `refused from ${refusedAtMs} ms`);
 });
 
--- a/packages/gateway/src/graceful_stop_test.ts
+++ b/packages/gateway/src/graceful_stop_test.ts
@@ -6,15 +6,15 @@
 
 const GRACE_MS = 8000;
 
-/** A server whose time passes while it is waited for, and what happened when. */
-class Scene implements StoppingServer {
+/** A server on a clock that `pause` advances; records calls with their time. */
+class FakeServer implements StoppingServer {
   atMs = 0;
   graceMs = GRACE_MS;
-  readonly seen: [string, number][] = [];
-  /** When the last request ends, and when its answer is written out. */
+  readonly events: [string, number][] = [];
+  /** Local times when the last request ends and its answer is written out. */
   doneAtMs = 0;
   writtenAtMs = 0;
-  /** Whether the caller of the last request has got a part of its answer. */
+  /** Whether the answer to the last request has begun. */
   hasBegun = false;
 
   get openCount(): number {
@@ -27,22 +27,22 @@
   }
 
   announceClosing(): void {
-    this.#note("announced");
+    this.#record("announced");
   }
 
   refuseRequests(): void {
-    this.#note("refused");
+    this.#record("refused");
   }
 
   abortRequests(): void {
-    this.#note("aborted");
+    this.#record("aborted");
     if (!this.hasBegun) {
       this.doneAtMs = Math.min(this.doneAtMs, this.atMs);
     }
   }
 
   breakOffAnswers(): void {
-    this.#note("broken off");
+    this.#record("broken off");
     this.doneAtMs = Math.min(this.doneAtMs, this.atMs);
   }
 
@@ -62,72 +62,72 @@
     return this.atMs;
   }
 
-  #note(what: string): void {
-    if (this.seen.at(-1)?.[0] !== what) {
-      this.seen.push([what, this.atMs]);
+  #record(what: string): void {
+    if (this.events.at(-1)?.[0] !== what) {
+      this.events.push([what, this.atMs]);
     }
   }
 }
 
-test("an instance with nothing to do stays until callers go elsewhere", async () => {
-  const scene = new Scene();
-  const endedAtMs = await scene.stop();
+test("an idle instance stays until the load balancer routes callers elsewhere", async () => {
+  const server = new FakeServer();
+  const endedAtMs = await server.stop();
   assert.ok(endedAtMs >= 3000 && endedAtMs < 4000, String(endedAtMs));
-  assert.equal(scene.seen.map(([what]) => what), [
+  assert.equal(server.events.map(([what]) => what), [
     "announced",
     "refused",
     "aborted",
   ]);
 });
 
-test("an answer that is not written out is waited for", async () => {
-  const scene = new Scene();
-  scene.writtenAtMs = 5000;
-  const endedAtMs = await scene.stop();
+test("the stop waits until answers are written out", async () => {
+  const server = new FakeServer();
+  server.writtenAtMs = 5000;
+  const endedAtMs = await server.stop();
   assert.ok(endedAtMs >= 5000 && endedAtMs < 6000, String(endedAtMs));
 });
 
-test("what outlasts the grace time is told so before the kill", async () => {
-  const scene = new Scene();
-  scene.doneAtMs = Infinity;
-  scene.writtenAtMs = 7650;
-  const endedAtMs = await scene.stop();
-  const [, abortedAtMs] = scene.seen.at(-1)!;
+test("requests that outlast the grace period end with an error before the kill", async () => {
+  const server = new FakeServer();
+  server.doneAtMs = Infinity;
+  server.writtenAtMs = 7650;
+  const endedAtMs = await server.stop();
+  const [, abortedAtMs] = server.events.at(-1)!;
   assert.ok(abortedAtMs >= 7400 && abortedAtMs < 7650, String(abortedAtMs));
   assert.ok(endedAtMs >= 7650 && endedAtMs < GRACE_MS, String(endedAtMs));
 });
 
-// Guards against breaking off answers to slow callers while there is still time.
+// Guards against aborting answers to slow callers while time is left.
 test("an answer that has begun gets the time until the process ends", async () => {
-  const scene = new Scene();
-  scene.hasBegun = true;
-  scene.doneAtMs = 7790;
-  scene.writtenAtMs = 7790;
-  const endedAtMs = await scene.stop();
+  const server = new FakeServer();
+  server.hasBegun = true;
+  server.doneAtMs = 7790;
+  server.writtenAtMs = 7790;
+  const endedAtMs = await server.stop();
   assert.ok(endedAtMs >= 7790 && endedAtMs < GRACE_MS, String(endedAtMs));
-  assert.equal(scene.seen.map(([what]) => what), [
+  assert.equal(server.events.map(([what]) => what), [
     "announced",
     "refused",
     "aborted",
   ]);
 });
 
-test("an answer that never ends is broken off before the kill", async () => {
-  const scene = new Scene();
-  scene.hasBegun = true;
-  scene.doneAtMs = Infinity;
-  scene.writtenAtMs = Infinity;
-  const endedAtMs = await scene.stop();
-  assert.equal(scene.seen.at(-1), ["broken off", endedAtMs]);
+test("an answer that never ends is aborted before the kill", async () => {
+  const server = new FakeServer();
+  server.hasBegun = true;
+  server.doneAtMs = Infinity;
+  server.writtenAtMs = Infinity;
+  const endedAtMs = await server.stop();
+  assert.equal(server.events.at(-1), ["broken off", endedAtMs]);
   assert.ok(endedAtMs >= 7800 && endedAtMs < GRACE_MS, String(endedAtMs));
 });
 
-test("with little grace time, requests are refused in time to finish", async () => {
-  const scene = new Scene();
-  scene.graceMs = 3000;
-  scene.doneAtMs = 2000;
-  const endedAtMs = await scene.stop();
-  assert.equal(scene.seen, [
+test("with a short grace period, requests are refused in time to finish others", async () => {
+  const server = new FakeServer();
+  server.graceMs = 3000;
+  server.doneAtMs = 2000;
+  const endedAtMs = await server.stop();
+  assert.equal(server.events, [
     ["announced", 0],
     ["refused", 1000],
     ["aborted", 2500],
@@ -135,10 +135,10 @@
   assert.is(endedAtMs, 2500);
 });
 
-test("a caller that never reads does not hold the process past the kill", async () => {
-  const scene = new Scene();
-  scene.writtenAtMs = Infinity;
-  const endedAtMs = await scene.stop();
+test("a caller that never reads does not delay the end past the kill", async () => {
+  const server = new FakeServer();
+  server.writtenAtMs = Infinity;
+  const endedAtMs = await server.stop();
   assert.ok(endedAtMs < GRACE_MS, String(endedAtMs));
 });
 
--- /dev/null
+++ b/packages/gateway/src/holder_reporter.ts
@@ -0,0 +1,95 @@
+/** The periodic reports of a holder to its coordinator. */
+
+import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
+import { SpendingLog } from "@chestnuthatch/routing/spending_log";
+import type { HolderReport, WorkAsk } from "@chestnuthatch/routing/work_ask";
+import type { OpenAsks } from "./open_asks.ts";
+
+/** Time between two reports while no ask waits for a placement. */
+const REPORT_INTERVAL_MS = 500;
+
+/**
+ * Time between two reports while asks wait for a placement. A report lists
+ * them, and the coordinator answers it by resending lost decisions: this is the
+ * delay that a lost decision causes.
+ */
+const WAITING_REPORT_INTERVAL_MS = 250;
+
+/** Collaborators and settings of a `HolderReporter`. */
+export interface HolderReporterParts {
+  readonly board: RoutingBoard;
+  readonly openAsks: OpenAsks;
+  /** Window over which the operators' bounds limit workspaces' spending. */
+  readonly spendingWindowMs: number;
+}
+
+/** A report that is to be sent now. */
+export interface DueReport {
+  readonly report: HolderReport;
+  /** Whether the previous report, if any, went to another coordinator. */
+  readonly isFirst: boolean;
+}
+
+/** Creates the reports of one holder, and decides when one is due. */
+export class HolderReporter {
+  readonly #parts: HolderReporterParts;
+  readonly #spending: SpendingLog;
+  #reportedAtMs = -Infinity;
+  #reportedToId = "";
+
+  /** @param parts Collaborators and settings. */
+  constructor(parts: HolderReporterParts) {
+    this.#parts = parts;
+    this.#spending = new SpendingLog(parts.spendingWindowMs);
+  }
+
+  /**
+   * Charges the cost of an ask that got a placement to its workspace.
+   *
+   * @param ask The ask.
+   * @param nowMs The local time.
+   */
+  recordPlacement(ask: WorkAsk, nowMs: number): void {
+    if (ask.cost > 0) {
+      this.#spending.note(ask.workspace, ask.cost, nowMs);
+    }
+  }
+
+  /**
+   * Creates a report if the interval has passed or the coordinator has changed.
+   *
+   * @param coordinatorId Instance id of the present coordinator.
+   * @param nowMs The local time.
+   * @returns The report, or undefined if none is due.
+   */
+  dueReport(coordinatorId: string, nowMs: number): DueReport | undefined {
+    const isFirst = coordinatorId !== this.#reportedToId;
+    const intervalMs = this.#parts.openAsks.waiting().length > 0
+      ? WAITING_REPORT_INTERVAL_MS
+      : REPORT_INTERVAL_MS;
+    if (!isFirst && nowMs - this.#reportedAtMs < intervalMs) {
+      return undefined;
+    }
+    this.#reportedAtMs = nowMs;
+    this.#reportedToId = coordinatorId;
+    return { report: this.#createReport(isFirst, nowMs), isFirst };
+  }
+
+  #createReport(isFirst: boolean, nowMs: number): HolderReport {
+    const { board: { members, suspects }, openAsks: open } = this.#parts;
+    const suspectsToReport = isFirst
+      ? suspects.toTell(nowMs)
+      : suspects.lately(nowMs);
+    const waiting = open.waiting()
+      .filter(({ coordinatorId }) => coordinatorId === this.#reportedToId);
+    return {
+      holderId: members.selfId,
+      running: open.running(),
+      waiting: waiting.map(({ ask }) => ask.askId),
+      spent: this.#spending.lately(nowMs),
+      ...(suspectsToReport.length > 0
+        ? { suspects: suspectsToReport }
+        : undefined),
+    };
+  }
+}
--- a/packages/gateway/src/loaded_coordinator_test.ts
+++ b/packages/gateway/src/loaded_coordinator_test.ts
@@ -7,13 +7,14 @@
   deliverTo,
   type FleetNode,
   fleetNode,
-  RUN_MS,
+  UPTIME_MS,
 } from "./gateway_test_support.ts";
 
-// Seen on a fleet of 64 in a rush: all holders passed the coordinator over at
-// once, asked the next one, and so on through the whole fleet, while each gave
-// places by itself at a sixty-fourth of the allotments. The cause was that an
-// answer late by load counted as the loss of its sender.
+// Guards against a cascade of replaced coordinators under load, seen on a fleet
+// of 64. An answer that was late because of load counted as the loss of its
+// sender: all holders skipped the coordinator at once, then the next one, and so
+// on through the fleet. Meanwhile each assigned targets by itself, at a
+// sixty-fourth of the allotments.
 
 const BOUNDS = {
   retryBudget: { ratio: 0.2, slack: 100, windowS: 10 },
@@ -22,18 +23,18 @@
 const INSTANCES = 16;
 const TARGET_IDS = Array.from({ length: 60 }, (_, index) => `t${index}`);
 const STEP_MS = 5;
-/** Messages that an instance takes in within a step: 600 a second. */
+/** Messages that an instance handles per step: 600 a second. */
 const MESSAGES_A_STEP = 3;
 const WORK_MS = 150;
 const COST = 100;
-/** Far more than the fleet spends in the window, and 16 times a part of it. */
+/** Far more than the fleet spends; the share of one instance is 1/16 of it. */
 const ALLOTMENT = { perS: 1e5, burst: 0, inTokens: true, plainTokens: 1 };
 
 interface Node extends FleetNode {
   readonly inbox: { message: RoutingMessage; fromId: string }[];
 }
 
-/** A fleet on a manual clock whose instances take messages in one by one. */
+/** A fleet on a manual clock whose instances handle few messages per step. */
 class BusyFleet {
   readonly clock = { atMs: 0, nowMs: () => this.clock.atMs };
   readonly refusals: string[] = [];
@@ -50,7 +51,7 @@
   }
 
   get coordinatorId(): string {
-    return [...this.#nodes.values()][0]!.desk.coordinatorId;
+    return [...this.#nodes.values()][0]!.placementClient.coordinatorId;
   }
 
   /** @param instanceId An instance that loses power. */
@@ -58,7 +59,7 @@
     this.#nodes.delete(instanceId);
   }
 
-  /** Lets time pass, with so many requests a second over all instances. */
+  /** Advances the clock, with a rate of requests over all instances. */
   run(ms: number, requestsPerS: number): void {
     const untilMs = this.clock.atMs + ms;
     this.#askAtMs = this.clock.atMs;
@@ -78,11 +79,11 @@
     this.#ends = this.#ends.filter(({ atMs }) => atMs > nowMs);
     due.forEach(({ end }) => end());
     for (const [id, node] of this.#nodes) {
-      const { members, keeper, desk, inbox } = node;
-      members.remembers(id, RUN_MS + nowMs, nowMs);
+      const { members, membership, placementClient, inbox } = node;
+      members.remembers(id, UPTIME_MS + nowMs, nowMs);
       members.isLoaded = inbox.length > MESSAGES_A_STEP;
-      keeper.tick();
-      desk.tick();
+      membership.tick();
+      placementClient.tick();
       for (const received of inbox.splice(0, MESSAGES_A_STEP)) {
         deliverTo(node, received);
       }
@@ -93,8 +94,8 @@
     const ids = [...this.#nodes.keys()];
     const holderId = ids[this.#asked % ids.length]!;
     const askId = `a${this.#asked++}`;
-    const { desk } = this.#nodes.get(holderId)!;
-    desk.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
+    const { placementClient } = this.#nodes.get(holderId)!;
+    placementClient.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
       if ("refusal" in decision) {
         this.refusals.push(decision.refusal);
         return;
@@ -105,7 +106,7 @@
       const atMs = this.clock.atMs + WORK_MS;
       this.#ends.push({
         atMs,
-        end: () => desk.ended({ ...end, failed: false }),
+        end: () => placementClient.reportEnd({ ...end, failed: false }),
       });
     });
   }
@@ -137,29 +138,29 @@
 
 const ALLOTMENT_REFUSAL: string = AskRefusal.Allotment;
 
-test("a coordinator with more to do than it can is not passed over", () => {
+test("an overloaded coordinator is not skipped", () => {
   const fleet = fleetAtRest();
   const before = fleet.coordinatorId;
   fleet.run(5000, 800);
   assert.is(fleet.coordinatorId, before);
 });
 
-test("no workspace is refused for what it has not spent", () => {
+test("no workspace is refused for spending that did not happen", () => {
   const fleet = fleetAtRest();
   fleet.run(5000, 800);
   assert.not.ok(fleet.refusals.includes(ALLOTMENT_REFUSAL));
 });
 
-test("requests are placed at the rate that the coordinator can", () => {
+test("requests are placed at the coordinator's capacity", () => {
   const fleet = fleetAtRest();
   fleet.run(2000, 800);
   const before = fleet.placed;
   fleet.run(3000, 800);
-  // 600 messages a second, four for each request that gets a place.
+  // 600 messages a second, four for each request that gets a placement.
   assert.ok(fleet.placed - before >= 3 * 600 / 4 * 0.75, String(fleet.placed));
 });
 
-test("the loss of a loaded coordinator is made good within half a second", () => {
+test("a killed coordinator under load is replaced within half a second", () => {
   const fleet = fleetAtRest();
   fleet.run(2000, 120);
   fleet.kill(fleet.coordinatorId);
--- a/packages/gateway/src/log_output.ts
+++ b/packages/gateway/src/log_output.ts
@@ -1,57 +1,62 @@
-/** Where log lines go: in batches, and never waiting for their reader. */
+/** Batched, non-blocking output of log lines. */
 
 import { Buffer } from "node:buffer";
 import process from "node:process";
 
 /**
- * Time for which lines are gathered. A request has about four lines; written one
- * by one they cost as many system calls as its answer.
+ * Maximum time for which lines are buffered. A request has about four lines;
+ * written one by one, they would take as many system calls as its answer.
  */
-const BATCH_MS = 50;
+const MAX_BATCH_DELAY_MS = 50;
 
-/** Gathered bytes that are written at once. */
-const BATCH_BYTES = 16 * 1024;
+/** Buffered size at which a batch is written without delay. */
+const MAX_BATCH_BYTES = 16 * 1024;
 
-/** Bytes that may wait for the reader before lines are left out. */
-const MAX_WAITING_BYTES = 256 * 1024;
+/**
+ * Bound on the bytes, here and in the stream, that the reader has not taken.
+ */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Gathers lines and writes them together. */
+/** Buffers lines and writes them in batches. */
 export class LogOutput {
   readonly #stream: NodeJS.WritableStream;
   #lines: string[] = [];
-  #bytes = 0;
+  #batchBytes = 0;
   #timer?: NodeJS.Timeout;
 
-  /** @param stream Where the lines go; standard output where absent. */
+  /** @param stream Stream to write to; standard output by default. */
   constructor(stream: NodeJS.WritableStream = process.stdout) {
     this.#stream = stream;
   }
 
-  /** Whether the reader keeps up, so that more may be written. */
-  get hasRoom(): boolean {
+  /**
+   * Whether the buffers are below their bound, so that lines may be written.
+   */
+  get hasCapacity(): boolean {
     const { writableLength = 0 } = this.#stream as { writableLength?: number };
-    return this.#bytes + writableLength < MAX_WAITING_BYTES;
+    return this.#batchBytes + writableLength < MAX_BUFFERED_BYTES;
   }
 
-  /** @param line A line, without its end. */
+  /** @param line A line without its line break. */
   write(line: string): void {
     this.#lines.push(line);
-    this.#bytes += line.length + 1;
-    if (this.#bytes >= BATCH_BYTES) {
+    this.#batchBytes += line.length + 1;
+    if (this.#batchBytes >= MAX_BATCH_BYTES) {
       this.flush();
     } else {
-      this.#timer ??= setTimeout(() => this.flush(), BATCH_MS).unref();
+      this.#timer ??= setTimeout(() => this.flush(), MAX_BATCH_DELAY_MS)
+        .unref();
     }
   }
 
-  /** Writes what was gathered. */
+  /** Writes the buffered lines at once. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
     if (this.#lines.length > 0) {
       this.#stream.write(Buffer.from(`${this.#lines.join("\n")}\n`));
       this.#lines = [];
-      this.#bytes = 0;
+      this.#batchBytes = 0;
     }
   }
 }
--- a/packages/gateway/src/open_asks.ts
+++ b/packages/gateway/src/open_asks.ts
@@ -1,9 +1,10 @@
 /**
- * The asks of one holder: which wait here, which are out, and what runs.
+ * The open asks of one holder: unsent, sent and not acknowledged, queued at the
+ * coordinator, or running at a target.
  *
- * Few are out without any word. A coordinator that is late then has little
- * before it from each holder, where its socket else holds seconds of asks whose
- * callers leave before it comes to them.
+ * The number of unacknowledged asks is bounded. Otherwise the socket of a late
+ * coordinator buffers seconds of asks, whose callers leave before it reads
+ * them.
  */
 
 import type {
@@ -12,79 +13,91 @@
   WorkAsk,
 } from "@chestnuthatch/routing/work_ask";
 
-/** Asks for places in one pool that are out without any word. */
-export const MOST_UNHEARD = 4;
+/** Bound on the asks for one pool that are sent and not acknowledged. */
+export const MAX_UNACKNOWLEDGED_ASKS = 4;
 
 /**
- * Part of a request's objective for which it is held back. Held for longer, it
- * would be late once it got a place, and its place would be taken from one that
- * is in time.
+ * Share of a request's objective for which its ask may stay unsent. After a
+ * longer wait the request would miss its objective, and its placement would be
+ * lost to a request that can still meet its own.
  */
-const HOLD_PART = 0.5;
+const MAX_UNSENT_WAIT_SHARE = 0.5;
 
-/** The least time for which one is held back, be it late already. */
-const LEAST_HOLD_MS = 50;
+/**
+ * Minimum time for which an ask may stay unsent, even if the request has
+ * already missed its objective.
+ */
+const MIN_UNSENT_WAIT_MS = 50;
 
 /**
- * Time beyond a caller's patience by which the coordinator's refusal has come,
- * if it is to come.
+ * Time after the end of a caller's patience within which the coordinator's
+ * refusal arrives, unless it was lost.
  */
-const PATIENCE_SLACK_MS = 100;
+const REFUSAL_MARGIN_MS = 100;
 
 /**
- * Ended works that are remembered. An ask that was sent again under load is
- * answered again, often after its work has ended: such a place is not handed
- * back, as it is free already, and the coordinator has little time then.
+ * Bound on the remembered ids of ended asks. Under load, a resent ask is
+ * answered a second time, often after its work has ended. That placement is
+ * free already, so that no drop message for it is sent to the loaded
+ * coordinator.
  */
-const MOST_ENDED = 256;
+const MAX_ENDED_IDS = 256;
 
-/** Whom an ask was sent to that was not sent yet. */
-export const NOBODY = "";
+/** Value of `OpenAsk.coordinatorId` for an unsent ask. */
+export const NO_COORDINATOR = "";
 
-/** An ask with what is known of it here. */
+/** An ask of this holder with its state. */
 export interface OpenAsk {
   readonly ask: WorkAsk;
-  readonly sinceMs: number;
+  /** Local time at which the request asked for a placement. */
+  readonly openedAtMs: number;
   readonly onDecision: (decision: AskDecision) => void;
+  /** Instance that it was last sent to, or `NO_COORDINATOR`. */
   coordinatorId: string;
+  /** Local time at which it was last sent. */
   sentAtMs: number;
-  /** When it was first sent to its present coordinator. */
+  /** Local time at which it was first sent to `coordinatorId`. */
   firstSentAtMs: number;
-  /** Whether its present coordinator said that it has it. */
-  heard: boolean;
-  /** Time until it is sent again, while it is not heard. */
-  againMs: number;
+  /** Whether `coordinatorId` has confirmed that it received the ask. */
+  acknowledged: boolean;
+  /** Timeout, from `sentAtMs`, after which it is resent if unacknowledged. */
+  resendAfterMs: number;
+  /** The work at the target; absent while the ask has no placement. */
   running?: RunningWork;
 }
 
 /**
- * @param open An ask.
- * @returns Whether it was not sent yet.
+ * Tells apart asks that this holder still keeps back.
+ *
+ * @param openAsk An ask.
+ * @returns Whether the ask was not sent to any coordinator yet.
  */
-export function isHeld({ coordinatorId }: OpenAsk): boolean {
-  return coordinatorId === NOBODY;
+export function isUnsent({ coordinatorId }: OpenAsk): boolean {
+  return coordinatorId === NO_COORDINATOR;
 }
 
 /**
- * @param open An ask that waits.
- * @returns How long it may do so, from when it began, before it is refused here.
+ * Limits the time for which an ask waits before the holder refuses it.
+ *
+ * @param openAsk An ask without a placement.
+ * @returns The limit in milliseconds, counted from `openedAtMs`.
  */
-export function mayWaitMs(open: OpenAsk): number {
-  const { objectiveLeftMs, patienceLeftMs } = open.ask;
-  return isHeld(open)
-    ? Math.max(LEAST_HOLD_MS, HOLD_PART * objectiveLeftMs)
-    : Math.max(0, patienceLeftMs) + PATIENCE_SLACK_MS;
+export function maxWaitMs(openAsk: OpenAsk): number {
+  const { objectiveLeftMs, patienceLeftMs } = openAsk.ask;
+  return isUnsent(openAsk)
+    ? Math.max(MIN_UNSENT_WAIT_MS, MAX_UNSENT_WAIT_SHARE * objectiveLeftMs)
+    : Math.max(0, patienceLeftMs) + REFUSAL_MARGIN_MS;
 }
 
-/** Asks by id. */
+/** The open asks of one holder by id, and the ids of those that ended last. */
 export class OpenAsks {
   readonly #byId = new Map<string, OpenAsk>();
-  /** Work that ended last, whose decisions may come once more. */
-  readonly #ended = new Set<string>();
+  /** Ids of asks whose work ended last, oldest first. */
+  readonly #endedIds = new Set<string>();
 
-  /** @param open An ask that begins. */
-  add(open: OpenAsk): void {
-    this.#byId.set(open.ask.askId, open);
+  /** @param openAsk An ask that begins. */
+  add(openAsk: OpenAsk): void {
+    this.#byId.set(openAsk.ask.askId, openAsk);
   }
 
   /**
@@ -95,78 +108,84 @@
     return this.#byId.get(askId);
   }
 
-  /** @param askId An ask that came to nothing. */
+  /** @param askId Id of an ask that was refused or dropped. */
   remove(askId: string): void {
     this.#byId.delete(askId);
   }
 
-  /** @param askId An ask whose work has ended. */
-  ended(askId: string): void {
+  /** @param askId Id of an ask whose work at a target has ended. */
+  markEnded(askId: string): void {
     this.#byId.delete(askId);
-    this.#ended.add(askId);
-    if (this.#ended.size > MOST_ENDED) {
-      const [oldest] = this.#ended;
-      this.#ended.delete(oldest!);
+    this.#endedIds.add(askId);
+    if (this.#endedIds.size > MAX_ENDED_IDS) {
+      const [oldest] = this.#endedIds;
+      this.#endedIds.delete(oldest!);
     }
   }
 
   /**
    * @param askId An ask's id.
-   * @returns Whether its work ended not long ago.
+   * @returns Whether its work is among the last `MAX_ENDED_IDS` that ended.
    */
   hasEnded(askId: string): boolean {
-    return this.#ended.has(askId);
+    return this.#endedIds.has(askId);
   }
 
   /**
-   * @param open An ask.
-   * @returns Whether it is still open and has no place.
+   * @param openAsk An ask.
+   * @returns Whether it is still open and has no placement.
    */
-  isWaiting(open: OpenAsk): boolean {
-    return open.running === undefined &&
-      this.#byId.get(open.ask.askId) === open;
+  isWaiting(openAsk: OpenAsk): boolean {
+    return openAsk.running === undefined &&
+      this.#byId.get(openAsk.ask.askId) === openAsk;
   }
 
-  /** @returns Asks without a place, the oldest first. */
+  /** @returns Asks without a placement, the oldest first. */
   waiting(): OpenAsk[] {
     return [...this.#byId.values()]
       .filter(({ running }) => running === undefined);
   }
 
-  /** @returns Work that targets have. */
+  /** @returns The work of this holder that runs at targets. */
   running(): RunningWork[] {
     return [...this.#byId.values()].flatMap(({ running }) => running ?? []);
   }
 
-  /** @returns Asks that may go out now, the most valuable of each pool. */
-  toSend(): OpenAsk[] {
+  /**
+   * Picks the unsent asks that the bound on unacknowledged ones lets through.
+   *
+   * @returns The most valuable asks of each pool, those of rank 0 first; within
+   * a rank, the oldest first.
+   */
+  sendable(): OpenAsk[] {
     const waiting = this.waiting();
-    // Of the same rank, the oldest goes first: the sort is stable.
-    const held = waiting.filter(isHeld)
+    // The sort is stable: within a rank, the oldest ask goes first.
+    const unsent = waiting.filter(isUnsent)
       .sort((a, b) => a.ask.rank - b.ask.rank);
-    if (held.length === 0) {
-      return held;
+    if (unsent.length === 0) {
+      return unsent;
     }
-    const unheard = new Map<string, number>();
-    for (const open of waiting) {
-      const isOut = !open.heard && !isHeld(open);
-      const count = unheard.get(open.ask.pool) ?? 0;
-      unheard.set(open.ask.pool, count + Number(isOut));
+    const unacknowledged = new Map<string, number>();
+    for (const openAsk of waiting) {
+      const isInFlight = !openAsk.acknowledged && !isUnsent(openAsk);
+      const count = unacknowledged.get(openAsk.ask.pool) ?? 0;
+      unacknowledged.set(openAsk.ask.pool, count + Number(isInFlight));
     }
-    return held.filter(({ ask }) => {
-      const count = unheard.get(ask.pool)!;
-      unheard.set(ask.pool, count + 1);
-      return count < MOST_UNHEARD;
+    return unsent.filter(({ ask }) => {
+      const count = unacknowledged.get(ask.pool)!;
+      unacknowledged.set(ask.pool, count + 1);
+      return count < MAX_UNACKNOWLEDGED_ASKS;
     });
   }
 
   /**
-   * @param open An ask that is held back.
-   * @returns Asks that go out before it, itself included.
+   * @param openAsk An unsent ask.
+   * @returns Number of unsent asks of its pool that are at least as valuable,
+   * the ask itself included.
    */
-  heldUpTo({ ask }: OpenAsk): number {
+  unsentCountUpTo({ ask }: OpenAsk): number {
     return this.waiting().filter((other) =>
-      isHeld(other) && other.ask.pool === ask.pool &&
+      isUnsent(other) && other.ask.pool === ask.pool &&
       other.ask.rank <= ask.rank
     ).length;
   }
--- /dev/null
+++ b/packages/gateway/src/placement_client_test.ts
@@ -0,0 +1,185 @@
+import { Writable } from "node:stream";
+import { test } from "uvu";
+import * as assert from "uvu/assert";
+import { Coordinator } from "@chestnuthatch/routing/coordinator";
+import {
+  MessageKind,
+  type RoutingMessage,
+} from "@chestnuthatch/routing/peer_messages";
+import {
+  askOf,
+  boardOf,
+  memberOf,
+} from "@chestnuthatch/routing/routing_test_support";
+import type { AskDecision } from "@chestnuthatch/routing/work_ask";
+import { EventLog } from "./event_log.ts";
+import { PlacementClient } from "./placement_client.ts";
+
+const BOUNDS = {
+  retryBudget: { ratio: 0.2, slack: 10, windowS: 10 },
+  allotmentTolerance: { windowMs: 8000, overage: 0, slack: 0 },
+};
+const NO_IDS = new Set<string>();
+
+class Discard extends Writable {
+  override _write(_chunk: unknown, _code: string, done: () => void): void {
+    done();
+  }
+}
+
+/** A client whose coordinator is another instance, and what it sends. */
+function clientOfRemoteCoordinator() {
+  const board = boardOf(["t1", "t2"]);
+  const clock = { atMs: 0, nowMs: () => clock.atMs };
+  const sent: { to: string; message: RoutingMessage }[] = [];
+  // They have run longer than this instance, so one of them coordinates.
+  for (let i = 2; i < 6; i++) {
+    board.members.remembers(`i${i}`, 60_000, 0);
+    board.members.heard(memberOf(`i${i}`), 0);
+  }
+  const coordinatorId = board.members.coordinator(0, NO_IDS).instanceId;
+  const client = new PlacementClient({
+    board,
+    coordinator: new Coordinator(board, BOUNDS),
+    clock,
+    log: new EventLog(clock, "i1", new Discard()),
+    send: ({ instanceId }, message) => sent.push({ to: instanceId, message }),
+    startedAtMs: -60_000,
+    spendingWindowMs: 8000,
+  });
+  const decisions: AskDecision[] = [];
+  const kindsSentTo = (to: string) =>
+    sent.filter((s) => s.to === to).map(({ message }) => message.kind);
+  const advance = (ms: number) => {
+    for (let i = 0; i < ms; i += 20) {
+      clock.atMs += 20;
+      client.tick();
+    }
+  };
+  const ask = (askId: string) =>
+    client.ask(askOf(askId), (decision) => decisions.push(decision));
+  return { client, coordinatorId, sent, decisions, kindsSentTo, advance, ask };
+}
+
+function decisionMessage(askId: string, targetId = "t1"): RoutingMessage {
+  const decision = {
+    askId,
+    holderId: "i1",
+    targetId,
+    expectedMs: 50,
+    cameBackMs: 0,
+  };
+  return { kind: MessageKind.Decision, decision };
+}
+
+test("this instance does not coordinate in these tests", () => {
+  assert.is.not(clientOfRemoteCoordinator().coordinatorId, "i1");
+});
+
+test("an ask is sent to the coordinator, and its decision is applied once", () => {
+  const { client, coordinatorId, decisions, kindsSentTo, ask } =
+    clientOfRemoteCoordinator();
+  ask("a1");
+  assert.equal(kindsSentTo(coordinatorId), [MessageKind.Ask]);
+  client.handleMessage(decisionMessage("a1"), coordinatorId);
+  client.handleMessage(decisionMessage("a1"), coordinatorId);
+  assert.is(decisions.length, 1);
+});
+
+test("an unacknowledged ask is sent again", () => {
+  const { coordinatorId, kindsSentTo, advance, ask } =
+    clientOfRemoteCoordinator();
+  ask("a1");
+  advance(60);
+  const asks = kindsSentTo(coordinatorId).filter((k) => k === MessageKind.Ask);
+  assert.is(asks.length, 2);
+});
+
+test("when the coordinator is silent, this instance decides by itself", () => {
+  const { coordinatorId, decisions, kindsSentTo, advance, ask } =
+    clientOfRemoteCoordinator();
+  ask("a1");
+  advance(140);
+  assert.is(decisions.length, 1);
+  assert.ok("targetId" in decisions[0]!);
+  assert.ok(kindsSentTo(coordinatorId).includes(MessageKind.Drop));
+});
+
+test("a queued ask waits for its coordinator, and is reported again", () => {
+  const { client, coordinatorId, decisions, sent, advance, ask } =
+    clientOfRemoteCoordinator();
+  ask("a1");
+  client.handleMessage(
+    { kind: MessageKind.Queued, askId: "a1" },
+    coordinatorId,
+  );
+  advance(600);
+  assert.is(decisions.length, 0);
+  const naming = sent.filter(({ to, message }) =>
+    to === coordinatorId &&
+    (message.kind === MessageKind.Ask && message.ask.askId === "a1" ||
+      message.kind === MessageKind.Report &&
+        message.report.waiting.includes("a1"))
+  );
+  assert.ok(naming.length >= 3, String(naming.length));
+});
+
+test("an ask that is unknown to its coordinator is sent again", () => {
+  const { client, coordinatorId, kindsSentTo, advance, ask } =
+    clientOfRemoteCoordinator();
+  ask("a1");
+  client.handleMessage(
+    { kind: MessageKind.Queued, askId: "a1" },
+    coordinatorId,
+  );
+  advance(300);
+  client.handleMessage(
+    { kind: MessageKind.Unknown, askIds: ["a1"] },
+    coordinatorId,
+  );
+  const asks = kindsSentTo(coordinatorId).filter((k) => k === MessageKind.Ask);
+  assert.is(asks.length, 2);
+});
+
+test("an ask that was decided meanwhile is not sent again", () => {
+  const { client, coordinatorId, kindsSentTo, advance, ask } =
+    clientOfRemoteCoordinator();
+  ask("a1");
+  client.handleMessage(decisionMessage("a1"), coordinatorId);
+  advance(300);
+  client.handleMessage(
+    { kind: MessageKind.Unknown, askIds: ["a1"] },
+    coordinatorId,
+  );
+  const asks = kindsSentTo(coordinatorId).filter((k) => k === MessageKind.Ask);
+  assert.is(asks.length, 1);
+});
+
+test("a placement that arrives too late is dropped", () => {
+  const { client, coordinatorId, decisions, sent, advance, ask } =
+    clientOfRemoteCoordinator();
+  ask("a1");
+  advance(140);
+  const before = sent.length;
+  client.handleMessage(decisionMessage("a1", "t2"), coordinatorId);
+  assert.is(decisions.length, 1);
+  assert.equal(sent.slice(before), [{
+    to: coordinatorId,
+    message: { kind: MessageKind.Drop, askId: "a1" },
+  }]);
+});
+
+test("running work and spending are reported to the coordinator", () => {
+  const { client, coordinatorId, sent, advance } = clientOfRemoteCoordinator();
+  client.ask(askOf("a1", { cost: 700 }), () => {});
+  client.handleMessage(decisionMessage("a1"), coordinatorId);
+  advance(600);
+  const reports = sent.flatMap(({ message }) =>
+    message.kind === MessageKind.Report ? message.report : []
+  );
+  const last = reports.at(-1)!;
+  assert.equal(last.running.map(({ askId }) => askId), ["a1"]);
+  assert.equal(last.spent, [{ workspace: "w", spent: 700 }]);
+});
+
+test.run();
--- a/packages/gateway/src/rate_limits_test.ts
+++ b/packages/gateway/src/rate_limits_test.ts
@@ -74,7 +74,7 @@
   }
 
   get coordinatorId(): string {
-    return [...this.#nodes.values()][0]!.desk.coordinatorId;
+    return [...this.#nodes.values()][0]!.placementClient.coordinatorId;
   }
 
   kill(instanceId: string): void {
@@ -141,7 +141,7 @@
     const node = this.#nodes.get(holderId)!;
     const askId = `a${this.#asked++}`;
     const { atMs: askedAtMs } = this.clock;
-    node.desk.ask(askOf(askId, { holderId }), (decision) => {
+    node.placementClient.ask(askOf(askId, { holderId }), (decision) => {
       if ("refusal" in decision) {
         const { retryAfterMs } = decision;
         this.refused.push({ atMs: this.clock.atMs, retryAfterMs });
@@ -174,7 +174,11 @@
           node.rateLimits.advertised(targetId, limitPerS, nowMs);
         }
         const end = { askId, targetId, pool: "p", promptTokens: 500 };
-        node.desk.ended({ ...end, firstMs: WORK_MS, failed: false });
+        node.placementClient.reportEnd({
+          ...end,
+          firstMs: WORK_MS,
+          failed: false,
+        });
       });
     });
   }
--- a/packages/gateway/src/routed_request.ts
+++ b/packages/gateway/src/routed_request.ts
@@ -155,7 +155,7 @@
     });
     this.#askId = ask.askId;
     this.#askedAtMs = this.#nowMs();
-    this.#parts.desk.ask(
+    this.#parts.placementClient.ask(
       ask,
       (decision) => this.#orFail(() => this.#decided(decision)),
     );
@@ -209,7 +209,7 @@
   #giveBack(targetId: string): void {
     this.#log("place not usable", { targetId });
     if (this.#parts.board.targets.get(targetId)?.leaving) {
-      this.#parts.onPlacedAtLeaving(targetId);
+      this.#parts.onPlacedAtLeavingTarget(targetId);
     }
     this.#tried.add(targetId);
     this.#dropAsk();
@@ -335,7 +335,7 @@
 
   #noteAnswered(attempt: TargetAttempt): void {
     const status = attempt.answer.statusCode!;
-    this.#parts.metrics.answered(this.#call.route.name, status);
+    this.#parts.metrics.answerForwarded(this.#call.route.name, status);
     this.#log("answered", {
       targetId: attempt.order.target.targetId,
       status,
@@ -430,7 +430,7 @@
     if (this.#done) {
       return;
     }
-    this.#parts.metrics.failed(this.#call.route.name, error);
+    this.#parts.metrics.errorAnswered(this.#call.route.name, error);
     this.#log("failed", {
       error,
       route: this.#call.route.name,
@@ -464,7 +464,7 @@
 
   #dropAsk(): void {
     if (this.#askId !== undefined) {
-      this.#parts.desk.drop(this.#askId);
+      this.#parts.placementClient.drop(this.#askId);
       this.#askId = undefined;
     }
   }
--- a/packages/gateway/src/slow_coordinator_test.ts
+++ b/packages/gateway/src/slow_coordinator_test.ts
@@ -9,7 +9,7 @@
   deliverTo,
   type FleetNode,
   fleetNode,
-  RUN_MS,
+  UPTIME_MS,
 } from "./gateway_test_support.ts";
 import { PartitionedNetwork } from "./partition_test_support.ts";
 
@@ -23,12 +23,12 @@
 const TARGET_IDS = Array.from({ length: 10 }, (_, index) => `t${index}`);
 const STEP_MS = 20;
 const WORK_MS = 100;
-/** Answers of a slow instance come after holders have given it up. */
+/** Delay of a slow instance's answers, beyond the holders' timeout. */
 const SLOW_MS = 400;
-/** Half of what the allotment gives in a step. */
+/** Half of the allotment's rate per step. */
 const COST = 10;
 
-/** A fleet on a manual clock. Heartbeats of the slow instance are in time. */
+/** A fleet on a manual clock. The slow instance's heartbeats are on time. */
 class Fleet {
   readonly #network = new PartitionedNetwork();
   readonly clock = this.#network.clock;
@@ -38,18 +38,20 @@
   #asked = 0;
 
   get coordinatorId(): string {
-    return this.#nodes.get("i1")!.desk.coordinatorId;
+    return this.#nodes.get("i1")!.placementClient.coordinatorId;
   }
 
-  /** Lets time pass, with one request in each step. */
+  /** Advances the clock in steps, with one request in each. */
   run(ms: number): void {
     for (let i = 0; i < ms; i += STEP_MS) {
       this.clock.atMs += STEP_MS;
       this.#network.runDue();
-      for (const [id, { members, keeper, desk }] of this.#nodes) {
-        members.remembers(id, RUN_MS + this.clock.atMs, this.clock.atMs);
-        keeper.tick();
-        desk.tick();
+      for (
+        const [id, { members, membership, placementClient }] of this.#nodes
+      ) {
+        members.remembers(id, UPTIME_MS + this.clock.atMs, this.clock.atMs);
+        membership.tick();
+        placementClient.tick();
       }
       this.#request();
       this.#network.runDue();
@@ -59,9 +61,9 @@
   #request(): void {
     const holders = IDS.filter((id) => id !== this.slowId);
     const holderId = holders[this.#asked % holders.length]!;
-    const { desk } = this.#nodes.get(holderId)!;
+    const { placementClient } = this.#nodes.get(holderId)!;
     const askId = `a${this.#asked++}`;
-    desk.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
+    placementClient.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
       if ("refusal" in decision) {
         this.refusals.push(`${this.clock.atMs}: ${decision.refusal}`);
         return;
@@ -70,7 +72,7 @@
       const end = { askId, targetId, pool: "p", promptTokens: 500 };
       this.#network.later(
         WORK_MS,
-        () => desk.ended({ ...end, failed: false }),
+        () => placementClient.reportEnd({ ...end, failed: false }),
       );
     });
   }
@@ -95,13 +97,13 @@
   }
 }
 
-test("a fleet with a quick coordinator serves what an allotment allows", () => {
+test("a fleet with a fast coordinator serves what an allotment allows", () => {
   const fleet = new Fleet();
   fleet.run(10_000);
   assert.equal(fleet.refusals, []);
 });
 
-test("a coordinator that answers too late is replaced by all", () => {
+test("a coordinator that answers too late is replaced by all holders", () => {
   const fleet = new Fleet();
   fleet.run(4000);
   fleet.slowId = fleet.coordinatorId;
--- a/packages/gateway/src/status_server.ts
+++ b/packages/gateway/src/status_server.ts
@@ -1,23 +1,23 @@
-/** Tells whether the instance is ready, and serves its metrics. */
+/** HTTP endpoints for the instance's readiness and metrics. */
 
 import { createServer, type RequestListener, type Server } from "node:http";
 import polka from "polka";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import { listen } from "./peer_catalog.ts";
 
-/** What the server tells. */
+/** Sources of what a `StatusServer` serves. */
 export interface StatusParts {
   readonly metrics: GatewayMetrics;
-  /** @returns Whether callers may be sent here. */
+  /** @returns Whether the instance is ready to serve callers. */
   isReady(): boolean;
 }
 
-/** One HTTP server for readiness, one for metrics. */
+/** Two HTTP servers, one for readiness and one for metrics. */
 export class StatusServer {
   readonly #ready: Server;
   readonly #metrics: Server;
 
-  /** @param parts What it tells. */
+  /** @param parts Sources of readiness and metrics. */
   constructor(parts: StatusParts) {
     const ready = polka().get("/ready", (_request, response) => {
       response.statusCode = parts.isReady() ? 200 : 503;
@@ -37,16 +37,18 @@
   }
 
   /**
-   * @param readyAddress `ip:port` that tells readiness.
-   * @param metricsAddress `ip:port` that serves metrics.
-   * @returns Once both can be asked.
+   * Starts both servers.
+   *
+   * @param readyAddress `ip:port` of the readiness endpoint.
+   * @param metricsAddress `ip:port` of the metrics endpoint.
+   * @returns A promise that is fulfilled when both accept connections.
    */
   async open(readyAddress: string, metricsAddress: string): Promise<void> {
     await listen(this.#ready, readyAddress);
     await listen(this.#metrics, metricsAddress);
   }
 
-  /** Stops answering. */
+  /** Closes both servers and all their connections. */
   close(): void {
     for (const server of [this.#ready, this.#metrics]) {
       server.close();
@@ -55,7 +57,7 @@
   }
 }
 
-/** The router's types name its own request, which extends Node's. */
+/** Casts, as the router's handler type has a subtype of Node's request. */
 function handlerOf(router: polka.Polka): RequestListener {
   return router.handler as unknown as RequestListener;
 }
--- a/packages/gateway/src/stop_on_signals.ts
+++ b/packages/gateway/src/stop_on_signals.ts
@@ -1,4 +1,4 @@
-/** Ends a gateway's process when it is asked to. */
+/** Graceful end of a gateway's process on SIGTERM and SIGINT. */
 
 import process from "node:process";
 import type { Gateway } from "./gateway.ts";
@@ -7,22 +7,26 @@
 const EXIT_CANNOT_STOP = 1;
 
 /**
- * Stops a gateway and its process on the usual signals, and on no error.
+ * Installs the process's handlers: SIGTERM and SIGINT stop the gateway and end
+ * the process; unhandled errors are logged, and the process continues.
  *
- * @param gateway The gateway.
+ * @param gateway The gateway of this process.
  */
 export function stopOnSignals(gateway: Gateway): void {
   const stop = () => {
     void gateway.stop().then(
       () => process.exit(EXIT_STOPPED),
       (error) => {
-        gateway.cannotStop(error);
+        gateway.logStopFailure(error);
         process.exit(EXIT_CANNOT_STOP);
       },
     );
   };
-  process.on("uncaughtException", (error) => gateway.unexpected(error));
-  process.on("unhandledRejection", (error) => gateway.unexpected(error));
+  process.on("uncaughtException", (error) => gateway.logUnexpectedError(error));
+  process.on(
+    "unhandledRejection",
+    (error) => gateway.logUnexpectedError(error),
+  );
   process.on("SIGTERM", stop);
   process.on("SIGINT", stop);
 }
--- a/packages/gateway/src/target_attempt.ts
+++ b/packages/gateway/src/target_attempt.ts
@@ -232,7 +232,7 @@
     this.#lastEventAtMs = nowMs;
     if (this.#firstAtMs === undefined) {
       this.#firstAtMs = nowMs;
-      this.#parts.desk.firstSeen(this.order.askId);
+      this.#parts.placementClient.reportFirstEvent(this.order.askId);
     }
     this.#sink.event(bytes);
   }
--- a/tests/process_kept_connections_test.ts
+++ b/tests/process_kept_connections_test.ts
@@ -158,7 +158,7 @@
       const leaving = fleet.instances[0]!;
       await allowLong(fleet, leaving);
       setGrace(leaving, LONG_GRACE_S);
-      await logged(leaving, "reloaded");
+      await logged(leaving, "settings reloaded");
       const phases = Object.entries(PHASES).flatMap((phase) =>
         Array(PER_PHASE).fill(phase) as (typeof phase)[]
       );
@@ -267,7 +267,7 @@
   for (const instance of fleet.instances) {
     await allowLong(fleet, instance);
     setGrace(instance, LONG_GRACE_S);
-    await logged(instance, "reloaded");
+    await logged(instance, "settings reloaded");
   }
 }
 
@@ -324,8 +324,8 @@
       await sleep(20);
     }
     for (const instance of fleet.instances) {
-      await logged(instance, "reloaded");
-      await logged(instance, "settings not usable");
+      await logged(instance, "settings reloaded");
+      await logged(instance, "changed settings are invalid");
     }
     goesOn = false;
     const results = await sending;
@@ -372,7 +372,7 @@
       const leaving = fleet.instances[0]!;
       await allowLong(fleet, leaving);
       setGrace(leaving, graceS);
-      await logged(leaving, "reloaded");
+      await logged(leaving, "settings reloaded");
       const [busy] = await openAll(leaving, 1);
       // Seven seconds: more than the usual and the shortened grace time.
       const long = busy!.send(streamCall(CallKind.Long, {
