--- a/packages/gateway/src/coordinator_selector.ts
+++ b/packages/gateway/src/coordinator_selector.ts
@@ -26,9 +26,9 @@
 interface Selection {
   readonly validUntilMs: number;
   /** Value of `MemberView.changes` that the selection was made at. */
-  readonly memberChanges: number;
+  readonly changes: number;
   readonly coordinator: MemberRecord;
-  /** Share of the fleet's allotments that this instance may hand out. */
+  /** Share of the fleet's allotments that this instance hands out. */
   readonly share: number;
   /** Local time since which the fleet has recorded workspaces' spending. */
   readonly spendingKnownSinceMs: number;
@@ -46,20 +46,20 @@
 
   /**
    * @param members The members of the fleet.
-   * @param options `startedAtMs` is the local time at which this instance began
+   * @param of `startedAtMs` is the local time at which this instance began
    * to record workspaces' spending; `spendingReportedAtMs` returns the local
    * time of a member's last report of the spending through it.
    */
   constructor(
     members: MemberView,
-    options: {
+    of: {
       startedAtMs: number;
       spendingReportedAtMs: (instanceId: string) => number;
     },
   ) {
     this.#members = members;
-    this.#startedAtMs = options.startedAtMs;
-    this.#spendingReportedAtMs = options.spendingReportedAtMs;
+    this.#startedAtMs = of.startedAtMs;
+    this.#spendingReportedAtMs = of.spendingReportedAtMs;
   }
 
   /**
@@ -80,14 +80,14 @@
    * fleet's spending is known.
    */
   scope(nowMs: number): LedgerScope {
-    const { share, spendingKnownSinceMs: remembersSinceMs } = this.#selectionAt(
+    const { share, spendingKnownSinceMs } = this.#selectionAt(
       nowMs,
     );
-    return { share, memoryMs: nowMs - remembersSinceMs, nowMs };
+    return { share, memoryMs: nowMs - spendingKnownSinceMs, nowMs };
   }
 
   /**
-   * Skips a coordinator that does not respond for `SKIP_MS`.
+   * Skips an unresponsive coordinator for `SKIP_MS`.
    *
    * @param instanceId The coordinator's instance id.
    * @param nowMs The local time.
@@ -104,14 +104,14 @@
     const { changes } = this.#members;
     if (
       this.#selection === undefined || nowMs >= this.#selection.validUntilMs ||
-      changes !== this.#selection.memberChanges
+      changes !== this.#selection.changes
     ) {
       const agreed = this.#members.coordinator(nowMs, NO_SKIPPED_IDS);
-      const uptimeMs = nowMs - this.#startedAtMs;
+      const ownMs = nowMs - this.#startedAtMs;
       this.#selection = {
         validUntilMs: nowMs + SELECTION_TTL_MS,
-        memberChanges: changes,
-        spendingKnownSinceMs: nowMs - this.#members.memoryMs(uptimeMs, nowMs),
+        changes,
+        spendingKnownSinceMs: nowMs - this.#members.memoryMs(ownMs, nowMs),
         coordinator: this.#selectResponsive(agreed, nowMs),
         share: this.#share(agreed, nowMs),
       };
@@ -131,9 +131,9 @@
     }
     // A network partition usually cuts off a whole failure domain. Skipping all
     // members with an overdue heartbeat avoids trying them one after another.
-    const overdueIds = this.#members.overdue(nowMs)
+    const overdue = this.#members.overdue(nowMs)
       .map((member) => member.instanceId);
-    const skippedIds = new Set([...this.#skippedUntilMs.keys(), ...overdueIds]);
+    const skippedIds = new Set([...this.#skippedUntilMs.keys(), ...overdue]);
     return this.#members.coordinator(nowMs, skippedIds);
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -31,7 +31,7 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { GracefulStop } from "./graceful_stop.ts";
 import { hostPortOf } from "./host_port.ts";
-import { EventLoopMonitor } from "./event_loop_monitor.ts";
+import { LoopWatch } from "./loop_watch.ts";
 import { MembershipKeeper } from "./membership_keeper.ts";
 import { PeerCatalog } from "./peer_catalog.ts";
 import { PeerSocket } from "./peer_socket.ts";
@@ -48,7 +48,7 @@
 /** Time between two ticks, which run all timeouts, while requests wait. */
 const BUSY_TICK_MS = 20;
 
-/** Maximum time between two ticks otherwise: half a heartbeat interval. */
+/** Maximum time between two ticks while idle: half a heartbeat interval. */
 const IDLE_TICK_MS = 110;
 
 /** Minimum delay of a tick that counts as a stall of the process. */
@@ -88,7 +88,7 @@
   readonly #targetMaintenance: TargetUpkeep;
   readonly #front: FrontServer;
   readonly #status: StatusServer;
-  readonly #loopMonitor: EventLoopMonitor;
+  readonly #loopWatch: LoopWatch;
   #askCounter = 0;
   #isLeaving = false;
   #isClosed = false;
@@ -186,7 +186,7 @@
     this.#catalog = new PeerCatalog((item) => this.#fleetState.content(item));
     this.#membership = this.#createMembership();
     this.#front = new FrontServer(this.#createParts(options.protocol));
-    this.#loopMonitor = new EventLoopMonitor({
+    this.#loopWatch = new LoopWatch({
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
@@ -289,7 +289,7 @@
     const settings = this.#settings;
     const { host } = hostPortOf(settings.peerAddress);
     await this.#socket.open(settings.peerAddress, (message, from) => {
-      this.#loopMonitor.runTask(
+      this.#loopWatch.runTask(
         message.kind,
         () => this.#handlePeerMessage(message, from),
       );
@@ -406,8 +406,8 @@
   #tick(): void {
     const nowMs = this.#clock.nowMs();
     this.#lateMs = nowMs - this.#tickDueMs;
-    this.#loopMonitor.recordTimer(this.#lateMs);
-    this.board.members.isLoaded = this.#loopMonitor.isLoaded;
+    this.#loopWatch.recordTimer(this.#lateMs);
+    this.board.members.isLoaded = this.#loopWatch.isLoaded;
     if (this.#lateMs > MIN_STALL_MS) {
       // Holders have moved to another coordinator meanwhile. Their reports will
       // restore what is still open.
@@ -421,7 +421,7 @@
       nowMs - this.#startedAtMs,
       nowMs,
     );
-    this.#loopMonitor.runTask("tick", () => {
+    this.#loopWatch.runTask("tick", () => {
       this.#fleetState.tick();
       this.#membership.tick();
       this.#placementClient.tick();
--- a/packages/gateway/src/holder_reporter.ts
+++ b/packages/gateway/src/holder_reporter.ts
@@ -76,15 +76,15 @@
   }
 
   #createReport(isFirst: boolean, nowMs: number): HolderReport {
-    const { board: { members, suspects }, openAsks: open } = this.#parts;
+    const { board: { members, suspects }, openAsks } = this.#parts;
     const suspectsToReport = isFirst
       ? suspects.toTell(nowMs)
       : suspects.lately(nowMs);
-    const waiting = open.waiting()
+    const waiting = openAsks.waiting()
       .filter(({ coordinatorId }) => coordinatorId === this.#reportedToId);
     return {
       holderId: members.selfId,
-      running: open.running(),
+      running: openAsks.running(),
       waiting: waiting.map(({ ask }) => ask.askId),
       spent: this.#spending.lately(nowMs),
       ...(suspectsToReport.length > 0
--- a/packages/gateway/src/loaded_coordinator_test.ts
+++ b/packages/gateway/src/loaded_coordinator_test.ts
@@ -12,8 +12,8 @@
 
 // Guards against a cascade of replaced coordinators under load, seen on a fleet
 // of 64. An answer that was late because of load counted as the loss of its
-// sender: all holders skipped the coordinator at once, then the next one, and so
-// on through the fleet. Meanwhile each assigned targets by itself, at a
+// sender: all holders skipped the coordinator at once, then the next one, and
+// so on through the fleet. Meanwhile each assigned targets by itself, at a
 // sixty-fourth of the allotments.
 
 const BOUNDS = {
--- a/packages/gateway/src/log_output.ts
+++ b/packages/gateway/src/log_output.ts
@@ -12,9 +12,7 @@
 /** Buffered size at which a batch is written without delay. */
 const MAX_BATCH_BYTES = 16 * 1024;
 
-/**
- * Bound on the bytes, here and in the stream, that the reader has not taken.
- */
+/** Bound on unread bytes, beyond which `hasCapacity` lets lines be dropped. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
 /** Buffers lines and writes them in batches. */
@@ -29,9 +27,7 @@
     this.#stream = stream;
   }
 
-  /**
-   * Whether the buffers are below their bound, so that lines may be written.
-   */
+  /** Whether the buffered bytes are below their bound. */
   get hasCapacity(): boolean {
     const { writableLength = 0 } = this.#stream as { writableLength?: number };
     return this.#batchBytes + writableLength < MAX_BUFFERED_BYTES;
--- a/packages/gateway/src/event_loop_monitor.ts
+++ b/packages/gateway/src/loop_watch.ts
@@ -36,8 +36,8 @@
 /** Minimum number of tasks in a sample that updates the baseline. */
 const MIN_BASELINE_TASKS = 10;
 
-/** Collaborators of an `EventLoopMonitor`. */
-export interface EventLoopMonitorParts {
+/** Collaborators of a `LoopWatch`. */
+export interface LoopWatchParts {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
@@ -48,8 +48,8 @@
 }
 
 /** Measures the event loop's delay, and detects overload. */
-export class EventLoopMonitor {
-  readonly #parts: EventLoopMonitorParts;
+export class LoopWatch {
+  readonly #parts: LoopWatchParts;
   readonly #tasksByKind = new Map<string, { count: number; tookMs: number }>();
   #loggedAtMs = 0;
   #maxDelayMs = 0;
@@ -62,7 +62,7 @@
   #isLoaded = false;
 
   /** @param parts Collaborators. */
-  constructor(parts: EventLoopMonitorParts) {
+  constructor(parts: LoopWatchParts) {
     this.#parts = parts;
   }
 
--- a/packages/gateway/src/event_loop_monitor_test.ts
+++ b/packages/gateway/src/loop_watch_test.ts
@@ -3,12 +3,12 @@
 import * as assert from "uvu/assert";
 import { EventLog } from "./event_log.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
-import { EventLoopMonitor } from "./event_loop_monitor.ts";
+import { LoopWatch } from "./loop_watch.ts";
 
 const TICK_MS = 20;
 
-/** A monitor of a process with simulated tasks and busy time. */
-function monitoredProcess() {
+/** A watch on a process with simulated tasks and busy time. */
+function watchedProcess() {
   let nowMs = 0;
   let busyMs = 0;
   const lines: string[] = [];
@@ -20,7 +20,7 @@
   });
   const clock = { nowMs: () => nowMs };
   const log = new EventLog(clock, "i1", output);
-  const monitor = new EventLoopMonitor({
+  const watch = new LoopWatch({
     clock,
     log,
     metrics: new GatewayMetrics(),
@@ -29,38 +29,38 @@
   });
   const run = (
     forMs: number,
-    options: { busyShare: number; tasksPerTick: number; lateMs?: number },
+    of: { busyShare: number; tasksPerTick: number; lateMs?: number },
   ) => {
     for (const untilMs = nowMs + forMs; nowMs < untilMs;) {
-      for (let task = 0; task < options.tasksPerTick; task++) {
-        monitor.runTask("ask", () => {});
+      for (let task = 0; task < of.tasksPerTick; task++) {
+        watch.runTask("ask", () => {});
       }
       nowMs += TICK_MS;
-      busyMs += options.busyShare * TICK_MS;
-      monitor.recordTimer(options.lateMs ?? 0);
+      busyMs += of.busyShare * TICK_MS;
+      watch.recordTimer(of.lateMs ?? 0);
     }
     log.flush();
   };
-  return { monitor, run, lines };
+  return { watch, run, lines };
 }
 
 test("a busy process with its usual throughput is loaded", () => {
-  const { monitor, run } = monitoredProcess();
+  const { watch, run } = watchedProcess();
   run(5000, { busyShare: 0.3, tasksPerTick: 6 });
-  assert.not.ok(monitor.isLoaded);
+  assert.not.ok(watch.isLoaded);
   run(500, { busyShare: 1, tasksPerTick: 20 });
-  assert.ok(monitor.isLoaded);
+  assert.ok(watch.isLoaded);
 });
 
 test("a busy process with little throughput is slow, and not loaded", () => {
-  const { monitor, run } = monitoredProcess();
+  const { watch, run } = watchedProcess();
   run(5000, { busyShare: 0.3, tasksPerTick: 6 });
   run(500, { busyShare: 1, tasksPerTick: 3 });
-  assert.not.ok(monitor.isLoaded);
+  assert.not.ok(watch.isLoaded);
 });
 
 test("a delayed event loop is logged with the tasks that it ran", () => {
-  const { run, lines } = monitoredProcess();
+  const { run, lines } = watchedProcess();
   run(2000, { busyShare: 0.5, tasksPerTick: 1, lateMs: 30 });
   assert.equal(lines, []);
   run(1000, { busyShare: 0.5, tasksPerTick: 1, lateMs: 80 });
--- a/packages/gateway/src/open_asks.ts
+++ b/packages/gateway/src/open_asks.ts
@@ -19,7 +19,7 @@
 /**
  * Share of a request's objective for which its ask may stay unsent. After a
  * longer wait the request would miss its objective, and its placement would be
- * lost to a request that can still meet its own.
+ * taken from a request that can still meet its own.
  */
 const MAX_UNSENT_WAIT_SHARE = 0.5;
 
@@ -67,7 +67,7 @@
 }
 
 /**
- * Tells apart asks that this holder still keeps back.
+ * Checks whether an ask still waits at this holder.
  *
  * @param openAsk An ask.
  * @returns Whether the ask was not sent to any coordinator yet.
--- a/packages/gateway/src/placement_client.ts
+++ b/packages/gateway/src/placement_client.ts
@@ -377,8 +377,8 @@
   }
 
   /**
-   * Notifies a coordinator that it answers late. It stands aside if most
-   * members send it such notices.
+   * Notifies a coordinator that it answers late. It stands aside if half
+   * of the members send it such notices.
    */
   #sendLateNotice(coordinatorId: string, nowMs: number): void {
     if (nowMs - this.#lateNoticeSentAtMs >= LATE_NOTICE_INTERVAL_MS) {
--- a/packages/gateway/src/placement_service.ts
+++ b/packages/gateway/src/placement_service.ts
@@ -122,10 +122,10 @@
   }
 
   #deliver(decisions: readonly AskDecision[]): void {
-    const { selfId, send, onLocalDecision: onOwnDecision } = this.#parts;
+    const { selfId, send, onLocalDecision } = this.#parts;
     for (const decision of decisions) {
       if (decision.holderId === selfId) {
-        onOwnDecision(decision);
+        onLocalDecision(decision);
       } else {
         send(decision.holderId, { kind: MessageKind.Decision, decision });
       }
