--- a/packages/gateway/src/loop_watch.ts
+++ b/packages/gateway/src/loop_watch.ts
@@ -1,140 +1,147 @@
 /**
- * Watches how late the process is for its timers, and why: late timers are late
- * answers to callers and to other instances.
+ * Measurement of the event loop's delay and of the tasks that cause it. A
+ * delayed loop delays answers to callers and to other instances.
  */
 
 import { type EventLog, type LogFacts, LogPart } from "./event_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { Clock } from "./ports.ts";
 
-/** Time between two lines on a process that is late. */
-const TELL_MS = 1000;
+/** Minimum time between two log lines about a delayed event loop. */
+const LOG_INTERVAL_MS = 1000;
 
 /**
- * A timer that is later than this is told of: answers to other instances take a
- * few milliseconds where nothing holds them up.
+ * Minimum delay of a timer that is logged. Answers to other instances take a
+ * few milliseconds while nothing blocks the event loop.
  */
-const LATE_MS = 50;
+const MIN_LOGGED_DELAY_MS = 50;
 
-/** Time over which work and busy time are compared. */
-const SPAN_MS = 250;
+/** Duration of a sample, over which tasks and busy time are compared. */
+const SAMPLE_INTERVAL_MS = 250;
 
-/** Part of the time that a process is busy at least, to count as loaded. */
-const LOADED_PART = 0.7;
+/** Minimum busy share of a sample for the process to count as loaded. */
+const MIN_LOADED_BUSY_SHARE = 0.7;
 
 /**
- * Part of its usual work that a process gets done in its busy time, below which
- * it counts as slowed. Well below what the mix of requests and messages changes,
- * as a loaded coordinator is not to make way for one that knows less.
+ * Ratio of a sample's throughput per busy time to the baseline, below which the
+ * process counts as slow rather than loaded. It lies well below the variation
+ * from the mix of requests and messages, as a loaded coordinator should not be
+ * replaced by one with less knowledge of the fleet.
  */
-const SLOWED_PART = 0.35;
+const MIN_THROUGHPUT_SHARE = 0.35;
 
-/** Weight of a new span in what is usual, so that it takes seconds to change. */
-const USUAL_WEIGHT = 0.05;
+/** Weight of a new sample in the baseline, which so adapts over seconds. */
+const BASELINE_WEIGHT = 0.05;
 
-/** Pieces of work that a span has at least, to say anything of what is usual. */
-const FEWEST_PIECES = 10;
+/** Minimum number of tasks in a sample that updates the baseline. */
+const MIN_BASELINE_TASKS = 10;
 
-/** What the watch works with. */
-export interface LoopParts {
+/** Collaborators of a `LoopWatch`. */
+export interface LoopWatchParts {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
-  /** @returns Time for which the process has been busy since its start. */
+  /** @returns Busy time of the event loop since the process started, in ms. */
   busyMs(): number;
-  /** @returns What the process has to do now, for the log. */
-  load(): LogFacts;
+  /** @returns The present load of the process, as facts of a log line. */
+  loadFacts(): LogFacts;
 }
 
-/** Tells when the process does not keep up. */
+/** Measures the event loop's delay, and detects overload. */
 export class LoopWatch {
-  readonly #parts: LoopParts;
-  readonly #done = new Map<string, { count: number; tookMs: number }>();
-  #toldAtMs = 0;
-  #mostLateMs = 0;
-  #toldBusyMs = 0;
-  #spanBeganAtMs = 0;
-  #spanBusyMs = 0;
-  #pieces = 0;
-  /** Pieces of work in a millisecond of busy time. */
-  #usualPieces?: number;
+  readonly #parts: LoopWatchParts;
+  readonly #tasksByKind = new Map<string, { count: number; tookMs: number }>();
+  #loggedAtMs = 0;
+  #maxDelayMs = 0;
+  #loggedBusyMs = 0;
+  #sampleStartedAtMs = 0;
+  #sampleStartBusyMs = 0;
+  #sampleTasks = 0;
+  /** Moving average of the tasks per millisecond of busy time. */
+  #baselineTasksPerBusyMs?: number;
   #isLoaded = false;
 
-  /** @param parts What the watch works with. */
-  constructor(parts: LoopParts) {
+  /** @param parts Collaborators. */
+  constructor(parts: LoopWatchParts) {
     this.#parts = parts;
   }
 
   /**
-   * Whether the process has more to do than it can, while it gets done what it
-   * usually does.
+   * Whether the process is busy at its usual throughput; false if it is busy
+   * but gets less done than usual.
    */
   get isLoaded(): boolean {
     return this.#isLoaded;
   }
 
   /**
-   * Does a piece of work, and notes the time that it takes.
+   * Runs a task, and records its duration for the log.
    *
-   * @param kind Kind of the work: of a message from another instance, or another.
-   * @param work The work.
+   * @param kind Label of the task, such as the kind of a message from another
+   * instance.
+   * @param task The task.
    */
-  run(kind: string, work: () => void): void {
+  runTask(kind: string, task: () => void): void {
     const { clock } = this.#parts;
     const beganAtMs = clock.nowMs();
-    work();
-    const done = this.#done.get(kind) ?? { count: 0, tookMs: 0 };
-    this.#done.set(kind, done);
-    done.count++;
-    this.#pieces++;
-    done.tookMs += clock.nowMs() - beganAtMs;
+    task();
+    const total = this.#tasksByKind.get(kind) ?? { count: 0, tookMs: 0 };
+    this.#tasksByKind.set(kind, total);
+    total.count++;
+    this.#sampleTasks++;
+    total.tookMs += clock.nowMs() - beganAtMs;
   }
 
-  /** @param lateMs By how much a timer was late. */
-  timerFired(lateMs: number): void {
+  /**
+   * Records a timer's delay, and ends the sample or writes a log line when due.
+   *
+   * @param lateMs Time from when the timer was due until it fired.
+   */
+  recordTimer(lateMs: number): void {
     const { clock, metrics } = this.#parts;
-    metrics.timerLate(Math.max(0, lateMs));
-    this.#mostLateMs = Math.max(this.#mostLateMs, lateMs);
+    metrics.timerDelayed(Math.max(0, lateMs));
+    this.#maxDelayMs = Math.max(this.#maxDelayMs, lateMs);
     const nowMs = clock.nowMs();
-    if (nowMs - this.#spanBeganAtMs >= SPAN_MS) {
-      this.#endSpan(nowMs);
+    if (nowMs - this.#sampleStartedAtMs >= SAMPLE_INTERVAL_MS) {
+      this.#endSample(nowMs);
     }
-    if (nowMs - this.#toldAtMs >= TELL_MS) {
-      this.#toldAtMs = nowMs;
-      this.#tell();
+    if (nowMs - this.#loggedAtMs >= LOG_INTERVAL_MS) {
+      this.#loggedAtMs = nowMs;
+      this.#logIfLate();
     }
   }
 
-  #endSpan(nowMs: number): void {
-    const spanMs = nowMs - this.#spanBeganAtMs;
-    const busyMs = this.#parts.busyMs() - this.#spanBusyMs;
-    const pieces = this.#pieces / Math.max(1, busyMs);
-    const usual = this.#usualPieces ?? pieces;
-    this.#isLoaded = busyMs >= LOADED_PART * spanMs &&
-      pieces >= SLOWED_PART * usual;
-    if (this.#pieces >= FEWEST_PIECES) {
-      this.#usualPieces = usual + USUAL_WEIGHT * (pieces - usual);
+  #endSample(nowMs: number): void {
+    const sampleMs = nowMs - this.#sampleStartedAtMs;
+    const busyMs = this.#parts.busyMs() - this.#sampleStartBusyMs;
+    const tasksPerBusyMs = this.#sampleTasks / Math.max(1, busyMs);
+    const baseline = this.#baselineTasksPerBusyMs ?? tasksPerBusyMs;
+    this.#isLoaded = busyMs >= MIN_LOADED_BUSY_SHARE * sampleMs &&
+      tasksPerBusyMs >= MIN_THROUGHPUT_SHARE * baseline;
+    if (this.#sampleTasks >= MIN_BASELINE_TASKS) {
+      this.#baselineTasksPerBusyMs = baseline +
+        BASELINE_WEIGHT * (tasksPerBusyMs - baseline);
     }
-    this.#spanBeganAtMs = nowMs;
-    this.#spanBusyMs += busyMs;
-    this.#pieces = 0;
+    this.#sampleStartedAtMs = nowMs;
+    this.#sampleStartBusyMs += busyMs;
+    this.#sampleTasks = 0;
   }
 
-  #tell(): void {
-    const busyMs = this.#parts.busyMs() - this.#toldBusyMs;
-    this.#toldBusyMs += busyMs;
-    if (this.#mostLateMs >= LATE_MS) {
-      const work = [...this.#done].map(([kind, { count, tookMs }]) =>
+  #logIfLate(): void {
+    const busyMs = this.#parts.busyMs() - this.#loggedBusyMs;
+    this.#loggedBusyMs += busyMs;
+    if (this.#maxDelayMs >= MIN_LOGGED_DELAY_MS) {
+      const work = [...this.#tasksByKind].map(([kind, { count, tookMs }]) =>
         `${kind} ${count} in ${Math.round(tookMs)} ms`
       );
-      this.#parts.log.warn(LogPart.Process, "process is late", {
-        mostLateMs: Math.round(this.#mostLateMs),
+      this.#parts.log.warn(LogPart.Process, "event loop is delayed", {
+        mostLateMs: Math.round(this.#maxDelayMs),
         busyMs: Math.round(busyMs),
         work,
-        ...this.#parts.load(),
+        ...this.#parts.loadFacts(),
       });
     }
-    this.#done.clear();
-    this.#mostLateMs = 0;
+    this.#tasksByKind.clear();
+    this.#maxDelayMs = 0;
   }
 }
--- a/packages/gateway/src/loop_watch_test.ts
+++ b/packages/gateway/src/loop_watch_test.ts
@@ -7,8 +7,8 @@
 
 const TICK_MS = 20;
 
-/** A watch on a process whose work and busy time are made up. */
-function watched() {
+/** A watch on a process with simulated tasks and busy time. */
+function watchedProcess() {
   let nowMs = 0;
   let busyMs = 0;
   const lines: string[] = [];
@@ -25,48 +25,48 @@
     log,
     metrics: new GatewayMetrics(),
     busyMs: () => busyMs,
-    load: () => ({ open: 3 }),
+    loadFacts: () => ({ open: 3 }),
   });
   const run = (
     forMs: number,
-    of: { busyPart: number; pieces: number; lateMs?: number },
+    of: { busyShare: number; tasksPerTick: number; lateMs?: number },
   ) => {
     for (const untilMs = nowMs + forMs; nowMs < untilMs;) {
-      for (let piece = 0; piece < of.pieces; piece++) {
-        watch.run("ask", () => {});
+      for (let task = 0; task < of.tasksPerTick; task++) {
+        watch.runTask("ask", () => {});
       }
       nowMs += TICK_MS;
-      busyMs += of.busyPart * TICK_MS;
-      watch.timerFired(of.lateMs ?? 0);
+      busyMs += of.busyShare * TICK_MS;
+      watch.recordTimer(of.lateMs ?? 0);
     }
     log.flush();
   };
   return { watch, run, lines };
 }
 
-test("a busy process that gets done what it usually does is loaded", () => {
-  const { watch, run } = watched();
-  run(5000, { busyPart: 0.3, pieces: 6 });
+test("a busy process with its usual throughput is loaded", () => {
+  const { watch, run } = watchedProcess();
+  run(5000, { busyShare: 0.3, tasksPerTick: 6 });
   assert.not.ok(watch.isLoaded);
-  run(500, { busyPart: 1, pieces: 20 });
+  run(500, { busyShare: 1, tasksPerTick: 20 });
   assert.ok(watch.isLoaded);
 });
 
-test("a busy process that gets little done is slow, and not loaded", () => {
-  const { watch, run } = watched();
-  run(5000, { busyPart: 0.3, pieces: 6 });
-  run(500, { busyPart: 1, pieces: 3 });
+test("a busy process with little throughput is slow, and not loaded", () => {
+  const { watch, run } = watchedProcess();
+  run(5000, { busyShare: 0.3, tasksPerTick: 6 });
+  run(500, { busyShare: 1, tasksPerTick: 3 });
   assert.not.ok(watch.isLoaded);
 });
 
-test("a process that is late is told of, with what it did", () => {
-  const { run, lines } = watched();
-  run(2000, { busyPart: 0.5, pieces: 1, lateMs: 30 });
+test("a delayed event loop is logged with the tasks that it ran", () => {
+  const { run, lines } = watchedProcess();
+  run(2000, { busyShare: 0.5, tasksPerTick: 1, lateMs: 30 });
   assert.equal(lines, []);
-  run(1000, { busyPart: 0.5, pieces: 1, lateMs: 80 });
+  run(1000, { busyShare: 0.5, tasksPerTick: 1, lateMs: 80 });
   const { message, mostLateMs, busyMs, work, open } = JSON.parse(lines[0]!);
   assert.equal({ message, mostLateMs, busyMs, work, open }, {
-    message: "process is late",
+    message: "event loop is delayed",
     mostLateMs: 80,
     busyMs: 500,
     work: ["ask 50 in 0 ms"],
