--- a/packages/gateway/src/attempt_account.ts
+++ b/packages/gateway/src/attempt_recorder.ts
@@ -1,4 +1,4 @@
-/** What the instance learns from the attempts of one request as they end. */
+/** Records the ends of a request's attempts at targets. */
 
 import { AttemptEnd } from "@chestnuthatch/routing/next_step";
 import type { EndedTarget } from "@chestnuthatch/routing/suspect_requests";
@@ -7,84 +7,94 @@
 import { fingerprintIfNeeded, fingerprintOf } from "./request_fingerprint.ts";
 import type { RoutedCall } from "./routed_call.ts";
 import type { TargetAttempt } from "./target_attempt.ts";
-import { NO_CONNECTION } from "./target_exchange.ts";
+import { CONNECT_TIMEOUT_REASON } from "./target_exchange.ts";
 
-/** Ends after which nothing can be sent to the target for now. */
-const UNREACHABLE: ReadonlySet<AttemptEnd> = new Set([
+/** Ends that show that the target cannot be reached for now. */
+const UNREACHABLE_ENDS: ReadonlySet<AttemptEnd> = new Set([
   AttemptEnd.NotSent,
   AttemptEnd.TargetEnded,
 ]);
 
-/** Ends that tell of the target's answer, and not of the way there. */
-const ANSWER_FAILED: ReadonlySet<AttemptEnd> = new Set([
+/** Ends by a failed or missing answer of a target that was reached. */
+const FAILED_ANSWER_ENDS: ReadonlySet<AttemptEnd> = new Set([
   AttemptEnd.Failed,
   AttemptEnd.Lost,
 ]);
 
-/** Writes a line on the request. */
+/** Writes a log line about the request. */
 export type RequestLog = (message: string, facts: LogFacts) => void;
 
-/** Tells the coordinator, the health of targets, the metrics and the log. */
-export class AttemptAccount {
+/**
+ * Reports ends of attempts to the coordinator, and records them in the targets'
+ * health, the metrics and the log.
+ */
+export class AttemptRecorder {
   readonly #parts: GatewayParts;
   readonly #log: RequestLog;
 
   /**
    * @param parts The instance's parts.
-   * @param log Writes a line on the request.
+   * @param log Writes a log line about the request.
    */
   constructor(parts: GatewayParts, log: RequestLog) {
     this.#parts = parts;
     this.#log = log;
   }
 
-  /** @param attempt An attempt whose answer was passed on. */
-  served(attempt: TargetAttempt): void {
+  /** @param attempt An attempt whose answer was forwarded to the caller. */
+  recordServed(attempt: TargetAttempt): void {
     const { board, desk, metrics } = this.#parts;
-    const { call, target } = attempt.order;
+    const { call, target } = attempt.options;
     board.health.served(target.targetId);
     const end = attempt.workEnd(false);
-    const clearedFingerprint = this.#suspectOf(call);
+    const clearedFingerprint = this.#suspectFingerprintOf(call);
     desk.ended(
       clearedFingerprint === undefined ? end : { ...end, clearedFingerprint },
     );
     metrics.attemptEnded(call.pool, "served");
   }
 
-  #suspectOf(call: RoutedCall): string | undefined {
+  #suspectFingerprintOf(call: RoutedCall): string | undefined {
     const { suspects } = this.#parts.board;
     const fingerprint = fingerprintIfNeeded(call, suspects);
     return suspects.isSuspect(fingerprint) ? fingerprint : undefined;
   }
 
-  /** @param attempt An attempt that is not needed any more; no fault of its target. */
-  cancelled(attempt: TargetAttempt): void {
+  /**
+   * Cancels an attempt that is no longer needed, without a failure of its
+   * target.
+   *
+   * @param attempt The attempt.
+   */
+  cancel(attempt: TargetAttempt): void {
     attempt.cancel();
     this.#parts.desk.ended(attempt.workEnd(false));
   }
 
   /**
-   * @param attempt An attempt without an answer of its target that counts.
-   * @param end How it ended.
-   * @param reason Why, for the log.
+   * Closes and records an attempt without a usable answer.
+   *
+   * @param attempt The attempt.
+   * @param end Kind of its end.
+   * @param reason Cause of its end, for the log.
    */
-  failed(attempt: TargetAttempt, end: AttemptEnd, reason: string): void {
+  recordFailed(attempt: TargetAttempt, end: AttemptEnd, reason: string): void {
     const { board: { health }, clock, desk, metrics } = this.#parts;
-    const { call, target: { targetId } } = attempt.order;
+    const { call, target: { targetId } } = attempt.options;
     const nowMs = clock.nowMs();
     attempt.cancel();
-    health.failed(targetId, UNREACHABLE.has(end), nowMs);
-    if (reason === NO_CONNECTION) {
-      this.unanswered(attempt);
+    health.failed(targetId, UNREACHABLE_ENDS.has(end), nowMs);
+    if (reason === CONNECT_TIMEOUT_REASON) {
+      this.recordSilent(attempt);
     }
     const workEnd = {
       ...attempt.workEnd(true),
-      ...(ANSWER_FAILED.has(end) ? { answerFailed: true } : undefined),
+      ...(FAILED_ANSWER_ENDS.has(end) ? { answerFailed: true } : undefined),
     };
     if (end === AttemptEnd.TargetEnded) {
       const endedTarget = endedTargetOf(attempt);
       desk.ended({ ...workEnd, endedTarget });
-      this.#logEnded(endedTarget);
+      this.#logTargetEnded(endedTarget);
     } else {
       desk.ended(workEnd);
     }
@@ -93,16 +103,16 @@
       targetId,
       end,
       reason,
-      events: attempt.events,
+      events: attempt.eventCount,
       tookMs: Math.round(nowMs - attempt.sentAtMs),
       failuresInRow: health.failuresInRow(targetId),
     });
   }
 
-  /** What is known of the request by now decides whether it may run again. */
-  #logEnded({ fingerprint, process, inTrial }: EndedTarget): void {
+  /** Logs the state of the suspect, which decides whether it may run again. */
+  #logTargetEnded({ fingerprint, process, inTrial }: EndedTarget): void {
     const { board: { suspects }, clock } = this.#parts;
-    this.#log("target ended under request", {
+    this.#log("target process ended during request", {
       fingerprint,
       process,
       inTrial,
@@ -112,20 +122,21 @@
   }
 
   /**
-   * Notes that a target gave no sign of life: so may its whole failure domain.
+   * Records that a target sent nothing, since its whole failure domain may be
+   * unreachable.
    *
-   * @param attempt An attempt there.
+   * @param attempt An attempt at the target.
    */
-  unanswered(attempt: TargetAttempt): void {
+  recordSilent(attempt: TargetAttempt): void {
     const { board, clock } = this.#parts;
-    const { failureDomain } = attempt.order.target;
+    const { failureDomain } = attempt.options.target;
     if (board.cutDomains.unanswered(failureDomain, clock.nowMs())) {
-      this.#log("failure domain is cut off", { failureDomain });
+      this.#log("failure domain unreachable", { failureDomain });
     }
   }
 }
 
-function endedTargetOf({ order }: TargetAttempt): EndedTarget {
+function endedTargetOf({ options: order }: TargetAttempt): EndedTarget {
   const { call, target, isTrial } = order;
   return {
     fingerprint: fingerprintOf(call),
--- a/packages/gateway/src/caller_connection.ts
+++ b/packages/gateway/src/caller_connection.ts
@@ -1,61 +1,61 @@
-/** One open connection of a caller: how it ends, and what is owed on it. */
+/** One open connection of a caller: its unfinished answers and its end. */
 
 import type { Socket } from "node:net";
-import type { OwedAnswer } from "./owed_answer.ts";
+import type { UnfinishedAnswer } from "./unfinished_answer.ts";
 import type { Clock } from "./ports.ts";
 
-/** What ended a connection. The first cause seen counts. */
+/** Cause of a connection's end; the first one observed is recorded. */
 export enum ConnectionEnd {
-  /** No request came within the time that a connection may idle. */
+  /** No request arrived within the idle timeout. */
   IdleTime = "idle_time",
-  /** A request's headers were not whole within their time limit. */
+  /** A request's headers were not complete within their timeout. */
   HeadersTime = "headers_time",
-  /** The instance closed its idle connections while it stopped. */
+  /** The instance closed its idle connections during its shutdown. */
   ClosedIdle = "closed_idle",
-  /** The instance closed all connections: the process ends. */
+  /** The instance closed all connections because the process exits. */
   ProcessEnd = "process_end",
-  /** The instance closed it after an answer that said so. */
+  /** The instance closed it after an answer with `Connection: close`. */
   AfterAnswer = "after_answer",
-  /** The instance broke an answer off that it had begun. */
+  /** The instance aborted an answer that had begun. */
   BrokenOff = "broken_off",
   /** The caller closed it. */
   CallerLeft = "caller_left",
   /** The caller or the network reset it, or a write to it failed. */
   Reset = "reset",
-  /** What came was no request in the protocol. */
+  /** The bytes received were not a valid HTTP request. */
   Unreadable = "unreadable",
-  /** None of the above was seen. */
+  /** No cause was observed. */
   Unknown = "unknown",
 }
 
-const HEADERS_TIME_CODE = "ERR_HTTP_REQUEST_TIMEOUT";
+const HEADERS_TIMEOUT_CODE = "ERR_HTTP_REQUEST_TIMEOUT";
 
-/** Answers to what cannot be read, by the code of the runtime's error. */
+/** Status lines for unreadable requests, by the code of the Node.js error. */
 const UNREADABLE_ANSWERS: Readonly<Record<string, string>> = {
-  [HEADERS_TIME_CODE]: "408 Request Timeout",
+  [HEADERS_TIMEOUT_CODE]: "408 Request Timeout",
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
 };
 const BAD_REQUEST = "400 Bad Request";
 
-/** Prefix of the codes of errors of the runtime's HTTP parser. */
+/** Prefix of the error codes of the HTTP parser in Node.js. */
 const PARSER_CODE_PREFIX = "HPE_";
 
-/** Observes one connection, and closes it only where nothing is owed on it. */
+/** Tracks one connection's unfinished answers and the cause of its end. */
 export class CallerConnection {
   readonly #socket: Socket;
-  readonly #owed = new Set<OwedAnswer>();
+  readonly #unfinishedAnswers = new Set<UnfinishedAnswer>();
   #end?: ConnectionEnd;
   #reason?: string;
   #waitingBytes = 0;
   #requestsRead = 0;
-  /** Bytes that had been read when its last answer was written out. */
-  #idleAtBytes?: number;
+  /** Bytes received by the time the last answer was written out. */
+  #bytesReadWhenIdle?: number;
   readonly #clock: Clock;
   #slowestAnswerMs = 0;
 
   /**
    * @param socket The connection.
-   * @param parts The local time, and what is called once it has closed.
+   * @param parts The clock, and a callback for when the connection has closed.
    */
   constructor(
     socket: Socket,
@@ -63,185 +63,194 @@
   ) {
     this.#socket = socket;
     this.#clock = clock;
-    // Ahead of the server's own listeners, which close the connection.
-    socket.prependListener("end", () => this.endsBy(ConnectionEnd.CallerLeft));
+    // Prepended to the server's own listeners, which close the connection.
+    socket.prependListener(
+      "end",
+      () => this.recordEnd(ConnectionEnd.CallerLeft),
+    );
     socket.prependListener(
       "timeout",
-      () => this.endsBy(ConnectionEnd.IdleTime),
+      () => this.recordEnd(ConnectionEnd.IdleTime),
     );
-    socket.prependListener("error", (error) => this.#failed(error));
+    socket.prependListener("error", (error) => this.#onError(error));
     socket.on("close", onClosed);
   }
 
-  /** What ended it, as far as was seen. */
+  /** Cause of the connection's end, `Unknown` if none was observed. */
   get end(): ConnectionEnd {
     return this.#end ?? ConnectionEnd.Unknown;
   }
 
-  /** Code or text of the error that it ended with, if any. */
+  /** Code or message of the error that ended the connection, if any. */
   get reason(): string | undefined {
     return this.#reason;
   }
 
   /**
-   * Longest time from a request to the last byte of its answer, of answers that
-   * had to wait for the caller to read; 0 if none had to.
+   * Longest time from a request to the last byte of its answer, in
+   * milliseconds, among answers that were buffered until the caller read; 0 if
+   * none was.
    */
   get slowestAnswerMs(): number {
     return this.#slowestAnswerMs;
   }
 
-  /** Requests that were read on it. */
+  /** Number of requests read on the connection. */
   get requestsRead(): number {
     return this.#requestsRead;
   }
 
-  /** Whether it was seen to end. */
+  /** Whether a cause of the connection's end was observed. */
   get hasEnded(): boolean {
     return this.#end !== undefined;
   }
 
-  /** Whether the instance has let go of it. */
+  /** Whether the instance has destroyed the socket. */
   get isDestroyed(): boolean {
     return this.#socket.destroyed;
   }
 
   /** Answers that are not written out, oldest first. */
-  get owed(): readonly OwedAnswer[] {
-    return [...this.#owed];
+  get unfinishedAnswers(): readonly UnfinishedAnswer[] {
+    return [...this.#unfinishedAnswers];
   }
 
   /**
-   * Bytes that were not known to be written out when last looked at. A write
-   * counts whole until its last byte is written.
+   * Buffered bytes of answers at the last update. A write counts in full until
+   * its last byte is written.
    */
   get waitingBytes(): number {
     return this.#waitingBytes;
   }
 
   /**
-   * Whether its last answer is written out and no part of another request has
-   * come. The runtime takes a connection for idle as soon as an answer is handed
-   * to it, though bytes of it may still wait for the caller.
+   * Whether the last answer is written out and no part of another request has
+   * arrived. Node.js regards a connection as idle as soon as the answer ends,
+   * although bytes of it may still be buffered for the caller.
    */
   get isIdle(): boolean {
-    return this.#owed.size === 0 &&
-      this.#socket.bytesRead === this.#idleAtBytes;
+    return this.#unfinishedAnswers.size === 0 &&
+      this.#socket.bytesRead === this.#bytesReadWhenIdle;
   }
 
-  /** Whether it closes after an answer, so that no more can be answered. */
+  /** Whether the connection ends, or closes after an unfinished answer. */
   get isClosing(): boolean {
     return this.#end !== undefined ||
-      this.owed.some(({ facts }) => facts.closesAfter);
+      this.unfinishedAnswers.some(({ facts }) => facts.closesConnection);
   }
 
   /**
-   * Takes in that what came is no request, or came too slowly. What is owed on
-   * the connection is still given: the runtime would write its own answer in
-   * place of the one that is owed, and with 408 promise that what a target runs
-   * has not run.
+   * Handles an invalid request, or one whose headers arrived too slowly. The
+   * answers to earlier requests are still sent: Node.js would write its own in
+   * their place, and its 408 would promise that a request did not run which a
+   * target is running.
    *
-   * @param error The runtime's error.
+   * @param error The error reported by Node.js.
    */
-  unreadable(error: NodeJS.ErrnoException): void {
-    this.#failed(error);
-    const owed = this.owed.filter(({ response }) => response.req.complete);
-    const last = owed.at(-1)?.response;
+  handleUnreadable(error: NodeJS.ErrnoException): void {
+    this.#onError(error);
+    const unfinished = this.unfinishedAnswers.filter(({ response }) =>
+      response.req.complete
+    );
+    const last = unfinished.at(-1)?.response;
     if (last === undefined) {
-      this.#socket.end(answerTo(error.code), () => this.#socket.destroy());
+      this.#socket.end(
+        unreadableAnswerOf(error.code),
+        () => this.#socket.destroy(),
+      );
       return;
     }
     this.#socket.pause();
     last.on("finish", () => this.#socket.destroySoon());
   }
 
-  /** Closes it. */
+  /** Closes the connection at once. */
   close(): void {
     this.#socket.destroy();
   }
 
-  /** @param idleTimeMs Time from now that it may idle. */
-  mayIdle(idleTimeMs: number): void {
+  /** @param idleTimeMs Idle timeout from now, in milliseconds. */
+  setIdleTimeout(idleTimeMs: number): void {
     this.#socket.setTimeout(idleTimeMs);
   }
 
-  /** @param answer An answer that the connection owes from now on. */
-  owe(answer: OwedAnswer): void {
+  /** @param answer An answer to track until it is written out. */
+  trackAnswer(answer: UnfinishedAnswer): void {
     this.#requestsRead++;
-    this.#owed.add(answer);
-    answer.response.on("prefinish", () => this.#handedOver(answer));
-    answer.response.on("finish", () => this.#finished(answer));
+    this.#unfinishedAnswers.add(answer);
+    answer.response.on("prefinish", () => this.#onPrefinish(answer));
+    answer.response.on("finish", () => this.#onFinish(answer));
   }
 
-  /** @param end What is about to end the connection, or has. */
-  endsBy(end: ConnectionEnd): void {
-    this.look();
+  /** @param end Cause of the connection's end, unless one is recorded. */
+  recordEnd(end: ConnectionEnd): void {
+    this.updateWaitingBytes();
     this.#end ??= end;
   }
 
-  /** Notes how much waits, while the runtime still tells. */
-  look(): void {
+  /** Updates the count of buffered bytes, while the socket still reports it. */
+  updateWaitingBytes(): void {
     const { destroyed, writableLength } = this.#socket;
-    const bytes = writableLength + this.#queuedBytes();
+    const bytes = writableLength + this.#pipelinedBytes();
     this.#waitingBytes = destroyed
       ? Math.max(this.#waitingBytes, bytes)
       : bytes;
   }
 
-  /** Bytes of answers that wait for those of earlier requests to go out. */
-  #queuedBytes(): number {
+  /** Buffered bytes of pipelined answers that wait for earlier ones. */
+  #pipelinedBytes(): number {
     let bytes = 0;
-    for (const { response } of this.#owed) {
+    for (const { response } of this.#unfinishedAnswers) {
       bytes += response.socket === null ? response.writableLength : 0;
     }
     return bytes;
   }
 
-  /** Where no byte had to wait, the answer is written out already. */
-  #handedOver(answer: OwedAnswer): void {
-    this.look();
+  /** Records an answer as written out if none of its bytes was buffered. */
+  #onPrefinish(answer: UnfinishedAnswer): void {
+    this.updateWaitingBytes();
     if (!this.#socket.destroyed && this.#socket.writableLength === 0) {
-      this.#written(answer);
+      this.#onWrittenOut(answer);
     }
   }
 
-  /** The runtime tells `finish` also where it gave the bytes up. */
-  #finished(answer: OwedAnswer): void {
+  /** Node.js emits `finish` also if it discarded the bytes after an error. */
+  #onFinish(answer: UnfinishedAnswer): void {
     if (!this.#socket.destroyed && this.#socket.errored === null) {
-      this.look();
-      this.#noteSlow(answer);
-      this.#written(answer);
+      this.updateWaitingBytes();
+      this.#recordSlowAnswer(answer);
+      this.#onWrittenOut(answer);
     }
   }
 
-  #noteSlow(answer: OwedAnswer): void {
-    if (this.#owed.has(answer)) {
+  #recordSlowAnswer(answer: UnfinishedAnswer): void {
+    if (this.#unfinishedAnswers.has(answer)) {
       const tookMs = this.#clock.nowMs() - answer.facts.arrivedAtMs;
       this.#slowestAnswerMs = Math.max(this.#slowestAnswerMs, tookMs);
     }
   }
 
-  #written(answer: OwedAnswer): void {
-    this.#owed.delete(answer);
-    this.#idleAtBytes = this.#socket.bytesRead;
-    if (answer.facts.closesAfter) {
-      this.endsBy(ConnectionEnd.AfterAnswer);
+  #onWrittenOut(answer: UnfinishedAnswer): void {
+    this.#unfinishedAnswers.delete(answer);
+    this.#bytesReadWhenIdle = this.#socket.bytesRead;
+    if (answer.facts.closesConnection) {
+      this.recordEnd(ConnectionEnd.AfterAnswer);
     }
   }
 
-  #failed(error: NodeJS.ErrnoException): void {
+  #onError(error: NodeJS.ErrnoException): void {
     this.#reason = error.code ?? error.message;
-    this.endsBy(endOfCode(error.code ?? ""));
+    this.recordEnd(connectionEndOf(error.code ?? ""));
   }
 }
 
-function answerTo(code = ""): string {
+function unreadableAnswerOf(code = ""): string {
   const status = UNREADABLE_ANSWERS[code] ?? BAD_REQUEST;
   return `HTTP/1.1 ${status}\r\nConnection: close\r\n\r\n`;
 }
 
-function endOfCode(code: string): ConnectionEnd {
-  if (code === HEADERS_TIME_CODE) {
+function connectionEndOf(code: string): ConnectionEnd {
+  if (code === HEADERS_TIMEOUT_CODE) {
     return ConnectionEnd.HeadersTime;
   }
   return code.startsWith(PARSER_CODE_PREFIX)
--- a/packages/gateway/src/caller_connections.ts
+++ b/packages/gateway/src/caller_connections.ts
@@ -1,64 +1,70 @@
-/** All open connections of callers, and an account of those that ended. */
+/** Registry of callers' connections; records how each one ended. */
 
 import type { Socket } from "node:net";
 import { CallerConnection, ConnectionEnd } from "./caller_connection.ts";
-import type { ClosingStage } from "./closing_stage.ts";
+import type { ShutdownStage } from "./shutdown_stage.ts";
 import { type EventLog, LogPart } from "./event_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
-import type { OwedAnswer } from "./owed_answer.ts";
+import type { UnfinishedAnswer } from "./unfinished_answer.ts";
 import type { Clock } from "./ports.ts";
 
-/** Where the account goes, and what it tells beside the connection. */
-export interface AccountParts {
+/** Parts of the instance that the registry uses. */
+export interface CallerConnectionsParts {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
-  /** @returns How far the shutdown has come. */
-  stage(): ClosingStage;
+  /** @returns The current stage of the instance's shutdown. */
+  stage(): ShutdownStage;
 }
 
-/** What is open at a moment. */
+/** Counts of open connections and unfinished answers at one time. */
 export interface OpenConnections {
   readonly openConnections: number;
-  /** Requests read whose answers are not written out. */
+  /** Requests that were read and whose answers are not written out. */
   readonly owedAnswers: number;
+  /** Buffered bytes of these answers. */
   readonly waitingBytes: number;
 }
 
-/** Tells how each connection ended, and which requests that left unanswered. */
+/**
+ * Tracks open connections. When one ends, counts its cause and logs the
+ * requests that it leaves unanswered.
+ */
 export class CallerConnections {
-  readonly #parts: AccountParts;
+  readonly #parts: CallerConnectionsParts;
   readonly #open = new Map<Socket, CallerConnection>();
 
-  /** @param parts Where the account goes. */
-  constructor(parts: AccountParts) {
+  /** @param parts Parts of the instance that the registry uses. */
+  constructor(parts: CallerConnectionsParts) {
     this.#parts = parts;
   }
 
-  /** What is open now. */
+  /** Current counts of open connections and unfinished answers. */
   get summary(): OpenConnections {
     const open = [...this.#open.values()];
-    open.forEach((connection) => connection.look());
+    open.forEach((connection) => connection.updateWaitingBytes());
     return {
       openConnections: open.length,
-      owedAnswers: sum(open.map(({ owed }) => owed.length)),
+      owedAnswers: sum(
+        open.map(({ unfinishedAnswers }) => unfinishedAnswers.length),
+      ),
       waitingBytes: sum(open.map(({ waitingBytes }) => waitingBytes)),
     };
   }
 
-  /** @param socket A connection that a caller has made. */
+  /** @param socket A new connection of a caller. */
   add(socket: Socket): void {
     const connection = new CallerConnection(socket, {
       clock: this.#parts.clock,
-      onClosed: () => this.#ended(socket),
+      onClosed: () => this.#onEnded(socket),
     });
     this.#open.set(socket, connection);
   }
 
   /**
    * @param socket A caller's connection.
-   * @returns Whether it closes after an answer, or is closed: a request read on
-   * it cannot be answered any more.
+   * @returns Whether it is closed or closes after an answer, so that a request
+   * read on it now cannot be answered.
    */
   isClosing(socket: Socket): boolean {
     return this.#open.get(socket)?.isClosing ?? true;
@@ -66,114 +72,125 @@
 
   /**
    * @param socket A caller's connection.
-   * @returns Longest time that an answer to its caller took, of those that had
-   * to wait for the caller to read; 0 if none had to.
+   * @returns Longest time from a request to the last byte of its answer, in
+   * milliseconds, among answers that were buffered until the caller read; 0 if
+   * none was.
    */
   slowestAnswerMs(socket: Socket): number {
     return this.#open.get(socket)?.slowestAnswerMs ?? 0;
   }
 
   /**
-   * @param answer An answer that is owed.
-   * @returns Whether its request is the first on its connection.
+   * @param answer An unfinished answer.
+   * @returns Whether its request is the only one read on its connection so far.
    */
-  isFirst(answer: OwedAnswer): boolean {
+  isFirstRequest(answer: UnfinishedAnswer): boolean {
     return this.#open.get(answer.response.req.socket)?.requestsRead === 1;
   }
 
   /**
-   * @param answer An answer that is owed.
-   * @returns Whether its connection has ended, or is seen to end.
+   * @param answer An unfinished answer.
+   * @returns Whether its connection has closed or is known to be ending.
    */
-  hasEnded(answer: OwedAnswer): boolean {
+  hasEnded(answer: UnfinishedAnswer): boolean {
     return this.#open.get(answer.response.req.socket)?.hasEnded ?? true;
   }
 
   /**
-   * @param socket A connection on which no request can be read any more.
-   * @param error The runtime's error.
+   * Handles an invalid request, or one whose headers arrived too slowly.
+   *
+   * @param socket The connection, on which no further request can be read.
+   * @param error The error reported by Node.js.
    */
-  unreadable(socket: Socket, error: Error): void {
-    this.#open.get(socket)?.unreadable(error);
+  handleUnreadable(socket: Socket, error: Error): void {
+    this.#open.get(socket)?.handleUnreadable(error);
   }
 
-  /** @param answer The answer to a request just read. */
-  owe(answer: OwedAnswer): void {
-    this.#open.get(answer.response.req.socket)?.owe(answer);
+  /** @param answer The answer to a request that was just read. */
+  trackAnswer(answer: UnfinishedAnswer): void {
+    this.#open.get(answer.response.req.socket)?.trackAnswer(answer);
   }
 
   /**
-   * @param answer An answer that the instance is about to break off.
-   * @param end Why.
+   * Records the cause of the end of an answer's connection.
+   *
+   * @param answer An answer that the instance is about to abort.
+   * @param end The cause.
    */
-  endsBy(answer: OwedAnswer, end: ConnectionEnd): void {
-    this.#open.get(answer.response.req.socket)?.endsBy(end);
+  recordEnd(answer: UnfinishedAnswer, end: ConnectionEnd): void {
+    this.#open.get(answer.response.req.socket)?.recordEnd(end);
   }
 
-  /** Closes those on which nothing is owed and no request has begun. */
+  /** Closes connections without an unfinished answer or a partial request. */
   closeIdle(): void {
-    for (const connection of this.#idle()) {
-      connection.endsBy(ConnectionEnd.ClosedIdle);
+    for (const connection of this.#idleConnections()) {
+      connection.recordEnd(ConnectionEnd.ClosedIdle);
       connection.close();
     }
   }
 
   /**
-   * Lets connections that idle now do so for longer. Callers go by the newest
-   * limit: one that reuses a connection within it must not find it closed.
+   * Extends the timeout of connections that are idle now. Callers assume the
+   * newest configured limit, so that a connection must stay open that long.
    *
-   * @param idleTimeMs The time, from now.
+   * @param idleTimeMs Idle timeout from now, in milliseconds.
    */
-  mayIdle(idleTimeMs: number): void {
-    this.#idle().forEach((connection) => connection.mayIdle(idleTimeMs));
+  setIdleTimeout(idleTimeMs: number): void {
+    this.#idleConnections().forEach((connection) =>
+      connection.setIdleTimeout(idleTimeMs)
+    );
   }
 
   /**
-   * Closes connections, and notes which ended by that.
+   * Runs a function that closes connections, and records the cause of those
+   * that it closed.
    *
-   * @param end What these ended by.
-   * @param close Closes any of them.
+   * @param end The cause.
+   * @param close Closes any of the connections.
    */
-  closing(end: ConnectionEnd, close: () => void): void {
+  closeAndRecord(end: ConnectionEnd, close: () => void): void {
     const open = [...this.#open.values()]
       .filter(({ isDestroyed }) => !isDestroyed);
-    open.forEach((connection) => connection.look());
+    open.forEach((connection) => connection.updateWaitingBytes());
     close();
     open.filter(({ isDestroyed }) => isDestroyed)
-      .forEach((connection) => connection.endsBy(end));
+      .forEach((connection) => connection.recordEnd(end));
   }
 
   /**
-   * Accounts for all that is still open: the process ends before it could be
-   * told that they closed.
+   * Records the end of all open connections at once, since the process exits
+   * before their `close` events.
    *
-   * @param end What they end by, where nothing else ended them before.
+   * @param end The cause, for connections without a recorded one.
    */
-  endAll(end: ConnectionEnd): void {
+  recordEndOfAll(end: ConnectionEnd): void {
     for (const [socket, connection] of this.#open) {
-      connection.endsBy(end);
-      this.#ended(socket);
+      connection.recordEnd(end);
+      this.#onEnded(socket);
     }
   }
 
-  #idle(): CallerConnection[] {
+  #idleConnections(): CallerConnection[] {
     return [...this.#open.values()].filter(({ isIdle }) => isIdle);
   }
 
-  #ended(socket: Socket): void {
+  #onEnded(socket: Socket): void {
     const connection = this.#open.get(socket);
     if (connection === undefined) {
       return;
     }
     this.#open.delete(socket);
     this.#parts.metrics.connectionEnded(connection.end);
-    for (const answer of connection.owed) {
-      this.#unanswered(connection, answer);
-      answer.onUnanswered();
+    for (const answer of connection.unfinishedAnswers) {
+      this.#recordUnanswered(connection, answer);
+      answer.onConnectionEnded();
     }
   }
 
-  #unanswered(connection: CallerConnection, answer: OwedAnswer): void {
+  #recordUnanswered(
+    connection: CallerConnection,
+    answer: UnfinishedAnswer,
+  ): void {
     const { clock, log, metrics } = this.#parts;
     const { end, reason, waitingBytes } = connection;
     const { requestId, arrivedAtMs } = answer.facts;
--- a/packages/gateway/src/caller_connections_test.ts
+++ b/packages/gateway/src/caller_connections_test.ts
@@ -12,10 +12,10 @@
 import * as assert from "uvu/assert";
 import { ConnectionEnd } from "./caller_connection.ts";
 import { CallerConnections } from "./caller_connections.ts";
-import { ClosingStage } from "./closing_stage.ts";
+import { ShutdownStage } from "./shutdown_stage.ts";
 import { EventLog } from "./event_log.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
-import { OwedAnswer } from "./owed_answer.ts";
+import { UnfinishedAnswer } from "./unfinished_answer.ts";
 
 const HOST = "127.0.0.1";
 /** More than a connection takes in that is not read. */
@@ -54,11 +54,11 @@
     clock: CLOCK,
     log: this.#log,
     metrics: this.#metrics,
-    stage: () => ClosingStage.Refusing,
+    stage: () => ShutdownStage.Refusing,
   });
   readonly server: Server;
   /** The latest answer owed. */
-  latest?: OwedAnswer;
+  latest?: UnfinishedAnswer;
 
   constructor({ idleTimeMs = NEVER_MS, headersTimeMs = NEVER_MS }: Limits) {
     this.server = createServer({
@@ -126,12 +126,12 @@
   }
 
   #read(request: IncomingMessage, response: ServerResponse): void {
-    const owed = new OwedAnswer(response, {
+    const owed = new UnfinishedAnswer(response, {
       requestId: request.url!,
       arrivedAtMs: 0,
-      closesAfter: !response.shouldKeepAlive,
+      closesConnection: !response.shouldKeepAlive,
     });
-    this.connections.owe(owed);
+    this.connections.trackAnswer(owed);
     ANSWERS[request.url!]!(response);
     request.on("error", () => {});
     request.resume();
@@ -193,7 +193,7 @@
 
 testOn("an answer that is cut while it waits is told", async (harness) => {
   await harness.request("/large");
-  harness.connections.closing(
+  harness.connections.closeAndRecord(
     ConnectionEnd.ClosedIdle,
     () => harness.server.closeAllConnections(),
   );
@@ -214,7 +214,7 @@
 
 testOn("closing tells only of connections that it ends", async (harness) => {
   const caller = await harness.request("/never");
-  harness.connections.closing(
+  harness.connections.closeAndRecord(
     ConnectionEnd.ClosedIdle,
     () => harness.server.closeIdleConnections(),
   );
@@ -259,7 +259,7 @@
   caller.resume();
   await until(() => harness.connections.summary.owedAnswers === 0);
   const [accepted] = harness.accepted;
-  harness.connections.mayIdle(2 * NEVER_MS);
+  harness.connections.setIdleTimeout(2 * NEVER_MS);
   assert.is(accepted!.timeout, 2 * NEVER_MS);
 });
 
@@ -273,7 +273,7 @@
 
 testOn("an answer written in the tick of the close counts", async (harness) => {
   const caller = await harness.request("/never");
-  harness.connections.closing(ConnectionEnd.ProcessEnd, () => {
+  harness.connections.closeAndRecord(ConnectionEnd.ProcessEnd, () => {
     harness.latest!.response.end(SMALL);
     harness.server.closeAllConnections();
   });
@@ -335,7 +335,7 @@
 
 testOn("an answer broken off by the instance is told", async (harness) => {
   await harness.request("/begun");
-  harness.connections.endsBy(harness.latest!, ConnectionEnd.BrokenOff);
+  harness.connections.recordEnd(harness.latest!, ConnectionEnd.BrokenOff);
   harness.latest!.response.destroy();
   assert.equal(await harness.linesOf(1), [{
     ...LINE,
@@ -369,7 +369,7 @@
   const { waitingBytes, ...open } = harness.connections.summary;
   assert.equal(open, { openConnections: 2, owedAnswers: 2 });
   assert.ok(waitingBytes >= LARGE_BYTES, String(waitingBytes));
-  harness.connections.endAll(ConnectionEnd.ProcessEnd);
+  harness.connections.recordEndOfAll(ConnectionEnd.ProcessEnd);
   harness.callers.forEach((caller) => caller.destroy());
   await Promise.all(harness.callers.map((caller) => once(caller, "close")));
   assert.equal(
--- a/packages/gateway/src/caller_reply.ts
+++ b/packages/gateway/src/caller_reply.ts
@@ -1,4 +1,4 @@
-/** What goes back to one caller. */
+/** Writes the answer to one request of a caller. */
 
 import { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -10,44 +10,44 @@
 
 const MS_PER_S = 1000;
 
-/** Status codes of answers that never have a body. */
-const HAS_NO_BODY: ReadonlySet<number> = new Set([204, 304]);
-const RETRY_AFTER_DIGITS = 3;
+/** Status codes of answers without a body. */
+const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
+const RETRY_AFTER_DECIMALS = 3;
 
 /**
- * Time that the rest of a refused request may take: twice that of 4 MB over a
- * link of 70 Mbit/s. A caller that stalls must not hold its connection, nor the
- * end of the process.
+ * Timeout for reading the rest of a refused request: twice the time of 4 MB
+ * over a link of 70 Mbit/s. A caller that stalls must not keep its connection
+ * open or delay the exit of the process.
  */
-const READ_REST_MS = 1000;
+const READ_REST_TIMEOUT_MS = 1000;
 
-/** What the runtime sends in no status line. */
-const NO_PHRASE = /[^\t\x20-\x7e\x80-\xff]/;
+/** Characters that Node.js does not accept in a reason phrase. */
+const INVALID_PHRASE_CHARACTER = /[^\t\x20-\x7e\x80-\xff]/;
 
-/** An error's facts for the caller. */
+/** Facts of an error, sent to the caller in the JSON body under these names. */
 export interface ErrorFacts {
   readonly requestId: string;
-  /** When to come back; absent where coming back is of no use. */
+  /** Time after which to retry, in ms; absent where a retry is of no use. */
   readonly retryAfterMs?: number;
 }
 
-/** How one answer goes back. */
+/** Handling of the connection of one answer. */
 export interface ReplyOptions {
-  /** Whether the connection is to close after the answer. */
-  readonly closes: boolean;
-  /** Called when a begun answer is about to be broken off. */
-  beforeCut(): void;
+  /** Whether the answer is sent with `Connection: close`. */
+  readonly closesConnection: boolean;
+  /** Called right before a begun answer is aborted. */
+  beforeAbort(): void;
 }
 
-/** Writes one answer. */
+/** Sends one answer: whole, as a stream of events, or as an error. */
 export class CallerReply {
   readonly #response: ServerResponse;
   readonly #options: ReplyOptions;
-  #begun = false;
+  #hasBegun = false;
 
   /**
-   * @param response Where to write.
-   * @param options How the answer goes back.
+   * @param response Response stream of the request.
+   * @param options Handling of the connection.
    */
   constructor(response: ServerResponse, options: ReplyOptions) {
     this.#response = response;
@@ -55,73 +55,80 @@
     response.sendDate = false;
   }
 
-  /** Whether the caller has got a part of an answer. */
-  get begun(): boolean {
-    return this.#begun;
+  /** Whether a part of an answer was sent to the caller. */
+  get hasBegun(): boolean {
+    return this.#hasBegun;
   }
 
   /**
-   * Passes on a whole answer of a target.
+   * Sends a whole answer of a target.
    *
-   * @param answer Its status and headers.
-   * @param body Its whole body.
+   * @param answer Status and headers from the target.
+   * @param body The whole body from the target.
    */
-  whole(answer: IncomingMessage, body: Buffer): void {
+  sendWhole(answer: IncomingMessage, body: Buffer): void {
     const status = answer.statusCode!;
     const headers = this.#headers(answer.rawHeaders);
     if (this.#response.req.method === "HEAD") {
       const length = answer.headers["content-length"];
       headers.push(...(length === undefined ? [] : ["Content-Length", length]));
-    } else if (!HAS_NO_BODY.has(status)) {
+    } else if (!BODILESS_STATUSES.has(status)) {
       headers.push("Content-Length", String(body.length));
     }
-    this.#response.writeHead(status, phraseOf(answer), headers);
-    this.#begun = true;
+    this.#response.writeHead(status, reasonPhraseOf(answer), headers);
+    this.#hasBegun = true;
     this.#response.end(body);
   }
 
-  /** @param answer Status and headers of a stream that begins. */
-  begin(answer: IncomingMessage): void {
+  /** @param answer Status and headers of the target's stream, sent at once. */
+  beginStream(answer: IncomingMessage): void {
     const headers = this.#headers(answer.rawHeaders);
     headers.push("Transfer-Encoding", "chunked");
-    this.#response.writeHead(answer.statusCode!, phraseOf(answer), headers);
-    this.#begun = true;
+    this.#response.writeHead(
+      answer.statusCode!,
+      reasonPhraseOf(answer),
+      headers,
+    );
+    this.#hasBegun = true;
   }
 
   /**
-   * @param bytes Whole events of a stream.
-   * @returns False where the caller reads too slowly; `drain` follows.
+   * Sends events of a stream that has begun.
+   *
+   * @param bytes Complete events.
+   * @returns False if they were buffered because the caller reads slowly; the
+   * response emits `drain` once the buffer is empty.
    */
-  write(bytes: Buffer): boolean {
+  writeEvents(bytes: Buffer): boolean {
     return this.#response.write(bytes);
   }
 
-  /** Ends a stream as whole. */
-  end(): void {
+  /** Ends a complete stream. */
+  endStream(): void {
     this.#response.end();
   }
 
-  /** Breaks the answer off, so that it cannot pass for a whole one. */
-  cut(): void {
-    this.#begun = true;
-    this.#options.beforeCut();
+  /** Closes the connection, so that the answer is not taken for complete. */
+  abort(): void {
+    this.#hasBegun = true;
+    this.#options.beforeAbort();
     this.#response.destroy();
   }
 
   /**
-   * Answers with an error.
+   * Sends an error answer.
    *
-   * @param error Its kind.
-   * @param facts What the caller is told beside it.
+   * @param error Kind of the error.
+   * @param facts Further facts for the answer's body and headers.
    */
-  fail(error: RoutedError, facts: ErrorFacts): void {
-    this.#begun = true;
+  sendError(error: RoutedError, facts: ErrorFacts): void {
+    this.#hasBegun = true;
     const { status, ran, text } = ERROR_ANSWERS[error];
     const body = JSON.stringify({ error, ran, text, ...facts });
     const headers = ["Content-Type", "application/json"];
     if (facts.retryAfterMs !== undefined) {
       const seconds = facts.retryAfterMs / MS_PER_S;
-      headers.push("Retry-After", seconds.toFixed(RETRY_AFTER_DIGITS));
+      headers.push("Retry-After", seconds.toFixed(RETRY_AFTER_DECIMALS));
     }
     headers.push("Content-Length", String(Buffer.byteLength(body)));
     this.#response.writeHead(status, [...headers, ...this.#closeHeader()]);
@@ -129,22 +136,23 @@
       this.#response.end(body);
     } else {
       this.#response.write(body);
-      this.#endOnceRead();
+      this.#endOnceRequestRead();
     }
   }
 
   /**
-   * The answer is out, and whole by its length. Where it closes the connection,
-   * that waits for the rest of the request: closed with bytes unread, the
-   * connection is reset, and a caller that is still sending loses the answer.
+   * Ends the response once the rest of the request is read. The answer is sent
+   * by now and complete by its length. If the connection closed with bytes
+   * unread, it would be reset, and a caller that is still sending would lose
+   * the answer.
    */
-  #endOnceRead(): void {
+  #endOnceRequestRead(): void {
     const { req } = this.#response;
     const end = () => {
       clearTimeout(timer);
       this.#response.end();
     };
-    const timer = setTimeout(end, READ_REST_MS);
+    const timer = setTimeout(end, READ_REST_TIMEOUT_MS);
     req.once("end", end);
     req.once("close", () => clearTimeout(timer));
   }
@@ -154,11 +162,11 @@
   }
 
   #closeHeader(): string[] {
-    return this.#options.closes ? ["Connection", "close"] : [];
+    return this.#options.closesConnection ? ["Connection", "close"] : [];
   }
 }
 
-/** The target's reason phrase, or none where it cannot be sent. */
-function phraseOf({ statusMessage = "" }: IncomingMessage): string {
-  return NO_PHRASE.test(statusMessage) ? "" : statusMessage;
+/** Returns the target's reason phrase, or an empty one if it is not valid. */
+function reasonPhraseOf({ statusMessage = "" }: IncomingMessage): string {
+  return INVALID_PHRASE_CHARACTER.test(statusMessage) ? "" : statusMessage;
 }
--- a/packages/gateway/src/answer_watch_test.ts
+++ b/packages/gateway/src/coordinator_failure_detector_test.ts
@@ -1,7 +1,10 @@
 import { boardOf, memberOf } from "@chestnuthatch/routing/routing_test_support";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { AnswerWatch, Sign } from "./answer_watch.ts";
+import {
+  CoordinatorFailureDetector,
+  Responsiveness,
+} from "./coordinator_failure_detector.ts";
 
 const COORDINATOR_ID = "i2";
 const BEAT_MS = 220;
@@ -9,12 +12,12 @@
 /** A watch on one coordinator, whose heartbeats come until they are stopped. */
 function watched() {
   const { members } = boardOf([]);
-  const watch = new AnswerWatch(members);
+  const watch = new CoordinatorFailureDetector(members);
   const beat = (atMs: number) => members.heard(memberOf(COORDINATOR_ID), atMs);
   const answered = (nowMs: number, tookMs: number) =>
-    watch.answered(COORDINATOR_ID, { nowMs, tookMs });
+    watch.recordAnswer(COORDINATOR_ID, { nowMs, tookMs });
   const sign = (sinceMs: number, nowMs: number) =>
-    watch.sign(COORDINATOR_ID, { sinceMs, nowMs });
+    watch.responsivenessOf(COORDINATOR_ID, { sinceMs, nowMs });
   return { watch, beat, answered, sign };
 }
 
@@ -24,15 +27,15 @@
   for (let atMs = 0; atMs < 1000; atMs += 50) {
     answered(atMs, 3);
   }
-  assert.is(sign(1000, 1100), Sign.InTime);
-  assert.is(sign(1000, 1130), Sign.Gone);
+  assert.is(sign(1000, 1100), Responsiveness.InTime);
+  assert.is(sign(1000, 1130), Responsiveness.Gone);
 });
 
 test("a coordinator whose heartbeats come is late, and not gone", () => {
   const { beat, answered, sign } = watched();
   answered(900, 3);
   beat(1000 + BEAT_MS / 2);
-  assert.is(sign(1000, 1150), Sign.Late);
+  assert.is(sign(1000, 1150), Responsiveness.Late);
 });
 
 test("where answers take long, an answer may take as long again", () => {
@@ -41,7 +44,7 @@
   for (let atMs = 0; atMs < 2000; atMs += 50) {
     answered(atMs, atMs % 100 === 0 ? 150 : 250);
   }
-  assert.is(sign(2000, 2250), Sign.Late);
+  assert.is(sign(2000, 2250), Responsiveness.Late);
 });
 
 test("however long answers take, 400 ms without a sign of life are enough", () => {
@@ -50,7 +53,7 @@
   for (let atMs = 0; atMs < 2000; atMs += 50) {
     answered(atMs, atMs % 100 === 0 ? 100 : 900);
   }
-  assert.is(sign(2000, 2400), Sign.Gone);
+  assert.is(sign(2000, 2400), Responsiveness.Gone);
 });
 
 test("one that beats and answers nothing for 400 ms is gone", () => {
@@ -59,8 +62,8 @@
   for (let atMs = 0; atMs <= 1400; atMs += BEAT_MS) {
     beat(atMs);
   }
-  assert.is(sign(1000, 1390), Sign.Late);
-  assert.is(sign(1000, 1400), Sign.Gone);
+  assert.is(sign(1000, 1390), Responsiveness.Late);
+  assert.is(sign(1000, 1400), Responsiveness.Gone);
 });
 
 test.run();
--- a/packages/gateway/src/end_to_end_headers.ts
+++ b/packages/gateway/src/end_to_end_headers.ts
@@ -1,6 +1,7 @@
-/** Which headers concern a message as a whole, and not one connection. */
+/** Filter for the end-to-end headers of a message (RFC 9110, section 7.6.1). */
 
-const ONE_CONNECTION = new Set([
+/** Headers that apply to one connection and are not forwarded. */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -12,21 +13,22 @@
   "upgrade",
 ]);
 
-/** Told anew on each connection, by whoever sends the body there. */
-const OF_THE_BODY = new Set(["content-length", "expect"]);
+/** Headers that whoever sends the body sets anew on each connection. */
+const BODY_FRAMING_HEADERS = new Set(["content-length", "expect"]);
 
 /**
- * Leaves out the headers of one connection and those of the body's length.
+ * Removes hop-by-hop headers, and those that the sender of the body sets.
  *
- * @param rawHeaders Names and values, one after the other.
- * @returns The others, unchanged and in their order.
+ * @param rawHeaders Names and values, alternating.
+ * @returns The remaining names and values, unchanged and in the same order.
  */
 export function endToEndHeaders(rawHeaders: readonly string[]): string[] {
-  const named = namedByConnection(rawHeaders);
+  const named = namesInConnectionHeaders(rawHeaders);
   const kept: string[] = [];
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
     const name = rawHeaders[i]!.toLowerCase();
-    const isLeftOut = ONE_CONNECTION.has(name) || OF_THE_BODY.has(name) ||
+    const isLeftOut = HOP_BY_HOP_HEADERS.has(name) ||
+      BODY_FRAMING_HEADERS.has(name) ||
       named.has(name);
     if (!isLeftOut) {
       kept.push(rawHeaders[i]!, rawHeaders[i + 1]!);
@@ -35,8 +37,8 @@
   return kept;
 }
 
-/** Names that the sender's `Connection` headers declare its own. */
-function namedByConnection(rawHeaders: readonly string[]): Set<string> {
+/** Returns the lower-case header names listed in `Connection` headers. */
+function namesInConnectionHeaders(rawHeaders: readonly string[]): Set<string> {
   const names = new Set<string>();
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
     if (rawHeaders[i]!.toLowerCase() === "connection") {
--- a/packages/gateway/src/event_splitter.ts
+++ b/packages/gateway/src/event_splitter.ts
@@ -1,11 +1,11 @@
-/** Cuts a stream of bytes into whole events. */
+/** Splits a stream of bytes into server-sent events. */
 
 import { Buffer } from "node:buffer";
 
-/** One whole event, with the empty line that ends it. */
+/** One complete event, including the empty line that ends it. */
 export interface StreamedEvent {
   readonly bytes: Buffer;
-  /** Its number; absent where it has none. */
+  /** Numeric id of the event; absent if it has none. */
   readonly id?: number;
 }
 
@@ -13,23 +13,25 @@
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Collects bytes until events are whole. */
+/** Buffers bytes until events are complete. */
 export class EventSplitter {
-  #rest: Buffer = Buffer.alloc(0);
+  #remainder: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not whole yet. */
-  get rest(): Buffer {
-    return this.#rest;
+  /** Bytes of an event that is not complete yet. */
+  get remainder(): Buffer {
+    return this.#remainder;
   }
 
   /**
-   * @param chunk Bytes as they arrived.
-   * @returns Events that are whole now.
+   * Adds bytes to the buffer and takes complete events from it.
+   *
+   * @param chunk The next bytes of the stream.
+   * @returns Events that are complete now.
    */
   push(chunk: Buffer): StreamedEvent[] {
-    const bytes = this.#rest.length === 0
+    const bytes = this.#remainder.length === 0
       ? chunk
-      : Buffer.concat([this.#rest, chunk]);
+      : Buffer.concat([this.#remainder, chunk]);
     const events: StreamedEvent[] = [];
     let begin = 0;
     for (;;) {
@@ -40,12 +42,12 @@
       events.push(eventOf(bytes.subarray(begin, end)));
       begin = end;
     }
-    this.#rest = bytes.subarray(begin);
+    this.#remainder = bytes.subarray(begin);
     return events;
   }
 }
 
-/** Finds the end of the first empty line after a position. */
+/** Returns the offset after the first empty line that follows a position. */
 function endOfEvent(bytes: Buffer, begin: number): number | undefined {
   let at = bytes.indexOf(LINE_FEED, begin);
   while (at !== -1) {
--- a/packages/gateway/src/event_splitter_test.ts
+++ b/packages/gateway/src/event_splitter_test.ts
@@ -25,8 +25,8 @@
   const splitter = new EventSplitter();
   const events = splitter.push(Buffer.from(STREAM));
   const text = events.map(({ bytes }) => bytes.toString()).join("");
-  assert.is(text + splitter.rest.toString(), STREAM);
-  assert.is(splitter.rest.toString(), "id: 4\nda");
+  assert.is(text + splitter.remainder.toString(), STREAM);
+  assert.is(splitter.remainder.toString(), "id: 4\nda");
 });
 
 test.run();
--- a/packages/gateway/src/front_server.ts
+++ b/packages/gateway/src/front_server.ts
@@ -1,4 +1,4 @@
-/** Reads callers' requests, finds their routes, and begins their lives. */
+/** HTTP server for callers: admits requests and starts their processing. */
 
 import type { Buffer } from "node:buffer";
 import {
@@ -21,18 +21,18 @@
   type OpenConnections,
 } from "./caller_connections.ts";
 import { CallerReply } from "./caller_reply.ts";
-import { ClosingStage } from "./closing_stage.ts";
-import { RETRY_AFTER_MS } from "./come_back.ts";
+import { ShutdownStage } from "./shutdown_stage.ts";
+import { DEFAULT_RETRY_AFTER_MS } from "./retry_after.ts";
 import { LogPart } from "./event_log.ts";
 import type { GatewayParts } from "./gateway_parts.ts";
-import { OwedAnswer } from "./owed_answer.ts";
+import { UnfinishedAnswer } from "./unfinished_answer.ts";
 import { listen } from "./peer_catalog.ts";
 import type { CallFacts } from "./ports.ts";
 import type { RoutedCall } from "./routed_call.ts";
-import { RequestBody } from "./request_body.ts";
+import { RequestBodyReader } from "./request_body_reader.ts";
 import { RoutedRequest } from "./routed_request.ts";
 
-/** Until a configuration is known. */
+/** Limits that apply until a configuration is known. */
 const STARTING_LIMITS: CallerLimits = {
   maxHeaderBytes: 16 * 1024,
   maxBodyBytes: 4 * 1024 * 1024,
@@ -41,33 +41,33 @@
 };
 
 /**
- * Largest head that is read at all. The runtime takes this limit once, at the
- * start; that of the configuration is checked on what was read.
+ * Largest request head that is parsed. Node.js takes this limit only when the
+ * server is created; the configured limit is checked on the parsed headers.
  */
-const LARGEST_HEAD_BYTES = 256 * 1024;
+const MAX_PARSED_HEADER_BYTES = 256 * 1024;
 
-/** Bytes of a header line beside its name and value: colon, space, line end. */
-const HEADER_LINE_BYTES = 4;
+/** Bytes of a header line besides its name and value: colon, space, CRLF. */
+const HEADER_LINE_OVERHEAD_BYTES = 4;
 
 /**
- * Lateness of this process from which callers may have left before their
- * requests are read. Callers that leave early do so after some hundred ms.
+ * Event-loop delay from which callers may have disconnected before their
+ * requests are read. Callers that disconnect early do so after some hundred ms.
  */
-const LATE_MS = 50;
+const MIN_LATE_MS = 50;
 
-/** Time between two looks for connections that are too slow. */
+/** Time between two checks for connections over their time limits. */
 const CONNECTION_CHECK_MS = 1000;
 
-/** When to come back to an instance that has no configuration yet. */
-const NO_CONFIGURATION_RETRY_MS = 300;
+/** Retry time for callers of an instance that has no configuration yet. */
+const NO_CONFIGURATION_RETRY_AFTER_MS = 300;
 
-/** When to come back to another instance than one that is leaving. */
-const LEAVING_RETRY_MS = 50;
+/** Retry time for callers of a leaving instance, who reach another one. */
+const LEAVING_RETRY_AFTER_MS = 50;
 
-/** Answers to the same caller differ in size by this factor. */
+/** Factor by which answers to the same caller differ in size. */
 const SLOW_ANSWER_FACTOR = 1.5;
 
-/** What the configuration says of a request. */
+/** Result of the admission check: an error, or where the request is routed. */
 type Admission =
   | { readonly error: RoutedError; readonly retryAfterMs?: number }
   | {
@@ -77,18 +77,18 @@
     readonly pool: string;
   };
 
-/** The server that callers connect to. */
+/** Accepts callers' connections, and admits or refuses their requests. */
 export class FrontServer {
   readonly #parts: GatewayParts;
   readonly #server: Server;
   readonly #connections: CallerConnections;
-  readonly #open = new Set<RoutedRequest>();
+  readonly #openRequests = new Set<RoutedRequest>();
   #limits = STARTING_LIMITS;
-  #stage = ClosingStage.Open;
-  /** Time until answers are broken off, while stopping. */
-  #closingLeftMs = () => Infinity;
-  /** Requests whose bodies are being read. */
-  #reading = 0;
+  #stage = ShutdownStage.Open;
+  /** Time until begun answers are aborted; infinite unless shutting down. */
+  #timeToAbortMs = () => Infinity;
+  /** Number of requests whose bodies are being read. */
+  #readingCount = 0;
 
   /** @param parts The instance's parts. */
   constructor(parts: GatewayParts) {
@@ -98,29 +98,29 @@
       headersTimeout: STARTING_LIMITS.headerTimeoutMs,
       requestTimeout: 0,
       connectionsCheckingInterval: CONNECTION_CHECK_MS,
-      maxHeaderSize: LARGEST_HEAD_BYTES,
+      maxHeaderSize: MAX_PARSED_HEADER_BYTES,
       noDelay: true,
-    }, (request, response) => this.#read(request, response));
+    }, (request, response) => this.#onRequest(request, response));
     const { clock, log, metrics } = parts;
     const stage = () => this.#stage;
     this.#connections = new CallerConnections({ clock, log, metrics, stage });
     this.#server.on("connection", (socket) => this.#connections.add(socket));
     this.#server.on("clientError", (error, socket) => {
-      this.#connections.unreadable(socket as Socket, error);
+      this.#connections.handleUnreadable(socket as Socket, error);
     });
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress, including those being read. */
   get openCount(): number {
-    return this.#open.size + this.#reading;
+    return this.#openRequests.size + this.#readingCount;
   }
 
-  /** Callers' connections, and what waits on them. */
+  /** Counts of callers' connections and their unfinished answers. */
   get connections(): OpenConnections {
     return this.#connections.summary;
   }
 
-  /** `ip:port` that callers connect to. */
+  /** `ip:port` that the server listens on; empty if it does not listen. */
   get address(): string {
     const address = this.#server.address();
     return typeof address === "object" && address !== null
@@ -129,17 +129,19 @@
   }
 
   /**
-   * @param address `ip:port` to listen at.
-   * @returns Once callers can connect.
+   * Starts to listen.
+   *
+   * @param address `ip:port` to listen on.
+   * @returns A promise that resolves once callers can connect.
    */
   open(address: string): Promise<void> {
     return listen(this.#server, address);
   }
 
-  /** @param limits What callers may send, from now on. */
+  /** @param limits Limits on callers' requests and connections from now on. */
   setLimits(limits: CallerLimits): void {
     if (limits.idleTimeoutMs > this.#limits.idleTimeoutMs) {
-      this.#connections.mayIdle(limits.idleTimeoutMs);
+      this.#connections.setIdleTimeout(limits.idleTimeoutMs);
     }
     this.#limits = limits;
     this.#server.keepAliveTimeout = limits.idleTimeoutMs;
@@ -147,78 +149,83 @@
   }
 
   /**
-   * From now on, answers tell callers to close their connections.
+   * Sends `Connection: close` with each answer from now on.
    *
-   * @param leftMs Tells the time until answers are broken off.
+   * @param timeToAbortMs Returns the time until begun answers are aborted, in
+   * milliseconds.
    */
-  announceClosing(leftMs: () => number): void {
-    this.#stage = ClosingStage.Announcing;
-    this.#closingLeftMs = leftMs;
+  announceClosing(timeToAbortMs: () => number): void {
+    this.#stage = ShutdownStage.Announcing;
+    this.#timeToAbortMs = timeToAbortMs;
   }
 
-  /** From now on, requests are refused and idle connections are closed. */
+  /** Refuses new requests from now on, and closes idle connections. */
   refuseRequests(): void {
-    this.#stage = ClosingStage.Refusing;
+    this.#stage = ShutdownStage.Refusing;
     this.#connections.closeIdle();
   }
 
-  /** Ends requests whose answers have not begun; their callers are told so. */
+  /** Answers requests whose answers have not begun with an error. */
   abortRequests(): void {
-    this.#abort([...this.#open].filter(({ hasBegun }) => !hasBegun));
+    this.#abort([...this.#openRequests].filter(({ hasBegun }) => !hasBegun));
   }
 
-  /** Breaks off answers that have begun. */
+  /** Fails all open requests, and aborts answers that have begun. */
   breakOffAnswers(): void {
-    this.#abort([...this.#open]);
+    this.#abort([...this.#openRequests]);
   }
 
   /**
-   * Those that wait for a place go first: they would get the places that the
-   * others leave, and be sent to targets only to be broken off there.
+   * Aborts requests that wait for a placement first: otherwise they would take
+   * the slots freed by the others and be aborted right after they were sent.
    */
   #abort(requests: readonly RoutedRequest[]): void {
-    const waiting = requests.filter(({ runs }) => runs === 0);
+    const waiting = requests.filter(({ runCount: runs }) => runs === 0);
     for (const request of [...waiting, ...requests]) {
       request.abort();
     }
   }
 
-  /** Ends all connections, whatever is owed on them. */
+  /** Aborts all answers, closes all connections and stops listening. */
   close(): void {
-    this.#connections.closing(ConnectionEnd.ProcessEnd, () => {
+    this.#connections.closeAndRecord(ConnectionEnd.ProcessEnd, () => {
       this.breakOffAnswers();
       this.#server.close();
     });
-    this.#connections.endAll(ConnectionEnd.ProcessEnd);
+    this.#connections.recordEndOfAll(ConnectionEnd.ProcessEnd);
   }
 
-  /** Drops every connection. */
+  /** Closes every connection at once, without answers or log lines for them. */
   kill(): void {
     this.#server.closeAllConnections();
   }
 
-  #read(request: IncomingMessage, response: ServerResponse): void {
+  #onRequest(request: IncomingMessage, response: ServerResponse): void {
     const { clock, log, protocol } = this.#parts;
     const arrivedAtMs = clock.nowMs();
     const facts = protocol.readCall(request.headers);
     const { requestId } = facts;
     if (this.#connections.isClosing(request.socket)) {
-      // Its caller gets no answer; what is not passed on can be asked again.
-      log.info(LogPart.Request, "not read, connection closes", { requestId });
+      // No answer can be sent. The request is not forwarded, so the caller may
+      // retry it.
+      log.info(LogPart.Request, "request not read, connection is closing", {
+        requestId,
+      });
       request.resume();
       return;
     }
-    const closes = this.#stage !== ClosingStage.Open;
-    const closesAfter = closes || !response.shouldKeepAlive;
-    const owed = new OwedAnswer(response, {
+    const isStopping = this.#stage !== ShutdownStage.Open;
+    const closesConnection = isStopping || !response.shouldKeepAlive;
+    const unfinished = new UnfinishedAnswer(response, {
       requestId,
       arrivedAtMs,
-      closesAfter,
+      closesConnection,
     });
-    this.#connections.owe(owed);
+    this.#connections.trackAnswer(unfinished);
     const reply = new CallerReply(response, {
-      closes,
-      beforeCut: () => this.#connections.endsBy(owed, ConnectionEnd.BrokenOff),
+      closesConnection: isStopping,
+      beforeAbort: () =>
+        this.#connections.recordEnd(unfinished, ConnectionEnd.BrokenOff),
     });
     const admission = this.#admit(request, facts);
     if ("error" in admission) {
@@ -227,68 +234,83 @@
       return;
     }
     this.#parts.metrics.requestRead(admission.route.name);
-    this.#reading++;
+    this.#readingCount++;
     const refuse = (error: RoutedError, retryAfterMs?: number) => {
-      this.#reading--;
+      this.#readingCount--;
       this.#refuse(reply, facts, { error, retryAfterMs });
     };
     const { timeoutMs } = admission.route;
-    new RequestBody(request, {
+    new RequestBodyReader(request, {
       maxBytes: this.#limits.maxBodyBytes,
       timeoutMs: Math.min(facts.deadlineMs ?? Infinity, timeoutMs),
       sink: {
-        whole: (body) => {
-          const call = callOf({ request, facts, body, arrivedAtMs, admission });
-          this.#unlessLeft(owed, () => this.#begin(call, owed, reply));
+        complete: (body) => {
+          const call = routedCallOf({
+            request,
+            facts,
+            body,
+            arrivedAtMs,
+            admission,
+          });
+          this.#startUnlessCallerLeft(
+            unfinished,
+            () => this.#start(call, unfinished, reply),
+          );
         },
         tooLarge: () => refuse(RoutedError.BodyTooLarge),
-        tooSlow: () => refuse(RoutedError.TimeoutNotRun, RETRY_AFTER_MS),
-        brokenOff: () => this.#reading--,
+        tooSlow: () =>
+          refuse(RoutedError.TimeoutNotRun, DEFAULT_RETRY_AFTER_MS),
+        aborted: () => this.#readingCount--,
       },
     });
   }
 
   /**
-   * Begins a request that was read whole. Its caller may have left meanwhile,
-   * and the end of its connection lies unread behind the request; it is read
-   * with the next poll, which costs an idle process nothing. Timers that are late
-   * tell of it, but not always: the runtime takes one new connection with each
-   * poll, so that callers wait for seconds where polls take long.
+   * Starts a completely received request, unless its caller has disconnected
+   * meanwhile. The end of the connection may still be unread behind the
+   * request; the next poll of the event loop reads it, which costs an idle
+   * process nothing. Late timers show that callers waited, but not always:
+   * Node.js accepts one new connection per poll, so that callers wait for
+   * seconds where polls take long. Hence the first request of a connection is
+   * always checked.
    */
-  #unlessLeft(owed: OwedAnswer, begin: () => void): void {
-    const go = () => {
-      this.#reading--;
-      if (!this.#connections.hasEnded(owed)) {
-        begin();
+  #startUnlessCallerLeft(
+    unfinished: UnfinishedAnswer,
+    start: () => void,
+  ): void {
+    const startIfConnected = () => {
+      this.#readingCount--;
+      if (!this.#connections.hasEnded(unfinished)) {
+        start();
       }
     };
-    const mayHaveLeft = this.#connections.isFirst(owed) ||
-      this.#parts.lateMs() >= LATE_MS;
+    const mayHaveLeft = this.#connections.isFirstRequest(unfinished) ||
+      this.#parts.lateMs() >= MIN_LATE_MS;
     if (mayHaveLeft) {
-      setImmediate(() => setImmediate(go));
+      setImmediate(() => setImmediate(startIfConnected));
     } else {
-      go();
+      startIfConnected();
     }
   }
 
-  /** Whether its caller reads so slowly that the process would end before. */
-  #mayOutlastProcess({ socket }: IncomingMessage): boolean {
+  /** Whether its caller may read too slowly for an answer before the exit. */
+  #mayOutlastShutdown({ socket }: IncomingMessage): boolean {
     const slowestMs = this.#connections.slowestAnswerMs(socket);
-    return SLOW_ANSWER_FACTOR * slowestMs > this.#closingLeftMs();
+    return SLOW_ANSWER_FACTOR * slowestMs > this.#timeToAbortMs();
   }
 
   #admit(request: IncomingMessage, facts: CallFacts): Admission {
-    const isRefusing = this.#stage === ClosingStage.Refusing;
-    if (isRefusing || this.#mayOutlastProcess(request)) {
-      const retryAfterMs = LEAVING_RETRY_MS;
+    const isRefusing = this.#stage === ShutdownStage.Refusing;
+    if (isRefusing || this.#mayOutlastShutdown(request)) {
+      const retryAfterMs = LEAVING_RETRY_AFTER_MS;
       return { error: RoutedError.Leaving, retryAfterMs };
     }
-    if (headBytes(request) > this.#limits.maxHeaderBytes) {
+    if (headerBytesOf(request) > this.#limits.maxHeaderBytes) {
       return { error: RoutedError.HeadTooLarge };
     }
     const table = this.#parts.board.routes;
     if (table === undefined) {
-      const retryAfterMs = NO_CONFIGURATION_RETRY_MS;
+      const retryAfterMs = NO_CONFIGURATION_RETRY_AFTER_MS;
       return { error: RoutedError.NoConfiguration, retryAfterMs };
     }
     const host = (request.headers.host ?? "").replace(/:\d+$/, "")
@@ -307,7 +329,10 @@
     }
     const pool = table.pickPool(route, facts.requestId);
     return pool === undefined
-      ? { error: RoutedError.NoTarget, retryAfterMs: NO_CONFIGURATION_RETRY_MS }
+      ? {
+        error: RoutedError.NoTarget,
+        retryAfterMs: NO_CONFIGURATION_RETRY_AFTER_MS,
+      }
       : { table, route, workspace, pool };
   }
 
@@ -319,46 +344,46 @@
     const { board, clock, log, metrics } = this.#parts;
     const ageMs = board.configurationAge.ageMs(clock.nowMs());
     metrics.failed("none", of.error);
-    log.info(LogPart.Request, "refused at the door", {
+    log.info(LogPart.Request, "request refused on arrival", {
       requestId: facts.requestId,
       error: of.error,
       configurationVersion: board.routes?.configuration.version,
       configurationAgeMs: ageMs && Math.round(ageMs),
     });
     const { requestId } = facts;
-    reply.fail(of.error, { requestId, retryAfterMs: of.retryAfterMs });
+    reply.sendError(of.error, { requestId, retryAfterMs: of.retryAfterMs });
   }
 
-  #begin(
+  #start(
     call: RoutedCall,
-    owed: OwedAnswer,
+    unfinished: UnfinishedAnswer,
     reply: CallerReply,
   ): void {
     const routed = new RoutedRequest(this.#parts, {
       call,
       reply,
       onDone: () => {
-        this.#open.delete(routed);
-        this.#parts.metrics.openRequests(this.#open.size);
+        this.#openRequests.delete(routed);
+        this.#parts.metrics.openRequests(this.#openRequests.size);
       },
     });
-    owed.countRuns = () => routed.runs;
-    this.#open.add(routed);
-    this.#parts.metrics.openRequests(this.#open.size);
-    // The runtime tells of a response's end only once it has its turn on the
-    // connection, and one that waits behind another never gets it.
-    owed.onUnanswered = () => routed.callerLeft();
-    owed.response.on("drain", () => routed.callerReads());
+    unfinished.countRuns = () => routed.runCount;
+    this.#openRequests.add(routed);
+    this.#parts.metrics.openRequests(this.#openRequests.size);
+    // Node.js emits a response's `close` only once it is the current response
+    // of its connection, which a pipelined one may never become.
+    unfinished.onConnectionEnded = () => routed.onCallerLeft();
+    unfinished.response.on("drain", () => routed.onCallerDrained());
     routed.start();
   }
 }
 
-function headBytes({ rawHeaders }: IncomingMessage): number {
+function headerBytesOf({ rawHeaders }: IncomingMessage): number {
   return rawHeaders.reduce((sum, part) => sum + part.length, 0) +
-    rawHeaders.length / 2 * HEADER_LINE_BYTES;
+    rawHeaders.length / 2 * HEADER_LINE_OVERHEAD_BYTES;
 }
 
-function callOf(
+function routedCallOf(
   of: {
     request: IncomingMessage;
     facts: CallFacts;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -43,7 +43,7 @@
 import { SuspectKeeper } from "./suspect_keeper.ts";
 import { TargetConnections } from "./target_connections.ts";
 import { TargetProbes } from "./target_probes.ts";
-import { TargetUpkeep } from "./target_upkeep.ts";
+import { TargetCleanup } from "./target_cleanup.ts";
 
 /** Time between two looks at what depends on time, while requests wait. */
 const TICK_MS = 20;
@@ -85,7 +85,7 @@
   readonly #suspects: SuspectKeeper;
   readonly #rollouts: RolloutKeeper;
   readonly #targetSignals: TargetSignalKeeper;
-  readonly #upkeep: TargetUpkeep;
+  readonly #upkeep: TargetCleanup;
   readonly #front: FrontServer;
   readonly #status: StatusServer;
   readonly #loop: LoopWatch;
@@ -168,7 +168,7 @@
       metrics: this.#metrics,
       reachesStore: () => this.#news.reachesStore,
     });
-    this.#upkeep = new TargetUpkeep({
+    this.#upkeep = new TargetCleanup({
       board: this.board,
       clock: this.#clock,
       coordinator: this.#coordinator,
@@ -473,13 +473,13 @@
       configurationApplyMs: () => this.#settings.configurationApplyMs,
       rollouts: this.#rollouts,
       followsStore: () => this.#followsStore(),
-      onTargets: (beliefs) => this.#upkeep.changed(beliefs),
+      onTargets: (beliefs) => this.#upkeep.applyChanges(beliefs),
       onConfiguration: (configuration) => this.#configured(configuration),
       onSpending: (record, ageMs) => this.#spending.takeUpRecord(record, ageMs),
       onSuspects: (news) => this.#suspects.told(news),
       onRateLimits: (news) => this.#targetSignals.toldOfRateLimits(news),
       // What silenced one connection may have silenced others.
-      onSilentConnection: () => this.#connections.dropAllIdle(),
+      onSilentConnection: () => this.#connections.closeAllIdle(),
       onStoreWentBack: () => {
         this.#coordinator.recordAnew();
         this.#suspects.recordAnew();
--- a/packages/gateway/src/gateway_connections_test.ts
+++ b/packages/gateway/src/gateway_connections_test.ts
@@ -269,7 +269,7 @@
     const stopped = harness.gateway.stop();
     slow.write(requestOf("slow"));
     harness.request(["quick"]);
-    const { error } = await harness.line("refused at the door", "slow");
+    const { error } = await harness.line("request refused on arrival", "slow");
     assert.is(error, "leaving");
     await harness.line("answered", "quick");
     assert.is(harness.runs, runs + 1);
--- a/packages/gateway/src/placement_desk.ts
+++ b/packages/gateway/src/placement_desk.ts
@@ -19,7 +19,10 @@
   type WorkAsk,
   type WorkEnd,
 } from "@chestnuthatch/routing/work_ask";
-import { AnswerWatch, Sign } from "./answer_watch.ts";
+import {
+  CoordinatorFailureDetector,
+  Responsiveness,
+} from "./coordinator_failure_detector.ts";
 import { CoordinatorChoice } from "./coordinator_choice.ts";
 import { HolderReports } from "./holder_reports.ts";
 import { PlaceService } from "./place_service.ts";
@@ -85,7 +88,7 @@
   readonly #choice: CoordinatorChoice;
   readonly #service: PlaceService;
   readonly #reports: HolderReports;
-  readonly #answers: AnswerWatch;
+  readonly #answers: CoordinatorFailureDetector;
   readonly #refusals = new RecentRefusals();
   #toldLateAtMs = -Infinity;
 
@@ -102,7 +105,7 @@
       startedAtMs,
       spendingToldAtMs: (id) => parts.coordinator.spendingToldAtMs(id),
     });
-    this.#answers = new AnswerWatch(board.members);
+    this.#answers = new CoordinatorFailureDetector(board.members);
     this.#service = new PlaceService({
       coordinator: parts.coordinator,
       clock: parts.clock,
@@ -158,7 +161,8 @@
 
   /** How long an ask will be held back, by what goes out before it. */
   #heldForMs(open: OpenAsk): number {
-    return this.#open.heldUpTo(open) * this.#answers.meanMs / MOST_UNHEARD;
+    return this.#open.heldUpTo(open) * this.#answers.meanAnswerMs /
+      MOST_UNHEARD;
   }
 
   /** Sends asks that are held back, as far as may be. */
@@ -216,7 +220,7 @@
     const nowMs = this.#nowMs();
     if (fromId !== undefined && IS_ANSWER.has(message.kind)) {
       const tookMs = this.#answerTookMs(message, fromId);
-      this.#answers.answered(fromId, { nowMs, tookMs });
+      this.#answers.recordAnswer(fromId, { nowMs, tookMs });
     }
     switch (message.kind) {
       case MessageKind.Ask:
@@ -289,15 +293,15 @@
     }
     const { coordinatorId, firstSentAtMs: sinceMs } = open;
     const sign = open.heard
-      ? Sign.InTime
-      : this.#answers.sign(coordinatorId, { sinceMs, nowMs });
-    if (sign === Sign.Gone) {
+      ? Responsiveness.InTime
+      : this.#answers.responsivenessOf(coordinatorId, { sinceMs, nowMs });
+    if (sign === Responsiveness.Gone) {
       this.#shun(coordinatorId, nowMs);
       this.#tellDropped(coordinatorId, open.ask.askId);
       this.#sendTo(this.#self(), open);
       return;
     }
-    if (sign === Sign.Late) {
+    if (sign === Responsiveness.Late) {
       this.#tellLate(coordinatorId, nowMs);
     }
     const moved = coordinatorId !== coordinator.instanceId &&
@@ -326,7 +330,7 @@
       figures: {
         heldBack: Number(isHeld(open)),
         unheardMs: Math.round(nowMs - open.sinceMs),
-        answersTakeMs: Math.round(this.#answers.meanMs),
+        answersTakeMs: Math.round(this.#answers.meanAnswerMs),
       },
     });
   }
@@ -346,12 +350,14 @@
       open.coordinatorId = member.instanceId;
       open.firstSentAtMs = nowMs;
       open.heard = false;
-      open.againMs = Math.max(ASK_AGAIN_MS, this.#answers.usualMs);
+      open.againMs = Math.max(ASK_AGAIN_MS, this.#answers.usualAnswerMs);
     }
     open.sentAtMs = nowMs;
     // By the time that the coordinator has it and this instance its decision,
     // so much of the objective has gone by.
-    const wayMs = this.#isSelf(member.instanceId) ? 0 : this.#answers.meanMs;
+    const wayMs = this.#isSelf(member.instanceId)
+      ? 0
+      : this.#answers.meanAnswerMs;
     const ask = {
       ...open.ask,
       objectiveLeftMs: open.ask.objectiveLeftMs - spentMs - wayMs,
@@ -449,7 +455,7 @@
       this.#send(instanceId, { kind: MessageKind.Unanswered });
       this.#parts.log.warn(LogPart.Placement, "coordinator is silent", {
         coordinatorId: instanceId,
-        silentMs: Math.round(this.#answers.silentMs),
+        silentMs: Math.round(this.#answers.silenceTimeoutMs),
       });
     }
   }
--- /dev/null
+++ b/packages/gateway/src/request_body_reader.ts
@@ -0,0 +1,80 @@
+/** Reads the body of a caller's request, up to a limit. */
+
+import { Buffer } from "node:buffer";
+import type { IncomingMessage } from "node:http";
+
+/** Receives the result of reading a body: exactly one call of one method. */
+export interface BodySink {
+  /** @param body The whole body. */
+  complete(body: Buffer): void;
+  /** The body exceeds the size limit; the rest of it is discarded. */
+  tooLarge(): void;
+  /** The body was not complete in time; the rest of it is discarded. */
+  tooSlow(): void;
+  /** The caller aborted the request. */
+  aborted(): void;
+}
+
+/** Limits of a body, and the receiver of the result. */
+export interface RequestBodyOptions {
+  readonly maxBytes: number;
+  /** Time from now until the body has to be complete. */
+  readonly timeoutMs: number;
+  readonly sink: BodySink;
+}
+
+/** Buffers the body of one request. */
+export class RequestBodyReader {
+  readonly #maxBytes: number;
+  readonly #sink: BodySink;
+  #chunks: Buffer[] = [];
+  #bytes = 0;
+  #isDone = false;
+  readonly #timer: NodeJS.Timeout;
+
+  /**
+   * Starts to read.
+   *
+   * @param request The request, whose headers were read already.
+   * @param options Limits of the body, and the receiver of the result.
+   */
+  constructor(
+    request: IncomingMessage,
+    { maxBytes, timeoutMs, sink }: RequestBodyOptions,
+  ) {
+    this.#maxBytes = maxBytes;
+    this.#sink = sink;
+    this.#timer = setTimeout(() => {
+      this.#chunks = [];
+      this.#end(() => sink.tooSlow());
+    }, timeoutMs);
+    request.on("data", (chunk: Buffer) => this.#read(chunk));
+    request.on(
+      "end",
+      () => this.#end(() => sink.complete(Buffer.concat(this.#chunks))),
+    );
+    // The connection logs the error when it ends.
+    request.on("error", () => this.#end(() => sink.aborted()));
+    request.on("close", () => this.#end(() => sink.aborted()));
+  }
+
+  #read(chunk: Buffer): void {
+    if (this.#isDone) {
+      return;
+    }
+    this.#bytes += chunk.length;
+    this.#chunks.push(chunk);
+    if (this.#bytes > this.#maxBytes) {
+      this.#chunks = [];
+      this.#end(() => this.#sink.tooLarge());
+    }
+  }
+
+  #end(report: () => void): void {
+    if (!this.#isDone) {
+      this.#isDone = true;
+      clearTimeout(this.#timer);
+      report();
+    }
+  }
+}
--- a/packages/gateway/src/request_fingerprint.ts
+++ b/packages/gateway/src/request_fingerprint.ts
@@ -1,6 +1,6 @@
 /**
- * Tells one request from another across attempts of its caller, each of which
- * has an id of its own, and across instances.
+ * Fingerprints that identify a request across its caller's attempts, each of
+ * which has its own id, and across instances.
  */
 
 import { Buffer } from "node:buffer";
@@ -11,7 +11,8 @@
 const NO_BODY = Buffer.alloc(0);
 
 /**
- * Takes time in proportion to the body, and so is made only where it is needed.
+ * Computes a request's fingerprint. The whole body is hashed, so it is computed
+ * only where it is needed.
  *
  * @param call A request.
  * @returns The same text for the same workspace, method, path and body.
@@ -23,9 +24,11 @@
 }
 
 /**
+ * Computes a request's fingerprint while any request is a suspect.
+ *
  * @param call A request.
- * @param suspects Requests under which targets ended.
- * @returns Its fingerprint; undefined while no request is a suspect.
+ * @param suspects Requests during which target processes ended.
+ * @returns The fingerprint; undefined while no request is a suspect.
  */
 export function fingerprintIfNeeded(
   call: RoutedCall,
--- /dev/null
+++ b/packages/gateway/src/retry_after.ts
@@ -0,0 +1,41 @@
+/** Errors and retry times that refused callers receive. */
+
+import { RoutedError } from "@chestnuthatch/routing/refusal";
+import { AskRefusal } from "@chestnuthatch/routing/work_ask";
+import { deadlineAtMs, type RoutedCall } from "./routed_call.ts";
+
+/** Least retry time, as a share of the time until the caller's deadline. */
+const RETRY_AFTER_SHARE = 0.3;
+
+/** Time after which a refused caller retries, where none was computed. */
+export const DEFAULT_RETRY_AFTER_MS = 500;
+
+/** Errors for callers, by the coordinator's reason to refuse the ask. */
+export const REFUSAL_ERRORS: Readonly<Record<AskRefusal, RoutedError>> = {
+  [AskRefusal.Overload]: RoutedError.Overload,
+  [AskRefusal.Allotment]: RoutedError.Allotment,
+  [AskRefusal.NoTarget]: RoutedError.NoTarget,
+  [AskRefusal.RetryBudget]: RoutedError.NoTarget,
+  [AskRefusal.Quarantined]: RoutedError.Quarantined,
+};
+
+/**
+ * Computes the time after which a refused caller is to retry.
+ *
+ * A load surge lasts much longer than one request waits, and a caller that
+ * retries during it is refused again. So callers are sent the longest time that
+ * they follow, a third of the time until their deadline.
+ *
+ * @param call The refused request.
+ * @param retryAfterMs Time until the coordinator expects a free slot, in ms.
+ * @param nowMs The local time, in milliseconds.
+ * @returns A duration in milliseconds.
+ */
+export function retryAfterMsOf(
+  call: RoutedCall,
+  retryAfterMs: number,
+  nowMs: number,
+): number {
+  const leftMs = deadlineAtMs(call) - nowMs;
+  return Math.max(retryAfterMs, RETRY_AFTER_SHARE * leftMs);
+}
--- a/packages/gateway/src/routed_call.ts
+++ b/packages/gateway/src/routed_call.ts
@@ -1,4 +1,4 @@
-/** A caller's request, once it was read and its route was found. */
+/** A caller's request after it was read and matched to a route. */
 
 import type { Buffer } from "node:buffer";
 import type {
@@ -7,28 +7,30 @@
 } from "@chestnuthatch/routing/fleet_configuration";
 import type { CallFacts } from "./ports.ts";
 
-/** One request with all that decides how it is treated. */
+/** One request, with the route, workspace and pool that apply to it. */
 export interface RoutedCall {
   readonly facts: CallFacts;
   readonly route: RoutePolicy;
   readonly workspace?: WorkspacePolicy;
   readonly pool: string;
-  /** Version of the configuration that it is treated by. */
+  /** Version of the configuration that the route was taken from. */
   readonly configurationVersion: number;
   readonly method: string;
-  /** Path and query as the caller sent them. */
+  /** Path and query as received from the caller. */
   readonly path: string;
+  /** Header names and values, alternating, as received from the caller. */
   readonly rawHeaders: readonly string[];
-  /** Absent where the caller sent none. */
+  /** Absent if the request has no body. */
   readonly body?: Buffer;
+  /** Local time at which the request's headers were read, in milliseconds. */
   readonly arrivedAtMs: number;
 }
 
 /**
- * Tells when a request's time is over: the caller's own, or its route's.
+ * Computes a request's deadline: the earlier of its caller's and its route's.
  *
  * @param call The request.
- * @returns A local time.
+ * @returns A local time, in milliseconds.
  */
 export function deadlineAtMs(call: RoutedCall): number {
   const { facts, route, arrivedAtMs } = call;
@@ -36,21 +38,26 @@
   return arrivedAtMs + timeoutMs;
 }
 
-/** Callers leave a stream that has not begun after the longest of these. */
-const LEAST_PATIENCE_MS = 2000;
-const PATIENCE_OBJECTIVES = 4;
-const PATIENCE_GAPS = 8;
+/**
+ * Callers disconnect from a stream that has not begun after the longest of
+ * these: a fixed time, a multiple of the route's objective, and a multiple of
+ * its longest gap between events.
+ */
+const MIN_PATIENCE_MS = 2000;
+const PATIENCE_OBJECTIVE_RATIO = 4;
+const PATIENCE_GAP_RATIO = 8;
 
 /**
- * Tells how long a caller waits for a stream's first event.
+ * Computes the patience of a stream's caller: the time without an event after
+ * which it disconnects.
  *
  * @param route The stream's route.
  * @returns A duration in milliseconds.
  */
 export function streamPatienceMs(route: RoutePolicy): number {
   return Math.max(
-    LEAST_PATIENCE_MS,
-    PATIENCE_OBJECTIVES * route.objectiveMs,
-    PATIENCE_GAPS * route.longestGapMs,
+    MIN_PATIENCE_MS,
+    PATIENCE_OBJECTIVE_RATIO * route.objectiveMs,
+    PATIENCE_GAP_RATIO * route.longestGapMs,
   );
 }
--- a/packages/gateway/src/routed_request.ts
+++ b/packages/gateway/src/routed_request.ts
@@ -1,7 +1,8 @@
 /**
- * The life of one request on the instance that holds its caller's connection:
- * wait for a place, send, gather or pass on the answer, and where the kind of
- * request allows it, send again or resume elsewhere.
+ * Lifecycle of one request on its holder, the instance with its caller's
+ * connection: ask for a placement, send to the target, buffer or stream the
+ * answer, and retry or resume at another target where the kind of request
+ * allows it.
  */
 
 import type { Buffer } from "node:buffer";
@@ -19,122 +20,129 @@
   AskRefusal,
   type PlaceDecision,
 } from "@chestnuthatch/routing/work_ask";
-import { AttemptAccount } from "./attempt_account.ts";
+import { AttemptRecorder } from "./attempt_recorder.ts";
 import type { CallerReply } from "./caller_reply.ts";
-import { comeBackMs, REFUSAL_ERRORS, RETRY_AFTER_MS } from "./come_back.ts";
+import {
+  DEFAULT_RETRY_AFTER_MS,
+  REFUSAL_ERRORS,
+  retryAfterMsOf,
+} from "./retry_after.ts";
 import { type LogFacts, LogPart } from "./event_log.ts";
 import type { GatewayParts } from "./gateway_parts.ts";
 import { deadlineAtMs, type RoutedCall } from "./routed_call.ts";
-import { SilenceWatch } from "./silence_watch.ts";
+import { SilenceTimer } from "./silence_timer.ts";
 import { StandbyAttempt } from "./standby_attempt.ts";
 import { StreamProgress } from "./stream_progress.ts";
 import { TargetAttempt } from "./target_attempt.ts";
 import { poolBackoffMs, workAskOf } from "./work_ask_of.ts";
 
-/** What a request works with, besides the instance's parts. */
-export interface RequestOptions {
+/** A request to run and where its answer goes. */
+export interface RoutedRequestOptions {
   readonly call: RoutedCall;
   readonly reply: CallerReply;
-  /** Called once nothing of the request is left to do. */
+  /** Called once, when the request is finished or cancelled. */
   onDone(): void;
 }
 
-/** One request in progress. */
+/** Runs one request until it is answered, failed or cancelled. */
 export class RoutedRequest {
   readonly #parts: GatewayParts;
   readonly #call: RoutedCall;
   readonly #reply: CallerReply;
   readonly #onDone: () => void;
-  readonly #tried = new Set<string>();
-  /** The ask that is out, if any. */
+  readonly #triedTargetIds = new Set<string>();
+  /** Id of the ask that has no decision yet, if any. */
   #askId?: string;
   #askedAtMs = 0;
   #attempt?: TargetAttempt;
-  #runs = 0;
-  /** Sends that certainly no target ran. */
-  #rejections = 0;
+  #runCount = 0;
+  /** Attempts that no target ran. */
+  #rejectionCount = 0;
   #charged = false;
-  readonly #account: AttemptAccount;
+  readonly #recorder: AttemptRecorder;
   readonly #progress: StreamProgress;
-  readonly #silence: SilenceWatch;
-  /** An attempt at a silent target, while another target has not begun. */
+  readonly #silenceTimer: SilenceTimer;
+  /** Attempt at a silent target, until another target begins to answer. */
   readonly #standby = new StandbyAttempt((attempt) =>
     this.#closeAttempt(attempt, AttemptEnd.Lost, "silent")
   );
   #deadlineTimer?: NodeJS.Timeout;
-  #callerGone = false;
-  #callerSlow = false;
-  #answered = false;
-  #done = false;
+  #isCallerGone = false;
+  #isCallerSlow = false;
+  #isAnswered = false;
+  #isDone = false;
 
   /**
    * @param parts The instance's parts.
-   * @param options The request, and where its answer goes.
+   * @param options The request and where its answer goes.
    */
-  constructor(parts: GatewayParts, options: RequestOptions) {
+  constructor(parts: GatewayParts, options: RoutedRequestOptions) {
     this.#parts = parts;
     this.#call = options.call;
     this.#reply = options.reply;
     this.#onDone = () => options.onDone();
-    this.#account = new AttemptAccount(
+    this.#recorder = new AttemptRecorder(
       parts,
       (message, facts) => this.#log(message, facts),
     );
     this.#progress = new StreamProgress(options.call.facts.resumeAfter);
-    this.#silence = new SilenceWatch(
+    this.#silenceTimer = new SilenceTimer(
       options.call,
       parts.board.paces,
-      (silentMs) => this.#askBeside(silentMs),
+      (silentMs) => this.#askForOtherTarget(silentMs),
     );
   }
 
-  /** Targets that may have run it. */
-  get runs(): number {
-    return this.#runs;
+  /** Number of targets that may have run the request. */
+  get runCount(): number {
+    return this.#runCount;
   }
 
-  /** Begins: asks for a place. */
+  /** Starts the deadline timer and asks for a placement. */
   start(): void {
     const leftMs = deadlineAtMs(this.#call) - this.#nowMs();
     this.#deadlineTimer = setTimeout(() => {
-      // An answer that has arrived by now is read first.
-      setImmediate(() => this.#timeOver());
+      // Handles an answer that has already arrived before the timeout.
+      setImmediate(() => this.#onDeadline());
     }, leftMs);
     this.#ask(AskCause.First);
   }
 
-  /** Whether its caller has got a part of an answer. */
+  /** Whether a part of the answer was sent to the caller. */
   get hasBegun(): boolean {
-    return this.#reply.begun;
+    return this.#reply.hasBegun;
   }
 
-  /** The caller has closed its connection: what may be stopped is stopped. */
-  callerLeft(): void {
-    if (this.#answered) {
+  /**
+   * Handles a caller that closed its connection: cancels the request, unless a
+   * target is running it and it must run at most once.
+   */
+  onCallerLeft(): void {
+    if (this.#isAnswered) {
       return;
     }
-    this.#callerGone = true;
-    // Work that must not be repeated is let finish: it has its effect.
-    const mayStop = this.#attempt === undefined ||
+    this.#isCallerGone = true;
+    // At-most-once work runs to its end, so that its effect is complete.
+    const mayCancel = this.#attempt === undefined ||
       this.#call.route.kind !== RequestKind.AtMostOnce;
-    if (mayStop) {
-      this.#stop();
+    if (mayCancel) {
+      this.#cancel();
     }
   }
 
-  /** The caller reads again after it was slow. */
-  callerReads(): void {
-    this.#callerSlow = false;
+  /** Resumes the target's answer once the caller's write buffer has drained. */
+  onCallerDrained(): void {
+    this.#isCallerSlow = false;
     this.#attempt?.resume();
-    this.#watchSilence();
+    this.#restartSilenceTimer();
   }
 
-  /** Breaks the request off: the process ends. */
+  /** Fails the request because the process is about to exit. */
   abort(): void {
-    const isSent = this.#runs > 0;
+    const isSent = this.#runCount > 0;
     this.#fail(
       isSent ? RoutedError.AnswerLost : RoutedError.Leaving,
-      isSent ? undefined : RETRY_AFTER_MS,
+      isSent ? undefined : DEFAULT_RETRY_AFTER_MS,
     );
   }
 
@@ -144,39 +152,42 @@
       this.#log("all targets asked to back off", {
         backoffMs: Math.round(backoffMs),
       });
-      this.#refused(AskRefusal.NoTarget, backoffMs);
+      this.#onRefused(AskRefusal.NoTarget, backoffMs);
       return;
     }
     const ask = workAskOf(this.#parts, this.#call, {
       cause,
-      charged: this.#charged,
-      tried: this.#tried,
+      isCharged: this.#charged,
+      triedTargetIds: this.#triedTargetIds,
       lastEventAtMs: this.#progress.lastEventAtMs,
     });
     this.#askId = ask.askId;
     this.#askedAtMs = this.#nowMs();
     this.#parts.desk.ask(
       ask,
-      (decision) => this.#orFail(() => this.#decided(decision)),
+      (decision) => this.#runOrFail(() => this.#onDecision(decision)),
     );
   }
 
-  #decided(decision: AskDecision): void {
-    if (this.#done) {
+  #onDecision(decision: AskDecision): void {
+    if (this.#isDone) {
       return;
     }
     if ("refusal" in decision) {
       this.#askId = undefined;
-      this.#log("no place", { refusal: decision.refusal, ...decision.figures });
-      this.#refused(decision.refusal, decision.retryAfterMs);
+      this.#log("ask refused", {
+        refusal: decision.refusal,
+        ...decision.figures,
+      });
+      this.#onRefused(decision.refusal, decision.retryAfterMs);
       return;
     }
     const { targets, rollouts, backoffs } = this.#parts.board;
     const nowMs = this.#nowMs();
     this.#parts.metrics.placed(this.#call.pool, nowMs - this.#askedAtMs);
     if (nowMs >= deadlineAtMs(this.#call)) {
-      // Sent now, it would be told that it may have run.
-      this.#timeOver();
+      // If it were sent now, the caller's error would say that it may have run.
+      this.#onDeadline();
       return;
     }
     const target = targets.get(decision.targetId);
@@ -184,49 +195,49 @@
       targets.isUsable(target, nowMs) && rollouts.mayServe(target) &&
       backoffs.remainingMs(target.targetId, nowMs) === 0;
     if (!isUsable) {
-      this.#giveBack(decision.targetId);
+      this.#returnPlacement(decision.targetId);
       return;
     }
     this.#charged = true;
     if (this.#attempt !== undefined) {
-      // It is sound as far as is known, and the other target may turn it away.
+      // The silent target may still answer, and the other one may reject.
       this.#standby.keep(this.#attempt);
     }
     this.#send(target, decision);
   }
 
-  /** What cannot be sent or passed on must not leave a request unanswered. */
-  #orFail(goOn: () => void): void {
+  /** Fails the request if a step throws, so that it is answered in any case. */
+  #runOrFail(step: () => void): void {
     try {
-      goOn();
+      step();
     } catch (error) {
-      this.#log("cannot go on", { reason: String(error) });
+      this.#log("internal error", { reason: String(error) });
       this.#fail(RoutedError.AnswerLost);
     }
   }
 
-  /** Returns a place at a target that must not be used now. */
-  #giveBack(targetId: string): void {
-    this.#log("place not usable", { targetId });
+  /** Returns a placement at a target that cannot be used now. */
+  #returnPlacement(targetId: string): void {
+    this.#log("assigned target not usable", { targetId });
     if (this.#parts.board.targets.get(targetId)?.leaving) {
       this.#parts.onPlacedAtLeaving(targetId);
     }
-    this.#tried.add(targetId);
+    this.#triedTargetIds.add(targetId);
     this.#dropAsk();
     if (this.#attempt === undefined) {
-      this.#rejections++;
-      this.#follow(AttemptEnd.NotSent);
+      this.#rejectionCount++;
+      this.#takeNextStep(AttemptEnd.NotSent);
     }
   }
 
-  #refused(refusal: AskRefusal, retryAfterMs: number): void {
+  #onRefused(refusal: AskRefusal, retryAfterMs: number): void {
     if (this.#attempt !== undefined) {
-      this.#log("no other place, still waiting", { refusal });
-    } else if (this.#runs > 0) {
-      this.#log("no place to run again", { refusal });
+      this.#log("no other target, still waiting", { refusal });
+    } else if (this.#runCount > 0) {
+      this.#log("no target for a retry", { refusal });
       this.#fail(RoutedError.AnswerLost);
     } else {
-      const waitMs = comeBackMs(this.#call, retryAfterMs, this.#nowMs());
+      const waitMs = retryAfterMsOf(this.#call, retryAfterMs, this.#nowMs());
       this.#fail(REFUSAL_ERRORS[refusal], waitMs);
     }
   }
@@ -242,21 +253,22 @@
       resumeAfter: this.#progress.lastEventId,
       isTrial,
     }, {
-      event: (bytes) => this.#orFail(() => this.#passEvent(attempt, bytes)),
+      event: (bytes) =>
+        this.#runOrFail(() => this.#forwardEvent(attempt, bytes)),
       streamEnded: (rest) =>
-        this.#orFail(() => this.#streamEnded(attempt, rest)),
-      answered: () => this.#orFail(() => this.#served(attempt)),
-      ended: (end, reason) => this.#attemptEnded(attempt, end, reason),
+        this.#runOrFail(() => this.#onStreamEnded(attempt, rest)),
+      answered: () => this.#runOrFail(() => this.#onServed(attempt)),
+      ended: (end, reason) => this.#onAttemptEnded(attempt, end, reason),
     });
     this.#askId = undefined;
     this.#attempt = attempt;
-    this.#runs++;
+    this.#runCount++;
     this.#log("sent", {
       targetId: target.targetId,
       targetVersion: target.rowVersion,
       route: call.route.name,
       pool: call.pool,
-      attempt: this.#runs,
+      attempt: this.#runCount,
       resumeAfter: this.#progress.lastEventId,
       cameBackMs: Math.round(cameBackMs),
       waitedMs: Math.round(attempt.sentAtMs - call.arrivedAtMs),
@@ -266,94 +278,94 @@
       isTrial: isTrial || undefined,
     });
     attempt.send();
-    this.#watchSilence();
+    this.#restartSilenceTimer();
   }
 
-  /** Of two attempts, the one that gives a sign of life first goes on. */
-  #prefer(attempt: TargetAttempt): void {
-    if (!this.#standby.is(attempt)) {
-      this.#standby.end();
+  /** Continues the attempt that answers first, and cancels the other one. */
+  #selectAttempt(attempt: TargetAttempt): void {
+    if (!this.#standby.holds(attempt)) {
+      this.#standby.expire();
       return;
     }
     const other = this.#attempt;
     this.#attempt = this.#standby.take();
     if (other !== undefined) {
-      this.#account.cancelled(other);
+      this.#recorder.cancel(other);
     }
-    this.#tried.delete(attempt.order.target.targetId);
+    this.#triedTargetIds.delete(attempt.options.target.targetId);
   }
 
-  #passEvent(attempt: TargetAttempt, bytes: Buffer): void {
-    this.#prefer(attempt);
-    this.#progress.passed(attempt.lastEventId, this.#nowMs());
-    this.#stayAtTarget(attempt);
+  #forwardEvent(attempt: TargetAttempt, bytes: Buffer): void {
+    this.#selectAttempt(attempt);
+    this.#progress.recordEvent(attempt.lastEventId, this.#nowMs());
+    this.#withdrawOtherAsk(attempt);
     this.#write(attempt, bytes);
-    this.#watchSilence();
+    this.#restartSilenceTimer();
   }
 
   #write(attempt: TargetAttempt, bytes: Buffer): void {
-    if (this.#callerGone) {
+    if (this.#isCallerGone) {
       return;
     }
-    if (!this.#reply.begun) {
-      this.#reply.begin(attempt.answer);
-      this.#noteFirstByte();
+    if (!this.#reply.hasBegun) {
+      this.#reply.beginStream(attempt.answer);
+      this.#recordFirstByte();
     }
-    if (bytes.length > 0 && !this.#reply.write(bytes)) {
-      this.#callerSlow = true;
+    if (bytes.length > 0 && !this.#reply.writeEvents(bytes)) {
+      this.#isCallerSlow = true;
       attempt.pause();
     }
   }
 
-  #streamEnded(attempt: TargetAttempt, rest: Buffer): void {
-    this.#prefer(attempt);
+  #onStreamEnded(attempt: TargetAttempt, rest: Buffer): void {
+    this.#selectAttempt(attempt);
     this.#write(attempt, rest);
-    this.#reply.end();
-    this.#noteServed(attempt);
+    this.#reply.endStream();
+    this.#recordServed(attempt);
   }
 
-  #served(attempt: TargetAttempt): void {
-    this.#prefer(attempt);
-    this.#passOn(attempt);
-    this.#noteServed(attempt);
+  #onServed(attempt: TargetAttempt): void {
+    this.#selectAttempt(attempt);
+    this.#forwardAnswer(attempt);
+    this.#recordServed(attempt);
   }
 
-  /** Passes a whole answer on, be it a failure of the target's own. */
-  #passOn(attempt: TargetAttempt): void {
-    if (!this.#callerGone && !this.#reply.begun) {
-      this.#noteFirstByte();
-      this.#reply.whole(attempt.answer, attempt.body);
+  /** Sends the target's whole answer, a failure included, to the caller. */
+  #forwardAnswer(attempt: TargetAttempt): void {
+    if (!this.#isCallerGone && !this.#reply.hasBegun) {
+      this.#recordFirstByte();
+      this.#reply.sendWhole(attempt.answer, attempt.body);
     }
   }
 
-  #noteServed(attempt: TargetAttempt): void {
+  #recordServed(attempt: TargetAttempt): void {
     this.#attempt = undefined;
     this.#dropAsk();
-    this.#account.served(attempt);
-    this.#noteAnswered(attempt);
+    this.#recorder.recordServed(attempt);
+    this.#recordAnswered(attempt);
   }
 
-  #noteAnswered(attempt: TargetAttempt): void {
+  #recordAnswered(attempt: TargetAttempt): void {
     const status = attempt.answer.statusCode!;
     this.#parts.metrics.answered(this.#call.route.name, status);
     this.#log("answered", {
-      targetId: attempt.order.target.targetId,
+      targetId: attempt.options.target.targetId,
       status,
-      events: attempt.events,
+      events: attempt.eventCount,
       firstMs: attempt.firstMs,
       longestGapMs: Math.round(this.#progress.longestGapMs),
-      tookMs: this.#tookMs(),
+      tookMs: this.#elapsedMs(),
     });
     this.#finish();
   }
 
-  /** An attempt ended without an answer of its target that counts. */
-  #attemptEnded(
+  /** Handles an attempt that ended without a usable answer. */
+  #onAttemptEnded(
     attempt: TargetAttempt,
     end: AttemptEnd,
     reason: string,
   ): void {
-    if (this.#standby.is(attempt)) {
+    if (this.#standby.holds(attempt)) {
       this.#standby.take();
       this.#closeAttempt(attempt, end, reason);
       return;
@@ -361,16 +373,16 @@
     if (attempt !== this.#attempt) {
       return;
     }
-    // An ask that was made beside it goes by other facts now.
+    // A pending ask for another target no longer has the current facts.
     this.#dropAsk();
     this.#closeAttempt(attempt, end, reason);
     const standby = this.#standby.take();
     if (standby === undefined) {
-      this.#follow(end, attempt);
+      this.#takeNextStep(end, attempt);
       return;
     }
     this.#attempt = standby;
-    this.#watchSilence();
+    this.#restartSilenceTimer();
   }
 
   #closeAttempt(
@@ -380,23 +392,23 @@
   ): void {
     if (attempt === this.#attempt) {
       this.#attempt = undefined;
-      this.#silence.stop();
+      this.#silenceTimer.stop();
     }
-    this.#tried.add(attempt.order.target.targetId);
+    this.#triedTargetIds.add(attempt.options.target.targetId);
     if (end === AttemptEnd.NotSent || end === AttemptEnd.Rejected) {
-      this.#runs--;
-      this.#rejections++;
+      this.#runCount--;
+      this.#rejectionCount++;
     }
-    this.#account.failed(attempt, end, reason);
+    this.#recorder.recordFailed(attempt, end, reason);
   }
 
-  #follow(end: AttemptEnd, attempt?: TargetAttempt): void {
-    const step = this.#callerGone ? NextStep.FailMayHaveRun : nextStep({
+  #takeNextStep(end: AttemptEnd, attempt?: TargetAttempt): void {
+    const step = this.#isCallerGone ? NextStep.FailMayHaveRun : nextStep({
       kind: this.#call.route.kind,
       end,
-      runs: this.#runs,
+      runs: this.#runCount,
       maxAttempts: this.#call.route.maxAttempts,
-      rejections: this.#rejections,
+      rejections: this.#rejectionCount,
     });
     switch (step) {
       case NextStep.AskAgain:
@@ -405,11 +417,11 @@
         );
         return;
       case NextStep.PassOn:
-        this.#passOn(attempt!);
-        this.#noteAnswered(attempt!);
+        this.#forwardAnswer(attempt!);
+        this.#recordAnswered(attempt!);
         return;
       case NextStep.RefuseNotRun:
-        this.#fail(RoutedError.NoTarget, RETRY_AFTER_MS);
+        this.#fail(RoutedError.NoTarget, DEFAULT_RETRY_AFTER_MS);
         return;
       case NextStep.FailMayHaveRun:
         this.#fail(RoutedError.AnswerLost);
@@ -417,17 +429,17 @@
     }
   }
 
-  #timeOver(): void {
-    const isSent = this.#runs > 0;
+  #onDeadline(): void {
+    const isSent = this.#runCount > 0;
     this.#fail(
       isSent ? RoutedError.TimeoutMayHaveRun : RoutedError.TimeoutNotRun,
-      isSent ? undefined : RETRY_AFTER_MS,
+      isSent ? undefined : DEFAULT_RETRY_AFTER_MS,
     );
   }
 
-  /** Answers with an error, or breaks a begun stream off. */
+  /** Answers with an error, or aborts an answer that has begun. */
   #fail(error: RoutedError, retryAfterMs?: number): void {
-    if (this.#done) {
+    if (this.#isDone) {
       return;
     }
     this.#parts.metrics.failed(this.#call.route.name, error);
@@ -435,26 +447,26 @@
       error,
       route: this.#call.route.name,
       retryAfterMs: retryAfterMs && Math.round(retryAfterMs),
-      runs: this.#runs,
-      rejections: this.#rejections,
-      begun: this.#reply.begun,
-      callerGone: this.#callerGone,
-      tookMs: this.#tookMs(),
+      runs: this.#runCount,
+      rejections: this.#rejectionCount,
+      begun: this.#reply.hasBegun,
+      callerGone: this.#isCallerGone,
+      tookMs: this.#elapsedMs(),
     });
-    if (this.#reply.begun) {
-      this.#reply.cut();
-    } else if (!this.#callerGone) {
+    if (this.#reply.hasBegun) {
+      this.#reply.abort();
+    } else if (!this.#isCallerGone) {
       const { requestId } = this.#call.facts;
-      this.#reply.fail(error, { requestId, retryAfterMs });
+      this.#reply.sendError(error, { requestId, retryAfterMs });
     }
-    this.#stop();
+    this.#cancel();
   }
 
-  /** Ends whatever is still out for the request. */
-  #stop(): void {
+  /** Cancels the request's attempts and its ask, and finishes it. */
+  #cancel(): void {
     for (const attempt of [this.#attempt, this.#standby.take()]) {
       if (attempt !== undefined) {
-        this.#account.cancelled(attempt);
+        this.#recorder.cancel(attempt);
       }
     }
     this.#attempt = undefined;
@@ -469,57 +481,61 @@
     }
   }
 
-  /** Waits for the next sign of life of the target, unless the caller is slow. */
-  #watchSilence(): void {
+  /** Restarts the timeout for the next event, unless the caller is slow. */
+  #restartSilenceTimer(): void {
     const attempt = this.#attempt;
-    if (attempt === undefined || this.#callerSlow) {
-      this.#silence.stop();
+    if (attempt === undefined || this.#isCallerSlow) {
+      this.#silenceTimer.stop();
       return;
     }
-    const seenGapMs = this.#progress.longestGapMs;
-    this.#silence.start({ attempt, runs: this.#runs, seenGapMs });
+    const longestSeenGapMs = this.#progress.longestGapMs;
+    this.#silenceTimer.start({
+      attempt,
+      runs: this.#runCount,
+      longestSeenGapMs,
+    });
   }
 
   /**
-   * Asks for another place while the silent target is still waited for: where
-   * there is none, or where the target goes on first, nothing is lost.
+   * Asks for another target and keeps the attempt at the silent one. If there
+   * is no other, or the silent target resumes first, that attempt continues.
    */
-  #askBeside(silentMs: number): void {
+  #askForOtherTarget(silentMs: number): void {
     const attempt = this.#attempt;
     if (attempt === undefined || this.#askId !== undefined) {
       return;
     }
-    const { targetId } = attempt.order.target;
+    const { targetId } = attempt.options.target;
     this.#log("target is silent", {
       targetId,
       silentMs: Math.round(silentMs),
-      events: attempt.events,
+      events: attempt.eventCount,
     });
-    this.#tried.add(targetId);
-    this.#account.unanswered(attempt);
+    this.#triedTargetIds.add(targetId);
+    this.#recorder.recordSilent(attempt);
     this.#ask(AskCause.Repeat);
   }
 
-  /** The silent target went on: the other place is not needed. */
-  #stayAtTarget(attempt: TargetAttempt): void {
+  /** Withdraws the ask for another target after the silent one resumed. */
+  #withdrawOtherAsk(attempt: TargetAttempt): void {
     if (this.#askId !== undefined) {
       this.#dropAsk();
-      this.#tried.delete(attempt.order.target.targetId);
+      this.#triedTargetIds.delete(attempt.options.target.targetId);
     }
   }
 
-  #noteFirstByte(): void {
-    this.#parts.metrics.firstByte(this.#call.route.name, this.#tookMs());
+  #recordFirstByte(): void {
+    this.#parts.metrics.firstByte(this.#call.route.name, this.#elapsedMs());
   }
 
   #finish(): void {
-    if (this.#done) {
+    if (this.#isDone) {
       return;
     }
-    this.#done = true;
-    this.#answered = true;
+    this.#isDone = true;
+    this.#isAnswered = true;
     clearTimeout(this.#deadlineTimer);
-    this.#silence.stop();
+    this.#silenceTimer.stop();
     this.#onDone();
   }
 
@@ -528,7 +544,7 @@
     this.#parts.log.info(LogPart.Request, message, { requestId, ...facts });
   }
 
-  #tookMs(): number {
+  #elapsedMs(): number {
     return Math.round(this.#nowMs() - this.#call.arrivedAtMs);
   }
 
--- a/packages/gateway/src/silence_limits.ts
+++ b/packages/gateway/src/silence_limits.ts
@@ -1,60 +1,68 @@
-/** How long a silent target is waited for before its work goes elsewhere. */
+/** Timeouts after which a request at a silent target is retried elsewhere. */
 
 import type { RoutePolicy } from "@chestnuthatch/routing/fleet_configuration";
 import type { TargetPace } from "@chestnuthatch/routing/target_pace";
 
 /**
- * Share of the longest gap that callers accept. What is left has to suffice for
- * another target to read the prompt and go on.
+ * Share of the longest gap that callers accept, after which a stream moves. In
+ * the rest another target has to read the prompt and send the next event.
  */
-const GAP_SHARE = 0.6;
+const LONGEST_GAP_SHARE = 0.6;
 
 /**
- * Longest gaps after which a silent target is given up where another could not
- * go on in time anyway. Targets fall silent for a gap or two while they read
- * long prompts of others; moved then, a stream is late for certain, has its
- * prompt read twice and takes two places.
+ * Timeout, in longest gaps that callers accept, where no other target could
+ * resume the stream in time. Targets pause for a gap or two while they read
+ * long prompts of other requests; a stream that moves then is late in any case,
+ * has its prompt read twice and uses two slots.
  */
-const LATE_GAPS = 2;
+const LATE_STREAM_GAP_RATIO = 2;
 
-/** A gap this many times the usual one is no longer chance. */
-const USUAL_GAPS = 4;
+/** Shortest timeout between events, as a multiple of the target's usual gap. */
+const USUAL_GAP_RATIO = 4;
 
-/** Share of the objective after which a first event is overdue. */
+/** Shortest timeout for a first event, as a share of the route's objective. */
 const OBJECTIVE_SHARE = 0.7;
 
-/** A first event this many times later than expected is no longer chance. */
-const EXPECTED_TIMES = 3;
+/** Shortest timeout for a first event, as a multiple of its expected time. */
+const EXPECTED_TIME_RATIO = 3;
 
-/** A stream whose target is silent between two events. */
+/** A stream that awaits its next event. */
 export interface SilentStream {
   readonly route: RoutePolicy;
-  /** How fast its target is. */
+  /** Measured speed of the stream's target. */
   readonly pace: TargetPace;
   readonly promptTokens: number;
-  /** Longest gap that its caller has seen. */
-  readonly seenGapMs: number;
+  /** Longest gap between two events sent to the caller so far, in ms. */
+  readonly longestSeenGapMs: number;
 }
 
 /**
- * @param stream A stream.
- * @returns Longest silence between events, in milliseconds.
+ * Computes the timeout for a stream's next event.
+ *
+ * @param stream The stream, which has sent an event already.
+ * @returns A duration in milliseconds.
  */
 export function gapLimitMs(
-  { route, pace, promptTokens, seenGapMs }: SilentStream,
+  { route, pace, promptTokens, longestSeenGapMs }: SilentStream,
 ): number {
   const { longestGapMs } = route;
-  const usualMs = USUAL_GAPS * pace.eventGapMs;
-  const limitMs = Math.max(GAP_SHARE * longestGapMs, usualMs);
-  const elsewhereMs = limitMs + pace.firstEventMs(promptTokens, 0);
-  const canBeInTime = Math.max(seenGapMs, elsewhereMs) <= longestGapMs;
-  return canBeInTime ? limitMs : Math.max(LATE_GAPS * longestGapMs, usualMs);
+  const usualMs = USUAL_GAP_RATIO * pace.eventGapMs;
+  const limitMs = Math.max(LONGEST_GAP_SHARE * longestGapMs, usualMs);
+  const gapOnMoveMs = limitMs + pace.firstEventMs(promptTokens, 0);
+  const canResumeInTime =
+    Math.max(longestSeenGapMs, gapOnMoveMs) <= longestGapMs;
+  return canResumeInTime
+    ? limitMs
+    : Math.max(LATE_STREAM_GAP_RATIO * longestGapMs, usualMs);
 }
 
 /**
+ * Computes the timeout for a request's first event, or for its answer.
+ *
  * @param route The request's route.
- * @param expectedMs When the coordinator expected the first event or answer.
- * @returns Longest silence before it, in milliseconds.
+ * @param expectedMs Time to the first event or the answer that the coordinator
+ * expected, in milliseconds.
+ * @returns A duration in milliseconds.
  */
 export function firstEventLimitMs(
   route: RoutePolicy,
@@ -62,6 +70,6 @@
 ): number {
   return Math.max(
     OBJECTIVE_SHARE * route.objectiveMs,
-    EXPECTED_TIMES * expectedMs,
+    EXPECTED_TIME_RATIO * expectedMs,
   );
 }
--- a/packages/gateway/src/silence_limits_test.ts
+++ b/packages/gateway/src/silence_limits_test.ts
@@ -6,8 +6,13 @@
 
 const ROUTE = routeOf({ longestGapMs: 200 });
 
-function streamOf(promptTokens: number, seenGapMs = 0) {
-  return { route: ROUTE, pace: new TargetPace(), promptTokens, seenGapMs };
+function streamOf(promptTokens: number, longestSeenGapMs = 0) {
+  return {
+    route: ROUTE,
+    pace: new TargetPace(),
+    promptTokens,
+    longestSeenGapMs,
+  };
 }
 
 test("a stream moves early where another target can go on in time", () => {
--- a/packages/gateway/src/silence_watch.ts
+++ b/packages/gateway/src/silence_timer.ts
@@ -1,4 +1,4 @@
-/** Notices that a target has fallen silent while its request may go elsewhere. */
+/** Timeout for a target that stops sending while its request may be retried. */
 
 import { mayRunAgain } from "@chestnuthatch/routing/next_step";
 import type { TargetPaces } from "@chestnuthatch/routing/target_paces";
@@ -6,17 +6,17 @@
 import { firstEventLimitMs, gapLimitMs } from "./silence_limits.ts";
 import type { TargetAttempt } from "./target_attempt.ts";
 
-/** Where a watched request stands. */
-export interface WatchedAttempt {
+/** An attempt whose next event or answer is awaited. */
+export interface TimedAttempt {
   readonly attempt: TargetAttempt;
-  /** Targets that may have run the request. */
+  /** Number of targets that may have run the request. */
   readonly runs: number;
-  /** Longest pause between events that its caller has seen. */
-  readonly seenGapMs: number;
+  /** Longest gap between two events sent to the caller so far, in ms. */
+  readonly longestSeenGapMs: number;
 }
 
-/** One timer for one request, set anew with each sign of life. */
-export class SilenceWatch {
+/** Timer of one request, restarted with each event. */
+export class SilenceTimer {
   readonly #call: RoutedCall;
   readonly #paces: TargetPaces;
   readonly #onSilent: (silentMs: number) => void;
@@ -24,9 +24,8 @@
 
   /**
    * @param call The request.
-   * @param paces How fast targets are.
-   * @param onSilent Called with the time after which the target counts as
-   * silent.
+   * @param paces Measured speeds of the targets.
+   * @param onSilent Called on a timeout, with its length in milliseconds.
    */
   constructor(
     call: RoutedCall,
@@ -38,42 +37,46 @@
     this.#onSilent = onSilent;
   }
 
-  /** @param watched The attempt that gave a sign of life, or was just sent. */
-  start(watched: WatchedAttempt): void {
+  /**
+   * Restarts the timer, unless the request may not be retried.
+   *
+   * @param timed An attempt that was just sent or received an event.
+   */
+  start(timed: TimedAttempt): void {
     this.stop();
     const { kind, maxAttempts } = this.#call.route;
-    if (mayRunAgain(kind) && watched.runs < maxAttempts) {
-      const limitMs = this.#limitMs(watched);
+    if (mayRunAgain(kind) && timed.runs < maxAttempts) {
+      const limitMs = this.#limitMs(timed);
       const timer = setTimeout(() => {
-        // Timers come before what has arrived meanwhile: where this instance
-        // was late itself, a sign of life may be there, not yet read.
+        // Timers run before pending input: if this process was late, an event
+        // may have arrived already, which restarts the timer.
         setImmediate(() => this.#isOver(timer) && this.#onSilent(limitMs));
       }, limitMs);
       this.#timer = timer;
     }
   }
 
-  /** Watches nothing until it is started again. */
+  /** Stops the timer. */
   stop(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
   }
 
-  /** Whether nothing was heard since a timer was set. */
+  /** Whether a timer was neither restarted nor stopped since it was set. */
   #isOver(timer: NodeJS.Timeout): boolean {
     return this.#timer === timer;
   }
 
-  #limitMs({ attempt, seenGapMs }: WatchedAttempt): number {
+  #limitMs({ attempt, longestSeenGapMs }: TimedAttempt): number {
     const { route, facts } = this.#call;
-    const { target, expectedMs } = attempt.order;
-    return attempt.events === 0
+    const { target, expectedMs } = attempt.options;
+    return attempt.eventCount === 0
       ? firstEventLimitMs(route, expectedMs)
       : gapLimitMs({
         route,
         pace: this.#paces.of(target.targetId),
         promptTokens: facts.tokens?.prompt ?? 0,
-        seenGapMs,
+        longestSeenGapMs,
       });
   }
 }
--- a/packages/gateway/src/standby_attempt.ts
+++ b/packages/gateway/src/standby_attempt.ts
@@ -1,45 +1,46 @@
-/** A silent attempt that is kept until another target has begun to answer. */
+/** The attempt at a silent target while another target is tried. */
 
 import type { TargetAttempt } from "./target_attempt.ts";
 
 /**
- * Time for which two targets may work on one request. One that is full says so
- * within a few milliseconds, and one that cannot be reached is given up after
- * 120; the operators allow 400 in all, of which the way of a close takes a part.
+ * Time for which two targets may run one request. A full target rejects within
+ * a few milliseconds, and a connection attempt times out after 120 ms. The
+ * operators allow 400 ms in all, which includes the time that the close of the
+ * connection takes to reach the target.
  */
-const STANDBY_MS = 250;
+const STANDBY_TIMEOUT_MS = 250;
 
-/** Holds at most one attempt, for a while. */
+/** Holds at most one attempt, and expires it after a timeout. */
 export class StandbyAttempt {
-  readonly #onOver: (attempt: TargetAttempt) => void;
+  readonly #onExpired: (attempt: TargetAttempt) => void;
   #attempt?: TargetAttempt;
   #timer?: NodeJS.Timeout;
 
-  /** @param onOver Called with an attempt whose time is over. */
-  constructor(onOver: (attempt: TargetAttempt) => void) {
-    this.#onOver = onOver;
+  /** @param onExpired Called with the held attempt when it expires. */
+  constructor(onExpired: (attempt: TargetAttempt) => void) {
+    this.#onExpired = onExpired;
   }
 
-  /** @param attempt The attempt to keep; one that was kept before is over. */
+  /** @param attempt The attempt to hold; one held before expires at once. */
   keep(attempt: TargetAttempt): void {
-    this.end();
+    this.expire();
     this.#attempt = attempt;
     this.#timer = setTimeout(() => {
-      // Where this instance was late itself, the other target's word that it
-      // cannot take the request may be there, not yet handled.
-      setImmediate(() => this.is(attempt) && this.end());
-    }, STANDBY_MS);
+      // If this process was late, the other target's rejection may have arrived
+      // already; it is handled first.
+      setImmediate(() => this.holds(attempt) && this.expire());
+    }, STANDBY_TIMEOUT_MS);
   }
 
   /**
    * @param attempt An attempt.
-   * @returns Whether it is the one that is kept.
+   * @returns Whether it is the attempt held now.
    */
-  is(attempt: TargetAttempt): boolean {
+  holds(attempt: TargetAttempt): boolean {
     return this.#attempt === attempt;
   }
 
-  /** @returns The attempt that was kept, if any; it is kept no longer. */
+  /** @returns The held attempt, if any, which is released without expiring. */
   take(): TargetAttempt | undefined {
     const attempt = this.#attempt;
     clearTimeout(this.#timer);
@@ -47,11 +48,11 @@
     return attempt;
   }
 
-  /** Ends its time at once. */
-  end(): void {
+  /** Expires the held attempt, if any, at once. */
+  expire(): void {
     const attempt = this.take();
     if (attempt !== undefined) {
-      this.#onOver(attempt);
+      this.#onExpired(attempt);
     }
   }
 }
--- a/packages/gateway/src/target_attempt.ts
+++ b/packages/gateway/src/target_attempt.ts
@@ -1,4 +1,4 @@
-/** One send of one request to one target, and what comes of it. */
+/** One attempt to run a request at one target. */
 
 import { Buffer } from "node:buffer";
 import type { IncomingMessage } from "node:http";
@@ -10,41 +10,44 @@
 import { EventSplitter, type StreamedEvent } from "./event_splitter.ts";
 import type { GatewayParts } from "./gateway_parts.ts";
 import { deadlineAtMs, type RoutedCall } from "./routed_call.ts";
-import { type ExchangeFault, TargetExchange } from "./target_exchange.ts";
+import { type ExchangeFailure, TargetExchange } from "./target_exchange.ts";
 
-/** Where and on what an attempt is made. */
-export interface AttemptOrder {
+/** Request, target and expectations of an attempt. */
+export interface AttemptOptions {
   readonly call: RoutedCall;
   readonly askId: string;
   readonly target: KnownTarget;
-  /** When the first event or the answer is expected, from now. */
+  /** Expected time to the first event or the answer, from now. */
   readonly expectedMs: number;
-  /** Last event that the caller has. */
+  /** Id of the last event that the caller has; absent if it has none. */
   readonly resumeAfter?: number;
-  /** Whether it runs on trial, as targets ended under the request. */
+  /** Whether the request is a suspect that runs on trial. */
   readonly isTrial: boolean;
 }
 
-/** Who hears what comes of an attempt. */
+/**
+ * Receives an attempt's events and its result. Nothing follows on a call of
+ * `streamEnded`, `answered` or `ended`.
+ */
 export interface AttemptSink {
-  /** The next event of the stream, whole. */
+  /** The next complete event of the stream. */
   event(bytes: Buffer): void;
-  /** The stream ended as a whole one; bytes after its last event. */
+  /** The stream is complete; `rest` holds the bytes after its last event. */
   streamEnded(rest: Buffer): void;
-  /** The target answered, and its answer may be passed on. */
+  /** The target gave a complete answer that may be forwarded. */
   answered(): void;
-  /** There is no answer to pass on, or only a failure of the target's own. */
+  /** The target gave no complete answer, a rejection or an error. */
   ended(end: AttemptEnd, reason: string): void;
 }
 
-/** Answers up to this size are passed on, once they are whole. */
-const MAX_WHOLE_BYTES = 1024 * 1024;
+/** Largest answer that is buffered, and forwarded once it is complete. */
+const MAX_BUFFERED_ANSWER_BYTES = 1024 * 1024;
 
-/** Status codes from here on are failures of a target. */
-const FIRST_FAILURE_STATUS = 500;
+/** Status codes from this one on are errors of the target. */
+const MIN_SERVER_ERROR_STATUS = 500;
 const STATUS_OK = 200;
 
-const IS_STREAM: Readonly<Record<RequestKind, boolean>> = {
+const IS_STREAM_KIND: Readonly<Record<RequestKind, boolean>> = {
   [RequestKind.Repeatable]: false,
   [RequestKind.AtMostOnce]: false,
   [RequestKind.Stream]: true,
@@ -52,20 +55,23 @@
 };
 
 /**
+ * Returns whether requests of a kind are answered by a stream of events.
+ *
  * @param kind Kind of a request.
- * @returns Whether its answer is a stream of events.
+ * @returns True for both kinds of streams.
  */
 export function isStream(kind: RequestKind): boolean {
-  return IS_STREAM[kind];
+  return IS_STREAM_KIND[kind];
 }
 
-/** Runs one attempt. */
+/** Sends a request to one target, and checks and forwards the answer. */
 export class TargetAttempt {
-  readonly order: AttemptOrder;
+  readonly options: AttemptOptions;
+  /** Local time at which the attempt was created, in milliseconds. */
   readonly sentAtMs: number;
-  /** Events that were passed on. */
-  events = 0;
-  /** Last event that the caller has by now. */
+  /** Number of events that were forwarded. */
+  eventCount = 0;
+  /** Id of the last event that the caller has; absent if it has none. */
   lastEventId?: number;
   readonly #parts: GatewayParts;
   readonly #sink: AttemptSink;
@@ -74,43 +80,43 @@
   #bodyBytes = 0;
   #exchange?: TargetExchange;
   #answer?: IncomingMessage;
-  #firstAtMs?: number;
+  #firstDataAtMs?: number;
   #lastEventAtMs = 0;
-  #over = false;
+  #isDone = false;
 
   /**
    * @param parts The instance's parts.
-   * @param order Where and on what.
-   * @param sink Who hears what comes of it.
+   * @param options Request, target and expectations.
+   * @param sink Receiver of the events and the result.
    */
-  constructor(parts: GatewayParts, order: AttemptOrder, sink: AttemptSink) {
+  constructor(parts: GatewayParts, options: AttemptOptions, sink: AttemptSink) {
     this.#parts = parts;
-    this.order = order;
+    this.options = options;
     this.#sink = sink;
-    this.lastEventId = order.resumeAfter;
+    this.lastEventId = options.resumeAfter;
     this.sentAtMs = parts.clock.nowMs();
   }
 
-  /** The target's status and headers; only once it has answered. */
+  /** The target's status and headers; defined only once they were received. */
   get answer(): IncomingMessage {
     return this.#answer!;
   }
 
-  /** The body of an answer that is not a stream. */
+  /** The body received so far of an answer that is not a stream. */
   get body(): Buffer {
     return Buffer.concat(this.#body);
   }
 
-  /** Time to the first event or the answer; absent where none came. */
+  /** Time to the first event or the answer, in ms; absent if none arrived. */
   get firstMs(): number | undefined {
-    return this.#firstAtMs === undefined
+    return this.#firstDataAtMs === undefined
       ? undefined
-      : Math.round(this.#firstAtMs - this.sentAtMs);
+      : Math.round(this.#firstDataAtMs - this.sentAtMs);
   }
 
   /** Sends the request. */
   send(): void {
-    const { call, target, resumeAfter } = this.order;
+    const { call, target, resumeAfter } = this.options;
     const headers = this.#parts.protocol.forwardHeaders(call.rawHeaders, {
       targetId: target.targetId,
       deadlineLeftMs: Math.floor(deadlineAtMs(call) - this.sentAtMs),
@@ -128,36 +134,38 @@
       headers,
       body: call.body,
     }, {
-      head: (answer) => this.#head(answer),
-      data: (chunk) => this.#data(chunk),
-      ended: () => this.#ended(),
-      broke: (fault) => this.#broke(fault),
+      head: (answer) => this.#onHead(answer),
+      data: (chunk) => this.#onData(chunk),
+      ended: () => this.#onAnswerEnded(),
+      failed: (fault) => this.#onExchangeFailed(fault),
     });
   }
 
-  /** Breaks it off; nothing is heard of it any more. */
+  /** Aborts the attempt; the sink is not called any more. */
   cancel(): void {
-    this.#over = true;
+    this.#isDone = true;
     this.#exchange?.cancel();
   }
 
-  /** Holds the answer back while the caller is slow. */
+  /** Stops reading the answer, while the caller is slow. */
   pause(): void {
     this.#exchange?.pause();
   }
 
-  /** Lets the answer flow again. */
+  /** Continues to read the answer. */
   resume(): void {
     this.#exchange?.resume();
   }
 
   /**
-   * @param failed Whether the target failed it.
-   * @returns How the work ended, for the coordinator.
+   * Builds the message on this attempt's end for the coordinator.
+   *
+   * @param failed Whether the target failed the attempt.
+   * @returns The end, with the times measured.
    */
   workEnd(failed: boolean): WorkEnd {
-    const { call, askId, target } = this.order;
-    const { events } = this;
+    const { call, askId, target } = this.options;
+    const { eventCount: events } = this;
     return {
       askId,
       targetId: target.targetId,
@@ -165,52 +173,52 @@
       promptTokens: call.facts.tokens?.prompt ?? 0,
       firstMs: this.firstMs,
       eventGapMs: events > 1
-        ? (this.#lastEventAtMs - this.#firstAtMs!) / (events - 1)
+        ? (this.#lastEventAtMs - this.#firstDataAtMs!) / (events - 1)
         : undefined,
       failed,
     };
   }
 
-  #head(answer: IncomingMessage): void {
+  #onHead(answer: IncomingMessage): void {
     this.#answer = answer;
     const status = answer.statusCode!;
     const facts = this.#parts.protocol.readAnswer(status, answer.headers);
     if (!facts.wrongTarget) {
-      const { target } = this.order;
+      const { target } = this.options;
       const origin = { target, sentAtMs: this.sentAtMs };
       this.#parts.targetSignals.answered(origin, facts.signals);
     }
-    const { requestId } = this.order.call.facts;
+    const { requestId } = this.options.call.facts;
     if (facts.requestId !== undefined && facts.requestId !== requestId) {
-      this.#end(AttemptEnd.Lost, "answer to another request");
+      this.#end(AttemptEnd.Lost, "answer belongs to another request");
     } else if (facts.notRun || facts.wrongTarget) {
       this.#end(AttemptEnd.Rejected, `rejected ${status}`);
     } else if (!facts.genuine) {
-      this.#end(AttemptEnd.Lost, "answer is not the target's own");
+      this.#end(AttemptEnd.Lost, "answer is not confirmed by the target");
     }
   }
 
-  #data(chunk: Buffer): void {
-    if (this.#passesEvents()) {
-      this.#passOn(this.#splitter.push(chunk));
+  #onData(chunk: Buffer): void {
+    if (this.#isEventStream()) {
+      this.#forwardEvents(this.#splitter.push(chunk));
       return;
     }
-    this.#firstAtMs ??= this.#parts.clock.nowMs();
+    this.#firstDataAtMs ??= this.#parts.clock.nowMs();
     this.#body.push(chunk);
     this.#bodyBytes += chunk.length;
-    if (this.#bodyBytes > MAX_WHOLE_BYTES) {
+    if (this.#bodyBytes > MAX_BUFFERED_ANSWER_BYTES) {
       this.#end(AttemptEnd.Lost, "answer is too large");
     }
   }
 
-  #passesEvents(): boolean {
-    return isStream(this.order.call.route.kind) &&
+  #isEventStream(): boolean {
+    return isStream(this.options.call.route.kind) &&
       this.#answer!.statusCode === STATUS_OK;
   }
 
-  #passOn(events: readonly StreamedEvent[]): void {
+  #forwardEvents(events: readonly StreamedEvent[]): void {
     for (const { bytes, id } of events) {
-      if (this.#over) {
+      if (this.#isDone) {
         return;
       }
       const last = this.lastEventId;
@@ -221,60 +229,61 @@
       const isKnown = id !== undefined && last !== undefined && id <= last;
       if (!isKnown) {
         this.lastEventId = id ?? last;
-        this.#passOne(bytes);
+        this.#forwardEvent(bytes);
       }
     }
   }
 
-  #passOne(bytes: Buffer): void {
+  #forwardEvent(bytes: Buffer): void {
     const nowMs = this.#parts.clock.nowMs();
-    this.events++;
+    this.eventCount++;
     this.#lastEventAtMs = nowMs;
-    if (this.#firstAtMs === undefined) {
-      this.#firstAtMs = nowMs;
-      this.#parts.desk.firstSeen(this.order.askId);
+    if (this.#firstDataAtMs === undefined) {
+      this.#firstDataAtMs = nowMs;
+      this.#parts.desk.firstSeen(this.options.askId);
     }
     this.#sink.event(bytes);
   }
 
-  #ended(): void {
+  #onAnswerEnded(): void {
     const status = this.#answer!.statusCode!;
-    if (this.#passesEvents()) {
-      this.#over = true;
-      this.#sink.streamEnded(this.#splitter.rest);
+    if (this.#isEventStream()) {
+      this.#isDone = true;
+      this.#sink.streamEnded(this.#splitter.remainder);
     } else if (PROMISES_NOT_RUN.has(status)) {
-      // Without the target's word that it did not run, the status cannot be
-      // passed on: callers take it for a promise.
-      this.#end(AttemptEnd.Lost, `unfounded status ${status}`);
-    } else if (status >= FIRST_FAILURE_STATUS) {
-      this.#over = true;
+      // Callers take this status as a promise that the request did not run, but
+      // the target's headers did not confirm it.
+      const reason = `status ${status} without confirmation of not running`;
+      this.#end(AttemptEnd.Lost, reason);
+    } else if (status >= MIN_SERVER_ERROR_STATUS) {
+      this.#isDone = true;
       this.#sink.ended(AttemptEnd.Failed, `target answered ${status}`);
     } else {
-      this.#over = true;
+      this.#isDone = true;
       this.#sink.answered();
     }
   }
 
-  #broke({ sent, reason }: ExchangeFault): void {
+  #onExchangeFailed({ isSent: sent, reason }: ExchangeFailure): void {
     if (sent) {
-      void this.#lost(reason);
+      void this.#onAnswerLost(reason);
     } else {
       this.#end(AttemptEnd.NotSent, reason);
     }
   }
 
   /**
-   * Before the request goes to another target it has to be known whether this
-   * one ended under it: the next may end as well.
+   * Checks whether the target's process has ended before the request may go to
+   * another target, which might end as well.
    */
-  async #lost(reason: string): Promise<void> {
+  async #onAnswerLost(reason: string): Promise<void> {
     const { probes } = this.#parts;
-    const hasEnded = await probes.hasEnded(this.order.target.address);
+    const hasEnded = await probes.hasEnded(this.options.target.address);
     this.#end(hasEnded ? AttemptEnd.TargetEnded : AttemptEnd.Lost, reason);
   }
 
   #end(end: AttemptEnd, reason: string): void {
-    if (!this.#over) {
+    if (!this.#isDone) {
       this.cancel();
       this.#sink.ended(end, reason);
     }
--- a/packages/gateway/src/target_upkeep.ts
+++ b/packages/gateway/src/target_cleanup.ts
@@ -1,4 +1,4 @@
-/** Cleans up state of targets that were removed or restarted. */
+/** Cleanup of state about targets that were removed or restarted. */
 
 import type { Coordinator } from "@chestnuthatch/routing/coordinator";
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
@@ -9,30 +9,30 @@
 import type { Clock } from "./ports.ts";
 import type { TargetConnections } from "./target_connections.ts";
 
-/** What the clean-up works with. */
-export interface UpkeepParts {
+/** Parts of the instance that the cleanup uses. */
+export interface TargetCleanupParts {
   readonly board: RoutingBoard;
   readonly clock: Clock;
   readonly coordinator: Coordinator;
   readonly connections: TargetConnections;
 }
 
-/** Discards state of removed and restarted targets. */
-export class TargetUpkeep {
-  readonly #parts: UpkeepParts;
+/** Discards state about removed targets, and resets that of restarted ones. */
+export class TargetCleanup {
+  readonly #parts: TargetCleanupParts;
 
-  /** @param parts What it works with. */
-  constructor(parts: UpkeepParts) {
+  /** @param parts Parts of the instance that the cleanup uses. */
+  constructor(parts: TargetCleanupParts) {
     this.#parts = parts;
   }
 
-  /** @param beliefs What changed in what this instance believes. */
-  changed(beliefs: readonly TargetBelief[]): void {
+  /** @param changes Changes in this instance's directory of targets. */
+  applyChanges(changes: readonly TargetBelief[]): void {
     const { board: { targets, paces, rateLimits }, clock } = this.#parts;
     const nowMs = clock.nowMs();
-    for (const { targetId, news } of beliefs) {
+    for (const { targetId, news } of changes) {
       if (news === TargetNews.Restarted) {
-        this.#restarted(targetId, nowMs);
+        this.#resetRestarted(targetId, nowMs);
       }
     }
     targets.forgetOld(nowMs);
@@ -45,13 +45,13 @@
     this.#parts.connections.keepOnly(addresses);
   }
 
-  /** Keeps the learned pace, which is that of the machine. */
-  #restarted(targetId: string, nowMs: number): void {
+  /** Resets a target's state, except its pace, which depends on its machine. */
+  #resetRestarted(targetId: string, nowMs: number): void {
     const { board, coordinator, connections } = this.#parts;
     board.health.restarted(targetId);
     board.backoffs.restarted(targetId);
     board.rateLimits.restarted(targetId, nowMs);
     coordinator.targetRestarted(targetId);
-    connections.dropIdle(board.targets.get(targetId)!.address);
+    connections.closeIdle(board.targets.get(targetId)!.address);
   }
 }
--- a/packages/gateway/src/target_connections.ts
+++ b/packages/gateway/src/target_connections.ts
@@ -1,53 +1,55 @@
-/** Kept connections to targets. */
+/** Keep-alive connections to targets. */
 
 import { Agent } from "node:http";
 import type { Duplex } from "node:stream";
 import type { Socket } from "node:net";
 
 /**
- * Time that a connection is kept without use. Targets close idle connections
- * after a time that not all of them tell; a request sent on one that is being
- * closed is lost, so connections are not kept for long.
+ * Longest time that an idle connection is kept. Targets close idle connections
+ * after a time that not all of them announce, and a request sent on one that is
+ * being closed is lost, so connections are not kept for long.
  */
 const MAX_IDLE_MS = 4000;
 
-/** Share of a target's connections that all instances keep idle together. */
-const IDLE_SHARE = 0.5;
+/** Share of a target's connections that all instances together keep idle. */
+const IDLE_CONNECTION_SHARE = 0.5;
 
-/** An agent that drops idle connections on which anything arrives. */
-class WatchedAgent extends Agent {
+/** An agent that closes idle connections on which data arrives. */
+class IdleDataGuardAgent extends Agent {
   // deno-lint-ignore no-explicit-any
   override keepSocketAlive(socket: Duplex): any {
-    // Declared to return nothing; it tells whether the connection is kept.
+    // Declared without a result, but it returns whether the connection is kept.
     const kept = super.keepSocketAlive(socket) as unknown as boolean;
     if (kept) {
-      // An answer that nobody asked for: the next request on this connection
-      // could take it for its own.
-      socket.once("data", dropConnection);
+      // Data without a request could be taken for the answer to the next
+      // request on this connection.
+      socket.once("data", closeConnection);
     }
     return kept;
   }
 
   // deno-lint-ignore no-explicit-any
   override reuseSocket(socket: Duplex, request: any): void {
-    socket.removeListener("data", dropConnection);
+    socket.removeListener("data", closeConnection);
     super.reuseSocket(socket, request);
   }
 }
 
-function dropConnection(this: Socket): void {
+function closeConnection(this: Socket): void {
   this.destroy();
 }
 
-/** One agent for each address, closed with its target. */
+/** Holds one agent for each target's address. */
 export class TargetConnections {
   readonly #byAddress = new Map<string, Agent>();
 
   /**
-   * @param address `ip:port` of a target.
-   * @param of Connections that it takes from all instances together, and how
-   * many instances share them.
-   * @returns The agent that keeps its connections.
+   * Returns the agent of a target, and creates it if there is none.
+   *
+   * @param address `ip:port` of the target.
+   * @param of Connections that the target accepts from all instances together,
+   * and the number of instances that share them.
+   * @returns The agent, with its limit of idle connections updated.
    */
   agent(
     address: string,
@@ -55,11 +57,13 @@
   ): Agent {
     const maxFreeSockets = Math.max(
       1,
-      Math.floor(of.maxConnections * IDLE_SHARE / Math.max(1, of.instances)),
+      Math.floor(
+        of.maxConnections * IDLE_CONNECTION_SHARE / Math.max(1, of.instances),
+      ),
     );
     let agent = this.#byAddress.get(address);
     if (agent === undefined) {
-      agent = new WatchedAgent({
+      agent = new IdleDataGuardAgent({
         keepAlive: true,
         scheduling: "lifo",
         timeout: MAX_IDLE_MS,
@@ -72,24 +76,31 @@
   }
 
   /**
-   * @param address Address of a target whose process started again: what is kept
-   * of the old one fails on its next use.
+   * Closes the idle connections to a target whose process was restarted: those
+   * to the old process would fail on their next use.
+   *
+   * @param address `ip:port` of the target.
    */
-  dropIdle(address: string): void {
+  closeIdle(address: string): void {
     const kept = this.#byAddress.get(address)?.freeSockets ?? {};
     for (const socket of Object.values(kept).flatMap((list) => list ?? [])) {
       socket.destroy();
     }
   }
 
-  /** Closes what is kept of all targets: it may have fallen silent. */
-  dropAllIdle(): void {
+  /** Closes all idle connections, as they may no longer work. */
+  closeAllIdle(): void {
     for (const address of this.#byAddress.keys()) {
-      this.dropIdle(address);
+      this.closeIdle(address);
     }
   }
 
-  /** @param addresses Addresses still in use; connections to others close. */
+  /**
+   * Closes the connections to other targets, except to those with a request in
+   * flight.
+   *
+   * @param addresses `ip:port` of each target that is still in use.
+   */
   keepOnly(addresses: ReadonlySet<string>): void {
     for (const [address, agent] of this.#byAddress) {
       const isBusy = Object.keys(agent.sockets).length > 0;
--- a/packages/gateway/src/target_exchange.ts
+++ b/packages/gateway/src/target_exchange.ts
@@ -1,4 +1,4 @@
-/** One request to one target, and its answer as it comes. */
+/** One HTTP request to one target, with its answer as it arrives. */
 
 import { Buffer } from "node:buffer";
 import {
@@ -10,192 +10,194 @@
 import type { Socket } from "node:net";
 import { hostPortOf } from "./host_port.ts";
 
-/** What is sent. */
-export interface ExchangeOrder {
+/** The request to send, and the target's address. */
+export interface ExchangeOptions {
   readonly agent: Agent;
   /** `ip:port`. */
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** Names and values, one after the other. */
+  /** Names and values, alternating. */
   readonly headers: string[];
   readonly body?: Buffer;
 }
 
-/** Who hears of the answer. Nothing follows on `ended` or `broke`. */
+/** Receives the answer. Nothing follows on `ended` or `failed`. */
 export interface ExchangeSink {
+  /** Status and headers were received. */
   head(answer: IncomingMessage): void;
+  /** Bytes of the body were received. */
   data(chunk: Buffer): void;
-  /** The answer is whole. */
+  /** The answer is complete. */
   ended(): void;
-  /** There will be no whole answer. */
-  broke(fault: ExchangeFault): void;
+  /** The answer is missing or incomplete. */
+  failed(fault: ExchangeFailure): void;
 }
 
-/** Why there is no whole answer. */
-export interface ExchangeFault {
-  /** False where certainly no byte of the request reached the target. */
-  readonly sent: boolean;
+/** Reason for a missing or incomplete answer. */
+export interface ExchangeFailure {
+  /** False if no byte of the request can have reached the target. */
+  readonly isSent: boolean;
   readonly reason: string;
 }
 
 /**
- * Time that a connection may take. Within a region it takes a few milliseconds,
- * and on a slow instance some tens; a lost opening packet is sent again only
- * after a second. What was not sent can go to another target and still be in
- * time for objectives of 400 ms.
+ * Timeout for a connection. Within a region it takes a few milliseconds, on a
+ * slow instance some tens; a lost SYN packet is retransmitted only after a
+ * second. A request that was not sent can go to another target in time for an
+ * objective of 400 ms.
  */
 const CONNECT_TIMEOUT_MS = 120;
 
-/** Why an exchange ended that found no connection in time. */
-export const NO_CONNECTION = "no connection in time";
+/** Reason of an exchange whose connection timed out. */
+export const CONNECT_TIMEOUT_REASON = "connect timeout";
 
 const NO_BYTES = Buffer.alloc(0);
 
-/** Runs one exchange. */
+/** Sends one request and reports its answer, or the failure, to a sink. */
 export class TargetExchange {
   readonly #sink: ExchangeSink;
   readonly #request: ClientRequest;
   #answer?: IncomingMessage;
-  #sent = false;
-  #over = false;
-  /** Whether it is still open if the connection's end was a reset. */
-  #probing = false;
+  #isSent = false;
+  #isDone = false;
+  /** Whether the check for a reset at the connection's end is in progress. */
+  #isProbingReset = false;
   #connectTimer?: NodeJS.Timeout;
 
   /**
    * Sends a request.
    *
-   * @param order What is sent, and where.
-   * @param sink Who hears of the answer.
+   * @param options The request, and the target's address.
+   * @param sink Receiver of the answer.
    */
-  constructor(order: ExchangeOrder, sink: ExchangeSink) {
+  constructor(options: ExchangeOptions, sink: ExchangeSink) {
     this.#sink = sink;
-    const { host, port } = hostPortOf(order.address);
+    const { host, port } = hostPortOf(options.address);
     this.#request = request({
       host,
       port,
-      agent: order.agent,
-      method: order.method,
-      path: order.path,
-      headers: order.headers as unknown as Record<string, string>,
+      agent: options.agent,
+      method: options.method,
+      path: options.path,
+      headers: options.headers as unknown as Record<string, string>,
       setHost: false,
     });
-    this.#request.on("socket", (socket) => this.#connecting(socket));
-    this.#request.on("response", (answer) => this.#answered(answer));
-    this.#request.on("error", (error) => this.#broke(error.message));
+    this.#request.on("socket", (socket) => this.#onSocket(socket));
+    this.#request.on("response", (answer) => this.#onResponse(answer));
+    this.#request.on("error", (error) => this.#fail(error.message));
     this.#request.on("close", () => {
-      // Where there is an answer, its own end tells whether it is whole.
+      // The end of a begun answer shows whether it is complete.
       if (this.#answer === undefined) {
-        this.#broke("closed without an answer");
+        this.#fail("connection closed without an answer");
       }
     });
-    this.#request.end(order.body);
+    this.#request.end(options.body);
   }
 
-  /** Breaks the exchange off; nothing is heard of it any more. */
+  /** Aborts the exchange; the sink is not called any more. */
   cancel(): void {
-    this.#over = true;
+    this.#isDone = true;
     clearTimeout(this.#connectTimer);
     this.#request.destroy();
   }
 
-  /** Holds the answer back while its reader is slow. */
+  /** Stops reading the answer, while its receiver is slow. */
   pause(): void {
     this.#answer?.pause();
   }
 
-  /** Lets the answer flow again. */
+  /** Continues to read the answer. */
   resume(): void {
     this.#answer?.resume();
   }
 
-  #connecting(socket: Socket): void {
+  #onSocket(socket: Socket): void {
     if (!socket.connecting) {
-      this.#sent = true;
+      this.#isSent = true;
       return;
     }
     socket.setNoDelay(true);
     this.#connectTimer = setTimeout(() => {
-      // Where this instance was late itself, the connection may be there, its
-      // event not yet handled.
-      setImmediate(() => this.#notConnected(socket));
+      // If this process was late, the connection may be established already;
+      // its event is handled first.
+      setImmediate(() => this.#onConnectTimeout(socket));
     }, CONNECT_TIMEOUT_MS);
     socket.once("connect", () => {
-      this.#sent = true;
+      this.#isSent = true;
       clearTimeout(this.#connectTimer);
     });
   }
 
-  #notConnected(socket: Socket): void {
+  #onConnectTimeout(socket: Socket): void {
     if (socket.connecting) {
-      this.#broke(NO_CONNECTION);
+      this.#fail(CONNECT_TIMEOUT_REASON);
       this.#request.destroy();
     }
   }
 
-  #answered(answer: IncomingMessage): void {
-    if (this.#over) {
+  #onResponse(answer: IncomingMessage): void {
+    if (this.#isDone) {
       answer.destroy();
       return;
     }
     this.#answer = answer;
-    if (endsWithConnection(answer)) {
-      // First, since the parser closes the connection when it ends.
+    if (isDelimitedByClose(answer)) {
+      // Prepended, since the HTTP parser closes the connection when it ends.
       answer.socket.prependListener("end", () => this.#probeReset(answer));
     }
     this.#sink.head(answer);
     answer.on("data", (chunk: Buffer) => {
-      if (!this.#over) {
+      if (!this.#isDone) {
         this.#sink.data(chunk);
       }
     });
-    answer.on("end", () => this.#answerEnded(answer));
-    answer.on("error", (error) => this.#broke(error.message));
-    answer.on("close", () => this.#broke("answer cut off"));
+    answer.on("end", () => this.#onAnswerEnded(answer));
+    answer.on("error", (error) => this.#fail(error.message));
+    answer.on("close", () => this.#fail("answer truncated"));
   }
 
   /**
-   * Finds out whether a connection that ended was reset. Where data and a reset
-   * arrive together, the runtime tells of a plain end; the reset shows only on
-   * the next use of the connection, here by a write of no bytes.
+   * Checks whether a connection that ended was reset. If data and a reset
+   * arrive together, Node.js reports a normal end; the reset shows only on the
+   * next use of the connection, here a write of no bytes.
    */
   #probeReset(answer: IncomingMessage): void {
-    this.#probing = true;
+    this.#isProbingReset = true;
     answer.socket.write(NO_BYTES, (error) => {
-      this.#probing = false;
+      this.#isProbingReset = false;
       if (error !== undefined && error !== null) {
-        this.#broke(`answer cut off: ${error.message}`);
+        this.#fail(`answer truncated: ${error.message}`);
       } else if (answer.readableEnded) {
-        this.#answerEnded(answer);
+        this.#onAnswerEnded(answer);
       }
     });
   }
 
-  #answerEnded(answer: IncomingMessage): void {
-    if (this.#over || this.#probing) {
+  #onAnswerEnded(answer: IncomingMessage): void {
+    if (this.#isDone || this.#isProbingReset) {
       return;
     }
     if (!answer.complete) {
-      this.#broke("answer cut off");
+      this.#fail("answer truncated");
       return;
     }
-    this.#over = true;
+    this.#isDone = true;
     this.#sink.ended();
   }
 
-  #broke(reason: string): void {
-    if (this.#over) {
+  #fail(reason: string): void {
+    if (this.#isDone) {
       return;
     }
-    this.#over = true;
+    this.#isDone = true;
     clearTimeout(this.#connectTimer);
-    this.#sink.broke({ sent: this.#sent, reason });
+    this.#sink.failed({ isSent: this.#isSent, reason });
   }
 }
 
-/** Whether only the end of its connection tells where an answer ends. */
-function endsWithConnection({ headers }: IncomingMessage): boolean {
+/** Whether the end of the connection is what delimits the answer's body. */
+function isDelimitedByClose({ headers }: IncomingMessage): boolean {
   return headers["content-length"] === undefined &&
     headers["transfer-encoding"] === undefined;
 }
--- a/packages/gateway/src/target_probes.ts
+++ b/packages/gateway/src/target_probes.ts
@@ -1,32 +1,34 @@
-/** Finds out whether a target's process is gone, right after a lost answer. */
+/** Checks, after a lost answer, whether a target's process has ended. */
 
 import { connect } from "node:net";
 import { hostPortOf } from "./host_port.ts";
 
 /**
- * Time for an answer; a connection takes a few milliseconds. Whoever waits for
- * it has lost an answer and is about to ask for another place.
+ * Timeout of a probe; a connection takes a few milliseconds. A request that
+ * lost its answer waits for the probe before it asks for another target.
  */
-const PROBE_MS = 60;
+const PROBE_TIMEOUT_MS = 60;
 
-/** How a host says that nobody listens at a port. */
-const REFUSED = "ECONNREFUSED";
+/** Error code of a connection to a port on which no process listens. */
+const CONNECTION_REFUSED_CODE = "ECONNREFUSED";
 
-/** Probes under way, one for all that lost an answer there. */
+/** Probes in flight; requests that lost answers at one target share a probe. */
 export class TargetProbes {
-  readonly #underWay = new Map<string, Promise<boolean>>();
+  readonly #inFlight = new Map<string, Promise<boolean>>();
 
   /**
-   * @param address `ip:port` of a target.
-   * @returns Whether its host says that nobody listens there; false also where
-   * it does not answer in time.
+   * Probes a target by a connection to it.
+   *
+   * @param address `ip:port` of the target.
+   * @returns Whether its host refused the connection; false also if the host
+   * did not answer in time.
    */
   hasEnded(address: string): Promise<boolean> {
-    let probe = this.#underWay.get(address);
+    let probe = this.#inFlight.get(address);
     if (probe === undefined) {
       probe = isRefused(address);
-      this.#underWay.set(address, probe);
-      void probe.then(() => this.#underWay.delete(address));
+      this.#inFlight.set(address, probe);
+      void probe.then(() => this.#inFlight.delete(address));
     }
     return probe;
   }
@@ -35,7 +37,7 @@
 function isRefused(address: string): Promise<boolean> {
   const { host, port } = hostPortOf(address);
   return new Promise((resolve) => {
-    const socket = connect({ host, port, timeout: PROBE_MS });
+    const socket = connect({ host, port, timeout: PROBE_TIMEOUT_MS });
     const answer = (refused: boolean) => {
       socket.destroy();
       resolve(refused);
@@ -43,7 +45,7 @@
     socket.on("connect", () => answer(false));
     socket.on("timeout", () => answer(false));
     socket.on("error", (error: NodeJS.ErrnoException) => {
-      answer(error.code === REFUSED);
+      answer(error.code === CONNECTION_REFUSED_CODE);
     });
   });
 }
--- a/packages/gateway/src/work_ask_of.ts
+++ b/packages/gateway/src/work_ask_of.ts
@@ -1,4 +1,4 @@
-/** What a request asks the coordinator for. */
+/** Builds a request's ask to the coordinator. */
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
 import { rankOf } from "@chestnuthatch/routing/ranks";
@@ -12,27 +12,33 @@
 } from "./routed_call.ts";
 import { isStream } from "./target_attempt.ts";
 
-/** Part of the objective kept back from a caller's patience, for the answer. */
-const ANSWER_PART = 0.5;
+/**
+ * Share of the route's objective that is subtracted from the caller's patience,
+ * as time for the target to answer.
+ */
+const ANSWER_OBJECTIVE_SHARE = 0.5;
 
-/** What is known of a request besides the call itself. */
+/** State of a request that its ask depends on, besides the call itself. */
 export interface AskFacts {
   readonly cause: AskCause;
-  /** Whether its cost was charged before. */
-  readonly charged: boolean;
-  /** Targets that must not get it again. */
-  readonly tried: ReadonlySet<string>;
-  /** When the caller got the last event; absent before the first. */
+  /** Whether its cost was charged to the workspace's allotment already. */
+  readonly isCharged: boolean;
+  /** Ids of the targets that must not receive it again. */
+  readonly triedTargetIds: ReadonlySet<string>;
+  /**
+   * Local time at which the last event was sent to the caller, in milliseconds;
+   * absent before the first.
+   */
   readonly lastEventAtMs?: number;
 }
 
 /**
- * Makes an ask for a request, as of now.
+ * Builds the ask for a request, with all durations counted from now.
  *
  * @param parts The instance's parts.
  * @param call The request.
- * @param facts What is known besides.
- * @returns The ask.
+ * @param facts State of the request.
+ * @returns The ask, under a new id.
  */
 export function workAskOf(
   parts: GatewayParts,
@@ -44,7 +50,7 @@
   const nowMs = parts.clock.nowMs();
   const spentMs = nowMs - call.arrivedAtMs;
   const leftMs = deadlineAtMs(call) - nowMs;
-  // Callers leave after a gap, whether before the first event or a later one.
+  // Callers disconnect after a long gap before any event, not only the first.
   const silentMs = nowMs - (facts.lastEventAtMs ?? call.arrivedAtMs);
   const patienceMs = isStream(route.kind)
     ? Math.min(leftMs, streamPatienceMs(route) - silentMs)
@@ -57,14 +63,14 @@
     pool: call.pool,
     workspace: workspace?.name ?? "",
     rank: rankOf(workspace?.rank ?? 0, route.rank),
-    cost: facts.charged ? 0 : costOf(call),
+    cost: facts.isCharged ? 0 : costOf(call),
     promptTokens: tokens?.prompt ?? 0,
     outputTokens: tokens?.output ?? 0,
     objectiveLeftMs: route.objectiveMs - spentMs,
-    patienceLeftMs: patienceMs - ANSWER_PART * route.objectiveMs,
+    patienceLeftMs: patienceMs - ANSWER_OBJECTIVE_SHARE * route.objectiveMs,
     deadlineLeftMs: leftMs,
     failureDomain: parts.failureDomain,
-    excluded: excludedFor(parts, call, facts.tried),
+    excluded: excludedTargetIds(parts, call, facts.triedTargetIds),
     cause: facts.cause,
     ...(fingerprint === undefined ? undefined : { fingerprint }),
     ...(parts.board.rollouts.isInProgress(call.pool)
@@ -73,7 +79,10 @@
   };
 }
 
-/** Callers repeat a request unchanged; plain calls are too much alike. */
+/**
+ * Identifies a request over its caller's attempts, which repeat it unchanged.
+ * Calls without a prompt are too similar to be told apart and get 0.
+ */
 function callHashOf({ facts, method, path }: RoutedCall): number {
   return facts.prompt === undefined
     ? 0
@@ -81,10 +90,11 @@
 }
 
 /**
- * Health is only advice: where it rules out every target, it is ignored. A
- * back-off that a target requested is kept in any case.
+ * Lists the targets that the request must not go to. Health and unreachable
+ * failure domains are ignored if they would exclude every target; a backoff
+ * that a target requested always applies.
  */
-function excludedFor(
+function excludedTargetIds(
   { board, clock }: GatewayParts,
   { pool }: RoutedCall,
   tried: ReadonlySet<string>,
@@ -92,26 +102,28 @@
   const nowMs = clock.nowMs();
   const { serving: usable } = board.rollouts
     .split(pool, board.targets.usable(pool, nowMs), nowMs);
-  const barred = new Set([...tried, ...board.backoffs.activeIds(nowMs)]);
+  const mandatory = new Set([...tried, ...board.backoffs.activeIds(nowMs)]);
   const excluded = new Set([
-    ...barred,
+    ...mandatory,
     ...board.health.paused(nowMs),
     ...board.cutDomains.unreachable(usable, nowMs)
       .map(({ targetId }) => targetId),
   ]);
-  const isAnyLeft = usable.some(({ targetId }) => !excluded.has(targetId));
-  return [...(isAnyLeft ? excluded : barred)];
+  const isAnyEligible = usable.some(({ targetId }) => !excluded.has(targetId));
+  return [...(isAnyEligible ? excluded : mandatory)];
 }
 
-/** Part of a back-off over which the return of callers is spread. */
-const SPREAD_SHARE = 0.25;
-const HASHES = 2 ** 32;
+/** Share of a backoff over which the retries of callers are spread. */
+const RETRY_SPREAD_SHARE = 0.25;
+const HASH_COUNT = 2 ** 32;
 
 /**
+ * Computes the retry time of a request whose whole pool is in backoff.
+ *
  * @param parts The instance's parts.
  * @param call A request.
- * @returns When its caller should retry, if every target of its pool asked this
- * instance to back off; absent otherwise.
+ * @returns Time in milliseconds after which its caller should retry, if every
+ * target of its pool asked this instance to back off; undefined otherwise.
  */
 export function poolBackoffMs(
   { board, clock }: GatewayParts,
@@ -127,11 +139,12 @@
     .map(({ targetId }) => board.backoffs.remainingMs(targetId, nowMs));
   const shortestMs = Math.min(...remainingMs);
   return shortestMs > 0
-    ? shortestMs * (1 + SPREAD_SHARE * hash32(facts.requestId) / HASHES)
+    ? shortestMs *
+      (1 + RETRY_SPREAD_SHARE * hash32(facts.requestId) / HASH_COUNT)
     : undefined;
 }
 
-/** Cost units of a request for its workspace's allotment. */
+/** Computes the cost units that a request takes of an allotment. */
 function costOf({ facts, workspace }: RoutedCall): number {
   const allotment = workspace?.allotment;
   if (allotment === undefined) {
--- a/packages/gateway/src/work_ask_of_test.ts
+++ b/packages/gateway/src/work_ask_of_test.ts
@@ -24,8 +24,8 @@
 };
 const FACTS = {
   cause: AskCause.First,
-  charged: false,
-  tried: new Set<string>(),
+  isCharged: false,
+  triedTargetIds: new Set<string>(),
 };
 
 /** Only what an ask is made from. */
