--- a/packages/gateway/src/attempt_recorder.ts
+++ b/packages/gateway/src/attempt_recorder.ts
@@ -41,7 +41,11 @@
     this.#log = log;
   }
 
-  /** @param attempt An attempt whose answer was forwarded to the caller. */
+  /**
+   * Records an attempt that succeeded.
+   *
+   * @param attempt An attempt whose answer was forwarded to the caller.
+   */
   recordServed(attempt: TargetAttempt): void {
     const { board, desk, metrics } = this.#parts;
     const { call, target } = attempt.options;
@@ -136,8 +140,8 @@
   }
 }
 
-function endedTargetOf({ options: order }: TargetAttempt): EndedTarget {
-  const { call, target, isTrial } = order;
+function endedTargetOf({ options }: TargetAttempt): EndedTarget {
+  const { call, target, isTrial } = options;
   return {
     fingerprint: fingerprintOf(call),
     process: `${target.targetId} ${target.incarnation}`,
--- a/packages/gateway/src/caller_connection.ts
+++ b/packages/gateway/src/caller_connection.ts
@@ -169,12 +169,20 @@
     this.#socket.destroy();
   }
 
-  /** @param idleTimeMs Idle timeout from now, in milliseconds. */
+  /**
+   * Restarts the socket's idle timeout.
+   *
+   * @param idleTimeMs Idle timeout from now, in milliseconds.
+   */
   setIdleTimeout(idleTimeMs: number): void {
     this.#socket.setTimeout(idleTimeMs);
   }
 
-  /** @param answer An answer to track until it is written out. */
+  /**
+   * Tracks an answer until it is written out.
+   *
+   * @param answer The answer to a request that was just read.
+   */
   trackAnswer(answer: UnfinishedAnswer): void {
     this.#requestsRead++;
     this.#unfinishedAnswers.add(answer);
@@ -182,7 +190,11 @@
     answer.response.on("finish", () => this.#onFinish(answer));
   }
 
-  /** @param end Cause of the connection's end, unless one is recorded. */
+  /**
+   * Records the cause of the connection's end, unless one is recorded already.
+   *
+   * @param end The cause.
+   */
   recordEnd(end: ConnectionEnd): void {
     this.updateWaitingBytes();
     this.#end ??= end;
--- a/packages/gateway/src/caller_connections.ts
+++ b/packages/gateway/src/caller_connections.ts
@@ -52,7 +52,11 @@
     };
   }
 
-  /** @param socket A new connection of a caller. */
+  /**
+   * Registers a new connection.
+   *
+   * @param socket The connection of a caller.
+   */
   add(socket: Socket): void {
     const connection = new CallerConnection(socket, {
       clock: this.#parts.clock,
@@ -62,6 +66,8 @@
   }
 
   /**
+   * Returns whether a connection is closing.
+   *
    * @param socket A caller's connection.
    * @returns Whether it is closed or closes after an answer, so that a request
    * read on it now cannot be answered.
@@ -71,6 +77,8 @@
   }
 
   /**
+   * Returns how long a caller took at most to read an answer.
+   *
    * @param socket A caller's connection.
    * @returns Longest time from a request to the last byte of its answer, in
    * milliseconds, among answers that were buffered until the caller read; 0 if
@@ -106,7 +114,11 @@
     this.#open.get(socket)?.handleUnreadable(error);
   }
 
-  /** @param answer The answer to a request that was just read. */
+  /**
+   * Tracks an answer until it is written out or its connection ends.
+   *
+   * @param answer The answer to a request that was just read.
+   */
   trackAnswer(answer: UnfinishedAnswer): void {
     this.#open.get(answer.response.req.socket)?.trackAnswer(answer);
   }
--- a/packages/gateway/src/caller_connections_test.ts
+++ b/packages/gateway/src/caller_connections_test.ts
@@ -18,13 +18,13 @@
 import { UnfinishedAnswer } from "./unfinished_answer.ts";
 
 const HOST = "127.0.0.1";
-/** More than a connection takes in that is not read. */
+/** More than the buffers of an unread connection hold. */
 const LARGE_BYTES = 32 * 1024 * 1024;
 const SMALL = Buffer.from("whole");
 const CLOCK = { nowMs: () => 0 };
 const POLLS = 1500;
 const POLL_MS = 10;
-/** What no test waits for. */
+/** Longer than any test waits. */
 const NEVER_MS = 600_000;
 
 /** Time limits of the server. */
@@ -33,10 +33,10 @@
   headersTimeMs?: number;
 }
 
-/** A server whose paths answer in different ways, and the account of it. */
+/** A server whose paths answer in different ways, with its log and metrics. */
 class Harness {
   readonly callers: Socket[] = [];
-  /** The server's ends of their connections. */
+  /** The server's sockets of the callers' connections. */
   readonly accepted: Socket[] = [];
   readonly #texts: string[] = [];
   readonly #metrics = new GatewayMetrics();
@@ -57,7 +57,7 @@
     stage: () => ShutdownStage.Refusing,
   });
   readonly server: Server;
-  /** The latest answer owed. */
+  /** The answer to the latest request. */
   latest?: UnfinishedAnswer;
 
   constructor({ idleTimeMs = NEVER_MS, headersTimeMs = NEVER_MS }: Limits) {
@@ -92,7 +92,7 @@
     return caller;
   }
 
-  /** Lines of the account, without what every line has. */
+  /** Log lines, without the facts that every line has. */
   lines(): Record<string, unknown>[] {
     this.#log.flush();
     const lines = this.#texts.join("").split("\n").filter((text) => text);
@@ -104,13 +104,13 @@
     });
   }
 
-  /** Lines, once there are as many. */
+  /** Waits for a number of log lines and returns all. */
   async linesOf(count: number): Promise<Record<string, unknown>[]> {
     await until(() => this.lines().length >= count);
     return this.lines();
   }
 
-  /** Counters above 0, once the connections of all callers have ended. */
+  /** Counters of connections, once those of all callers have ended. */
   async counters(): Promise<string[]> {
     await until(() => this.connections.summary.openConnections === 0);
     const text = await this.#metrics.text();
@@ -126,16 +126,16 @@
   }
 
   #read(request: IncomingMessage, response: ServerResponse): void {
-    const owed = new UnfinishedAnswer(response, {
+    const unfinished = new UnfinishedAnswer(response, {
       requestId: request.url!,
       arrivedAtMs: 0,
       closesConnection: !response.shouldKeepAlive,
     });
-    this.connections.trackAnswer(owed);
+    this.connections.trackAnswer(unfinished);
     ANSWERS[request.url!]!(response);
     request.on("error", () => {});
     request.resume();
-    this.latest = owed;
+    this.latest = unfinished;
   }
 }
 
@@ -152,7 +152,7 @@
 
 async function until(holds: () => boolean): Promise<void> {
   for (let polls = 0; !holds(); polls++) {
-    assert.ok(polls < POLLS, `waited in vain for ${holds}`);
+    assert.ok(polls < POLLS, `timed out waiting for ${holds}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
@@ -191,7 +191,7 @@
   tookMs: 0,
 };
 
-testOn("an answer that is cut while it waits is told", async (harness) => {
+testOn("a buffered answer is logged when it is aborted", async (harness) => {
   await harness.request("/large");
   harness.connections.closeAndRecord(
     ConnectionEnd.ClosedIdle,
@@ -212,7 +212,7 @@
   ]);
 });
 
-testOn("closing tells only of connections that it ends", async (harness) => {
+testOn("only connections that were closed get the cause", async (harness) => {
   const caller = await harness.request("/never");
   harness.connections.closeAndRecord(
     ConnectionEnd.ClosedIdle,
@@ -225,7 +225,7 @@
   ]);
 });
 
-testOn("an answer that waits is not closed as idle", async (harness) => {
+testOn("a connection with a buffered answer is not idle", async (harness) => {
   const caller = await harness.request("/large");
   harness.connections.closeIdle();
   let bytesRead = 0;
@@ -240,7 +240,7 @@
 });
 
 testOn(
-  "a request that has begun to arrive is no idle time",
+  "a connection with a partly received request is not idle",
   async (harness) => {
     const caller = await harness.request("/small");
     caller.resume();
@@ -254,7 +254,7 @@
   },
 );
 
-testOn("a raised limit holds for connections that idle", async (harness) => {
+testOn("a raised limit applies to idle connections", async (harness) => {
   const caller = await harness.request("/small");
   caller.resume();
   await until(() => harness.connections.summary.owedAnswers === 0);
@@ -263,7 +263,7 @@
   assert.is(accepted!.timeout, 2 * NEVER_MS);
 });
 
-testOn("an answer written out owes nothing", async (harness) => {
+testOn("an answer that is written out is not logged", async (harness) => {
   const caller = await harness.request("/small", "Connection: close\r\n");
   caller.resume();
   await once(caller, "close");
@@ -271,18 +271,21 @@
   assert.equal(harness.lines(), []);
 });
 
-testOn("an answer written in the tick of the close counts", async (harness) => {
-  const caller = await harness.request("/never");
-  harness.connections.closeAndRecord(ConnectionEnd.ProcessEnd, () => {
-    harness.latest!.response.end(SMALL);
-    harness.server.closeAllConnections();
-  });
-  caller.resume();
-  assert.equal(await harness.counters(), [ended("process_end")]);
-  assert.equal(harness.lines(), []);
-});
+testOn(
+  "an answer written in the tick of the close is sent",
+  async (harness) => {
+    const caller = await harness.request("/never");
+    harness.connections.closeAndRecord(ConnectionEnd.ProcessEnd, () => {
+      harness.latest!.response.end(SMALL);
+      harness.server.closeAllConnections();
+    });
+    caller.resume();
+    assert.equal(await harness.counters(), [ended("process_end")]);
+    assert.equal(harness.lines(), []);
+  },
+);
 
-testOn("a caller that leaves before its answer is told", async (harness) => {
+testOn("a caller that disconnects early is logged", async (harness) => {
   const caller = await harness.request("/never");
   harness.latest!.countRuns = () => 1;
   caller.destroy();
@@ -295,7 +298,7 @@
   }]);
 });
 
-testOn("an answer whose write fails is not written out", async (harness) => {
+testOn("an answer whose write fails counts as unanswered", async (harness) => {
   const caller = await harness.request("/large");
   caller.end();
   const { socket } = harness.latest!.response.req;
@@ -309,19 +312,22 @@
   ]);
 });
 
-testOn("a reset tells its error and what waited", async (harness) => {
-  const caller = await harness.request("/large");
-  caller.resetAndDestroy();
-  const [line] = await harness.linesOf(1);
-  assert.ok(Number(line!.waitingBytes) >= LARGE_BYTES);
-  assert.match(String(line!.reason), "ECONNRESET");
-  assert.equal(await harness.counters(), [
-    ended("reset"),
-    unanswered("reset", "handed_over"),
-  ]);
-});
+testOn(
+  "a reset is logged with its error and buffered bytes",
+  async (harness) => {
+    const caller = await harness.request("/large");
+    caller.resetAndDestroy();
+    const [line] = await harness.linesOf(1);
+    assert.ok(Number(line!.waitingBytes) >= LARGE_BYTES);
+    assert.match(String(line!.reason), "ECONNRESET");
+    assert.equal(await harness.counters(), [
+      ended("reset"),
+      unanswered("reset", "handed_over"),
+    ]);
+  },
+);
 
-testOn("a request whose reading breaks off is told", async (harness) => {
+testOn("a partly received request is logged", async (harness) => {
   const caller = await harness.request("/never", "Content-Length: 9\r\n");
   caller.end("part");
   assert.equal(await harness.linesOf(1), [{
@@ -333,7 +339,7 @@
   }]);
 });
 
-testOn("an answer broken off by the instance is told", async (harness) => {
+testOn("an answer aborted by the instance is logged", async (harness) => {
   await harness.request("/begun");
   harness.connections.recordEnd(harness.latest!, ConnectionEnd.BrokenOff);
   harness.latest!.response.destroy();
@@ -345,14 +351,14 @@
   }]);
 });
 
-testOn("answers that wait for earlier ones count", async (harness) => {
+testOn("pipelined answers count as buffered bytes", async (harness) => {
   await harness.call(requestOf("/never") + requestOf("/large"));
   await until(() => harness.latest?.facts.requestId === "/large");
   const { waitingBytes } = harness.connections.summary;
   assert.ok(waitingBytes >= LARGE_BYTES, String(waitingBytes));
 });
 
-testOn("each pipelined request is told by itself", async (harness) => {
+testOn("each pipelined request is logged separately", async (harness) => {
   const caller = await harness.call(requestOf("/never") + requestOf("/small"));
   await until(() => harness.latest?.facts.requestId === "/small");
   caller.destroy();
@@ -363,7 +369,7 @@
   ]);
 });
 
-testOn("what is open when the process ends is told once", async (harness) => {
+testOn("open connections at the exit are logged once", async (harness) => {
   await harness.request("/large");
   await harness.request("/never");
   const { waitingBytes, ...open } = harness.connections.summary;
@@ -378,21 +384,21 @@
   );
 });
 
-testOn("idle time is counted", async (harness) => {
+testOn("an idle timeout is counted", async (harness) => {
   const caller = await harness.request("/small");
   caller.resume();
   assert.equal(await harness.counters(), [ended("idle_time")]);
   assert.equal(harness.lines(), []);
 }, { idleTimeMs: POLL_MS });
 
-testOn("the time limit of headers is counted", async (harness) => {
+testOn("a timeout of headers is counted", async (harness) => {
   const caller = await harness.call("POST /small HT");
   caller.resume();
   await once(caller, "close");
   assert.equal(await harness.counters(), [ended("headers_time")]);
 }, { headersTimeMs: POLL_MS });
 
-testOn("what is no request is counted", async (harness) => {
+testOn("an invalid request is counted", async (harness) => {
   const caller = await harness.call("no request\r\n\r\n");
   caller.resume();
   await once(caller, "close");
--- a/packages/gateway/src/caller_reply.ts
+++ b/packages/gateway/src/caller_reply.ts
@@ -80,7 +80,11 @@
     this.#response.end(body);
   }
 
-  /** @param answer Status and headers of the target's stream, sent at once. */
+  /**
+   * Sends the status and headers of a target's stream.
+   *
+   * @param answer Status and headers from the target.
+   */
   beginStream(answer: IncomingMessage): void {
     const headers = this.#headers(answer.rawHeaders);
     headers.push("Transfer-Encoding", "chunked");
--- a/packages/gateway/src/end_to_end_headers_test.ts
+++ b/packages/gateway/src/end_to_end_headers_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { endToEndHeaders } from "./end_to_end_headers.ts";
 
-test("headers of one connection are left out, the others stay as they are", () => {
+test("hop-by-hop headers are removed, other headers stay unchanged", () => {
   const raw = [
     "Host",
     "h.example",
--- a/packages/gateway/src/event_splitter_test.ts
+++ b/packages/gateway/src/event_splitter_test.ts
@@ -11,7 +11,7 @@
     .map(({ id }) => id);
 }
 
-test("events come out whole, however the bytes are cut", () => {
+test("events are complete, however the stream is chunked", () => {
   for (let size = 1; size <= STREAM.length; size++) {
     const chunks = [];
     for (let at = 0; at < STREAM.length; at += size) {
@@ -21,7 +21,7 @@
   }
 });
 
-test("no byte is changed, and the rest is kept back", () => {
+test("no byte is changed, and an incomplete event is buffered", () => {
   const splitter = new EventSplitter();
   const events = splitter.push(Buffer.from(STREAM));
   const text = events.map(({ bytes }) => bytes.toString()).join("");
--- a/packages/gateway/src/front_server.ts
+++ b/packages/gateway/src/front_server.ts
@@ -138,7 +138,11 @@
     return listen(this.#server, address);
   }
 
-  /** @param limits Limits on callers' requests and connections from now on. */
+  /**
+   * Applies limits of a configuration, also to connections that are idle now.
+   *
+   * @param limits Limits on callers' requests and connections from now on.
+   */
   setLimits(limits: CallerLimits): void {
     if (limits.idleTimeoutMs > this.#limits.idleTimeoutMs) {
       this.#connections.setIdleTimeout(limits.idleTimeoutMs);
@@ -180,7 +184,7 @@
    * the slots freed by the others and be aborted right after they were sent.
    */
   #abort(requests: readonly RoutedRequest[]): void {
-    const waiting = requests.filter(({ runCount: runs }) => runs === 0);
+    const waiting = requests.filter(({ runCount }) => runCount === 0);
     for (const request of [...waiting, ...requests]) {
       request.abort();
     }
@@ -195,7 +199,7 @@
     this.#connections.recordEndOfAll(ConnectionEnd.ProcessEnd);
   }
 
-  /** Closes every connection at once, without answers or log lines for them. */
+  /** Closes every connection at once; unfinished answers are lost. */
   kill(): void {
     this.#server.closeAllConnections();
   }
--- a/packages/gateway/src/gateway_connections_test.ts
+++ b/packages/gateway/src/gateway_connections_test.ts
@@ -15,9 +15,9 @@
 
 const HOST = "127.0.0.1";
 const ANY_PORT = `${HOST}:0`;
-/** The most that is passed on as a whole answer is a little more. */
+/** A little less than the largest answer that is buffered. */
 const LARGE_BYTES = 1_000_000;
-/** A connection that is not read takes in fewer large answers than these. */
+/** More large answers than the buffers of an unread connection hold. */
 const LARGE_IDS = Array.from({ length: 32 }, (_, index) => `q${index}`);
 const LAST_ID = LARGE_IDS.at(-1)!;
 const GRACE_MS = 10_000;
@@ -35,12 +35,12 @@
   }),
 };
 
-/** One line of the log. */
+/** One parsed log line. */
 type Line = Readonly<Record<string, unknown>>;
 
-/** An instance with one target, on a clock that can be set forward. */
+/** An instance with one target, and a clock that can be advanced. */
 class Harness {
-  /** Requests that the target got. */
+  /** Number of requests that the target received. */
   runs = 0;
   readonly #callers: Socket[] = [];
   readonly #texts: string[] = [];
@@ -118,7 +118,7 @@
     await this.gateway.start();
   }
 
-  /** Sends requests on one connection, from a caller that reads nothing. */
+  /** Sends requests on a new connection whose caller reads nothing. */
   request(requestIds: readonly string[], path = "/r/"): Socket {
     const port = Number(this.gateway.callerAddress.split(":")[1]);
     const caller = connect(port, HOST);
@@ -128,15 +128,15 @@
     return caller;
   }
 
-  /** Hands a caller that reads nothing more than its connection holds. */
-  async handOverLarge(): Promise<Socket> {
+  /** Sends a caller that reads nothing more bytes than its connection holds. */
+  async sendLargeAnswers(): Promise<Socket> {
     this.targetAnswers = (response) => response.end(Buffer.alloc(LARGE_BYTES));
     const caller = this.request(LARGE_IDS);
     await Promise.all(LARGE_IDS.map((id) => this.line("answered", id)));
     return caller;
   }
 
-  /** Waits for a line of the log, of a request where one is named. */
+  /** Waits for a log line with a message, of a request if one is given. */
   async line(message: string, requestId?: string): Promise<Line> {
     const find = () =>
       this.#lines().find((line) =>
@@ -146,13 +146,13 @@
     return find()!;
   }
 
-  /** Lets the time of the whole grace period pass. */
-  passGrace(): void {
-    this.pass(GRACE_MS);
+  /** Advances the clock by the whole grace period. */
+  advanceByGrace(): void {
+    this.advance(GRACE_MS);
   }
 
-  /** Lets time pass. */
-  pass(ms: number): void {
+  /** Advances the clock. */
+  advance(ms: number): void {
     this.#aheadMs += ms;
   }
 
@@ -182,12 +182,12 @@
 
 async function until(holds: () => boolean): Promise<void> {
   for (let polls = 0; !holds(); polls++) {
-    assert.ok(polls < POLLS, `waited in vain for ${holds}`);
+    assert.ok(polls < POLLS, `timed out waiting for ${holds}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
 
-/** What a line says of a connection's end. */
+/** Facts of a log line on the end of a connection. */
 function endOf({ end, stage, answer, runs }: Line): Line {
   return { end, stage, answer, runs };
 }
@@ -204,7 +204,7 @@
   });
 }
 
-testOn("a caller that leaves while a target works is told", async (harness) => {
+testOn("a caller that disconnects while waiting is logged", async (harness) => {
   const caller = harness.request(["q"]);
   await until(() => harness.runs === 1);
   caller.destroy();
@@ -217,49 +217,56 @@
   });
 });
 
-testOn("an answer handed over and not written out is told", async (harness) => {
-  const caller = await harness.handOverLarge();
-  caller.resetAndDestroy();
-  const line = await harness.line("connection ended unanswered", LAST_ID);
-  assert.equal(endOf(line), {
-    end: "reset",
-    stage: "open",
-    answer: "handed_over",
-    runs: 1,
-  });
-  assert.ok(Number(line.waitingBytes) >= LARGE_BYTES);
-});
+testOn(
+  "a buffered answer that is not written out is logged",
+  async (harness) => {
+    const caller = await harness.sendLargeAnswers();
+    caller.resetAndDestroy();
+    const line = await harness.line("connection ended unanswered", LAST_ID);
+    assert.equal(endOf(line), {
+      end: "reset",
+      stage: "open",
+      answer: "handed_over",
+      runs: 1,
+    });
+    assert.ok(Number(line.waitingBytes) >= LARGE_BYTES);
+  },
+);
 
-testOn("what is still owed when the process ends is told", async (harness) => {
-  await harness.handOverLarge();
-  const stopped = harness.gateway.stop();
-  harness.passGrace();
-  await stopped;
-  const { openConnections, owedAnswers, waitingBytes, cutRequests } =
-    await harness.line("stopped");
-  assert.equal({ openConnections, cutRequests }, {
-    openConnections: 1,
-    cutRequests: 0,
-  });
-  assert.ok(Number(owedAnswers) >= 1);
-  assert.ok(Number(waitingBytes) >= LARGE_BYTES);
-  const line = await harness.line("connection ended unanswered", LAST_ID);
-  assert.equal(endOf(line), {
-    end: "process_end",
-    stage: "announcing",
-    answer: "handed_over",
-    runs: 1,
-  });
-});
+testOn(
+  "unfinished answers at the process's exit are logged",
+  async (harness) => {
+    await harness.sendLargeAnswers();
+    const stopped = harness.gateway.stop();
+    harness.advanceByGrace();
+    await stopped;
+    const { openConnections, owedAnswers, waitingBytes, cutRequests } =
+      await harness.line("stopped");
+    assert.equal({ openConnections, cutRequests }, {
+      openConnections: 1,
+      cutRequests: 0,
+    });
+    assert.ok(Number(owedAnswers) >= 1);
+    assert.ok(Number(waitingBytes) >= LARGE_BYTES);
+    const line = await harness.line("connection ended unanswered", LAST_ID);
+    assert.equal(endOf(line), {
+      end: "process_end",
+      stage: "announcing",
+      answer: "handed_over",
+      runs: 1,
+    });
+  },
+);
 
-// Guards against taking requests while stopping whose callers read so slowly that
-// the grace time is over before their answers are written out.
+// Guards against admitting requests during the shutdown whose callers read so
+// slowly that the grace period ends before their answers are written out.
 testOn(
-  "a stopping instance refuses a caller that is slow to read",
+  "an instance refuses a slow caller during its shutdown",
   async (harness) => {
-    const slow = await harness.handOverLarge();
-    harness.pass(0.7 * GRACE_MS);
-    // A stop signal would count as that late.
+    const slow = await harness.sendLargeAnswers();
+    harness.advance(0.7 * GRACE_MS);
+    // The shutdown assumes that its signal was handled as late as the process
+    // is, and shortens the grace period by that.
     await until(() => harness.gateway.lateMs < GRACE_MS / 10);
     slow.resume();
     harness.targetAnswers = (response) => response.end("small");
@@ -273,13 +280,13 @@
     assert.is(error, "leaving");
     await harness.line("answered", "quick");
     assert.is(harness.runs, runs + 1);
-    harness.passGrace();
+    harness.advanceByGrace();
     await stopped;
   },
 );
 
-// Guards against breaking off a begun answer with those that have not begun.
-testOn("a begun answer outlasts requests that have none", async (harness) => {
+// Guards against aborting begun answers together with pending requests.
+testOn("a begun answer is aborted after pending requests", async (harness) => {
   harness.targetAnswers = (response) => {
     if (harness.runs === 1) {
       response.write("id: 1\ndata: a part\n\n");
@@ -290,7 +297,7 @@
   harness.request(["pending"]);
   await until(() => harness.runs === 2);
   const stopped = harness.gateway.stop();
-  harness.pass(GRACE_MS - 400);
+  harness.advance(GRACE_MS - 400);
   await stopped;
   const { abortedRequests, cutRequests } = await harness.line("stopped");
   assert.equal({ abortedRequests, cutRequests }, {
@@ -299,7 +306,7 @@
   });
 });
 
-testOn("an error while stopping is told", async (harness) => {
+testOn("an error during the shutdown is logged", async (harness) => {
   harness.clockFails = true;
   const stopped = harness.gateway.stop();
   harness.clockFails = false;
--- a/packages/gateway/src/routed_request.ts
+++ b/packages/gateway/src/routed_request.ts
@@ -58,7 +58,7 @@
   #runCount = 0;
   /** Attempts that no target ran. */
   #rejectionCount = 0;
-  #charged = false;
+  #isCharged = false;
   readonly #recorder: AttemptRecorder;
   readonly #progress: StreamProgress;
   readonly #silenceTimer: SilenceTimer;
@@ -157,7 +157,7 @@
     }
     const ask = workAskOf(this.#parts, this.#call, {
       cause,
-      isCharged: this.#charged,
+      isCharged: this.#isCharged,
       triedTargetIds: this.#triedTargetIds,
       lastEventAtMs: this.#progress.lastEventAtMs,
     });
@@ -198,7 +198,7 @@
       this.#returnPlacement(decision.targetId);
       return;
     }
-    this.#charged = true;
+    this.#isCharged = true;
     if (this.#attempt !== undefined) {
       // The silent target may still answer, and the other one may reject.
       this.#standby.keep(this.#attempt);
--- a/packages/gateway/src/shutdown_stage.ts
+++ b/packages/gateway/src/shutdown_stage.ts
@@ -1,11 +1,11 @@
-/** Stages of an instance's graceful shutdown, as seen by callers. */
+/** Stages of an instance's graceful shutdown, as callers see them. */
 
-/** Current stage of an instance's graceful shutdown. */
+/** Current stage of a graceful shutdown. */
 export enum ShutdownStage {
   /** The instance is not shutting down. */
   Open = "open",
-  /** Requests are served, and each answer closes its connection. */
+  /** Requests are served, and connections close after their answers. */
   Announcing = "announcing",
-  /** New requests are refused, as they might not finish in time. */
+  /** Requests that still arrive are refused: they could not finish. */
   Refusing = "refusing",
 }
--- a/packages/gateway/src/silence_limits_test.ts
+++ b/packages/gateway/src/silence_limits_test.ts
@@ -15,19 +15,19 @@
   };
 }
 
-test("a stream moves early where another target can go on in time", () => {
+test("a stream moves early if another target can resume it in time", () => {
   assert.is(gapLimitMs(streamOf(500)), 120);
 });
 
-test("a stream stays for longer where any other target would be late", () => {
+test("a stream stays longer if any other target would be late", () => {
   assert.is(gapLimitMs(streamOf(6000)), 400);
 });
 
-test("a stream that is late already stays for longer", () => {
+test("a stream that is late already stays longer", () => {
   assert.is(gapLimitMs(streamOf(500, 220)), 400);
 });
 
-test("a slow target is not silent", () => {
+test("the timeout grows with the usual gap of a slow target", () => {
   const pace = new TargetPace();
   for (let i = 0; i < 60; i++) {
     pace.learnEventGap(150);
--- a/packages/gateway/src/standby_attempt.ts
+++ b/packages/gateway/src/standby_attempt.ts
@@ -21,7 +21,11 @@
     this.#onExpired = onExpired;
   }
 
-  /** @param attempt The attempt to hold; one held before expires at once. */
+  /**
+   * Holds an attempt until the timeout; one held before expires at once.
+   *
+   * @param attempt The attempt at the silent target.
+   */
   keep(attempt: TargetAttempt): void {
     this.expire();
     this.#attempt = attempt;
--- a/packages/gateway/src/target_attempt.ts
+++ b/packages/gateway/src/target_attempt.ts
@@ -137,7 +137,7 @@
       head: (answer) => this.#onHead(answer),
       data: (chunk) => this.#onData(chunk),
       ended: () => this.#onAnswerEnded(),
-      failed: (fault) => this.#onExchangeFailed(fault),
+      failed: (failure) => this.#onExchangeFailed(failure),
     });
   }
 
@@ -165,15 +165,15 @@
    */
   workEnd(failed: boolean): WorkEnd {
     const { call, askId, target } = this.options;
-    const { eventCount: events } = this;
+    const { eventCount } = this;
     return {
       askId,
       targetId: target.targetId,
       pool: call.pool,
       promptTokens: call.facts.tokens?.prompt ?? 0,
       firstMs: this.firstMs,
-      eventGapMs: events > 1
-        ? (this.#lastEventAtMs - this.#firstDataAtMs!) / (events - 1)
+      eventGapMs: eventCount > 1
+        ? (this.#lastEventAtMs - this.#firstDataAtMs!) / (eventCount - 1)
         : undefined,
       failed,
     };
@@ -253,8 +253,7 @@
     } else if (PROMISES_NOT_RUN.has(status)) {
       // Callers take this status as a promise that the request did not run, but
       // the target's headers did not confirm it.
-      const reason = `status ${status} without confirmation of not running`;
-      this.#end(AttemptEnd.Lost, reason);
+      this.#end(AttemptEnd.Lost, `unconfirmed not-run status ${status}`);
     } else if (status >= MIN_SERVER_ERROR_STATUS) {
       this.#isDone = true;
       this.#sink.ended(AttemptEnd.Failed, `target answered ${status}`);
@@ -264,8 +263,8 @@
     }
   }
 
-  #onExchangeFailed({ isSent: sent, reason }: ExchangeFailure): void {
-    if (sent) {
+  #onExchangeFailed({ isSent, reason }: ExchangeFailure): void {
+    if (isSent) {
       void this.#onAnswerLost(reason);
     } else {
       this.#end(AttemptEnd.NotSent, reason);
--- a/packages/gateway/src/target_cleanup.ts
+++ b/packages/gateway/src/target_cleanup.ts
@@ -26,7 +26,11 @@
     this.#parts = parts;
   }
 
-  /** @param changes Changes in this instance's directory of targets. */
+  /**
+   * Applies changes in this instance's directory of targets.
+   *
+   * @param changes Changed targets, each with the kind of change.
+   */
   applyChanges(changes: readonly TargetBelief[]): void {
     const { board: { targets, paces, rateLimits }, clock } = this.#parts;
     const nowMs = clock.nowMs();
--- a/packages/gateway/src/target_exchange.ts
+++ b/packages/gateway/src/target_exchange.ts
@@ -31,7 +31,7 @@
   /** The answer is complete. */
   ended(): void;
   /** The answer is missing or incomplete. */
-  failed(fault: ExchangeFailure): void;
+  failed(failure: ExchangeFailure): void;
 }
 
 /** Reason for a missing or incomplete answer. */
--- a/packages/gateway/src/work_ask_of.ts
+++ b/packages/gateway/src/work_ask_of.ts
@@ -81,7 +81,7 @@
 
 /**
  * Identifies a request over its caller's attempts, which repeat it unchanged.
- * Calls without a prompt are too similar to be told apart and get 0.
+ * Calls without a prompt are too similar to be distinguished and get 0.
  */
 function callHashOf({ facts, method, path }: RoutedCall): number {
   return facts.prompt === undefined
@@ -97,12 +97,15 @@
 function excludedTargetIds(
   { board, clock }: GatewayParts,
   { pool }: RoutedCall,
-  tried: ReadonlySet<string>,
+  triedTargetIds: ReadonlySet<string>,
 ): string[] {
   const nowMs = clock.nowMs();
   const { serving: usable } = board.rollouts
     .split(pool, board.targets.usable(pool, nowMs), nowMs);
-  const mandatory = new Set([...tried, ...board.backoffs.activeIds(nowMs)]);
+  const mandatory = new Set([
+    ...triedTargetIds,
+    ...board.backoffs.activeIds(nowMs),
+  ]);
   const excluded = new Set([
     ...mandatory,
     ...board.health.paused(nowMs),
--- a/packages/gateway/src/work_ask_of_test.ts
+++ b/packages/gateway/src/work_ask_of_test.ts
@@ -1,4 +1,4 @@
-/** What an ask tells of its request. */
+/** Tests of the ask that is built for a request. */
 
 import { Buffer } from "node:buffer";
 import { boardOf, routeOf } from "@chestnuthatch/routing/routing_test_support";
@@ -28,7 +28,7 @@
   triedTargetIds: new Set<string>(),
 };
 
-/** Only what an ask is made from. */
+/** The parts of an instance that an ask is built from. */
 function partsOf(): GatewayParts {
   const parts = {
     board: boardOf(["t1"]),
@@ -39,7 +39,7 @@
   return parts as unknown as GatewayParts;
 }
 
-test("a fleet in which no targets end makes no fingerprints", () => {
+test("an ask has no fingerprint while no request is a suspect", () => {
   const parts = partsOf();
   assert.not.ok("fingerprint" in workAskOf(parts, CALL, FACTS));
   const suspect = { fingerprint: "of another", inTrial: false };
@@ -50,7 +50,7 @@
   assert.is(fingerprint, fingerprintOf(CALL));
 });
 
-test("attempts at one request have one fingerprint, look-alikes another", () => {
+test("a caller's attempts share a fingerprint, similar requests do not", () => {
   const again = { ...CALL, facts: { requestId: "q2", key: "k2" } };
   assert.is(fingerprintOf(again), fingerprintOf(CALL));
   const others: RoutedCall[] = [
@@ -64,14 +64,10 @@
   assert.is(all.size, others.length + 1);
 });
 
-/**
- * Streams that lost their target midway.
- *
- * Seen: some were given up as soon as no slot was free, though their callers
- * waited on. Cause: the caller's patience was counted from the request's arrival,
- * and a stream outlasts it by far; a caller leaves after a gap that long. Proof: a
- * stream of 5 s whose last event came 100 ms ago had no patience left.
- */
+// Guards against failing a stream that lost its target as soon as no slot is
+// free, while its caller still waits. That happened when the caller's patience
+// was counted from the request's arrival: a stream lasts much longer, and its
+// caller disconnects only after a gap of that length.
 test("a caller's patience with a begun stream counts from its last event", () => {
   const parts = { ...partsOf(), clock: { nowMs: () => 5000 } };
   const unbegun = workAskOf(parts, CALL, FACTS);
@@ -82,7 +78,7 @@
   assert.is(begun.patienceLeftMs, patienceMs);
 });
 
-test("back-off is kept where health is ignored as it leaves no target", () => {
+test("a backoff applies where health would exclude all targets", () => {
   const parts = { ...partsOf(), board: boardOf(["t1", "t2"]) };
   const { health, backoffs } = parts.board;
   health.failed("t2", true, 0);
@@ -91,7 +87,7 @@
   assert.equal(workAskOf(parts, CALL, FACTS).excluded, ["t1"]);
 });
 
-test("where all targets asked to back off, callers retry after the first", () => {
+test("with all targets in backoff, callers retry after the shortest one", () => {
   const parts = { ...partsOf(), board: boardOf(["t1", "t2"]) };
   const { backoffs } = parts.board;
   backoffs.requested("t1", 3000, 0);
