--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -43,7 +43,7 @@
 import { SuspectKeeper } from "./suspect_keeper.ts";
 import { TargetConnections } from "./target_connections.ts";
 import { TargetProbes } from "./target_probes.ts";
-import { TargetUpkeep } from "./target_upkeep.ts";
+import { TargetCleanup } from "./target_cleanup.ts";
 
 /** Time between two ticks, which run all timeouts, while requests wait. */
 const BUSY_TICK_MS = 20;
@@ -85,7 +85,7 @@
   readonly #suspects: SuspectKeeper;
   readonly #rollouts: RolloutKeeper;
   readonly #targetSignals: TargetSignalKeeper;
-  readonly #targetMaintenance: TargetUpkeep;
+  readonly #targetMaintenance: TargetCleanup;
   readonly #front: FrontServer;
   readonly #status: StatusServer;
   readonly #loopWatch: LoopWatch;
@@ -169,7 +169,7 @@
       metrics: this.#metrics,
       reachesStore: () => this.#fleetState.reachesStore,
     });
-    this.#targetMaintenance = new TargetUpkeep({
+    this.#targetMaintenance = new TargetCleanup({
       board: this.board,
       clock: this.#clock,
       coordinator: this.#coordinator,
@@ -498,13 +498,13 @@
       configurationApplyMs: () => this.#settings.configurationApplyMs,
       rollouts: this.#rollouts,
       followsStore: () => this.#shouldFollowStore(),
-      onTargets: (beliefs) => this.#targetMaintenance.changed(beliefs),
+      onTargets: (beliefs) => this.#targetMaintenance.applyChanges(beliefs),
       onConfiguration: (configuration) => this.#applyLimits(configuration),
       onSpending: (record, ageMs) => this.#spending.takeUpRecord(record, ageMs),
       onSuspects: (news) => this.#suspects.told(news),
       onRateLimits: (news) => this.#targetSignals.toldOfRateLimits(news),
       // The cause of one silent connection may affect others.
-      onSilentConnection: () => this.#connections.dropAllIdle(),
+      onSilentConnection: () => this.#connections.closeAllIdle(),
       onStoreWentBack: () => {
         this.#coordinator.invalidateRecord();
         this.#suspects.recordAnew();
--- a/packages/gateway/src/placement_client.ts
+++ b/packages/gateway/src/placement_client.ts
@@ -21,7 +21,10 @@
   type WorkAsk,
   type WorkEnd,
 } from "@chestnuthatch/routing/work_ask";
-import { AnswerWatch, Sign } from "./answer_watch.ts";
+import {
+  CoordinatorFailureDetector,
+  Responsiveness,
+} from "./coordinator_failure_detector.ts";
 import { CoordinatorSelector } from "./coordinator_selector.ts";
 import { HolderReporter } from "./holder_reporter.ts";
 import { PlacementService } from "./placement_service.ts";
@@ -96,7 +99,7 @@
   readonly #selector: CoordinatorSelector;
   readonly #service: PlacementService;
   readonly #reporter: HolderReporter;
-  readonly #answerWatch: AnswerWatch;
+  readonly #answerWatch: CoordinatorFailureDetector;
   readonly #refusals = new RecentRefusals();
   #lateNoticeSentAtMs = -Infinity;
 
@@ -113,7 +116,7 @@
       startedAtMs,
       spendingReportedAtMs: (id) => parts.coordinator.spendingReportedAtMs(id),
     });
-    this.#answerWatch = new AnswerWatch(board.members);
+    this.#answerWatch = new CoordinatorFailureDetector(board.members);
     this.#service = new PlacementService({
       coordinator: parts.coordinator,
       clock: parts.clock,
@@ -174,7 +177,8 @@
 
   /** Estimates how long an ask stays unsent, from the asks sent before it. */
   #unsentWaitMs(openAsk: OpenAsk): number {
-    return this.#openAsks.unsentCountUpTo(openAsk) * this.#answerWatch.meanMs /
+    return this.#openAsks.unsentCountUpTo(openAsk) *
+      this.#answerWatch.meanAnswerMs /
       MAX_UNACKNOWLEDGED_ASKS;
   }
 
@@ -247,7 +251,7 @@
     const nowMs = this.#nowMs();
     if (fromId !== undefined && ANSWER_KINDS.has(message.kind)) {
       const tookMs = this.#firstAnswerMs(message, fromId);
-      this.#answerWatch.answered(fromId, { nowMs, tookMs });
+      this.#answerWatch.recordAnswer(fromId, { nowMs, tookMs });
     }
     switch (message.kind) {
       case MessageKind.Ask:
@@ -331,15 +335,15 @@
     }
     const { coordinatorId, firstSentAtMs: sinceMs } = openAsk;
     const sign = openAsk.acknowledged
-      ? Sign.InTime
-      : this.#answerWatch.sign(coordinatorId, { sinceMs, nowMs });
-    if (sign === Sign.Gone) {
+      ? Responsiveness.InTime
+      : this.#answerWatch.responsivenessOf(coordinatorId, { sinceMs, nowMs });
+    if (sign === Responsiveness.Gone) {
       this.#skipCoordinator(coordinatorId, nowMs);
       this.#sendDrop(coordinatorId, openAsk.ask.askId);
       this.#sendTo(this.#self(), openAsk);
       return;
     }
-    if (sign === Sign.Late) {
+    if (sign === Responsiveness.Late) {
       this.#sendLateNotice(coordinatorId, nowMs);
     }
     const hasMoved = coordinatorId !== coordinator.instanceId &&
@@ -371,7 +375,7 @@
       figures: {
         heldBack: Number(isUnsent(openAsk)),
         unheardMs: Math.round(nowMs - openAsk.openedAtMs),
-        answersTakeMs: Math.round(this.#answerWatch.meanMs),
+        answersTakeMs: Math.round(this.#answerWatch.meanAnswerMs),
       },
     });
   }
@@ -396,14 +400,14 @@
       openAsk.acknowledged = false;
       openAsk.resendAfterMs = Math.max(
         MIN_RESEND_MS,
-        this.#answerWatch.usualMs,
+        this.#answerWatch.usualAnswerMs,
       );
     }
     openAsk.sentAtMs = nowMs;
     // The objective also has to cover the way to the coordinator and back.
     const roundTripMs = this.#isSelf(member.instanceId)
       ? 0
-      : this.#answerWatch.meanMs;
+      : this.#answerWatch.meanAnswerMs;
     const ask = {
       ...openAsk.ask,
       objectiveLeftMs: openAsk.ask.objectiveLeftMs - elapsedMs - roundTripMs,
@@ -504,7 +508,7 @@
       this.#send(instanceId, { kind: MessageKind.PassedOver });
       this.#parts.log.warn(LogPart.Placement, "coordinator is silent", {
         coordinatorId: instanceId,
-        silentMs: Math.round(this.#answerWatch.silentMs),
+        silentMs: Math.round(this.#answerWatch.silenceTimeoutMs),
       });
     }
   }
--- a/packages/gateway/src/closing_stage.ts
+++ b/packages/gateway/src/shutdown_stage.ts
@@ -1,7 +1,8 @@
 /** Stages of an instance's graceful shutdown, as callers see them. */
 
-/** How far a graceful shutdown has come. */
-export enum ClosingStage {
+/** Current stage of a graceful shutdown. */
+export enum ShutdownStage {
+  /** The instance is not shutting down. */
   Open = "open",
   /** Requests are served, and connections close after their answers. */
   Announcing = "announcing",
