--- a/packages/gateway/src/allotment_across_a_cut_test.ts
+++ b/packages/gateway/src/allotment_in_partition_test.ts
@@ -1,15 +1,13 @@
 /**
- * A workspace asks for far more than its allotment while the failure domain of
- * the coordinator is cut off from the others.
+ * A workspace requests far more than its allotment while a network partition
+ * separates the coordinator's failure domain from the others.
  *
- * Seen: 0.3 % more than the bound and its tolerance allow was run within one
- * window, on one of several plays of the same day.
- *
- * Cause: until the coordinator counted as gone, each holder gave places by itself
- * from a part of the allotment, without what the coordinator had last told as
- * spent; and the two sides of the cut both handed out the whole for 0.9 s.
- *
- * Proof: here, the same cut at any moment between two heartbeats.
+ * Guards against running more within one window than the bound and its
+ * tolerance allow, which was seen once by 0.3 %. Until the coordinator counted
+ * as gone, each holder placed requests from a share of the allotment by itself
+ * and ignored the spending in the coordinator's last heartbeat, and both sides
+ * of the partition allocated the whole allotment for 0.9 s. The partition
+ * therefore starts at different moments between two heartbeats.
  */
 
 import {
@@ -28,7 +26,7 @@
   type FleetNode,
   fleetNode,
 } from "./gateway_test_support.ts";
-import { PartitionedNetwork } from "./partition_test_support.ts";
+import { PartitionedNetwork } from "./partitioned_network_test_support.ts";
 
 const WINDOW_MS = 8000;
 const TOLERANCE = { windowMs: WINDOW_MS, overage: 0.1, slack: 14_000 };
@@ -37,7 +35,7 @@
   allotmentTolerance: TOLERANCE,
 };
 const ALLOTMENT = { perS: 9000, burst: 2000, inTokens: true, plainTokens: 1 };
-/** What the operators allow within a window. */
+/** The most that the operators allow within a window. */
 const ALLOWED = (ALLOTMENT.perS * WINDOW_MS / 1000 + ALLOTMENT.burst) *
     (1 + TOLERANCE.overage) + TOLERANCE.slack;
 const DOMAIN_OF: Readonly<Record<string, string>> = {
@@ -53,19 +51,21 @@
 const IDS = Object.keys(DOMAIN_OF);
 const TARGET_IDS = Array.from({ length: 200 }, (_, index) => `t${index}`);
 const STEP_MS = 20;
-const WAY_MS = 4;
+const LATENCY_MS = 4;
 const WORK_MS = 200;
 const COST = 200;
-/** Most requests in a step: eight times the allotment. */
-const MOST_A_STEP = 8;
-const CUT_AT_MS = 12_000;
-const CUT_FOR_MS = 5000;
+/** Maximum requests in a step: eight times the allotment. */
+const MAX_REQUESTS_PER_STEP = 8;
+const PARTITION_AT_MS = 12_000;
+const PARTITION_MS = 5000;
 
-/** A fleet on a manual clock, one of whose domains is cut off for a while. */
-class CutFleet {
+/**
+ * A fleet on a manual clock with a temporary partition of one failure domain.
+ */
+class PartitionedFleet {
   readonly #network = new PartitionedNetwork(DOMAIN_OF);
   readonly clock = this.#network.clock;
-  /** What was spent, and when it was sent to a target. */
+  /** Cost of each request, and when the request was sent to a target. */
   readonly spent: { atMs: number; cost: number }[] = [];
   readonly #nodes: ReadonlyMap<string, FleetNode>;
   #asked = 0;
@@ -78,13 +78,13 @@
     this.#nodes = new Map(IDS.map((id) => [id, this.#node(id)]));
   }
 
-  cutOffCoordinator(): void {
+  isolateCoordinator(): void {
     const { coordinatorId } = this.#nodes.get("i1")!.desk;
-    this.#network.cutDomain = DOMAIN_OF[coordinatorId];
+    this.#network.isolatedDomain = DOMAIN_OF[coordinatorId];
   }
 
   heal(): void {
-    this.#network.cutDomain = undefined;
+    this.#network.isolatedDomain = undefined;
   }
 
   run(untilMs: number): void {
@@ -94,7 +94,7 @@
       this.#nodes.forEach((node) => node.tick());
       if (this.clock.atMs % 500 === 0) {
         this.#perStep = Math.floor(
-          this.#random.next() ** 2 * (MOST_A_STEP + 1),
+          this.#random.next() ** 2 * (MAX_REQUESTS_PER_STEP + 1),
         );
       }
       for (let i = 0; i < this.#perStep; i++) {
@@ -104,8 +104,8 @@
     }
   }
 
-  /** The most that was spent within any window. */
-  mostSpent(): number {
+  /** Highest spending within any window. */
+  maxSpent(): number {
     const sums = this.spent.map(({ atMs }) =>
       this.spent.filter((one) =>
         one.atMs >= atMs && one.atMs < atMs + WINDOW_MS
@@ -125,17 +125,20 @@
       this.spent.push({ atMs: this.clock.atMs, cost: COST });
       const { targetId } = decision;
       const end = { askId, targetId, pool: "p", promptTokens: 500 };
-      this.#network.later(WORK_MS, () => desk.ended({ ...end, failed: false }));
+      this.#network.schedule(
+        WORK_MS,
+        () => desk.ended({ ...end, failed: false }),
+      );
     });
   }
 
   #send(fromId: string, toId: string, message: RoutingMessage): void {
-    if (this.#network.isCut(fromId, toId)) {
+    if (this.#network.isPartitioned(fromId, toId)) {
       return;
     }
-    const wayMs = message.kind === MessageKind.Beat ? WAY_MS : 0;
-    this.#network.later(
-      wayMs,
+    const latencyMs = message.kind === MessageKind.Beat ? LATENCY_MS : 0;
+    this.#network.schedule(
+      latencyMs,
       () => deliverTo(this.#nodes.get(toId)!, { message, fromId }),
     );
   }
@@ -155,17 +158,17 @@
 
 const SEEDS = 24;
 
-test("a cut beside a hot workspace hands out no more than the bound", () => {
+test("a partition does not let a busy workspace spend more than the bound", () => {
   const spent: number[] = [];
   for (let seed = 1; seed <= SEEDS; seed++) {
     const offsetMs = seed * 20;
-    const fleet = new CutFleet(seed);
-    fleet.run(CUT_AT_MS + offsetMs);
-    fleet.cutOffCoordinator();
-    fleet.run(CUT_AT_MS + offsetMs + CUT_FOR_MS);
+    const fleet = new PartitionedFleet(seed);
+    fleet.run(PARTITION_AT_MS + offsetMs);
+    fleet.isolateCoordinator();
+    fleet.run(PARTITION_AT_MS + offsetMs + PARTITION_MS);
     fleet.heal();
-    fleet.run(CUT_AT_MS + CUT_FOR_MS + 3000);
-    spent.push(Math.round(fleet.mostSpent()));
+    fleet.run(PARTITION_AT_MS + PARTITION_MS + 3000);
+    spent.push(Math.round(fleet.maxSpent()));
   }
   assert.ok(
     spent.every((one) => one <= ALLOWED),
--- a/packages/gateway/src/configuration_keeper.ts
+++ b/packages/gateway/src/configuration_sync.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the configuration in force up to date: from the platform, and from other
- * instances that have heard of a newer version.
+ * Keeps the configuration in force up to date: from the platform's store, and
+ * from other instances that have a newer version.
  */
 
 import { fleetConfigurationSchema } from "@chestnuthatch/routing/fleet_configuration_schema";
@@ -9,105 +9,122 @@
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
 import { type EventLog, LogPart } from "./event_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
-import type { Beat } from "./membership_keeper.ts";
-import { CatalogItem } from "./peer_catalog.ts";
-import { PeerFetch } from "./peer_fetch.ts";
+import type { Heartbeat } from "./heartbeat_exchange.ts";
+import { SnapshotKind } from "./snapshot_server.ts";
+import { SnapshotFetcher } from "./snapshot_fetcher.ts";
 import type { Clock } from "./ports.ts";
 
-/** Pause before a peer is asked for the configuration again. */
-const RETRY_MS = 200;
+/** Minimum time between two fetches of the configuration from peers. */
+const FETCH_INTERVAL_MS = 200;
 
 /**
- * Part of the time within which a configuration has to be in force after which
- * the platform is asked again; the rest is for noticing that it does not answer,
- * and for telling the other instances.
+ * Share of the time limit for putting a configuration into force after which
+ * the platform is queried again. The rest of the limit is left for detecting
+ * that the platform does not answer, and for passing the configuration on to
+ * the other instances.
  */
-const WAIT_PART = 0.5;
+const POLL_WAIT_SHARE = 0.5;
 
-/** How a version of the configuration became known. */
+/** Where a version of the configuration was received from. */
 enum ConfigurationSource {
   Store = "store",
   Peer = "peer",
 }
 
-/** What the keeper works with. */
+/** Dependencies and callbacks of {@link ConfigurationSync}. */
 export interface ConfigurationParts {
   readonly board: RoutingBoard;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
-  readonly catalogPort: number;
-  /** @returns Time within which a confirmed configuration has to be in force. */
+  readonly snapshotPort: number;
+  /**
+   * @returns Time within which a committed configuration must be in force, in
+   * milliseconds.
+   */
   configurationApplyMs(): number;
   /**
-   * @returns Whether this instance is the one that follows the store for all, or
-   * has nobody who does.
+   * @returns Whether this instance follows the store on behalf of the others,
+   * or no other instance does so for it.
    */
   followsStore(): boolean;
-  /** @returns Whether the platform's store answers. */
+  /** @returns Whether the platform's store is reachable. */
   reachesStore(): boolean;
-  /** Called when another version came into force. */
-  onConfiguration(configuration: FleetConfiguration): void;
+  /** Called when a new configuration came into force. */
+  onConfigurationChanged(configuration: FleetConfiguration): void;
 }
 
-/** Takes in versions, and knows how current the one in force is. */
-export class ConfigurationKeeper {
+/**
+ * Puts new versions of the configuration into force, and tracks how long ago
+ * the one in force was confirmed to be current.
+ */
+export class ConfigurationSync {
   readonly #parts: ConfigurationParts;
-  readonly #fetch: PeerFetch<FleetConfiguration>;
-  #isOld = false;
+  readonly #fetch: SnapshotFetcher<FleetConfiguration>;
+  #isStale = false;
 
-  /** @param parts What the keeper works with. */
+  /** @param parts Dependencies and callbacks. */
   constructor(parts: ConfigurationParts) {
     this.#parts = parts;
-    this.#fetch = new PeerFetch(parts, {
-      item: CatalogItem.Configuration,
+    this.#fetch = new SnapshotFetcher(parts, {
+      kind: SnapshotKind.Configuration,
       schema: fleetConfigurationSchema,
-      everyMs: RETRY_MS,
+      minIntervalMs: FETCH_INTERVAL_MS,
       onFetched: (configuration, { instanceId: member }) => {
         const source = ConfigurationSource.Peer;
-        this.#take(configuration, { source, member });
+        this.#apply(configuration, { source, member });
       },
     });
   }
 
-  /** @param configuration A version, from the platform. */
-  read(configuration: FleetConfiguration): void {
-    this.#take(configuration, { source: ConfigurationSource.Store });
+  /** @param configuration Configuration that was read from the platform. */
+  readFromStore(configuration: FleetConfiguration): void {
+    this.#apply(configuration, { source: ConfigurationSource.Store });
   }
 
-  /** The platform has no newer version than was read last. */
-  confirmed(): void {
+  /** The platform has no newer configuration than the one read last. */
+  confirmedByStore(): void {
     const { board, clock } = this.#parts;
     board.configurationAge.confirm(clock.nowMs());
   }
 
   /**
-   * Others are waited for only while they tell that the configuration is
-   * current: the instance that follows the store may not be answered either.
+   * Instances that don't follow the store rely on the others only while
+   * heartbeats confirm that the configuration is current: the instance that
+   * follows the store may get no answers either.
    *
-   * @returns Longest time to wait for a change before the platform is asked
-   * again; undefined where other instances tell of changes.
+   * @returns Longest time to wait for a change of the configuration before the
+   * platform is queried again, in milliseconds; undefined while other instances
+   * report changes.
    */
-  waitMs(): number | undefined {
-    return this.#parts.followsStore() || this.#mayBeOld()
-      ? this.#parts.configurationApplyMs() * WAIT_PART
+  pollWaitMs(): number | undefined {
+    return this.#parts.followsStore() || this.#mayBeStale()
+      ? this.#parts.configurationApplyMs() * POLL_WAIT_SHARE
       : undefined;
   }
 
-  /** @param beat A heartbeat that tells which version its sender has. */
-  heard(beat: Beat): void {
+  /**
+   * Confirms the configuration in force, or fetches a newer one from the
+   * sender.
+   *
+   * @param heartbeat A heartbeat of another instance, with its version.
+   */
+  heartbeatReceived(heartbeat: Heartbeat): void {
     const { board, clock } = this.#parts;
     const version = board.routes?.configuration.version ?? 0;
-    const { configurationVersion, configurationAgeMs } = beat;
+    const { configurationVersion, configurationAgeMs } = heartbeat;
     if (configurationAgeMs !== undefined && configurationVersion === version) {
       board.configurationAge.confirm(clock.nowMs(), configurationAgeMs);
     }
     if (configurationVersion > version) {
-      this.#fetch.ask(beat.from);
+      this.#fetch.fetchFrom(heartbeat.from);
     }
   }
 
-  /** Lets time pass: notes when the version in force grows old. */
+  /**
+   * Updates the metric of the configuration's age, and logs when the age
+   * exceeds its limit or returns below it; to be called regularly.
+   */
   tick(): void {
     const { board, clock, metrics } = this.#parts;
     const ageMs = board.configurationAge.ageMs(clock.nowMs());
@@ -115,9 +132,9 @@
       return;
     }
     metrics.configurationAge(ageMs);
-    const isOld = this.#mayBeOld();
-    if (isOld !== this.#isOld) {
-      this.#isOld = isOld;
+    const isStale = this.#mayBeStale();
+    if (isStale !== this.#isStale) {
+      this.#isStale = isStale;
       this.#logAge(ageMs);
     }
   }
@@ -130,7 +147,7 @@
       reachesStore: reachesStore(),
       followsStore: followsStore(),
     };
-    if (this.#isOld) {
+    if (this.#isStale) {
       const message = "configuration may be out of date";
       log.warn(LogPart.Configuration, message, facts);
     } else {
@@ -138,15 +155,16 @@
     }
   }
 
-  #mayBeOld(): boolean {
+  #mayBeStale(): boolean {
     const { board, clock, configurationApplyMs } = this.#parts;
     const ageMs = board.configurationAge.ageMs(clock.nowMs()) ?? Infinity;
     return ageMs > configurationApplyMs();
   }
 
   /**
-   * A store that came back from an older copy has lost versions; their numbers
-   * may be given out again. Only the store can tell which was written last.
+   * A store that was restored from an older copy has lost versions, and may
+   * assign their numbers again. Only the store knows which configuration was
+   * written last under a number.
    */
   #isRewritten(
     configuration: FleetConfiguration,
@@ -157,7 +175,7 @@
       JSON.stringify(configuration) !== JSON.stringify(inForce);
   }
 
-  #take(
+  #apply(
     configuration: FleetConfiguration,
     from: { source: ConfigurationSource; member?: string },
   ): void {
@@ -180,6 +198,6 @@
       beforeAgeMs: ageMs && Math.round(ageMs),
       ...from,
     });
-    this.#parts.onConfiguration(configuration);
+    this.#parts.onConfigurationChanged(configuration);
   }
 }
--- /dev/null
+++ b/packages/gateway/src/configuration_sync_test.ts
@@ -0,0 +1,122 @@
+import { Writable } from "node:stream";
+import { MessageKind } from "@chestnuthatch/routing/peer_messages";
+import { boardOf, memberOf } from "@chestnuthatch/routing/routing_test_support";
+import { test } from "uvu";
+import * as assert from "uvu/assert";
+import { ConfigurationSync } from "./configuration_sync.ts";
+import { EventLog } from "./event_log.ts";
+import { GatewayMetrics } from "./gateway_metrics.ts";
+import type { Heartbeat } from "./heartbeat_exchange.ts";
+
+/** A heartbeat of another instance, with some of its fields given. */
+function heartbeatOf(over: Partial<Heartbeat>): Heartbeat {
+  return {
+    kind: MessageKind.Beat,
+    from: memberOf("i2"),
+    memoryMs: 0,
+    configurationVersion: 0,
+    targetsVersion: 0,
+    reachesStore: true,
+    others: [],
+    targetNews: [],
+    ...over,
+  };
+}
+
+/** Configuration sync of an instance that has version 1, on a manual clock. */
+class SyncOnClock {
+  nowMs = 0;
+  followsStore = false;
+  readonly board = boardOf([]);
+  readonly sync: ConfigurationSync;
+  readonly #lines: string[] = [];
+  readonly #log: EventLog;
+
+  constructor() {
+    const clock = { nowMs: () => this.nowMs };
+    const output = new Writable({
+      write: (chunk, _code, done) => {
+        this.#lines.push(String(chunk));
+        done();
+      },
+    });
+    this.#log = new EventLog(clock, "i1", output);
+    this.sync = new ConfigurationSync({
+      board: this.board,
+      clock,
+      log: this.#log,
+      metrics: new GatewayMetrics(),
+      snapshotPort: 1,
+      configurationApplyMs: () => 2000,
+      followsStore: () => this.followsStore,
+      reachesStore: () => true,
+      onConfigurationChanged: () => {},
+    });
+  }
+
+  /** Messages of all log lines. */
+  get messages(): string[] {
+    this.#log.flush();
+    return this.#lines.join("").split("\n").filter((line) => line !== "")
+      .map((line) => (JSON.parse(line) as { message: string }).message);
+  }
+}
+
+test("a heartbeat with the same configuration confirms how current it is", () => {
+  const fixture = new SyncOnClock();
+  fixture.sync.confirmedByStore();
+  fixture.nowMs = 1500;
+  fixture.sync.heartbeatReceived(
+    heartbeatOf({ configurationVersion: 0, configurationAgeMs: 10 }),
+  );
+  assert.is(fixture.board.configurationAge.ageMs(fixture.nowMs), 1500);
+  fixture.sync.heartbeatReceived(
+    heartbeatOf({ configurationVersion: 1, configurationAgeMs: 300 }),
+  );
+  assert.is(fixture.board.configurationAge.ageMs(fixture.nowMs), 300);
+});
+
+// Guards against a fleet that waits for changes on stalled connections.
+test("an instance that follows the store queries it twice within the bound", () => {
+  const fixture = new SyncOnClock();
+  fixture.sync.confirmedByStore();
+  assert.is(fixture.sync.pollWaitMs(), undefined);
+  fixture.followsStore = true;
+  assert.is(fixture.sync.pollWaitMs(), 1000);
+});
+
+// Guards against instances that rely on one that gets no answers from the
+// store.
+test("an instance queries the store itself once no heartbeat confirms the configuration", () => {
+  const fixture = new SyncOnClock();
+  assert.is(fixture.sync.pollWaitMs(), 1000);
+  fixture.sync.confirmedByStore();
+  fixture.nowMs = 2000;
+  assert.is(fixture.sync.pollWaitMs(), undefined);
+  fixture.nowMs = 2001;
+  assert.is(fixture.sync.pollWaitMs(), 1000);
+  fixture.sync.heartbeatReceived(
+    heartbeatOf({ configurationVersion: 1, configurationAgeMs: 500 }),
+  );
+  assert.is(fixture.sync.pollWaitMs(), undefined);
+});
+
+test("the log reports when the configuration may be out of date and when it is current again", () => {
+  const fixture = new SyncOnClock();
+  fixture.sync.tick();
+  fixture.sync.confirmedByStore();
+  fixture.nowMs = 2000;
+  fixture.sync.tick();
+  assert.equal(fixture.messages, []);
+  fixture.nowMs = 2001;
+  fixture.sync.tick();
+  fixture.sync.tick();
+  fixture.sync.confirmedByStore();
+  fixture.sync.tick();
+  assert.equal(fixture.messages, [
+    "configuration may be out of date",
+    "configuration is current again",
+  ]);
+});
+
+test.run();
--- /dev/null
+++ b/packages/gateway/src/fleet_state_sync.ts
@@ -0,0 +1,450 @@
+/**
+ * Keeps this instance's view of the configuration and the targets up to date:
+ * from the platform's store, and from peers while the store is unreachable.
+ */
+
+import type { FleetConfiguration } from "@chestnuthatch/routing/fleet_configuration";
+import type { MemberNews } from "@chestnuthatch/routing/member_view";
+import { targetChangesSchema } from "@chestnuthatch/routing/peer_messages";
+import type { RolloutNews, RolloutOrder } from "@chestnuthatch/routing/rollout";
+import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
+import type { SpendingHistory } from "@chestnuthatch/routing/spending_log";
+import type { SuspectNews } from "@chestnuthatch/routing/suspect_requests";
+import {
+  type TargetBelief,
+  type TargetChange,
+} from "@chestnuthatch/routing/target_directory";
+import type { RateLimitNews } from "@chestnuthatch/routing/target_rate_limits";
+import {
+  type ConfigurationParts,
+  ConfigurationSync,
+} from "./configuration_sync.ts";
+import { LogPart } from "./event_log.ts";
+import type { Heartbeat } from "./heartbeat_exchange.ts";
+import { SnapshotKind } from "./snapshot_server.ts";
+import { SnapshotFetcher } from "./snapshot_fetcher.ts";
+import type { PlatformSink } from "./ports.ts";
+
+/**
+ * Minimum time between two reads of the targets from a peer while the
+ * platform's store is unreachable; well below the time within which every
+ * instance must know that a target is leaving.
+ */
+const PEER_TARGETS_INTERVAL_MS = 500;
+
+/** Time for which heartbeats repeat a change of a target. */
+const TARGET_NEWS_LIFETIME_MS = 2500;
+
+/** Receives roll-out orders, and the progress of roll-outs. */
+export interface RolloutSink {
+  /** The operators ordered a roll-out. */
+  ordered(order: RolloutOrder): void;
+  /** The operators withdrew the roll-out order for a pool. */
+  withdrawn(pool: string): void;
+  /** All pools with a roll-out order were read. */
+  ordersListed(pools: ReadonlySet<string>): void;
+  /** Another instance reported the progress of roll-outs. */
+  newsReceived(news: readonly RolloutNews[]): void;
+  /** The fleet's last record of the progress of roll-outs was read. */
+  recordRead(record: readonly RolloutNews[], recordAgeMs: number): void;
+  /** The platform's store was restored from an older copy. */
+  storeRestored(): void;
+}
+
+/** Longest initial list of targets that is logged target by target. */
+const MAX_LOGGED_AT_START = 100;
+
+/** Dependencies and callbacks of {@link FleetStateSync}. */
+export interface FleetStateParts
+  extends Omit<ConfigurationParts, "reachesStore"> {
+  readonly rollouts: RolloutSink;
+  /** Called when this instance's view of targets has changed. */
+  onTargetsChanged(updates: readonly TargetBelief[]): void;
+  /** Called with the fleet's last record of the spending of workspaces. */
+  onSpendingRead(record: readonly SpendingHistory[], ageMs: number): void;
+  /** Called with suspect requests from the store or another instance. */
+  onSuspectsReceived(news: readonly SuspectNews[]): void;
+  /** Called with rate limits of targets that another instance reports. */
+  onRateLimitsReceived(news: readonly RateLimitNews[]): void;
+  /** Called when keep-alive connections may be stalled. */
+  onConnectionStalled(): void;
+  /** Called when the fleet's latest records may be lost from the store. */
+  onStoreRestored(): void;
+}
+
+/**
+ * Applies updates of the configuration and the targets from the platform's
+ * store and from heartbeats, and passes all other updates on.
+ */
+export class FleetStateSync implements PlatformSink {
+  readonly #parts: FleetStateParts;
+  readonly #configuration: ConfigurationSync;
+  readonly #targetsFetch: SnapshotFetcher<TargetChange[]>;
+  #reachesStore = false;
+  #hasTargets = false;
+  /** Newest version of targets that a heartbeat reported, and since when. */
+  #peerTargetsVersion = 0;
+  #peerTargetsVersionAtMs = 0;
+  #targetNews: { change: TargetChange; untilMs: number }[] = [];
+
+  /** @param parts Dependencies and callbacks. */
+  constructor(parts: FleetStateParts) {
+    this.#parts = parts;
+    this.#configuration = new ConfigurationSync({
+      ...parts,
+      reachesStore: () => this.#reachesStore,
+    });
+    this.#targetsFetch = new SnapshotFetcher(parts, {
+      kind: SnapshotKind.Targets,
+      schema: targetChangesSchema,
+      minIntervalMs: PEER_TARGETS_INTERVAL_MS,
+      onFetched: (changes) => {
+        this.#hasTargets = true;
+        this.targetsChanged(changes);
+      },
+    });
+  }
+
+  /** Whether the platform's store is reachable. */
+  get reachesStore(): boolean {
+    return this.#reachesStore;
+  }
+
+  /**
+   * Whether a configuration and targets are known, so that requests can be
+   * served.
+   */
+  get isComplete(): boolean {
+    return this.#parts.board.routes !== undefined && this.#hasTargets;
+  }
+
+  /**
+   * @returns Whether this instance should follow the platform's store closely.
+   */
+  followsStore(): boolean {
+    return this.#parts.followsStore();
+  }
+
+  /**
+   * @returns Milliseconds for which heartbeats have reported a newer version of
+   * the targets than this instance has; 0 if it is up to date.
+   */
+  targetsLagMs(): number {
+    const { board, clock } = this.#parts;
+    return board.targets.version < this.#peerTargetsVersion
+      ? clock.nowMs() - this.#peerTargetsVersionAtMs
+      : 0;
+  }
+
+  /** @returns Number of instances that are alive in the view of this one. */
+  fleetSize(): number {
+    const { board, clock } = this.#parts;
+    return board.members.alive(clock.nowMs()).length;
+  }
+
+  /** @returns Recent changes of targets, to be sent with heartbeats. */
+  targetNews(): TargetChange[] {
+    const nowMs = this.#parts.clock.nowMs();
+    this.#targetNews = this.#targetNews.filter(({ untilMs }) =>
+      untilMs > nowMs
+    );
+    return this.#targetNews.map(({ change }) => change);
+  }
+
+  /** @param configuration Configuration that was read from the platform. */
+  configurationRead(configuration: FleetConfiguration): void {
+    this.#configuration.readFromStore(configuration);
+  }
+
+  /** The platform has no newer configuration than the one read last. */
+  configurationConfirmed(): void {
+    this.#configuration.confirmedByStore();
+  }
+
+  /**
+   * @returns Longest time to wait for a change of the configuration before the
+   * platform is queried again, in milliseconds; undefined while other instances
+   * report changes.
+   */
+  configurationWaitMs(): number | undefined {
+    return this.#configuration.pollWaitMs();
+  }
+
+  /** Updates the age of the configuration; to be called regularly. */
+  tick(): void {
+    this.#configuration.tick();
+  }
+
+  /**
+   * Replaces the view of targets by the platform's list.
+   *
+   * @param entries Every target on the platform's list.
+   * @param version Version of the list.
+   */
+  targetsRead(entries: readonly TargetChange[], version: number): void {
+    const { targets } = this.#parts.board;
+    const isFirst = !this.#hasTargets;
+    this.#hasTargets = true;
+    const nowMs = this.#parts.clock.nowMs();
+    const updates = targets.replace(entries, version, nowMs);
+    if (isFirst) {
+      // Not sent with heartbeats: the others have read the list themselves.
+      this.#logFirstList(updates, version);
+      this.#targetNews = [];
+    } else {
+      this.#targetsUpdated(updates);
+    }
+  }
+
+  /** Logs only the count of a long list: one line each would flood the log. */
+  #logFirstList(updates: readonly TargetBelief[], version: number): void {
+    const count = updates.length;
+    this.#parts.log.info(LogPart.Targets, "targets listed", { count, version });
+    if (count <= MAX_LOGGED_AT_START) {
+      this.#targetsUpdated(updates);
+    } else {
+      this.#parts.onTargetsChanged(updates);
+    }
+  }
+
+  /** @param changes Changed rows of the list of targets. */
+  targetsChanged(changes: readonly TargetChange[]): void {
+    const nowMs = this.#parts.clock.nowMs();
+    this.#targetsUpdated(this.#parts.board.targets.apply(changes, nowMs));
+  }
+
+  /**
+   * Marks a target as leaving, and announces that with heartbeats.
+   *
+   * @param targetId A target that announced that it is leaving, or that another
+   * instance still places requests at although it is known to be leaving.
+   */
+  targetLeaving(targetId: string): void {
+    const { targets } = this.#parts.board;
+    const updates = targets.announcedLeaving(targetId);
+    if (updates.length > 0) {
+      this.#targetsUpdated(updates);
+    } else {
+      this.#announceTarget(targetId);
+    }
+  }
+
+  /** @param members Instances on the platform's list. */
+  membersRead(members: readonly MemberNews[]): void {
+    const nowMs = this.#parts.clock.nowMs();
+    for (const member of members) {
+      this.#parts.board.members.toldOf(member, nowMs);
+    }
+  }
+
+  /**
+   * Passes on the fleet's last record of spending.
+   *
+   * @param record Spending by workspace.
+   * @param ageMs Age of the record.
+   */
+  spendingRead(record: readonly SpendingHistory[], ageMs: number): void {
+    this.#parts.log.info(LogPart.Platform, "spending restored", {
+      ageMs: Math.round(ageMs),
+      workspaces: record.map(({ workspace }) => workspace),
+    });
+    this.#parts.onSpendingRead(record, ageMs);
+  }
+
+  /**
+   * Passes on the fleet's last record of suspect requests.
+   *
+   * @param record Suspect requests, under which targets ended.
+   * @param ageMs Age of the record, which is added to the age of each entry.
+   */
+  suspectsRead(record: readonly SuspectNews[], ageMs: number): void {
+    this.#parts.onSuspectsReceived(
+      record.map((each) => ({ ...each, ageMs: each.ageMs + ageMs })),
+    );
+  }
+
+  /** @param order Roll-out that the operators ordered. */
+  rolloutOrdered(order: RolloutOrder): void {
+    this.#parts.rollouts.ordered(order);
+  }
+
+  /** @param pool Pool whose roll-out order the operators withdrew. */
+  rolloutWithdrawn(pool: string): void {
+    this.#parts.rollouts.withdrawn(pool);
+  }
+
+  /** @param pools All pools with a roll-out order. */
+  rolloutsListed(pools: ReadonlySet<string>): void {
+    this.#parts.rollouts.ordersListed(pools);
+  }
+
+  /**
+   * Passes on the fleet's last record of roll-outs.
+   *
+   * @param record Progress of the roll-outs.
+   * @param ageMs Age of the record.
+   */
+  rolloutsRead(record: readonly RolloutNews[], ageMs: number): void {
+    this.#parts.rollouts.recordRead(record, ageMs);
+  }
+
+  /**
+   * Counts and logs a row of the platform's store that could not be parsed.
+   *
+   * @param what Kind of the row, for example `target`.
+   * @param where Key of the row, or the field that is invalid.
+   */
+  rowUnreadable(what: string, where: string): void {
+    this.#parts.metrics.unreadableRow(what);
+    this.#parts.log.warn(LogPart.Platform, "unreadable row", { what, where });
+  }
+
+  /**
+   * Counts and logs a failed call to the platform's store.
+   *
+   * @param table Table that the call accessed.
+   * @param reason Reason of the failure.
+   */
+  storeCallFailed(table: string, reason: string): void {
+    this.#parts.metrics.storeCallFailed(table);
+    this.#parts.log.info(LogPart.Platform, "store call failed", {
+      table,
+      reason,
+    });
+  }
+
+  /**
+   * A keep-alive connection to the platform stopped receiving data while a new
+   * one works.
+   */
+  connectionStalled(): void {
+    this.#parts.log.info(LogPart.Platform, "connection stalled");
+    this.#parts.onConnectionStalled();
+  }
+
+  /** The platform's store answers, for the first time or again. */
+  storeReached(): void {
+    if (!this.#reachesStore) {
+      this.#parts.log.info(LogPart.Platform, "store reached");
+      this.#parts.board.targets.listAnswers(this.#parts.clock.nowMs());
+    }
+    this.#reachesStore = true;
+  }
+
+  /**
+   * The platform's store was restored from an older copy. A row that is missing
+   * now may be lost rather than removed, as after an outage, and the fleet's
+   * records are written again.
+   */
+  storeRestored(): void {
+    const { board, clock, log, metrics, onStoreRestored } = this.#parts;
+    metrics.storeWentBack();
+    log.warn(LogPart.Platform, "store restored from an older copy", {
+      targetsVersion: board.targets.version,
+      configurationVersion: board.routes?.configuration.version,
+    });
+    board.targets.listWentBack(clock.nowMs());
+    this.#parts.rollouts.storeRestored();
+    onStoreRestored();
+  }
+
+  /** @param reason Why the platform's store does not answer. */
+  storeLost(reason: string): void {
+    if (this.#reachesStore) {
+      this.#parts.log.warn(LogPart.Platform, "store lost", { reason });
+    }
+    this.#reachesStore = false;
+  }
+
+  /**
+   * Applies the updates that a heartbeat of another instance carries, and
+   * fetches the configuration or the targets if the sender has a newer version.
+   *
+   * @param heartbeat The heartbeat.
+   */
+  heartbeatReceived(heartbeat: Heartbeat): void {
+    // First, as roll-outs decide whether changed targets may be used.
+    this.#parts.rollouts.newsReceived(heartbeat.rollouts ?? []);
+    this.targetsChanged(heartbeat.targetNews);
+    if (heartbeat.suspects !== undefined) {
+      this.#parts.onSuspectsReceived(heartbeat.suspects);
+    }
+    if (heartbeat.rateLimits !== undefined) {
+      this.#parts.onRateLimitsReceived(heartbeat.rateLimits);
+    }
+    const { board, clock } = this.#parts;
+    if (heartbeat.targetsVersion > this.#peerTargetsVersion) {
+      this.#peerTargetsVersion = heartbeat.targetsVersion;
+      this.#peerTargetsVersionAtMs = clock.nowMs();
+    }
+    this.#configuration.heartbeatReceived(heartbeat);
+    if (
+      !this.#reachesStore && heartbeat.targetsVersion > board.targets.version
+    ) {
+      this.#targetsFetch.fetchFrom(heartbeat.from);
+    }
+  }
+
+  /**
+   * Content of a snapshot that a peer requests.
+   *
+   * @param kind Kind of the snapshot.
+   * @returns The content; undefined while this instance has none.
+   */
+  snapshotOf(kind: SnapshotKind): unknown {
+    const { board } = this.#parts;
+    if (kind === SnapshotKind.Configuration) {
+      return board.routes?.configuration;
+    }
+    return this.#hasTargets ? board.targets.all().map(changeOf) : undefined;
+  }
+
+  #targetsUpdated(updates: readonly TargetBelief[]): void {
+    const { board, log } = this.#parts;
+    for (const { targetId, news, rowVersion } of updates) {
+      const target = board.targets.get(targetId)!;
+      log.info(LogPart.Targets, `target ${news}`, {
+        targetId,
+        incarnation: target.incarnation,
+        rowVersion,
+        pool: target.pool,
+        address: target.address,
+        targetDomain: target.failureDomain,
+        slots: target.slots,
+        reachesStore: this.#reachesStore,
+      });
+      this.#announceTarget(targetId);
+    }
+    if (updates.length > 0) {
+      this.#parts.onTargetsChanged(updates);
+    }
+  }
+
+  /** Sends the known state of a target with the next heartbeats. */
+  #announceTarget(targetId: string): void {
+    const { board: { targets }, clock } = this.#parts;
+    const target = targets.get(targetId);
+    if (target !== undefined) {
+      this.#targetNews = this.#targetNews.filter(({ change }) =>
+        change.targetId !== targetId
+      );
+      const untilMs = clock.nowMs() + TARGET_NEWS_LIFETIME_MS;
+      this.#targetNews.push({ change: changeOf(target), untilMs });
+    }
+  }
+}
+
+function changeOf(
+  target: ReturnType<RoutingBoard["targets"]["all"]>[number],
+): TargetChange {
+  const {
+    rowVersion,
+    removedAtMs,
+    usableUntilMs: _until,
+    warmAtMs: _warm,
+    ...entry
+  } = target;
+  return removedAtMs === undefined
+    ? { targetId: target.targetId, rowVersion, entry }
+    : { targetId: target.targetId, rowVersion };
+}
--- a/packages/gateway/src/front_server.ts
+++ b/packages/gateway/src/front_server.ts
@@ -26,8 +26,8 @@
 import { LogPart } from "./event_log.ts";
 import type { GatewayParts } from "./gateway_parts.ts";
 import { OwedAnswer } from "./owed_answer.ts";
-import { listen } from "./peer_catalog.ts";
-import type { CallFacts } from "./ports.ts";
+import { listen } from "./snapshot_server.ts";
+import type { CallMetadata } from "./ports.ts";
 import type { RoutedCall } from "./routed_call.ts";
 import { RequestBody } from "./request_body.ts";
 import { RoutedRequest } from "./routed_request.ts";
@@ -277,7 +277,7 @@
     return SLOW_ANSWER_FACTOR * slowestMs > this.#closingLeftMs();
   }
 
-  #admit(request: IncomingMessage, facts: CallFacts): Admission {
+  #admit(request: IncomingMessage, facts: CallMetadata): Admission {
     const isRefusing = this.#stage === ClosingStage.Refusing;
     if (isRefusing || this.#mayOutlastProcess(request)) {
       const retryAfterMs = LEAVING_RETRY_MS;
@@ -313,7 +313,7 @@
 
   #refuse(
     reply: CallerReply,
-    facts: CallFacts,
+    facts: CallMetadata,
     of: { error: RoutedError; retryAfterMs?: number },
   ): void {
     const { board, clock, log, metrics } = this.#parts;
@@ -361,7 +361,7 @@
 function callOf(
   of: {
     request: IncomingMessage;
-    facts: CallFacts;
+    facts: CallMetadata;
     body: Buffer;
     arrivedAtMs: number;
     admission: Exclude<Admission, { error: RoutedError }>;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -22,9 +22,9 @@
 import { TargetRateLimits } from "@chestnuthatch/routing/target_rate_limits";
 import { TargetPaces } from "@chestnuthatch/routing/target_paces";
 import { TargetBackoffs } from "@chestnuthatch/routing/target_backoffs";
-import { TargetSignalKeeper } from "./target_signal_keeper.ts";
+import { TargetSignalHandler } from "./target_signal_handler.ts";
 import { EventLog, type LogFacts, LogPart } from "./event_log.ts";
-import { FleetNews } from "./fleet_news.ts";
+import { FleetStateSync } from "./fleet_state_sync.ts";
 import { FrontServer } from "./front_server.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
 import type { GatewayParts } from "./gateway_parts.ts";
@@ -32,15 +32,15 @@
 import { GracefulStop } from "./graceful_stop.ts";
 import { hostPortOf } from "./host_port.ts";
 import { LoopWatch } from "./loop_watch.ts";
-import { MembershipKeeper } from "./membership_keeper.ts";
-import { PeerCatalog } from "./peer_catalog.ts";
+import { HeartbeatExchange } from "./heartbeat_exchange.ts";
+import { SnapshotServer } from "./snapshot_server.ts";
 import { PeerSocket } from "./peer_socket.ts";
 import { PlacementDesk } from "./placement_desk.ts";
-import { RolloutKeeper } from "./rollout_keeper.ts";
+import { RolloutController } from "./rollout_controller.ts";
 import type { CallProtocol, Clock, PlatformPort } from "./ports.ts";
-import { SpendingKeeper } from "./spending_keeper.ts";
+import { SpendingRecorder } from "./spending_recorder.ts";
 import { StatusServer } from "./status_server.ts";
-import { SuspectKeeper } from "./suspect_keeper.ts";
+import { SuspectRecorder } from "./suspect_recorder.ts";
 import { TargetConnections } from "./target_connections.ts";
 import { TargetProbes } from "./target_probes.ts";
 import { TargetUpkeep } from "./target_upkeep.ts";
@@ -75,16 +75,16 @@
   readonly #metrics = new GatewayMetrics();
   readonly #self: MemberNews;
   readonly #socket: PeerSocket;
-  readonly #catalog: PeerCatalog;
+  readonly #catalog: SnapshotServer;
   readonly #connections = new TargetConnections();
   readonly #coordinator: Coordinator;
   readonly #desk: PlacementDesk;
-  readonly #membership: MembershipKeeper;
-  readonly #news: FleetNews;
-  readonly #spending: SpendingKeeper;
-  readonly #suspects: SuspectKeeper;
-  readonly #rollouts: RolloutKeeper;
-  readonly #targetSignals: TargetSignalKeeper;
+  readonly #membership: HeartbeatExchange;
+  readonly #news: FleetStateSync;
+  readonly #spending: SpendingRecorder;
+  readonly #suspects: SuspectRecorder;
+  readonly #rollouts: RolloutController;
+  readonly #targetSignals: TargetSignalHandler;
   readonly #upkeep: TargetUpkeep;
   readonly #front: FrontServer;
   readonly #status: StatusServer;
@@ -144,22 +144,22 @@
       startedAtMs: this.#startedAtMs,
       spendingWindowMs: settings.bounds.allotmentTolerance.windowMs,
       onWaiting: () => this.#tickWithin(TICK_MS),
-      onStandIn: (share) => this.#spending.standsIn(share),
+      onStandIn: (share) => this.#spending.becameActingCoordinator(share),
     });
-    this.#spending = new SpendingKeeper({
+    this.#spending = new SpendingRecorder({
       board: this.board,
       coordinator: this.#coordinator,
       platform: this.#platform,
       clock: this.#clock,
       log: this.#log,
     });
-    this.#suspects = new SuspectKeeper({
+    this.#suspects = new SuspectRecorder({
       board: this.board,
       platform: this.#platform,
       clock: this.#clock,
       log: this.#log,
     });
-    this.#rollouts = new RolloutKeeper({
+    this.#rollouts = new RolloutController({
       board: this.board,
       coordinator: this.#coordinator,
       platform: this.#platform,
@@ -174,15 +174,15 @@
       coordinator: this.#coordinator,
       connections: this.#connections,
     });
-    this.#targetSignals = new TargetSignalKeeper({
+    this.#targetSignals = new TargetSignalHandler({
       board: this.board,
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
-      onLeaving: (targetId) => this.#news.targetLeaves(targetId),
+      onLeaving: (targetId) => this.#news.targetLeaving(targetId),
     });
     this.#news = this.#makeNews();
-    this.#catalog = new PeerCatalog((item) => this.#news.content(item));
+    this.#catalog = new SnapshotServer((item) => this.#news.snapshotOf(item));
     this.#membership = this.#makeMembership();
     this.#front = new FrontServer(this.#makeParts(options.protocol));
     this.#loop = new LoopWatch({
@@ -308,7 +308,7 @@
 
   async #stop(): Promise<void> {
     this.#leaving = true;
-    this.#membership.leave();
+    this.#membership.announceLeaving();
     await new GracefulStop({
       front: this.#front,
       clock: this.#clock,
@@ -347,13 +347,13 @@
 
   #heard(message: RoutingMessage, fromAddress: string): void {
     if (message.kind === MessageKind.Beat) {
-      this.#membership.heard(message);
+      this.#membership.heartbeatReceived(message);
       const isCoordinator =
         message.from.instanceId === this.#desk.coordinatorId;
       if (isCoordinator && message.spending !== undefined) {
-        this.#spending.told(message.spending);
+        this.#spending.received(message.spending);
       }
-      this.#news.heard(message);
+      this.#news.heartbeatReceived(message);
       return;
     }
     this.#desk.heard(message, this.board.members.idAt(fromAddress));
@@ -377,7 +377,7 @@
 
   /** Time for which nothing has to be looked at. */
   #restMs(): number {
-    const beatMs = this.#membership.untilBeatMs(this.#clock.nowMs());
+    const beatMs = this.#membership.untilHeartbeatMs(this.#clock.nowMs());
     return this.#desk.hasWaiting
       ? TICK_MS
       : Math.min(RESTING_TICK_MS, Math.max(TICK_MS, beatMs));
@@ -451,7 +451,7 @@
       protocol,
       probes: new TargetProbes(),
       targetSignals: this.#targetSignals,
-      onPlacedAtLeaving: (targetId) => this.#news.targetLeaves(targetId),
+      onPlacedAtLeaving: (targetId) => this.#news.targetLeaving(targetId),
       failureDomain,
       lateMs: () => this.#lateMs,
       nextAskId: () => `${prefix}.${(this.#askCounter++).toString(36)}`,
@@ -463,32 +463,35 @@
     };
   }
 
-  #makeNews(): FleetNews {
-    return new FleetNews({
+  #makeNews(): FleetStateSync {
+    return new FleetStateSync({
       board: this.board,
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
-      catalogPort: this.#settings.catalogPort,
+      snapshotPort: this.#settings.catalogPort,
       configurationApplyMs: () => this.#settings.configurationApplyMs,
       rollouts: this.#rollouts,
       followsStore: () => this.#followsStore(),
-      onTargets: (beliefs) => this.#upkeep.changed(beliefs),
-      onConfiguration: (configuration) => this.#configured(configuration),
-      onSpending: (record, ageMs) => this.#spending.takeUpRecord(record, ageMs),
-      onSuspects: (news) => this.#suspects.told(news),
-      onRateLimits: (news) => this.#targetSignals.toldOfRateLimits(news),
+      onTargetsChanged: (beliefs) => this.#upkeep.changed(beliefs),
+      onConfigurationChanged: (configuration) =>
+        this.#configured(configuration),
+      onSpendingRead: (record, ageMs) =>
+        this.#spending.restoreRecord(record, ageMs),
+      onSuspectsReceived: (news) => this.#suspects.received(news),
+      onRateLimitsReceived: (news) =>
+        this.#targetSignals.rateLimitsReceived(news),
       // What silenced one connection may have silenced others.
-      onSilentConnection: () => this.#connections.dropAllIdle(),
-      onStoreWentBack: () => {
+      onConnectionStalled: () => this.#connections.dropAllIdle(),
+      onStoreRestored: () => {
         this.#coordinator.recordAnew();
-        this.#suspects.recordAnew();
+        this.#suspects.recordAgain();
       },
     });
   }
 
-  #makeMembership(): MembershipKeeper {
-    return new MembershipKeeper({
+  #makeMembership(): HeartbeatExchange {
+    return new HeartbeatExchange({
       board: this.board,
       clock: this.#clock,
       log: this.#log,
--- a/packages/gateway/src/gateway_connections_test.ts
+++ b/packages/gateway/src/gateway_connections_test.ts
@@ -11,7 +11,11 @@
   routeOf,
 } from "@chestnuthatch/routing/routing_test_support";
 import { Gateway } from "./gateway.ts";
-import { type CallProtocol, type PlatformPort, StatusWrite } from "./ports.ts";
+import {
+  type CallProtocol,
+  type PlatformPort,
+  StatusWriteOutcome,
+} from "./ports.ts";
 
 const HOST = "127.0.0.1";
 const ANY_PORT = `${HOST}:0`;
@@ -80,7 +84,7 @@
     recordSpending: () => Promise.resolve(true),
     recordSuspects: () => Promise.resolve(true),
     writeRolloutStatus: ({ rowVersion }) =>
-      Promise.resolve({ outcome: StatusWrite.Unknown, rowVersion }),
+      Promise.resolve({ outcome: StatusWriteOutcome.Unknown, rowVersion }),
     stop: () => {},
   };
   readonly gateway = new Gateway({
--- a/packages/gateway/src/gateway_parts.ts
+++ b/packages/gateway/src/gateway_parts.ts
@@ -2,7 +2,7 @@
 
 import type { Agent } from "node:http";
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
-import type { TargetSignalKeeper } from "./target_signal_keeper.ts";
+import type { TargetSignalHandler } from "./target_signal_handler.ts";
 import type { EventLog } from "./event_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { PlacementDesk } from "./placement_desk.ts";
@@ -18,7 +18,7 @@
   readonly desk: PlacementDesk;
   readonly protocol: CallProtocol;
   readonly probes: TargetProbes;
-  readonly targetSignals: TargetSignalKeeper;
+  readonly targetSignals: TargetSignalHandler;
   /** The instance's own failure domain. */
   readonly failureDomain: string;
   /** @returns By how much this process was late for its latest tick. */
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -15,10 +15,10 @@
 import { boardOf, memberOf } from "@chestnuthatch/routing/routing_test_support";
 import type { TargetRateLimits } from "@chestnuthatch/routing/target_rate_limits";
 import { EventLog } from "./event_log.ts";
-import { MembershipKeeper } from "./membership_keeper.ts";
+import { HeartbeatExchange } from "./heartbeat_exchange.ts";
 import { PlacementDesk } from "./placement_desk.ts";
-import { type Clock, type PlatformPort, StatusWrite } from "./ports.ts";
-import { SpendingKeeper } from "./spending_keeper.ts";
+import { type Clock, type PlatformPort, StatusWriteOutcome } from "./ports.ts";
+import { SpendingRecorder } from "./spending_recorder.ts";
 
 /** Time for which instances have run, on a clock that begins at 0. */
 export const RUN_MS = 60_000;
@@ -27,9 +27,9 @@
 export interface FleetNode {
   readonly members: MemberView;
   readonly rateLimits: TargetRateLimits;
-  readonly keeper: MembershipKeeper;
+  readonly keeper: HeartbeatExchange;
   readonly desk: PlacementDesk;
-  readonly spending: SpendingKeeper;
+  readonly spending: SpendingRecorder;
   /** Lets time pass for all of its parts. */
   tick(): void;
   /** @returns The test's clock. */
@@ -73,7 +73,7 @@
   const nowhere = new Writable({ write: (_chunk, _code, done) => done() });
   const log = new EventLog(clock, instanceId, nowhere);
   const coordinator = new Coordinator(board, bounds);
-  const spending = new SpendingKeeper({
+  const spending = new SpendingRecorder({
     board,
     coordinator,
     platform: NO_PLATFORM,
@@ -88,9 +88,9 @@
     send: (member, message) => send(instanceId, member.instanceId, message),
     startedAtMs: -RUN_MS,
     spendingWindowMs: bounds.allotmentTolerance.windowMs,
-    onStandIn: (share) => spending.standsIn(share),
+    onStandIn: (share) => spending.becameActingCoordinator(share),
   });
-  const keeper = new MembershipKeeper({
+  const keeper = new HeartbeatExchange({
     board,
     clock,
     log,
@@ -134,7 +134,7 @@
   recordSpending: () => Promise.resolve(false),
   recordSuspects: () => Promise.resolve(false),
   writeRolloutStatus: ({ rowVersion }) =>
-    Promise.resolve({ outcome: StatusWrite.Unknown, rowVersion }),
+    Promise.resolve({ outcome: StatusWriteOutcome.Unknown, rowVersion }),
   stop: () => {},
 };
 
@@ -149,10 +149,10 @@
   { message, fromId }: { message: RoutingMessage; fromId: string },
 ): void {
   if (message.kind === MessageKind.Beat) {
-    keeper.heard(message);
+    keeper.heartbeatReceived(message);
     rateLimits.merge(message.rateLimits ?? [], nowMs());
     if (fromId === desk.coordinatorId && message.spending !== undefined) {
-      spending.told(message.spending);
+      spending.received(message.spending);
     }
   } else {
     desk.heard(message, fromId);
--- /dev/null
+++ b/packages/gateway/src/heartbeat_exchange.ts
@@ -0,0 +1,332 @@
+/** Sends heartbeats to the other instances, and applies those received. */
+
+import {
+  MessageKind,
+  type RoutingMessage,
+} from "@chestnuthatch/routing/peer_messages";
+import {
+  BEAT_FANOUT,
+  type MemberNews,
+  type MemberRecord,
+} from "@chestnuthatch/routing/member_view";
+import type { RolloutNews } from "@chestnuthatch/routing/rollout";
+import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
+import type { SuspectNews } from "@chestnuthatch/routing/suspect_requests";
+import type { SpendingHistory } from "@chestnuthatch/routing/spending_log";
+import type { RateLimitNews } from "@chestnuthatch/routing/target_rate_limits";
+import type { TargetChange } from "@chestnuthatch/routing/target_directory";
+import { type EventLog, LogPart } from "./event_log.ts";
+import type { Clock } from "./ports.ts";
+import { Rotation } from "./rotation.ts";
+
+/**
+ * Time between two heartbeats; four may be lost before a member counts as gone.
+ */
+const HEARTBEAT_INTERVAL_MS = 220;
+
+/**
+ * Number of heartbeats of which one is a digest, which lists the members that
+ * are alive in the sender's view.
+ */
+const HEARTBEATS_PER_DIGEST = 5;
+
+/** Members that one digest lists; a larger fleet is listed in rotation. */
+const MAX_DIGEST_MEMBERS = 24;
+
+/**
+ * Changes of targets that one heartbeat carries: 3 KB, so that it fits into a
+ * datagram and does not saturate the network links of small instances.
+ */
+const MAX_TARGET_NEWS = 24;
+
+/** Rate limits that one heartbeat carries; more are sent in rotation. */
+const MAX_RATE_LIMITS = 24;
+
+/**
+ * A heartbeat: the message by which an instance regularly announces that it is
+ * alive, along with its state and recent updates.
+ */
+export type Heartbeat = Extract<RoutingMessage, { kind: MessageKind.Beat }>;
+
+/** Dependencies of {@link HeartbeatExchange}. */
+export interface HeartbeatParts {
+  readonly board: RoutingBoard;
+  readonly clock: Clock;
+  readonly log: EventLog;
+  /** Peer addresses that get digests even while no member is known. */
+  readonly seedAddresses: readonly string[];
+  /** Sends a message to all of the addresses. */
+  send(addresses: Iterable<string>, message: RoutingMessage): void;
+  /** @returns Id of the coordinator. */
+  coordinatorId(): string;
+  /**
+   * @returns Milliseconds for which this instance has been recording what
+   * workspaces spent.
+   */
+  memoryMs(): number;
+  /** @returns Whether this instance reaches the platform's store. */
+  reachesStore(): boolean;
+  /**
+   * @returns Spending of workspaces near their bounds; none unless this
+   * instance is the coordinator.
+   */
+  spending(): readonly SpendingHistory[];
+  /**
+   * @returns Suspect requests, under which targets ended; none unless this
+   * instance is the coordinator.
+   */
+  suspects(): readonly SuspectNews[];
+  /** @returns Roll-outs that are in progress or ended recently. */
+  rollouts(): readonly RolloutNews[];
+  /** @returns Rate limits of targets, including recently lifted ones. */
+  rateLimits(of: { onlyChanged: boolean }): readonly RateLimitNews[];
+  /** @returns Recent changes of targets. */
+  targetNews(): readonly TargetChange[];
+}
+
+/**
+ * Sends heartbeats of this instance and applies those of others to the view of
+ * the fleet's members.
+ */
+export class HeartbeatExchange {
+  readonly #parts: HeartbeatParts;
+  #self: MemberNews;
+  #heartbeatCount = 0;
+  readonly #memberRotation = new Rotation();
+  readonly #receiverRotation = new Rotation();
+  /**
+   * Separate from other heartbeats, so that digests reach every member in turn.
+   */
+  readonly #digestReceiverRotation = new Rotation();
+  readonly #rateLimitRotation = new Rotation();
+  readonly #urgentNewsRotation = new Rotation();
+  readonly #newsRotation = new Rotation();
+  #heartbeatAtMs = -Infinity;
+  #aliveIds = new Set<string>();
+  /** Members whose last heartbeat says that they reach the platform's store. */
+  readonly #idsReachingStore = new Set<string>();
+
+  /**
+   * @param parts Dependencies.
+   * @param self This instance, as heartbeats describe it.
+   */
+  constructor(parts: HeartbeatParts, self: MemberNews) {
+    this.#parts = parts;
+    this.#self = self;
+  }
+
+  /** Announces to the other instances that this one is leaving. */
+  announceLeaving(): void {
+    this.#self = { ...this.#self, leaving: true };
+    this.#sendDueHeartbeat(this.#parts.clock.nowMs());
+  }
+
+  /**
+   * @param nowMs The local time.
+   * @returns Milliseconds until the next heartbeat is due; 0 or less if it is
+   * due now.
+   */
+  untilHeartbeatMs(nowMs: number): number {
+    return this.#heartbeatAtMs + HEARTBEAT_INTERVAL_MS - nowMs;
+  }
+
+  /**
+   * Sends a heartbeat if one is due, and logs members that became alive or
+   * silent; to be called regularly.
+   */
+  tick(): void {
+    const nowMs = this.#parts.clock.nowMs();
+    const standsAside = this.#parts.board.members.standsAside(nowMs);
+    if (standsAside !== (this.#self.standsAside ?? false)) {
+      this.#announceStandsAside(standsAside);
+    }
+    if (nowMs - this.#heartbeatAtMs >= HEARTBEAT_INTERVAL_MS) {
+      this.#sendDueHeartbeat(nowMs);
+      this.#logLivenessChanges(nowMs);
+      this.#parts.board.members.forgetOld(nowMs);
+    }
+  }
+
+  /**
+   * @param instanceId Id of a member.
+   * @returns Whether its last heartbeat says that it reaches the platform's
+   * store.
+   */
+  reachesStore(instanceId: string): boolean {
+    return this.#idsReachingStore.has(instanceId);
+  }
+
+  /**
+   * Updates the view of the fleet's members.
+   *
+   * @param heartbeat A heartbeat of another instance.
+   */
+  heartbeatReceived(heartbeat: Heartbeat): void {
+    const { members } = this.#parts.board;
+    const nowMs = this.#parts.clock.nowMs();
+    const isNew = members.heard(heartbeat.from, nowMs);
+    if (heartbeat.reachesStore) {
+      this.#idsReachingStore.add(heartbeat.from.instanceId);
+    } else {
+      this.#idsReachingStore.delete(heartbeat.from.instanceId);
+    }
+    members.remembers(heartbeat.from.instanceId, heartbeat.memoryMs, nowMs);
+    for (const other of heartbeat.others) {
+      members.toldOf(other, nowMs);
+    }
+    if (isNew && heartbeat.from.instanceId !== members.selfId) {
+      // So that the new member learns of this instance at once, too.
+      this.#sendHeartbeat([heartbeat.from.address], true);
+    }
+  }
+
+  /**
+   * Sent to all others at once, so that all of them choose the same
+   * coordinator.
+   */
+  #announceStandsAside(standsAside: boolean): void {
+    const { board, log } = this.#parts;
+    this.#self = { ...this.#self, standsAside };
+    log.info(LogPart.Members, "coordinator eligibility changed", {
+      standsAside,
+    });
+    this.#sendHeartbeat(board.members.others().map((m) => m.address), false);
+  }
+
+  /** Sends the periodic heartbeat, every fifth time as a digest. */
+  #sendDueHeartbeat(nowMs: number): void {
+    this.#heartbeatAtMs = nowMs;
+    this.#heartbeatCount++;
+    const isDigest = this.#heartbeatCount % HEARTBEATS_PER_DIGEST === 1;
+    const rotation = isDigest
+      ? this.#digestReceiverRotation
+      : this.#receiverRotation;
+    const addresses = new Set(this.#receivers(rotation).map((m) => m.address));
+    if (isDigest) {
+      for (const seed of this.#parts.seedAddresses) {
+        addresses.add(seed);
+      }
+    }
+    addresses.delete(this.#self.address);
+    this.#sendHeartbeat(addresses, isDigest);
+  }
+
+  /** All others, or in a large fleet the coordinator and some in rotation. */
+  #receivers(rotation: Rotation): MemberNews[] {
+    const { members } = this.#parts.board;
+    const others = members.others();
+    const coordinatorId = this.#parts.coordinatorId();
+    const isAll = members.isFullMesh ||
+      coordinatorId === members.selfId;
+    if (isAll) {
+      return others;
+    }
+    const some = rotation.next(others, BEAT_FANOUT);
+    return [...some, members.get(coordinatorId) ?? []].flat();
+  }
+
+  #sendHeartbeat(addresses: Iterable<string>, isDigest: boolean): void {
+    const { board, clock } = this.#parts;
+    const nowMs = clock.nowMs();
+    const alive = isDigest ? board.members.alive(nowMs) : [];
+    const ageMs = board.configurationAge.ageMs(nowMs);
+    const others = this.#memberRotation.next(alive, MAX_DIGEST_MEMBERS)
+      .filter(({ instanceId }) => instanceId !== board.members.selfId)
+      .map(memberNewsOf);
+    const includesAll = this.#includesAll(isDigest);
+    const suspects = includesAll ? this.#parts.suspects() : [];
+    const rollouts = this.#parts.rollouts();
+    const rateLimits = this.#rateLimitsToSend(includesAll);
+    this.#parts.send(addresses, {
+      kind: MessageKind.Beat,
+      from: this.#self,
+      memoryMs: this.#parts.memoryMs(),
+      configurationVersion: board.routes?.configuration.version ?? 0,
+      configurationAgeMs: ageMs === undefined ? undefined : Math.ceil(ageMs),
+      targetsVersion: board.targets.version,
+      reachesStore: this.#parts.reachesStore(),
+      others,
+      spending: includesAll ? this.#parts.spending() : undefined,
+      ...(suspects.length > 0 ? { suspects } : undefined),
+      ...(rollouts.length > 0 ? { rollouts } : undefined),
+      ...(rateLimits.length > 0 ? { rateLimits } : undefined),
+      targetNews: this.#targetNewsToSend(includesAll),
+    });
+  }
+
+  /**
+   * Whether a heartbeat carries spending, suspect requests and new targets. In
+   * a large fleet only digests do, one heartbeat in five: the spending by
+   * second of sixteen workspaces in each heartbeat would take a fifth of the
+   * bandwidth of a small instance.
+   */
+  #includesAll(isDigest: boolean): boolean {
+    return isDigest || this.#parts.board.members.isFullMesh;
+  }
+
+  #rateLimitsToSend(includesAll: boolean): RateLimitNews[] {
+    const limits = this.#parts.rateLimits({ onlyChanged: !includesAll });
+    return this.#rateLimitRotation.next(limits, MAX_RATE_LIMITS);
+  }
+
+  /** Leaving targets in every heartbeat, the rest in rotation. */
+  #targetNewsToSend(includesAll: boolean): TargetChange[] {
+    const news = this.#parts.targetNews();
+    const urgent = this.#urgentNewsRotation.next(
+      news.filter(isUrgent),
+      MAX_TARGET_NEWS,
+    );
+    if (!includesAll || !this.#sendsNewTargets()) {
+      return urgent;
+    }
+    const others = news.filter((change) => !isUrgent(change));
+    const capacity = MAX_TARGET_NEWS - urgent.length;
+    return [...urgent, ...this.#newsRotation.next(others, capacity)];
+  }
+
+  /**
+   * In a large fleet, only the coordinator sends new targets, unless it does
+   * not reach the store and so does not learn of them itself.
+   */
+  #sendsNewTargets(): boolean {
+    const { members } = this.#parts.board;
+    const coordinatorId = this.#parts.coordinatorId();
+    return members.isFullMesh || coordinatorId === members.selfId ||
+      !this.#idsReachingStore.has(coordinatorId);
+  }
+
+  #logLivenessChanges(nowMs: number): void {
+    const { members } = this.#parts.board;
+    const alive = new Set(members.alive(nowMs).map((m) => m.instanceId));
+    for (const instanceId of alive) {
+      if (!this.#aliveIds.has(instanceId) && instanceId !== members.selfId) {
+        this.#parts.log.info(LogPart.Members, "member alive", {
+          member: instanceId,
+          incarnation: members.get(instanceId)?.incarnation,
+          alive: alive.size,
+        });
+      }
+    }
+    for (const instanceId of this.#aliveIds) {
+      if (!alive.has(instanceId)) {
+        const heardAtMs = members.get(instanceId)?.heardAtMs;
+        this.#parts.log.warn(LogPart.Members, "member silent", {
+          member: instanceId,
+          silentMs: heardAtMs && Math.round(nowMs - heardAtMs),
+          alive: alive.size,
+        });
+      }
+    }
+    this.#aliveIds = alive;
+  }
+}
+
+/** Whether a target must not get any more requests. */
+function isUrgent({ entry }: TargetChange): boolean {
+  return entry === undefined || entry.leaving;
+}
+
+function memberNewsOf(member: MemberRecord): MemberNews {
+  const { heardAtMs: _, ...news } = member;
+  return news;
+}
--- a/packages/gateway/src/membership_keeper_test.ts
+++ b/packages/gateway/src/heartbeat_exchange_test.ts
@@ -5,9 +5,9 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { EventLog } from "./event_log.ts";
-import { type Beat, MembershipKeeper } from "./membership_keeper.ts";
+import { type Heartbeat, HeartbeatExchange } from "./heartbeat_exchange.ts";
 
-const BEAT_MS = 220;
+const HEARTBEAT_INTERVAL_MS = 220;
 
 function changeOf(index: number, leaving: boolean): TargetChange {
   const targetId = `t${index}`;
@@ -24,23 +24,23 @@
   return { targetId, rowVersion: index, entry };
 }
 
-interface SentBeat extends Beat {
+interface SentHeartbeat extends Heartbeat {
   readonly addresses: readonly string[];
 }
 
-/** Heartbeats of an instance that hears of one other. */
-function beatsOf(
+/** Heartbeats that an instance sends, which receives heartbeats of others. */
+function heartbeatsOf(
   news: readonly TargetChange[],
   { count, others = 1, reachesStore = true, limits = 0 }: {
     count: number;
     others?: number;
-    /** Targets with a rate limit. */
+    /** Number of targets with a rate limit. */
     limits?: number;
     /** Whether the coordinator reaches the store. */
     reachesStore?: boolean;
   },
-): SentBeat[] {
-  const beats: SentBeat[] = [];
+): SentHeartbeat[] {
+  const heartbeats: SentHeartbeat[] = [];
   const self = memberOf("i1");
   const board = boardOf([]);
   for (let index = 2; index < 2 + others; index++) {
@@ -51,15 +51,15 @@
   }
   let nowMs = 0;
   const clock = { nowMs: () => nowMs };
-  const nowhere = new Writable({ write: (_chunk, _code, done) => done() });
-  const keeper = new MembershipKeeper({
+  const discarded = new Writable({ write: (_chunk, _code, done) => done() });
+  const exchange = new HeartbeatExchange({
     board,
     clock,
-    log: new EventLog(clock, "i1", nowhere),
+    log: new EventLog(clock, "i1", discarded),
     seedAddresses: [],
     send: (addresses, message) => {
       if (message.kind === MessageKind.Beat) {
-        beats.push({ ...message, addresses: [...addresses] });
+        heartbeats.push({ ...message, addresses: [...addresses] });
       }
     },
     coordinatorId: () => "i2",
@@ -71,7 +71,7 @@
     rateLimits: (of) => board.rateLimits.toTell(nowMs, of),
     targetNews: () => news,
   }, self);
-  keeper.heard({
+  exchange.heartbeatReceived({
     kind: MessageKind.Beat,
     from: memberOf("i2"),
     memoryMs: 0,
@@ -81,91 +81,99 @@
     others: [],
     targetNews: [],
   });
-  for (; beats.length < count; nowMs += BEAT_MS) {
+  for (; heartbeats.length < count; nowMs += HEARTBEAT_INTERVAL_MS) {
     for (let index = 3; index < 2 + others; index++) {
       board.members.heard(memberOf(`i${index}`), nowMs);
     }
-    keeper.tick();
+    exchange.tick();
   }
-  return beats;
+  return heartbeats;
 }
 
-test("a heartbeat fits a datagram however much is new", () => {
+test("a heartbeat fits a datagram regardless of the number of changes", () => {
   const news = Array.from(
     { length: 100 },
     (_, index) => changeOf(index, index >= 90),
   );
-  const beats = beatsOf(news, { count: 10 });
-  assert.ok(beats.every(({ targetNews }) => targetNews.length <= 24));
-  const told = new Set(
-    beats.flatMap((beat) => beat.targetNews.map(({ targetId }) => targetId)),
+  const heartbeats = heartbeatsOf(news, { count: 10 });
+  assert.ok(heartbeats.every(({ targetNews }) => targetNews.length <= 24));
+  const sent = new Set(
+    heartbeats.flatMap((heartbeat) =>
+      heartbeat.targetNews.map(({ targetId }) => targetId)
+    ),
   );
-  assert.is(told.size, 100);
+  assert.is(sent.size, 100);
 });
 
-test("each heartbeat tells of all leaving targets first", () => {
+test("each heartbeat carries all leaving targets first", () => {
   const news = Array.from(
     { length: 100 },
     (_, index) => changeOf(index, index >= 90),
   );
-  for (const { targetNews } of beatsOf(news, { count: 3 })) {
+  for (const { targetNews } of heartbeatsOf(news, { count: 3 })) {
     const leaving = targetNews.filter(({ entry }) => entry?.leaving === true);
     assert.is(leaving.length, 10);
   }
 });
 
-test("members of a large fleet leave news of new targets to the coordinator", () => {
+test("in a large fleet, only the coordinator announces new targets", () => {
   const news = Array.from(
     { length: 30 },
     (_, index) => changeOf(index, index >= 20),
   );
-  const beats = beatsOf(news, { count: 10, others: 63 });
-  const told = beats.flatMap(({ targetNews }) => targetNews);
-  assert.ok(told.length > 0);
-  assert.ok(told.every(({ entry }) => entry?.leaving === true));
-  const unheard = beatsOf(news, { count: 10, others: 63, reachesStore: false })
+  const heartbeats = heartbeatsOf(news, { count: 10, others: 63 });
+  const sent = heartbeats.flatMap(({ targetNews }) => targetNews);
+  assert.ok(sent.length > 0);
+  assert.ok(sent.every(({ entry }) => entry?.leaving === true));
+  const sentWithoutStore = heartbeatsOf(news, {
+    count: 10,
+    others: 63,
+    reachesStore: false,
+  })
     .flatMap(({ targetNews }) => targetNews);
-  assert.ok(unheard.some(({ entry }) => entry?.leaving === false));
+  assert.ok(sentWithoutStore.some(({ entry }) => entry?.leaving === false));
 });
 
-test("a large fleet is told spending once in a while", () => {
-  const told = (others: number) =>
-    beatsOf([], { count: 20, others }).filter(({ spending }) =>
+test("only some heartbeats carry spending in a large fleet", () => {
+  const countWithSpending = (others: number) =>
+    heartbeatsOf([], { count: 20, others }).filter(({ spending }) =>
       spending !== undefined
     )
       .length;
-  assert.is(told(7), 20);
-  assert.is(told(63), 4);
+  assert.is(countWithSpending(7), 20);
+  assert.is(countWithSpending(63), 4);
 });
 
-// Guards against heartbeats of a large fleet that report the same limits each time
-// because two rotations run in step.
-test("a large fleet learns every rate limit within three seconds", () => {
-  const beats = beatsOf([], { count: 13, others: 63, limits: 120 });
-  const limits = beats.map(({ rateLimits = [] }) => rateLimits);
+// Guards against heartbeats of a large fleet that carry the same limits each
+// time because two rotations advance in step.
+test("a large fleet receives every rate limit within three seconds", () => {
+  const heartbeats = heartbeatsOf([], { count: 13, others: 63, limits: 120 });
+  const limits = heartbeats.map(({ rateLimits = [] }) => rateLimits);
   assert.ok(limits.every(({ length }) => length <= 24));
-  const told = new Set(limits.flat().map(({ targetId }) => targetId));
-  assert.is(told.size, 120);
+  const sent = new Set(limits.flat().map(({ targetId }) => targetId));
+  assert.is(sent.size, 120);
 });
 
-test("unchanged rate limits are reported to a large fleet once in a while", () => {
-  const beats = beatsOf([], { count: 40, others: 63, limits: 3 });
-  const later = beats.slice(15)
+test("only some heartbeats carry unchanged rate limits in a large fleet", () => {
+  const heartbeats = heartbeatsOf([], { count: 40, others: 63, limits: 3 });
+  const later = heartbeats.slice(15)
     .filter(({ rateLimits }) => rateLimits !== undefined);
   assert.is(later.length, 5);
 });
 
-// Guards against digests that list the same members each time, or that reach the
-// same members only.
+// Guards against digests that list the same members each time, or that reach
+// the same members only.
 test("digests list every member in turn and reach all of a large fleet", () => {
   for (const others of [60, 119]) {
-    const beats = beatsOf([], { count: 5 * 60, others });
+    const heartbeats = heartbeatsOf([], { count: 5 * 60, others });
     const named = new Set(
-      beats.flatMap((beat) => beat.others.map(({ instanceId }) => instanceId)),
+      heartbeats.flatMap((heartbeat) =>
+        heartbeat.others.map(({ instanceId }) => instanceId)
+      ),
     );
     assert.is(named.size, others);
     const reached = new Set(
-      beats.filter((beat) => beat.others.length > 0)
+      heartbeats.filter((heartbeat) => heartbeat.others.length > 0)
         .flatMap(({ addresses }) => addresses),
     );
     assert.is(reached.size, others);
--- a/packages/gateway/src/peer_socket.ts
+++ b/packages/gateway/src/peer_socket.ts
@@ -1,9 +1,9 @@
 /**
- * Datagrams between the instances that route requests.
+ * Datagram socket for the messages between instances.
  *
- * Every message may be lost: asks are sent again until they are answered, and
- * regular reports bring the account in line. So there are no connections that
- * could fall silent, and a lost packet holds nothing up behind it.
+ * Any message may be lost: asks are retried until they are answered, and
+ * periodic reports correct the accounts. In exchange, there are no connections
+ * that could stall, and a lost packet does not delay those after it.
  */
 
 import type { Buffer } from "node:buffer";
@@ -18,7 +18,10 @@
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import { hostPortOf } from "./host_port.ts";
 
-/** Short codes for the names of fields, in the order of their introduction. */
+/**
+ * Names of fields, which are encoded as their position in this list. New names
+ * are appended, since positions must not change.
+ */
 const FIELD_NAMES = [
   "kind",
   "from",
@@ -92,10 +95,10 @@
   "configurationAgeMs",
 ];
 
-/** Version of the internet protocol that peers speak. */
+/** Version of the internet protocol between peers. */
 const IP_FAMILY = 4;
 
-/** Bytes that the receive buffer of the socket holds. */
+/** Size of the socket's receive buffer. */
 const RECEIVE_BUFFER_BYTES = 1024 * 1024;
 
 const keyMap = Object.fromEntries(
@@ -105,27 +108,27 @@
 const encoder = new Encoder(codecOptions);
 const decoder = new Decoder(codecOptions);
 
-/** Who hears messages. */
-export type MessageSink = (
+/** Handles a message that was received from a peer. */
+export type MessageHandler = (
   message: RoutingMessage,
   fromAddress: string,
 ) => void;
 
-/** The datagram socket of one instance. */
+/** Datagram socket by which an instance exchanges messages with its peers. */
 export class PeerSocket {
   readonly #log: EventLog;
   readonly #metrics: GatewayMetrics;
   readonly #socket: Socket;
 
   /**
-   * @param log Where faults are told.
-   * @param metrics Where messages are counted.
+   * @param log Receives failures.
+   * @param metrics Counts the received messages.
    */
   constructor(log: EventLog, metrics: GatewayMetrics) {
     this.#log = log;
     this.#metrics = metrics;
-    // Addresses are IP numbers: looked up in the usual way, each datagram would
-    // wait for the next turn of the event loop.
+    // Addresses are numeric: with the default lookup, each datagram would wait
+    // for the next iteration of the event loop.
     this.#socket = createSocket({
       type: "udp4",
       lookup: (host, _options, done) => done(null, host, IP_FAMILY),
@@ -133,13 +136,13 @@
   }
 
   /**
-   * Begins to receive.
+   * Binds the socket and starts to receive.
    *
-   * @param address `ip:port` to receive at.
-   * @param sink Who hears messages.
-   * @returns Once messages can arrive.
+   * @param address `ip:port` to bind to.
+   * @param handler Handles each valid message.
+   * @returns Resolves when the socket is bound; rejects if it can't be.
    */
-  open(address: string, sink: MessageSink): Promise<void> {
+  open(address: string, handler: MessageHandler): Promise<void> {
     const { host, port } = hostPortOf(address);
     this.#socket.on("error", (error) => {
       this.#log.warn(LogPart.Members, "peer socket failed", {
@@ -150,7 +153,7 @@
       const message = this.#decode(bytes, `${from.address}:${from.port}`);
       if (message !== undefined) {
         this.#metrics.peerMessage(message.kind);
-        sink(message, `${from.address}:${from.port}`);
+        handler(message, `${from.address}:${from.port}`);
       }
     });
     return new Promise((resolve, reject) => {
@@ -163,14 +166,14 @@
     });
   }
 
-  /** `ip:port` that it receives at. */
+  /** `ip:port` that the socket is bound to. */
   get address(): string {
     const { address, port } = this.#socket.address();
     return `${address}:${port}`;
   }
 
   /**
-   * Sends a message; it may be lost.
+   * Sends a message, without a guarantee of delivery.
    *
    * @param address `ip:port` of the receiver.
    * @param message The message.
@@ -180,7 +183,8 @@
   }
 
   /**
-   * Sends one message to many; it may be lost on the way to some of them.
+   * Sends a message to several receivers, without a guarantee of delivery to
+   * any of them.
    *
    * @param addresses `ip:port` of the receivers.
    * @param message The message.
@@ -190,12 +194,17 @@
     for (const address of addresses) {
       const { host, port } = hostPortOf(address);
       this.#socket.send(bytes, port, host, (error) => {
-        this.#noteSent(error, address, message.kind);
+        this.#logSendFailure(error, address, message.kind);
       });
     }
   }
 
-  #noteSent(error: Error | null, address: string, kind: MessageKind): void {
+  /** Heartbeats are excepted: they are sent again anyway. */
+  #logSendFailure(
+    error: Error | null,
+    address: string,
+    kind: MessageKind,
+  ): void {
     if (error !== null && kind !== MessageKind.Beat) {
       const reason = error.message;
       const facts = { address, kind, reason };
@@ -203,7 +212,7 @@
     }
   }
 
-  /** Stops receiving. */
+  /** Closes the socket. */
   close(): void {
     this.#socket.close();
   }
@@ -213,7 +222,7 @@
     try {
       content = decoder.decode(bytes);
     } catch (error) {
-      this.#log.warn(LogPart.Members, "datagram is no message", {
+      this.#log.warn(LogPart.Members, "malformed datagram", {
         from,
         reason: String(error),
       });
@@ -223,7 +232,7 @@
     if (parsed.success) {
       return parsed.data;
     }
-    this.#log.warn(LogPart.Members, "message of an unknown form", {
+    this.#log.warn(LogPart.Members, "invalid message", {
       from,
       reason: parsed.error.issues[0]?.path.join("."),
     });
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -1,4 +1,7 @@
-/** What the gateway needs from outside: calls' wire form, platform, clock. */
+/**
+ * Interfaces that the gateway needs implemented: the clock, the wire format of
+ * calls, and the platform that the fleet runs on.
+ */
 
 import type { IncomingHttpHeaders } from "node:http";
 import type { FleetConfiguration } from "@chestnuthatch/routing/fleet_configuration";
@@ -12,51 +15,51 @@
 import type { SuspectNews } from "@chestnuthatch/routing/suspect_requests";
 import type { TargetChange } from "@chestnuthatch/routing/target_directory";
 
-/** The instance's monotonic time. */
+/** Monotonic clock of the instance. */
 export interface Clock {
-  /** @returns Milliseconds since some moment in the past. */
+  /** @returns Milliseconds since an arbitrary fixed point in the past. */
   nowMs(): number;
 }
 
-/** What a caller's headers say of a call. */
-export interface CallFacts {
+/** Metadata of a call, parsed from the headers of the caller's request. */
+export interface CallMetadata {
   /** Unique for each attempt of a caller. */
   readonly requestId: string;
-  /** Time that the caller waits; absent where it does not say. */
+  /** Time that the caller waits; absent where the headers don't say. */
   readonly deadlineMs?: number;
-  /** Key that shows the caller's workspace. */
+  /** API key that identifies the caller's workspace. */
   readonly key?: string;
-  /** Absent where the call tells no token counts. */
+  /** Token counts of the call; absent where the headers carry none. */
   readonly tokens?: { readonly prompt: number; readonly output: number };
   /**
-   * What tells one prompt from another, the same for all attempts of a caller;
-   * absent where the call tells nothing of its prompt.
+   * Identifies the prompt, and is the same for all attempts of a caller; absent
+   * where the headers say nothing about the prompt.
    */
   readonly prompt?: string;
-  /** Last event of a stream that the caller already has. */
+  /** Last event of a stream that the caller has already received. */
   readonly resumeAfter?: number;
 }
 
-/** What the gateway adds to a call on its way to a target. */
-export interface ForwardFacts {
+/** Metadata that the gateway adds to a call when it forwards it to a target. */
+export interface ForwardMetadata {
   readonly targetId: string;
-  /** Whole milliseconds that the target may work. */
+  /** Time that is left for the target to answer, in whole milliseconds. */
   readonly deadlineLeftMs: number;
-  /** Absent for calls without a key. */
+  /** Absent for calls without an API key. */
   readonly workspace?: string;
-  /** Last event that was received whole. */
+  /** Last event of the stream that was received completely. */
   readonly resumeAfter?: number;
 }
 
-/** What a target signals about itself in an answer. */
+/** Signals about a target's own state that one of its answers carries. */
 export interface TargetSignals {
-  /** Requests per second that it accepts from the whole fleet. */
+  /** Requests per second that the target accepts from the whole fleet. */
   readonly limitPerS?: number;
-  /** Whether the answer carried a limit, be it a malformed one. */
+  /** Whether the answer carried a rate limit, valid or malformed. */
   readonly hasLimit: boolean;
-  /** Whether it is leaving. */
+  /** Whether the target is leaving. */
   readonly leaving: boolean;
-  /** Time for which this instance is not to send anything. */
+  /** Time for which this instance must not send requests to the target. */
   readonly backoffMs?: number;
   readonly malformed: readonly MalformedHeader[];
 }
@@ -67,148 +70,177 @@
   readonly value: string;
 }
 
-/** What a target's answer says beside its body. */
-export interface AnswerFacts {
-  /** The target says that it did not run the call. */
+/** Metadata of a target's answer, parsed from its status and headers. */
+export interface AnswerMetadata {
+  /** Whether the target states that it did not run the call. */
   readonly notRun: boolean;
-  /** Another target has the address now. */
+  /** Whether another target now listens at the address. */
   readonly wrongTarget: boolean;
-  /** Whether the target vouches for the answer as a whole one of its own. */
+  /** Whether the target confirms that the answer is complete and its own. */
   readonly genuine: boolean;
-  /** Call that it answers; absent where it does not say. */
+  /** Request id of the answered call; absent where the headers carry none. */
   readonly requestId?: string;
   readonly signals: TargetSignals;
 }
 
-/** How calls look on the wire. */
+/** Wire format of calls: parses and writes their HTTP headers. */
 export interface CallProtocol {
   /**
-   * @param headers Headers of a caller's request.
-   * @returns What they say.
+   * Parses the headers of a caller's request.
+   *
+   * @param headers Headers of the request.
+   * @returns The metadata that they carry.
    */
-  readCall(headers: IncomingHttpHeaders): CallFacts;
+  readCall(headers: IncomingHttpHeaders): CallMetadata;
   /**
+   * Builds the headers of the request that is forwarded to a target.
+   *
    * @param rawHeaders Names and values as the caller sent them.
-   * @param facts What the gateway adds.
-   * @returns Names and values for the target, without those of the body.
+   * @param facts Metadata that the gateway adds.
+   * @returns Names and values for the target, without those that describe the
+   * body.
    */
-  forwardHeaders(rawHeaders: readonly string[], facts: ForwardFacts): string[];
+  forwardHeaders(
+    rawHeaders: readonly string[],
+    facts: ForwardMetadata,
+  ): string[];
   /**
-   * @param status Status code of a target's answer.
-   * @param headers Its headers.
-   * @returns What they say.
+   * Parses the status and headers of a target's answer.
+   *
+   * @param status Status code of the answer.
+   * @param headers Headers of the answer.
+   * @returns The metadata that they carry.
    */
-  readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
+  readAnswer(status: number, headers: IncomingHttpHeaders): AnswerMetadata;
 }
 
-/** Where news of the platform goes. */
+/**
+ * Receives what the platform port reads from the platform's store, and answers
+ * how closely the port should follow the store.
+ */
 export interface PlatformSink {
+  /** A version of the configuration was read. */
   configurationRead(configuration: FleetConfiguration): void;
-  /** The platform has no newer configuration than was read last. */
+  /** The platform has no newer configuration than the one read last. */
   configurationConfirmed(): void;
-  /** The whole list of targets as of a version. */
+  /** The complete list of targets was read, as of a version. */
   targetsRead(entries: readonly TargetChange[], version: number): void;
+  /** Changed rows of the list of targets were read. */
   targetsChanged(changes: readonly TargetChange[]): void;
   /**
    * Longest time to wait for a change of the configuration before the platform
-   * is asked again; undefined where other instances tell of changes.
+   * is queried again, in milliseconds; undefined while other instances report
+   * changes.
    */
   configurationWaitMs(): number | undefined;
-  /** Whether the platform's store is to be followed closely from here. */
+  /** Whether this instance should follow the platform's store closely. */
   followsStore(): boolean;
-  /** For how long other instances have had newer news of targets; 0 if none. */
-  behindOnTargetsMs(): number;
-  /** Instances that are alive as far as this one hears. */
+  /**
+   * Milliseconds for which other instances have had a newer version of the list
+   * of targets; 0 if this instance is up to date.
+   */
+  targetsLagMs(): number;
+  /** Number of instances that are alive in the view of this one. */
   fleetSize(): number;
+  /** The list of instances was read. */
   membersRead(members: readonly MemberNews[]): void;
-  /** What workspaces had spent when the fleet last recorded it. */
+  /** The fleet's last record of the spending of workspaces was read. */
   spendingRead(record: readonly SpendingHistory[], ageMs: number): void;
-  /** Requests under which targets had ended when the fleet last recorded it. */
+  /** The fleet's last record of suspect requests was read. */
   suspectsRead(record: readonly SuspectNews[], ageMs: number): void;
-  /** The operators have ordered a roll-out. */
+  /** The operators ordered a roll-out. */
   rolloutOrdered(order: RolloutOrder): void;
-  /** The operators have taken the order for a pool back. */
+  /** The operators withdrew the roll-out order for a pool. */
   rolloutWithdrawn(pool: string): void;
-  /** All pools that there are orders for. */
+  /** All pools with a roll-out order were read. */
   rolloutsListed(pools: ReadonlySet<string>): void;
-  /** How far roll-outs were when the fleet last recorded it. */
+  /** The fleet's last record of the progress of roll-outs was read. */
   rolloutsRead(record: readonly RolloutNews[], ageMs: number): void;
-  /** The platform holds something that cannot be read. */
-  unreadable(what: string, where: string): void;
-  /** A kept connection to the platform fell silent, while a new one works. */
-  connectionFellSilent(): void;
-  /** A call for a table of the platform failed. */
-  callFailed(table: string, reason: string): void;
-  /** The platform answers, again or at first. */
-  reached(): void;
+  /** A row in the platform's store could not be parsed. */
+  rowUnreadable(what: string, where: string): void;
+  /**
+   * A keep-alive connection to the platform stopped receiving data while a new
+   * one works.
+   */
+  connectionStalled(): void;
+  /** A call to a table of the platform's store failed. */
+  storeCallFailed(table: string, reason: string): void;
+  /** The platform's store answers, for the first time or again. */
+  storeReached(): void;
   /**
-   * The platform's store came back from an older copy: what was written to it in
-   * the seconds before is gone.
+   * The platform's store was restored from an older copy: writes of the last
+   * seconds before that are lost.
    */
-  storeWentBack(): void;
-  /** The platform does not answer. */
-  lost(reason: string): void;
+  storeRestored(): void;
+  /** The platform's store does not answer. */
+  storeLost(reason: string): void;
 }
 
-/** What the operators are to read of a roll-out. */
+/** Status of a roll-out that is published to the operators. */
 export interface RolloutStatus {
   readonly pool: string;
   readonly version: string;
   readonly state: RolloutState;
-  /** Version that its row must have to be written; 0 for none. */
+  /** Version that the row must have for the write to succeed; 0 if no row. */
   readonly rowVersion: number;
-  /** What a fleet that loses all its instances goes on from. */
+  /** Progress from which a fleet that lost all its instances continues. */
   readonly record: readonly RolloutNews[];
 }
 
-/** What came of writing a status. */
-export enum StatusWrite {
+/** Outcome of a conditional write of a roll-out status. */
+export enum StatusWriteOutcome {
   Done = "done",
-  /** The row was another one, and is as it was found. */
-  Found = "found",
-  /** No answer: it may have been done, or be done later. */
+  /** The row had another version, and was left unchanged. */
+  Conflict = "found",
+  /** No answer: the write may have been applied, or may be applied later. */
   Unknown = "unknown",
 }
 
-/** A status as it is now, as far as is known. */
-export interface StatusWritten {
-  readonly outcome: StatusWrite;
+/** Result of a conditional write of a roll-out status. */
+export interface StatusWriteResult {
+  readonly outcome: StatusWriteOutcome;
+  /** Version of the row after the write, as far as it is known. */
   readonly rowVersion: number;
-  /** What was found; absent where that cannot be read. */
+  /** Roll-out version in a conflicting row; absent if it is unreadable. */
   readonly version?: string;
+  /** State in a conflicting row; absent if it is unreadable. */
   readonly state?: RolloutState;
 }
 
-/** The platform that the fleet runs on. */
+/** Access to the platform that the fleet runs on. */
 export interface PlatformPort {
   /**
-   * Begins to tell news, and makes this instance known to the others.
+   * Starts to pass on what the platform's store holds, and registers this
+   * instance.
    *
    * @param self This instance.
-   * @param sink Where news goes.
+   * @param sink Receives what is read from the store.
    */
   start(self: MemberNews, sink: PlatformSink): void;
   /**
-   * Records what workspaces spent, for a fleet that loses all its instances.
+   * Records the spending of workspaces, from which a fleet that lost all its
+   * instances continues.
    *
    * @param record Spending by workspace.
-   * @returns Whether the platform has it.
+   * @returns Whether the platform stored the record.
    */
   recordSpending(record: readonly SpendingHistory[]): Promise<boolean>;
   /**
-   * Records requests under which targets ended, for the same case.
+   * Records suspect requests, under which targets ended, for a fleet that lost
+   * all its instances.
    *
-   * @param record All that are suspected.
-   * @returns Whether the platform has it.
+   * @param record All suspect requests.
+   * @returns Whether the platform stored the record.
    */
   recordSuspects(record: readonly SuspectNews[]): Promise<boolean>;
   /**
-   * Writes what the operators are to read, unless its row has changed.
+   * Writes the status of a roll-out for the operators, unless its row has
+   * changed.
    *
    * @param status The status.
-   * @returns What came of it.
+   * @returns The outcome, and the row as it is known afterwards.
    */
-  writeRolloutStatus(status: RolloutStatus): Promise<StatusWritten>;
-  /** Ends all calls. */
+  writeRolloutStatus(status: RolloutStatus): Promise<StatusWriteResult>;
+  /** Aborts all calls to the platform. */
   stop(): void;
 }
--- a/packages/gateway/src/rate_limits_test.ts
+++ b/packages/gateway/src/rate_limits_test.ts
@@ -1,6 +1,6 @@
 /**
- * Targets advertise rate limits for the whole fleet, while its instances are
- * killed or partitioned.
+ * Rate limits that targets advertise hold for the whole fleet, also while
+ * instances are killed or partitioned.
  */
 
 import {
@@ -16,7 +16,7 @@
   type FleetNode,
   fleetNode,
 } from "./gateway_test_support.ts";
-import { PartitionedNetwork } from "./partition_test_support.ts";
+import { PartitionedNetwork } from "./partitioned_network_test_support.ts";
 
 const BOUNDS = {
   retryBudget: { ratio: 0.2, slack: 100, windowS: 10 },
@@ -36,24 +36,24 @@
 const IDS = Object.keys(DOMAIN_OF);
 const TARGET_IDS = ["t1", "t2", "t3", "t4"];
 const STEP_MS = 5;
-const WAY_MS = 4;
+const LATENCY_MS = 4;
 const WORK_MS = 90;
-/** Half of what the targets can do. */
+/** Half of the targets' capacity. */
 const REQUESTS_PER_S = 40;
 
 /** Bounds that the platform sets for a limited target. */
 const SETTLED_MS = 3000;
-const TOLD_MS = 500;
+const PROPAGATION_MS = 500;
 const WINDOW_MS = 4000;
 const FACTOR = 1.5;
-const SPARE = 5;
+const SLACK = 5;
 
 interface Arrival {
   readonly atMs: number;
   readonly holderId: string;
 }
 
-/** A fleet on a manual clock before targets that may have rate limits. */
+/** A fleet on a manual clock, and its targets, which may have rate limits. */
 class RateLimitedFleet {
   readonly #network = new PartitionedNetwork(DOMAIN_OF);
   readonly clock = this.#network.clock;
@@ -62,9 +62,9 @@
   readonly #random: Randomness;
   readonly #nodes: Map<string, FleetNode>;
   readonly #arrivals = new Map<string, Arrival[]>();
-  /** When each instance first passed on an answer with a limit, by target. */
-  readonly #toldAtMs = new Map<string, Map<string, number>>();
-  readonly #excused = new Set<string>();
+  /** When each instance first received an answer with a limit, by target. */
+  readonly #advertisedAtMs = new Map<string, Map<string, number>>();
+  readonly #exempt = new Set<string>();
   #asked = 0;
 
   constructor(seed = 1) {
@@ -79,17 +79,17 @@
 
   kill(instanceId: string): void {
     this.#nodes.delete(instanceId);
-    this.#excused.add(instanceId);
+    this.#exempt.add(instanceId);
   }
 
-  cutOff(failureDomain: string): void {
-    this.#network.cutDomain = failureDomain;
+  isolate(failureDomain: string): void {
+    this.#network.isolatedDomain = failureDomain;
     IDS.filter((id) => DOMAIN_OF[id] === failureDomain)
-      .forEach((id) => this.#excused.add(id));
+      .forEach((id) => this.#exempt.add(id));
   }
 
   heal(): void {
-    this.#network.cutDomain = undefined;
+    this.#network.isolatedDomain = undefined;
   }
 
   run(forMs: number): void {
@@ -106,31 +106,37 @@
     }
   }
 
-  /** Requests that reached a target from an instance it had told. */
+  /**
+   * Arrival times of requests from instances that had time to apply the limit
+   * that the target advertised to them.
+   */
   arrivals(targetId: string, sinceMs: number): number[] {
-    const told = this.#toldAtMs.get(targetId) ?? new Map<string, number>();
+    const byHolder = this.#advertisedAtMs.get(targetId) ??
+      new Map<string, number>();
     return (this.#arrivals.get(targetId) ?? [])
       .filter(({ atMs, holderId }) =>
-        atMs >= sinceMs && !this.#excused.has(holderId) &&
-        atMs >= (told.get(holderId) ?? Infinity) + TOLD_MS
+        atMs >= sinceMs && !this.#exempt.has(holderId) &&
+        atMs >= (byHolder.get(holderId) ?? Infinity) + PROPAGATION_MS
       ).map(({ atMs }) => atMs);
   }
 
-  /** Targets that got more within a window than their limit allows. */
+  /** Targets that received more within a window than their limit allows. */
   overrun(): string[] {
     return [...this.limitPerS].flatMap(([targetId, limitPerS]) => {
-      const toldAtMs = [...this.#toldAtMs.get(targetId)?.values() ?? []];
-      const sinceMs = Math.min(...toldAtMs) + SETTLED_MS;
-      const most = mostWithin(this.arrivals(targetId, sinceMs), WINDOW_MS);
-      const allowed = FACTOR * limitPerS * WINDOW_MS / 1000 + SPARE;
+      const advertisedAtMs = [
+        ...this.#advertisedAtMs.get(targetId)?.values() ?? [],
+      ];
+      const sinceMs = Math.min(...advertisedAtMs) + SETTLED_MS;
+      const most = maxWithin(this.arrivals(targetId, sinceMs), WINDOW_MS);
+      const allowed = FACTOR * limitPerS * WINDOW_MS / 1000 + SLACK;
       return most <= allowed
         ? []
         : [`${targetId}: ${most} in 4 s, ${Math.floor(allowed)} allowed`];
     });
   }
 
-  /** Requests that reached a target, from anywhere. */
-  reached(targetId: string, sinceMs: number): number {
+  /** Number of requests that reached a target, from all instances. */
+  arrivalCount(targetId: string, sinceMs: number): number {
     return (this.#arrivals.get(targetId) ?? [])
       .filter(({ atMs }) => atMs >= sinceMs).length;
   }
@@ -158,19 +164,19 @@
   ): void {
     const { askId, holderId, targetId } = of;
     const sentAtMs = this.clock.atMs;
-    this.#network.later(WAY_MS, () => {
+    this.#network.schedule(LATENCY_MS, () => {
       const list = this.#arrivals.get(targetId) ?? [];
       this.#arrivals.set(targetId, list);
       list.push({ atMs: this.clock.atMs, holderId });
     });
-    this.#network.later(WORK_MS, () => {
+    this.#network.schedule(WORK_MS, () => {
       const limitPerS = this.limitPerS.get(targetId);
-      this.#network.later(WAY_MS, () => {
+      this.#network.schedule(LATENCY_MS, () => {
         const nowMs = this.clock.atMs;
         if (limitPerS === undefined) {
           node.rateLimits.notAdvertised(targetId, { sentAtMs, nowMs });
         } else {
-          this.#noteTold(holderId, targetId);
+          this.#noteAdvertised(holderId, targetId);
           node.rateLimits.advertised(targetId, limitPerS, nowMs);
         }
         const end = { askId, targetId, pool: "p", promptTokens: 500 };
@@ -179,19 +185,20 @@
     });
   }
 
-  #noteTold(holderId: string, targetId: string): void {
-    const told = this.#toldAtMs.get(targetId) ?? new Map<string, number>();
-    this.#toldAtMs.set(targetId, told);
-    if (!told.has(holderId)) {
-      told.set(holderId, this.clock.atMs);
+  #noteAdvertised(holderId: string, targetId: string): void {
+    const byHolder = this.#advertisedAtMs.get(targetId) ??
+      new Map<string, number>();
+    this.#advertisedAtMs.set(targetId, byHolder);
+    if (!byHolder.has(holderId)) {
+      byHolder.set(holderId, this.clock.atMs);
     }
   }
 
   #deliver(fromId: string, toId: string, message: RoutingMessage): void {
-    if (!this.#nodes.has(fromId) || this.#network.isCut(fromId, toId)) {
+    if (!this.#nodes.has(fromId) || this.#network.isPartitioned(fromId, toId)) {
       return;
     }
-    this.#network.later(WAY_MS, () => {
+    this.#network.schedule(LATENCY_MS, () => {
       const node = this.#nodes.get(toId);
       if (node !== undefined) {
         deliverTo(node, { message, fromId });
@@ -212,7 +219,7 @@
   }
 }
 
-function mostWithin(atMs: readonly number[], windowMs: number): number {
+function maxWithin(atMs: readonly number[], windowMs: number): number {
   let first = 0;
   let most = 0;
   for (const [index, endMs] of atMs.entries()) {
@@ -224,8 +231,8 @@
   return most;
 }
 
-// Guards against placements that go by slots and pace alone and ignore the rate
-// limit that the target advertises.
+// Guards against placement by slots and speed alone that ignores the rate limit
+// that the target advertises.
 test("a rate limit holds for all instances together", () => {
   const fleet = new RateLimitedFleet();
   fleet.limitPerS.set("t1", 4.5);
@@ -233,13 +240,13 @@
   assert.equal(fleet.overrun(), []);
 });
 
-test("other targets serve what a rate limit keeps away", () => {
+test("other targets serve the requests that a rate limit excludes", () => {
   const fleet = new RateLimitedFleet();
   fleet.limitPerS.set("t1", 4.5);
   const sinceMs = fleet.clock.atMs + 2000;
   fleet.run(12_000);
   assert.equal(fleet.refused, []);
-  const perS = fleet.reached("t1", sinceMs) / 10;
+  const perS = fleet.arrivalCount("t1", sinceMs) / 10;
   assert.ok(perS > 3.5 && perS < 5, `${perS} a second`);
 });
 
@@ -251,7 +258,7 @@
   fleet.run(3000);
   const sinceMs = fleet.clock.atMs;
   fleet.run(8000);
-  const perS = fleet.reached("t1", sinceMs) / 8;
+  const perS = fleet.arrivalCount("t1", sinceMs) / 8;
   assert.ok(perS > 1.5 && perS < 2.3, `${perS} a second`);
 });
 
@@ -264,11 +271,11 @@
   fleet.run(8000);
   const sinceMs = fleet.clock.atMs;
   fleet.run(2000);
-  assert.ok(fleet.reached("t1", sinceMs) > 8);
+  assert.ok(fleet.arrivalCount("t1", sinceMs) > 8);
 });
 
-// Guards against a successor that does not know the limits, and against one that
-// makes up for the time in which it placed nothing.
+// Guards against a new coordinator that does not know the limits, and against
+// one that places more to make up for the time in which nothing was placed.
 test("rate limits hold while coordinators are killed one after another", () => {
   const overrun: string[] = [];
   for (let seed = 1; seed <= 12; seed++) {
@@ -291,7 +298,7 @@
     const fleet = new RateLimitedFleet(seed);
     fleet.limitPerS.set("t1", 4.5).set("t2", 6);
     fleet.run(2500 + 130 * seed);
-    fleet.cutOff(["a", "b", "c", "d"][seed % 4]!);
+    fleet.isolate(["a", "b", "c", "d"][seed % 4]!);
     fleet.run(4000);
     fleet.heal();
     fleet.run(6000);
@@ -300,7 +307,7 @@
   assert.equal(overrun, []);
 });
 
-test("requests beyond the rate limits of a whole pool are refused with a true delay", () => {
+test("requests beyond the rate limits of a whole pool are refused with a realistic retry delay", () => {
   const fleet = new RateLimitedFleet();
   TARGET_IDS.forEach((id) => fleet.limitPerS.set(id, 4));
   fleet.run(5000);
@@ -308,7 +315,7 @@
   fleet.run(8000);
   assert.equal(fleet.overrun(), []);
   const served = TARGET_IDS.reduce(
-    (sum, id) => sum + fleet.reached(id, sinceMs),
+    (sum, id) => sum + fleet.arrivalCount(id, sinceMs),
     0,
   );
   assert.ok(served >= 8 * 4 * 4 * 0.8, `${served} served`);
--- a/packages/gateway/src/rollout_keeper.ts
+++ b/packages/gateway/src/rollout_controller.ts
@@ -1,6 +1,7 @@
 /**
- * Drives the roll-outs that the operators order: takes in orders and what other
- * instances tell, lets the coordinator decide, and has each outcome written once.
+ * Controls the roll-outs that the operators order: merges orders and the
+ * progress that other instances report, advances the phases on the coordinator,
+ * and writes each outcome to the platform's store once.
  */
 
 import type { Coordinator } from "@chestnuthatch/routing/coordinator";
@@ -16,28 +17,28 @@
 import type { RolloutStep } from "@chestnuthatch/routing/rollouts";
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
 import { type EventLog, LogPart } from "./event_log.ts";
-import type { RolloutNewsSink } from "./fleet_news.ts";
+import type { RolloutSink } from "./fleet_state_sync.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import {
   type Clock,
   type PlatformPort,
-  StatusWrite,
-  type StatusWritten,
+  StatusWriteOutcome,
+  type StatusWriteResult,
 } from "./ports.ts";
 
-/** Time between two looks at whether a roll-out goes on. */
-const LOOK_MS = 100;
+/** Time between two checks of whether a roll-out advances to its next phase. */
+const CHECK_INTERVAL_MS = 100;
 
-/** Pause after a status that the platform did not take. */
+/** Delay before the write of a status is retried. */
 const WRITE_RETRY_MS = 300;
 
 /**
- * Time after the store came back from an older copy within which the operators
- * write their orders again.
+ * Time within which the operators write their orders again after the store was
+ * restored from an older copy.
  */
-const ORDERS_RETURN_MS = 5000;
+const ORDERS_REWRITE_MS = 5000;
 
-/** What the keeper works with. */
+/** Dependencies of {@link RolloutController}. */
 export interface RolloutParts {
   readonly board: RoutingBoard;
   readonly coordinator: Coordinator;
@@ -49,101 +50,113 @@
   reachesStore(): boolean;
 }
 
-/** What is known of a pool's status in the platform's store. */
+/** Roll-out status of a pool as the platform's store holds it. */
 interface KnownStatus {
   readonly version: string;
   readonly state: RolloutState;
 }
 
-/** Roll-outs, from the order to the outcome. */
-export class RolloutKeeper implements RolloutNewsSink {
+/** Controls roll-outs from the order to the written outcome. */
+export class RolloutController implements RolloutSink {
   readonly #parts: RolloutParts;
   readonly #status = new Map<string, KnownStatus>();
-  /** Version of each status row, by pool; absent where it is not known. */
+  /** Version of each status row, by pool; absent where it is unknown. */
   readonly #rowVersions = new Map<string, number>();
   readonly #writing = new Set<string>();
-  #lookedAtMs = -Infinity;
+  #checkedAtMs = -Infinity;
   #writeNotBeforeMs = -Infinity;
-  #storeWentBackAtMs = -Infinity;
+  #storeRestoredAtMs = -Infinity;
 
-  /** @param parts What the keeper works with. */
+  /** @param parts Dependencies. */
   constructor(parts: RolloutParts) {
     this.#parts = parts;
   }
 
-  /** @param order An order of the operators. */
+  /** @param order Roll-out that the operators ordered. */
   ordered(order: RolloutOrder): void {
-    this.#toldOf({ ...order, phase: RolloutPhase.Pending, ageMs: 0 }, "order");
+    this.#merge({ ...order, phase: RolloutPhase.Pending, ageMs: 0 }, "order");
   }
 
   /**
-   * @param pools Pools that the operators have orders for; others were taken
-   * back, unless the store has lost them and they are still to come again.
+   * Withdraws the orders of all other pools, except shortly after the store was
+   * restored from an older copy, when orders may be missing that the operators
+   * have yet to write again.
+   *
+   * @param pools All pools with a roll-out order.
    */
-  listed(pools: ReadonlySet<string>): void {
-    const sinceReturnMs = this.#nowMs() - this.#storeWentBackAtMs;
-    if (sinceReturnMs < ORDERS_RETURN_MS) {
+  ordersListed(pools: ReadonlySet<string>): void {
+    const sinceRestoreMs = this.#nowMs() - this.#storeRestoredAtMs;
+    if (sinceRestoreMs < ORDERS_REWRITE_MS) {
       return;
     }
     this.#parts.board.rollouts.pools().filter((pool) => !pools.has(pool))
       .forEach((pool) => this.withdrawn(pool));
   }
 
-  /** @param pool A pool whose order was taken back. */
+  /** @param pool Pool whose roll-out order was withdrawn. */
   withdrawn(pool: string): void {
     const { board: { rollouts }, log } = this.#parts;
     if (rollouts.isInProgress(pool)) {
-      log.info(LogPart.Rollouts, "order taken back", { pool });
+      log.info(LogPart.Rollouts, "order withdrawn", { pool });
       rollouts.withdrawn(pool, this.#nowMs());
     }
   }
 
-  /** @param news What another instance tells. */
-  told(news: readonly RolloutNews[]): void {
-    news.forEach((each) => this.#toldOf(each, "peer"));
+  /** @param news Progress of roll-outs that another instance reported. */
+  newsReceived(news: readonly RolloutNews[]): void {
+    news.forEach((each) => this.#merge(each, "peer"));
   }
 
   /**
-   * @param record What the fleet recorded.
-   * @param recordAgeMs How long ago it did.
+   * Merges the fleet's last record of roll-outs.
+   *
+   * @param record Progress of the roll-outs.
+   * @param recordAgeMs Age of the record, which is added to each entry's age.
    */
   recordRead(record: readonly RolloutNews[], recordAgeMs: number): void {
     for (const each of record) {
       const ageMs = each.ageMs + recordAgeMs;
-      this.#toldOf({ ...each, ageMs }, "record");
+      this.#merge({ ...each, ageMs }, "record");
     }
   }
 
-  /** Orders, statuses and the record may be gone: they are written again. */
-  storeWentBack(): void {
-    this.#storeWentBackAtMs = this.#nowMs();
+  /**
+   * The store was restored from an older copy: orders, statuses and the record
+   * may be lost, and statuses are written again.
+   */
+  storeRestored(): void {
+    this.#storeRestoredAtMs = this.#nowMs();
     this.#status.clear();
     this.#rowVersions.clear();
   }
 
-  /** Some instance has become the coordinator: it alone writes statuses. */
+  /**
+   * This instance became the coordinator, which alone writes statuses: final
+   * outcomes count as already written.
+   */
   becameCoordinator(): void {
     const { rollouts } = this.#parts.board;
     for (const pool of rollouts.pools()) {
       const phase = rollouts.phaseOf(pool)!;
       if (isFinal(phase)) {
-        this.#noteStatus(pool, STATE_OF[phase]);
+        this.#setKnownStatus(pool, STATE_OF[phase]);
       }
     }
   }
 
   /**
-   * Lets time pass; for the coordinator alone.
+   * Advances the roll-outs and writes statuses that are due; to be called
+   * regularly, by the coordinator only.
    *
-   * @param share Part of the fleet that it decides for.
+   * @param share Share of the fleet that the coordinator decides for.
    */
   tick(share: number): void {
     const { board: { rollouts } } = this.#parts;
     const nowMs = this.#nowMs();
-    if (nowMs - this.#lookedAtMs < LOOK_MS) {
+    if (nowMs - this.#checkedAtMs < CHECK_INTERVAL_MS) {
       return;
     }
-    this.#lookedAtMs = nowMs;
+    this.#checkedAtMs = nowMs;
     rollouts.accrue(share, nowMs);
     for (const pool of rollouts.pools()) {
       this.#advance(pool, nowMs);
@@ -151,10 +164,10 @@
     }
   }
 
-  #toldOf(news: RolloutNews, by: string): void {
+  #merge(news: RolloutNews, by: string): void {
     const { board: { rollouts }, log } = this.#parts;
     if (rollouts.toldOf(news, this.#nowMs())) {
-      log.info(LogPart.Rollouts, "told of roll-out", { ...news, by });
+      log.info(LogPart.Rollouts, "roll-out update received", { ...news, by });
     }
   }
 
@@ -173,14 +186,14 @@
       reachesStore: reachesStore(),
     });
     if (step !== undefined) {
-      this.#noteStep(step);
+      this.#logStep(step);
     }
   }
 
-  #noteStep({ order, from, to, facts }: RolloutStep): void {
+  #logStep({ order, from, to, facts }: RolloutStep): void {
     const { log, metrics } = this.#parts;
     const { pool, version } = order;
-    log.info(LogPart.Rollouts, "roll-out goes on", {
+    log.info(LogPart.Rollouts, "roll-out advanced", {
       pool,
       version,
       from,
@@ -225,17 +238,17 @@
       return;
     }
     this.#rowVersions.set(pool, written.rowVersion);
-    const now = STATE_AFTER[written.outcome](written, { version, state });
-    if (now === undefined) {
+    const stored = STATE_AFTER[written.outcome](written, { version, state });
+    if (stored === undefined) {
       this.#writeNotBeforeMs = this.#nowMs() + WRITE_RETRY_MS;
     } else {
-      this.#statusIs(pool, now);
+      this.#statusConfirmed(pool, stored);
     }
   }
 
-  /** The store holds a status of the order in force. */
-  #statusIs(pool: string, state: RolloutState): void {
-    this.#noteStatus(pool, state);
+  /** The store holds a status of the current order. */
+  #statusConfirmed(pool: string, state: RolloutState): void {
+    this.#setKnownStatus(pool, state);
     const phase = WRITTEN_PHASE[state];
     if (phase !== undefined) {
       const { rollouts } = this.#parts.board;
@@ -243,7 +256,7 @@
     }
   }
 
-  #noteStatus(pool: string, state: RolloutState): void {
+  #setKnownStatus(pool: string, state: RolloutState): void {
     const { version } = this.#parts.board.rollouts.orderOf(pool)!;
     this.#status.set(pool, { version, state });
   }
@@ -254,22 +267,26 @@
 }
 
 /**
- * The state that a status row has after a write, of the order that was to be
- * written; undefined where that is not known, or the row is about another one.
+ * State in a status row after a write, by the outcome of the write; undefined
+ * where it is unknown or belongs to another order.
  */
 const STATE_AFTER: Readonly<
   Record<
-    StatusWrite,
-    (written: StatusWritten, wanted: KnownStatus) => RolloutState | undefined
+    StatusWriteOutcome,
+    (
+      written: StatusWriteResult,
+      wanted: KnownStatus,
+    ) => RolloutState | undefined
   >
 > = {
-  [StatusWrite.Done]: (_written, wanted) => wanted.state,
-  [StatusWrite.Found]: ({ version, state }, wanted) => {
-    // An outcome that is written stands, whoever reached it.
-    const stands = state === wanted.state ||
+  [StatusWriteOutcome.Done]: (_written, wanted) => wanted.state,
+  [StatusWriteOutcome.Conflict]: ({ version, state }, wanted) => {
+    // A written outcome is final, whichever instance wrote it.
+    const isAccepted = state === wanted.state ||
       (state !== undefined && WRITTEN_PHASE[state] !== undefined);
-    return version === wanted.version && stands ? state : undefined;
+    return version === wanted.version && isAccepted ? state : undefined;
   },
-  // It may have been done, or be done later: the next one finds it.
-  [StatusWrite.Unknown]: () => undefined,
+  // The write may have been applied, or may be applied later; the next write
+  // then conflicts with it and reads the row.
+  [StatusWriteOutcome.Unknown]: () => undefined,
 };
--- a/packages/gateway/src/rollout_keeper_test.ts
+++ b/packages/gateway/src/rollout_controller_test.ts
@@ -12,10 +12,10 @@
 import { GatewayMetrics } from "./gateway_metrics.ts";
 import {
   type RolloutStatus,
-  StatusWrite,
-  type StatusWritten,
+  StatusWriteOutcome,
+  type StatusWriteResult,
 } from "./ports.ts";
-import { RolloutKeeper } from "./rollout_keeper.ts";
+import { RolloutController } from "./rollout_controller.ts";
 
 const ORDER = { pool: "p", version: "v2", withinMs: 16_000, rowVersion: 10 };
 const BOUNDS = {
@@ -23,42 +23,47 @@
   allotmentTolerance: { windowMs: 8000, overage: 0, slack: 0 },
 };
 
-type Answer = (status: RolloutStatus) => StatusWritten;
+type Answer = (status: RolloutStatus) => StatusWriteResult;
 
-/** The status row of one pool, written under a condition. */
+/** Status row of a pool, which is written if its version matches. */
 class StatusRow {
   rowVersion = 0;
   version = "";
   state?: RolloutState;
-  /** States in the order in which they came to stand in the row. */
+  /** States in the order in which they were written. */
   readonly states: RolloutState[] = [];
 
   write: Answer = (status) => {
     const { rowVersion, version, state } = this;
     if (status.rowVersion !== rowVersion) {
-      return { outcome: StatusWrite.Found, rowVersion, version, state };
+      return {
+        outcome: StatusWriteOutcome.Conflict,
+        rowVersion,
+        version,
+        state,
+      };
     }
     this.rowVersion++;
     this.version = status.version;
     this.state = status.state;
     this.states.push(status.state);
-    return { outcome: StatusWrite.Done, rowVersion: this.rowVersion };
+    return { outcome: StatusWriteOutcome.Done, rowVersion: this.rowVersion };
   };
 }
 
-/** An instance that coordinates, on a manual clock. */
+/** A coordinator on a manual clock. */
 class Node {
   nowMs = 0;
   answer: Answer;
   record: readonly RolloutNews[] = [];
   readonly board = boardOf(["t1", "t2"]);
-  readonly keeper: RolloutKeeper;
+  readonly controller: RolloutController;
 
   constructor(row: StatusRow) {
     this.answer = row.write;
     const clock = { nowMs: () => this.nowMs };
-    const nowhere = new Writable({ write: (_chunk, _code, done) => done() });
-    this.keeper = new RolloutKeeper({
+    const discarded = new Writable({ write: (_chunk, _code, done) => done() });
+    this.controller = new RolloutController({
       board: this.board,
       coordinator: new Coordinator(this.board, BOUNDS),
       platform: {
@@ -72,7 +77,7 @@
         stop: () => {},
       },
       clock,
-      log: new EventLog(clock, "i1", nowhere),
+      log: new EventLog(clock, "i1", discarded),
       metrics: new GatewayMetrics(),
       reachesStore: () => true,
     });
@@ -82,12 +87,12 @@
     return this.board.rollouts.phaseOf("p");
   }
 
-  /** Looks as often as it takes for a write and what follows on it. */
+  /** Ticks every 100 ms, and lets each write and its continuation run. */
   async run(ms: number): Promise<void> {
     const untilMs = this.nowMs + ms;
     while (this.nowMs < untilMs) {
       this.nowMs += 100;
-      this.keeper.tick(1);
+      this.controller.tick(1);
       await Promise.resolve();
       await Promise.resolve();
     }
@@ -98,12 +103,12 @@
   return { ...ORDER, phase, ageMs: 1000 };
 }
 
-test("each state is written once, and the outcome stands", async () => {
+test("each state is written once, and the outcome is final", async () => {
   const row = new StatusRow();
   const node = new Node(row);
-  node.keeper.ordered(ORDER);
+  node.controller.ordered(ORDER);
   await node.run(1000);
-  node.keeper.told([decided(RolloutPhase.Completing)]);
+  node.controller.newsReceived([decided(RolloutPhase.Completing)]);
   await node.run(1000);
   assert.equal(row.states, [RolloutState.Running, RolloutState.Completed]);
   assert.is(node.phase, RolloutPhase.Completed);
@@ -111,13 +116,16 @@
   assert.is(row.states.length, 2);
 });
 
-test("a write without an answer that was done is found, not repeated", async () => {
+test("a write that was applied without an answer is detected and not repeated", async () => {
   const row = new StatusRow();
   const node = new Node(row);
-  node.keeper.ordered(ORDER);
+  node.controller.ordered(ORDER);
   node.answer = (status) => {
     row.write(status);
-    return { outcome: StatusWrite.Unknown, rowVersion: status.rowVersion };
+    return {
+      outcome: StatusWriteOutcome.Unknown,
+      rowVersion: status.rowVersion,
+    };
   };
   await node.run(200);
   node.answer = row.write;
@@ -125,70 +133,70 @@
   assert.equal(row.states, [RolloutState.Running]);
 });
 
-test("an outcome that another instance wrote is taken over", async () => {
+test("an outcome that another instance wrote is adopted", async () => {
   const row = new StatusRow();
   const first = new Node(row);
   const second = new Node(row);
   for (const node of [first, second]) {
-    node.keeper.ordered(ORDER);
+    node.controller.ordered(ORDER);
     await node.run(500);
   }
-  first.keeper.told([decided(RolloutPhase.RollingBack)]);
+  first.controller.newsReceived([decided(RolloutPhase.RollingBack)]);
   await first.run(500);
-  second.keeper.told([decided(RolloutPhase.Completing)]);
+  second.controller.newsReceived([decided(RolloutPhase.Completing)]);
   await second.run(1000);
   assert.equal(row.states, [RolloutState.Running, RolloutState.RolledBack]);
   assert.is(second.phase, RolloutPhase.RolledBack);
 });
 
-test("a status that stands from an earlier order is replaced", async () => {
+test("a status of an earlier order is replaced", async () => {
   const row = new StatusRow();
   row.rowVersion = 4;
   row.version = "v1";
   row.state = RolloutState.Completed;
   const node = new Node(row);
-  node.keeper.ordered(ORDER);
+  node.controller.ordered(ORDER);
   await node.run(1000);
   assert.equal(row.states, [RolloutState.Running]);
   assert.is(row.version, "v2");
 });
 
-test("a store that came back without the status gets it again", async () => {
+test("a status is written again after the store was restored without it", async () => {
   const row = new StatusRow();
   const node = new Node(row);
-  node.keeper.ordered(ORDER);
-  node.keeper.told([decided(RolloutPhase.RollingBack)]);
+  node.controller.ordered(ORDER);
+  node.controller.newsReceived([decided(RolloutPhase.RollingBack)]);
   await node.run(1000);
   row.rowVersion = 0;
   row.state = undefined;
-  node.keeper.storeWentBack();
-  node.keeper.listed(new Set());
+  node.controller.storeRestored();
+  node.controller.ordersListed(new Set());
   await node.run(1000);
   assert.is(row.state, RolloutState.RolledBack);
   assert.is(node.phase, RolloutPhase.RolledBack);
 });
 
-test("a fleet that lost all its instances goes on from the record", async () => {
+test("a fleet that lost all its instances continues from the record", async () => {
   const row = new StatusRow();
   const before = new Node(row);
-  before.keeper.ordered(ORDER);
-  before.keeper.told([decided(RolloutPhase.RollingBack)]);
+  before.controller.ordered(ORDER);
+  before.controller.newsReceived([decided(RolloutPhase.RollingBack)]);
   await before.run(1000);
   const after = new Node(row);
-  after.keeper.ordered(ORDER);
-  after.keeper.recordRead(before.record, 2000);
+  after.controller.ordered(ORDER);
+  after.controller.recordRead(before.record, 2000);
   assert.is(after.phase, RolloutPhase.RollingBack);
   await after.run(1000);
   assert.is(after.phase, RolloutPhase.RolledBack);
   assert.is(row.state, RolloutState.RolledBack);
 });
 
-test("an order that is no longer listed is taken back", async () => {
+test("an order that is no longer listed is withdrawn", async () => {
   const row = new StatusRow();
   const node = new Node(row);
-  node.keeper.ordered(ORDER);
+  node.controller.ordered(ORDER);
   await node.run(500);
-  node.keeper.listed(new Set());
+  node.controller.ordersListed(new Set());
   await node.run(500);
   assert.equal(row.states, [RolloutState.Running, RolloutState.RolledBack]);
 });
--- a/packages/gateway/src/rotation.ts
+++ b/packages/gateway/src/rotation.ts
@@ -1,13 +1,15 @@
-/** Takes slices of a list in turn. */
+/** Round-robin selection of slices of a list. */
 
-/** The position of one rotation; each consumer needs its own. */
+/** Position of a round robin over a list; each consumer needs its own. */
 export class Rotation {
   #begin = 0;
 
   /**
-   * @param all A list; it may change between turns.
+   * Selects the next slice of a list, starting over at its end.
+   *
+   * @param all The list; it may change between calls.
    * @param count Length of the slice.
-   * @returns The next slice; the whole list if it is no longer than that.
+   * @returns The next `count` entries; the whole list if it has no more.
    */
   next<T>(all: readonly T[], count: number): T[] {
     if (all.length <= count) {
--- a/packages/gateway/src/rotation_test.ts
+++ b/packages/gateway/src/rotation_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { Rotation } from "./rotation.ts";
 
-test("each entry has its turn, also as the list changes", () => {
+test("each entry is selected in turn, even if the list changes", () => {
   const rotation = new Rotation();
   assert.equal(rotation.next([1, 2, 3, 4, 5], 2), [1, 2]);
   assert.equal(rotation.next([1, 2, 3, 4, 5], 2), [3, 4]);
--- a/packages/gateway/src/routed_call.ts
+++ b/packages/gateway/src/routed_call.ts
@@ -5,11 +5,11 @@
   RoutePolicy,
   WorkspacePolicy,
 } from "@chestnuthatch/routing/fleet_configuration";
-import type { CallFacts } from "./ports.ts";
+import type { CallMetadata } from "./ports.ts";
 
 /** One request with all that decides how it is treated. */
 export interface RoutedCall {
-  readonly facts: CallFacts;
+  readonly facts: CallMetadata;
   readonly route: RoutePolicy;
   readonly workspace?: WorkspacePolicy;
   readonly pool: string;
--- a/packages/gateway/src/slow_coordinator_test.ts
+++ b/packages/gateway/src/slow_coordinator_test.ts
@@ -11,7 +11,7 @@
   fleetNode,
   RUN_MS,
 } from "./gateway_test_support.ts";
-import { PartitionedNetwork } from "./partition_test_support.ts";
+import { PartitionedNetwork } from "./partitioned_network_test_support.ts";
 
 const WINDOW_MS = 8000;
 const BOUNDS = {
@@ -68,7 +68,7 @@
       }
       const { targetId } = decision;
       const end = { askId, targetId, pool: "p", promptTokens: 500 };
-      this.#network.later(
+      this.#network.schedule(
         WORK_MS,
         () => desk.ended({ ...end, failed: false }),
       );
@@ -77,7 +77,7 @@
 
   #send(fromId: string, toId: string, message: RoutingMessage): void {
     const isLate = fromId === this.slowId && message.kind !== MessageKind.Beat;
-    this.#network.later(
+    this.#network.schedule(
       isLate ? SLOW_MS : 0,
       () => deliverTo(this.#nodes.get(toId)!, { message, fromId }),
     );
--- a/packages/gateway/src/status_server.ts
+++ b/packages/gateway/src/status_server.ts
@@ -3,7 +3,7 @@
 import { createServer, type RequestListener, type Server } from "node:http";
 import polka from "polka";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
-import { listen } from "./peer_catalog.ts";
+import { listen } from "./snapshot_server.ts";
 
 /** What the server tells. */
 export interface StatusParts {
--- a/packages/gateway/src/store_recorder.ts
+++ b/packages/gateway/src/store_recorder.ts
@@ -1,55 +1,63 @@
-/** Keeps one record in the platform's store up to date, at a bounded rate. */
+/** Keeps a record in the platform's store up to date at a limited rate. */
 
 import type { Clock } from "./ports.ts";
 
-/** What is recorded, where, and how often at most. */
+/** Source, destination and rate limit of a {@link StoreRecorder}. */
 export interface RecorderOptions<T> {
   readonly clock: Clock;
-  /** Least time between two records. */
-  readonly everyMs: number;
-  /** Pause after a record that the platform did not take. */
-  readonly retryMs: number;
-  /** @returns What is to be recorded; undefined while the last record holds. */
+  /** Minimum time between two writes. */
+  readonly minIntervalMs: number;
+  /** Delay before a failed write is retried. */
+  readonly retryDelayMs: number;
+  /**
+   * @returns Content to record; undefined while the last record is still valid.
+   */
   next(): T | undefined;
-  /** @returns Whether the platform has it. */
+  /** @returns Whether the platform stored the record. */
   write(record: T): Promise<boolean>;
-  /** Called where the platform did not take it, so that it is due again. */
+  /** Called after a failed write, so that `next` returns the content again. */
   onFailed(record: T): void;
 }
 
-/** Records whenever something is due. */
+/** Writes a record whenever its content has changed, one write at a time. */
 export class StoreRecorder<T> {
   readonly #options: RecorderOptions<T>;
-  #recording = false;
+  #isWriting = false;
   #notBeforeMs = -Infinity;
 
-  /** @param options What is recorded, where, and how often at most. */
+  /** @param options Source, destination and rate limit. */
   constructor(options: RecorderOptions<T>) {
     this.#options = options;
   }
 
-  /** @param forMs Time for which nothing is recorded from now on. */
-  holdFor(forMs: number): void {
+  /** @param forMs Time from now for which nothing is written. */
+  pauseFor(forMs: number): void {
     this.#notBeforeMs = this.#options.clock.nowMs() + forMs;
   }
 
-  /** @returns Once the platform has what is due, or did not take it. */
+  /**
+   * Writes the record, if its content has changed and the rate limit allows it.
+   *
+   * @returns Resolves when the write has succeeded or failed, or if none is
+   * due.
+   */
   async record(): Promise<void> {
-    const { clock, everyMs, retryMs, next, write, onFailed } = this.#options;
-    if (this.#recording || clock.nowMs() < this.#notBeforeMs) {
+    const { clock, minIntervalMs, retryDelayMs, next, write, onFailed } =
+      this.#options;
+    if (this.#isWriting || clock.nowMs() < this.#notBeforeMs) {
       return;
     }
     const record = next();
     if (record === undefined) {
       return;
     }
-    this.#recording = true;
-    this.holdFor(everyMs);
+    this.#isWriting = true;
+    this.pauseFor(minIntervalMs);
     const isRecorded = await write(record);
-    this.#recording = false;
+    this.#isWriting = false;
     if (!isRecorded) {
       onFailed(record);
-      this.holdFor(retryMs);
+      this.pauseFor(retryDelayMs);
     }
   }
 }
--- a/packages/gateway/src/suspect_keeper.ts
+++ b/packages/gateway/src/suspect_recorder.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps what is known of requests under which targets ended beyond the instances
- * that saw it: the coordinator records it, and a fleet that lost all its
- * instances takes it up.
+ * Preserves the suspects, requests under which targets ended, beyond the
+ * lifetime of the instances that observed them: the coordinator records them in
+ * the platform's store, and a fleet that lost all its instances restores them.
  */
 
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
@@ -10,14 +10,16 @@
 import type { Clock, PlatformPort } from "./ports.ts";
 import { StoreRecorder } from "./store_recorder.ts";
 
-/** Least time between two records: targets end some seconds apart. */
-const RECORD_EVERY_MS = 500;
+/** Minimum time between two records: targets end some seconds apart. */
+const MIN_RECORD_INTERVAL_MS = 500;
+
+/** Delay before a failed write of the record is retried. */
 const RECORD_RETRY_MS = 1000;
 
-/** No version of the board's. */
+/** Recorded version while there is no valid record; differs from all others. */
 const NOT_RECORDED = -1;
 
-/** What the keeper works with. */
+/** Dependencies of {@link SuspectRecorder}. */
 export interface SuspectParts {
   readonly board: RoutingBoard;
   readonly platform: PlatformPort;
@@ -25,51 +27,56 @@
   readonly log: EventLog;
 }
 
-/** Records suspects, and takes them in. */
-export class SuspectKeeper {
+/** Records suspects in the store, and merges those of other instances. */
+export class SuspectRecorder {
   readonly #parts: SuspectParts;
   readonly #recorder: StoreRecorder<SuspectNews[]>;
-  /** What was recorded last, as the board's version of it. */
+  /** Version of the board's suspects that was recorded last. */
   #recordedVersion = 0;
 
-  /** @param parts What the keeper works with. */
+  /** @param parts Dependencies. */
   constructor(parts: SuspectParts) {
     this.#parts = parts;
     const { clock, platform } = parts;
     this.#recorder = new StoreRecorder({
       clock,
-      everyMs: RECORD_EVERY_MS,
-      retryMs: RECORD_RETRY_MS,
-      next: () => this.#next(),
+      minIntervalMs: MIN_RECORD_INTERVAL_MS,
+      retryDelayMs: RECORD_RETRY_MS,
+      next: () => this.#nextRecord(),
       write: (record) => platform.recordSuspects(record),
-      onFailed: (record) => this.#notRecorded(record),
+      onFailed: (record) => this.#recordFailed(record),
     });
   }
 
   /**
-   * @param news What another instance knows, or the fleet recorded.
+   * Merges suspects into the board, and logs them if any is new.
+   *
+   * @param news Suspects from another instance, or from the fleet's record.
    */
-  told(news: readonly SuspectNews[]): void {
+  received(news: readonly SuspectNews[]): void {
     const { board: { suspects }, clock, log } = this.#parts;
     const count = suspects.merge(news, clock.nowMs());
     if (count > 0) {
       const fingerprints = news.map(({ fingerprint }) => fingerprint);
-      log.info(LogPart.Targets, "told of suspects", { count, fingerprints });
+      log.info(LogPart.Targets, "suspects received", { count, fingerprints });
     }
   }
 
-  /** The record may be gone: it is made anew, if there is anything to record. */
-  recordAnew(): void {
+  /**
+   * Lets the next call of `record` write all suspects again, if there are any,
+   * since the record may be lost.
+   */
+  recordAgain(): void {
     const { isAny, version } = this.#parts.board.suspects;
     this.#recordedVersion = isAny ? NOT_RECORDED : version;
   }
 
-  /** Records what is not recorded yet; for the coordinator alone. */
+  /** Records suspects that changed; called by the coordinator only. */
   record(): void {
     void this.#recorder.record();
   }
 
-  #next(): SuspectNews[] | undefined {
+  #nextRecord(): SuspectNews[] | undefined {
     const { board: { suspects }, clock } = this.#parts;
     if (suspects.version === this.#recordedVersion) {
       return undefined;
@@ -78,7 +85,7 @@
     return suspects.toTell(clock.nowMs());
   }
 
-  #notRecorded(record: readonly SuspectNews[]): void {
+  #recordFailed(record: readonly SuspectNews[]): void {
     this.#recordedVersion = NOT_RECORDED;
     this.#parts.log.warn(LogPart.Platform, "suspects not recorded", {
       fingerprints: record.map(({ fingerprint }) => fingerprint),
--- a/packages/gateway/src/target_attempt.ts
+++ b/packages/gateway/src/target_attempt.ts
@@ -178,7 +178,7 @@
     if (!facts.wrongTarget) {
       const { target } = this.order;
       const origin = { target, sentAtMs: this.sentAtMs };
-      this.#parts.targetSignals.answered(origin, facts.signals);
+      this.#parts.targetSignals.answerReceived(origin, facts.signals);
     }
     const { requestId } = this.order.call.facts;
     if (facts.requestId !== undefined && facts.requestId !== requestId) {
--- a/packages/gateway/src/target_signal_keeper.ts
+++ b/packages/gateway/src/target_signal_handler.ts
@@ -1,4 +1,4 @@
-/** Records what targets signal about themselves in their answers. */
+/** Applies the signals about a target's own state that its answers carry. */
 
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
 import type {
@@ -10,8 +10,8 @@
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { Clock, MalformedHeader, TargetSignals } from "./ports.ts";
 
-/** What the keeper works with. */
-export interface SignalKeeperParts {
+/** Dependencies and callbacks of {@link TargetSignalHandler}. */
+export interface TargetSignalParts {
   readonly board: RoutingBoard;
   readonly clock: Clock;
   readonly log: EventLog;
@@ -20,18 +20,21 @@
   onLeaving(targetId: string): void;
 }
 
-/** The answer that carried a signal. */
+/** Target and time of the request whose answer carried a signal. */
 export interface SignalOrigin {
   /** The target as it was known when the request was sent. */
   readonly target: KnownTarget;
-  /** When its request was sent. */
+  /** Local time when the request was sent. */
   readonly sentAtMs: number;
 }
 
-/** Malformed headers that are remembered, so that each is logged once. */
-const MAX_MALFORMED = 256;
+/**
+ * Pairs of target and malformed header that are logged, each once; further ones
+ * are not logged.
+ */
+const MAX_LOGGED_MALFORMED = 256;
 
-/** Signals as metrics name them. */
+/** Signals, by their names in metrics. */
 enum SignalName {
   RateLimitSet = "rate_limit_set",
   RateLimitLifted = "rate_limit_lifted",
@@ -39,31 +42,33 @@
   Backoff = "backoff",
 }
 
-/** Where a signal was received from. */
+/** Where a signal was received from, as metrics and the log name it. */
 enum SignalSource {
   Answer = "answer",
   Peer = "peer",
 }
 
-/** Writes signals to the blackboard and logs changes. */
-export class TargetSignalKeeper {
-  readonly #parts: SignalKeeperParts;
-  readonly #malformed = new Set<string>();
+/** Applies signals of targets to the board, and counts and logs changes. */
+export class TargetSignalHandler {
+  readonly #parts: TargetSignalParts;
+  readonly #loggedMalformed = new Set<string>();
 
-  /** @param parts What the keeper works with. */
-  constructor(parts: SignalKeeperParts) {
+  /** @param parts Dependencies and callbacks. */
+  constructor(parts: TargetSignalParts) {
     this.#parts = parts;
   }
 
   /**
-   * @param origin The answer.
-   * @param signals What it said about its target.
+   * Applies the signals of an answer, unless the target was restarted since.
+   *
+   * @param origin Target and time of the answered request.
+   * @param signals Signals that the answer carried.
    */
-  answered(origin: SignalOrigin, signals: TargetSignals): void {
+  answerReceived(origin: SignalOrigin, signals: TargetSignals): void {
     const { targetId, incarnation } = origin.target;
     const known = this.#parts.board.targets.get(targetId);
     if (known?.incarnation !== incarnation) {
-      // The target was restarted after it sent this answer.
+      // The answer is from an earlier process of the target.
       return;
     }
     const { limitPerS, hasLimit, leaving, backoffMs, malformed } = signals;
@@ -71,25 +76,25 @@
       this.#logMalformed(targetId, each);
     }
     if (leaving && !known.leaving) {
-      this.#noteLeaving(known);
+      this.#applyLeaving(known);
     }
     if (backoffMs !== undefined) {
-      this.#noteBackoff(targetId, backoffMs);
+      this.#applyBackoff(targetId, backoffMs);
     }
     if (limitPerS !== undefined || !hasLimit) {
-      this.#noteRateLimit(origin, limitPerS);
+      this.#applyRateLimit(origin, limitPerS);
     }
   }
 
-  /** @param news Rate limits reported by another instance. */
-  toldOfRateLimits(news: readonly RateLimitNews[]): void {
+  /** @param news Rate limits of targets that another instance reported. */
+  rateLimitsReceived(news: readonly RateLimitNews[]): void {
     const { board: { rateLimits }, clock } = this.#parts;
     for (const change of rateLimits.merge(news, clock.nowMs())) {
       this.#rateLimitChanged(change, SignalSource.Peer);
     }
   }
 
-  #noteLeaving({ targetId, rowVersion }: KnownTarget): void {
+  #applyLeaving({ targetId, rowVersion }: KnownTarget): void {
     const source = SignalSource.Answer;
     const { log, metrics, onLeaving } = this.#parts;
     metrics.targetSignal(SignalName.Leaving, source);
@@ -101,7 +106,7 @@
     onLeaving(targetId);
   }
 
-  #noteBackoff(targetId: string, backoffMs: number): void {
+  #applyBackoff(targetId: string, backoffMs: number): void {
     const { board: { backoffs }, clock, log, metrics } = this.#parts;
     const source = SignalSource.Answer;
     backoffs.requested(targetId, backoffMs, clock.nowMs());
@@ -113,7 +118,7 @@
     });
   }
 
-  #noteRateLimit(
+  #applyRateLimit(
     { target: { targetId }, sentAtMs }: SignalOrigin,
     limitPerS: number | undefined,
   ): void {
@@ -148,11 +153,11 @@
     targetId: string,
     { header, value }: MalformedHeader,
   ): void {
-    const known = `${targetId} ${header}`;
-    const isNew = !this.#malformed.has(known) &&
-      this.#malformed.size < MAX_MALFORMED;
+    const key = `${targetId} ${header}`;
+    const isNew = !this.#loggedMalformed.has(key) &&
+      this.#loggedMalformed.size < MAX_LOGGED_MALFORMED;
     if (isNew) {
-      this.#malformed.add(known);
+      this.#loggedMalformed.add(key);
       this.#parts.log.warn(LogPart.Targets, "malformed header ignored", {
         targetId,
         header,
--- a/packages/gateway/src/target_signal_keeper_test.ts
+++ b/packages/gateway/src/target_signal_handler_test.ts
@@ -2,13 +2,13 @@
 import { boardOf } from "@chestnuthatch/routing/routing_test_support";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { TargetSignalKeeper } from "./target_signal_keeper.ts";
+import { TargetSignalHandler } from "./target_signal_handler.ts";
 import { EventLog } from "./event_log.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
 
-const QUIET = { hasLimit: false, leaving: false, malformed: [] };
+const NO_SIGNALS = { hasLimit: false, leaving: false, malformed: [] };
 
-function newsOf() {
+function handlerOnClock() {
   const lines: string[] = [];
   const clock = { atMs: 0, nowMs: () => clock.atMs };
   const output = new Writable({
@@ -20,7 +20,7 @@
   const log = new EventLog(clock, "i1", output);
   const board = boardOf(["t1"]);
   const metrics = new GatewayMetrics();
-  const news = new TargetSignalKeeper({
+  const handler = new TargetSignalHandler({
     board,
     clock,
     log,
@@ -35,18 +35,26 @@
           .join(" ")
       );
   };
-  return { news, board, clock, messages };
+  return { handler, board, clock, messages };
 }
 
 test("a rate limit is logged when it changes, with its source", () => {
-  const { news, board, clock, messages } = newsOf();
+  const { handler, board, clock, messages } = handlerOnClock();
   const origin = { target: board.targets.get("t1")!, sentAtMs: 0 };
-  news.answered(origin, { ...QUIET, hasLimit: true, limitPerS: 5 });
-  news.answered(origin, { ...QUIET, hasLimit: true, limitPerS: 5 });
+  handler.answerReceived(origin, {
+    ...NO_SIGNALS,
+    hasLimit: true,
+    limitPerS: 5,
+  });
+  handler.answerReceived(origin, {
+    ...NO_SIGNALS,
+    hasLimit: true,
+    limitPerS: 5,
+  });
   clock.atMs = 50;
-  news.toldOfRateLimits([{ targetId: "t1", limitPerS: 6, ageMs: 10 }]);
+  handler.rateLimitsReceived([{ targetId: "t1", limitPerS: 6, ageMs: 10 }]);
   clock.atMs = 6000;
-  news.answered({ ...origin, sentAtMs: 5000 }, QUIET);
+  handler.answerReceived({ ...origin, sentAtMs: 5000 }, NO_SIGNALS);
   assert.equal(messages(), [
     "target rate limit set answer 5",
     "target rate limit set peer 6",
@@ -56,14 +64,18 @@
 });
 
 test("a malformed header is logged once and lifts no limit", () => {
-  const { news, board, clock, messages } = newsOf();
+  const { handler, board, clock, messages } = handlerOnClock();
   const origin = { target: board.targets.get("t1")!, sentAtMs: 0 };
-  news.answered(origin, { ...QUIET, hasLimit: true, limitPerS: 5 });
+  handler.answerReceived(origin, {
+    ...NO_SIGNALS,
+    hasLimit: true,
+    limitPerS: 5,
+  });
   clock.atMs = 6000;
   const malformed = [{ header: "server-limit", value: "many" }];
   const later = { ...origin, sentAtMs: 5000 };
-  news.answered(later, { ...QUIET, hasLimit: true, malformed });
-  news.answered(later, { ...QUIET, hasLimit: true, malformed });
+  handler.answerReceived(later, { ...NO_SIGNALS, hasLimit: true, malformed });
+  handler.answerReceived(later, { ...NO_SIGNALS, hasLimit: true, malformed });
   assert.equal(messages(), [
     "target rate limit set answer 5",
     "malformed header ignored",
@@ -71,19 +83,23 @@
   assert.is(board.rateLimits.limitPerS("t1"), 5);
 });
 
-test("a late answer of a replaced process is ignored", () => {
-  const { news, board } = newsOf();
+test("a late answer of an earlier process of the target is ignored", () => {
+  const { handler, board } = handlerOnClock();
   const target = { ...board.targets.get("t1")!, incarnation: 0 };
   const origin = { target, sentAtMs: 0 };
-  news.answered(origin, { ...QUIET, hasLimit: true, limitPerS: 5 });
+  handler.answerReceived(origin, {
+    ...NO_SIGNALS,
+    hasLimit: true,
+    limitPerS: 5,
+  });
   assert.is(board.rateLimits.limitPerS("t1"), undefined);
 });
 
 test("a target that announces that it is leaving is logged once", () => {
-  const { news, board, messages } = newsOf();
+  const { handler, board, messages } = handlerOnClock();
   const origin = { target: board.targets.get("t1")!, sentAtMs: 0 };
-  news.answered(origin, { ...QUIET, leaving: true });
-  news.answered(origin, { ...QUIET, leaving: true });
+  handler.answerReceived(origin, { ...NO_SIGNALS, leaving: true });
+  handler.answerReceived(origin, { ...NO_SIGNALS, leaving: true });
   assert.equal(messages(), ["target announces that it is leaving answer"]);
 });
 
--- a/tests/process_kept_connections_test.ts
+++ b/tests/process_kept_connections_test.ts
@@ -283,7 +283,7 @@
       const leaving = fleet.instances[0]!;
       await allowLong(fleet, leaving);
       if (instances > 1) {
-        await logged(leaving, "member heard");
+        await logged(leaving, "member alive");
       }
       for (const { target } of fleet.targets) {
         target.conduct = TargetConduct.FallSilent;
