--- a/packages/gateway/src/allotment_in_partition_test.ts
+++ b/packages/gateway/src/allotment_in_partition_test.ts
@@ -26,7 +26,7 @@
   type FleetNode,
   fleetNode,
 } from "./gateway_test_support.ts";
-import { PartitionedNetwork } from "./partitioned_network_test_support.ts";
+import { PartitionedNetwork } from "./partition_test_support.ts";
 
 const WINDOW_MS = 8000;
 const TOLERANCE = { windowMs: WINDOW_MS, overage: 0.1, slack: 14_000 };
--- a/packages/gateway/src/configuration_sync.ts
+++ b/packages/gateway/src/configuration_sync.ts
@@ -11,7 +11,7 @@
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { Heartbeat } from "./heartbeat_exchange.ts";
 import { SnapshotKind } from "./snapshot_server.ts";
-import { SnapshotFetcher } from "./snapshot_fetcher.ts";
+import { PeerFetch } from "./peer_fetch.ts";
 import type { Clock } from "./ports.ts";
 
 /** Minimum time between two fetches of the configuration from peers. */
@@ -60,13 +60,13 @@
  */
 export class ConfigurationSync {
   readonly #parts: ConfigurationParts;
-  readonly #fetch: SnapshotFetcher<FleetConfiguration>;
+  readonly #fetch: PeerFetch<FleetConfiguration>;
   #isStale = false;
 
   /** @param parts Dependencies and callbacks. */
   constructor(parts: ConfigurationParts) {
     this.#parts = parts;
-    this.#fetch = new SnapshotFetcher(parts, {
+    this.#fetch = new PeerFetch(parts, {
       kind: SnapshotKind.Configuration,
       schema: fleetConfigurationSchema,
       minIntervalMs: FETCH_INTERVAL_MS,
--- a/packages/gateway/src/fleet_state_sync.ts
+++ b/packages/gateway/src/fleet_state_sync.ts
@@ -22,7 +22,7 @@
 import { LogPart } from "./event_log.ts";
 import type { Heartbeat } from "./heartbeat_exchange.ts";
 import { SnapshotKind } from "./snapshot_server.ts";
-import { SnapshotFetcher } from "./snapshot_fetcher.ts";
+import { PeerFetch } from "./peer_fetch.ts";
 import type { PlatformSink } from "./ports.ts";
 
 /**
@@ -79,7 +79,7 @@
 export class FleetStateSync implements PlatformSink {
   readonly #parts: FleetStateParts;
   readonly #configuration: ConfigurationSync;
-  readonly #targetsFetch: SnapshotFetcher<TargetChange[]>;
+  readonly #targetsFetch: PeerFetch<TargetChange[]>;
   #reachesStore = false;
   #hasTargets = false;
   /** Newest version of targets that a heartbeat reported, and since when. */
@@ -94,7 +94,7 @@
       ...parts,
       reachesStore: () => this.#reachesStore,
     });
-    this.#targetsFetch = new SnapshotFetcher(parts, {
+    this.#targetsFetch = new PeerFetch(parts, {
       kind: SnapshotKind.Targets,
       schema: targetChangesSchema,
       minIntervalMs: PEER_TARGETS_INTERVAL_MS,
--- a/packages/gateway/src/snapshot_fetcher.ts
+++ b/packages/gateway/src/peer_fetch.ts
@@ -14,7 +14,7 @@
 import type { Clock } from "./ports.ts";
 
 /** Snapshot to fetch, its receiver, and the rate limit. */
-export interface SnapshotFetcherOptions<T> {
+export interface PeerFetchOptions<T> {
   readonly kind: SnapshotKind;
   readonly schema: z.ZodType<T>;
   /** Minimum time between the starts of two attempts. */
@@ -23,8 +23,8 @@
   onFetched(fetched: T, from: MemberNews): void;
 }
 
-/** Dependencies of {@link SnapshotFetcher}. */
-export interface SnapshotFetcherParts {
+/** Dependencies of {@link PeerFetch}. */
+export interface PeerFetchParts {
   readonly clock: Clock;
   readonly log: EventLog;
   /** Port of the peers' snapshot servers. */
@@ -32,9 +32,9 @@
 }
 
 /** Fetches one kind of snapshot from peers. */
-export class SnapshotFetcher<T> {
-  readonly #parts: SnapshotFetcherParts;
-  readonly #options: SnapshotFetcherOptions<T>;
+export class PeerFetch<T> {
+  readonly #parts: PeerFetchParts;
+  readonly #options: PeerFetchOptions<T>;
   #isFetching = false;
   #startedAtMs = -Infinity;
 
@@ -42,7 +42,7 @@
    * @param parts Dependencies.
    * @param options Snapshot to fetch, its receiver, and the rate limit.
    */
-  constructor(parts: SnapshotFetcherParts, options: SnapshotFetcherOptions<T>) {
+  constructor(parts: PeerFetchParts, options: PeerFetchOptions<T>) {
     this.#parts = parts;
     this.#options = options;
   }
@@ -66,8 +66,11 @@
     const { snapshotPort, log } = this.#parts;
     const { kind, schema, onFetched } = this.#options;
     this.#isFetching = true;
-    const address = snapshotAddressOf(from, snapshotPort);
-    const fetched = await fetchSnapshot(address, kind, schema);
+    const fetched = await fetchSnapshot(
+      snapshotAddressOf(from, snapshotPort),
+      kind,
+      schema,
+    );
     this.#isFetching = false;
     fetched.match(
       (content) => onFetched(content, from),
--- a/packages/gateway/src/rate_limits_test.ts
+++ b/packages/gateway/src/rate_limits_test.ts
@@ -16,7 +16,7 @@
   type FleetNode,
   fleetNode,
 } from "./gateway_test_support.ts";
-import { PartitionedNetwork } from "./partitioned_network_test_support.ts";
+import { PartitionedNetwork } from "./partition_test_support.ts";
 
 const BOUNDS = {
   retryBudget: { ratio: 0.2, slack: 100, windowS: 10 },
--- a/packages/gateway/src/slow_coordinator_test.ts
+++ b/packages/gateway/src/slow_coordinator_test.ts
@@ -11,7 +11,7 @@
   fleetNode,
   RUN_MS,
 } from "./gateway_test_support.ts";
-import { PartitionedNetwork } from "./partitioned_network_test_support.ts";
+import { PartitionedNetwork } from "./partition_test_support.ts";
 
 const WINDOW_MS = 8000;
 const BOUNDS = {
