--- a/packages/gateway/src/configuration_sync.ts
+++ b/packages/gateway/src/configuration_sync.ts
@@ -39,7 +39,7 @@
   readonly metrics: GatewayMetrics;
   readonly snapshotPort: number;
   /**
-   * @returns Time within which a committed configuration must be in force, in
+   * @returns Time within which a confirmed configuration must be in force, in
    * milliseconds.
    */
   configurationApplyMs(): number;
