--- a/packages/gateway/src/front_server.ts
+++ b/packages/gateway/src/front_server.ts
@@ -26,8 +26,8 @@
 import { LogPart } from "./event_log.ts";
 import type { GatewayParts } from "./gateway_parts.ts";
 import { UnfinishedAnswer } from "./unfinished_answer.ts";
-import { listen } from "./peer_catalog.ts";
-import type { CallFacts } from "./ports.ts";
+import { listen } from "./snapshot_server.ts";
+import type { CallMetadata } from "./ports.ts";
 import type { RoutedCall } from "./routed_call.ts";
 import { RequestBodyReader } from "./request_body_reader.ts";
 import { RoutedRequest } from "./routed_request.ts";
@@ -303,7 +303,7 @@
     return SLOW_ANSWER_FACTOR * slowestMs > this.#timeToAbortMs();
   }
 
-  #admit(request: IncomingMessage, facts: CallFacts): Admission {
+  #admit(request: IncomingMessage, facts: CallMetadata): Admission {
     const isRefusing = this.#stage === ShutdownStage.Refusing;
     if (isRefusing || this.#mayOutlastShutdown(request)) {
       const retryAfterMs = LEAVING_RETRY_AFTER_MS;
@@ -342,7 +342,7 @@
 
   #refuse(
     reply: CallerReply,
-    facts: CallFacts,
+    facts: CallMetadata,
     of: { error: RoutedError; retryAfterMs?: number },
   ): void {
     const { board, clock, log, metrics } = this.#parts;
@@ -390,7 +390,7 @@
 function routedCallOf(
   of: {
     request: IncomingMessage;
-    facts: CallFacts;
+    facts: CallMetadata;
     body: Buffer;
     arrivedAtMs: number;
     admission: Exclude<Admission, { error: RoutedError }>;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -22,9 +22,9 @@
 import { TargetRateLimits } from "@chestnuthatch/routing/target_rate_limits";
 import { TargetPaces } from "@chestnuthatch/routing/target_paces";
 import { TargetBackoffs } from "@chestnuthatch/routing/target_backoffs";
-import { TargetSignalKeeper } from "./target_signal_keeper.ts";
+import { TargetSignalHandler } from "./target_signal_handler.ts";
 import { EventLog, type LogFacts, LogPart } from "./event_log.ts";
-import { FleetNews } from "./fleet_news.ts";
+import { FleetStateSync } from "./fleet_state_sync.ts";
 import { FrontServer } from "./front_server.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
 import type { GatewayParts } from "./gateway_parts.ts";
@@ -32,15 +32,15 @@
 import { GracefulStop } from "./graceful_stop.ts";
 import { hostPortOf } from "./host_port.ts";
 import { LoopWatch } from "./loop_watch.ts";
-import { MembershipKeeper } from "./membership_keeper.ts";
-import { PeerCatalog } from "./peer_catalog.ts";
+import { HeartbeatExchange } from "./heartbeat_exchange.ts";
+import { SnapshotServer } from "./snapshot_server.ts";
 import { PeerSocket } from "./peer_socket.ts";
 import { PlacementClient } from "./placement_client.ts";
-import { RolloutKeeper } from "./rollout_keeper.ts";
+import { RolloutController } from "./rollout_controller.ts";
 import type { CallProtocol, Clock, PlatformPort } from "./ports.ts";
-import { SpendingKeeper } from "./spending_keeper.ts";
+import { SpendingRecorder } from "./spending_recorder.ts";
 import { StatusServer } from "./status_server.ts";
-import { SuspectKeeper } from "./suspect_keeper.ts";
+import { SuspectRecorder } from "./suspect_recorder.ts";
 import { TargetConnections } from "./target_connections.ts";
 import { TargetProbes } from "./target_probes.ts";
 import { TargetCleanup } from "./target_cleanup.ts";
@@ -75,16 +75,16 @@
   readonly #metrics = new GatewayMetrics();
   readonly #self: MemberInfo;
   readonly #socket: PeerSocket;
-  readonly #catalog: PeerCatalog;
+  readonly #catalog: SnapshotServer;
   readonly #connections = new TargetConnections();
   readonly #coordinator: Coordinator;
   readonly #placementClient: PlacementClient;
-  readonly #membership: MembershipKeeper;
-  readonly #fleetState: FleetNews;
-  readonly #spending: SpendingKeeper;
-  readonly #suspects: SuspectKeeper;
-  readonly #rollouts: RolloutKeeper;
-  readonly #targetSignals: TargetSignalKeeper;
+  readonly #membership: HeartbeatExchange;
+  readonly #fleetState: FleetStateSync;
+  readonly #spending: SpendingRecorder;
+  readonly #suspects: SuspectRecorder;
+  readonly #rollouts: RolloutController;
+  readonly #targetSignals: TargetSignalHandler;
   readonly #targetMaintenance: TargetCleanup;
   readonly #front: FrontServer;
   readonly #status: StatusServer;
@@ -145,22 +145,22 @@
       startedAtMs: this.#startedAtMs,
       spendingWindowMs: settings.bounds.allotmentTolerance.windowMs,
       onWaiting: () => this.#scheduleTick(BUSY_TICK_MS),
-      onTakeover: (share) => this.#spending.standsIn(share),
+      onTakeover: (share) => this.#spending.becameActingCoordinator(share),
     });
-    this.#spending = new SpendingKeeper({
+    this.#spending = new SpendingRecorder({
       board: this.board,
       coordinator: this.#coordinator,
       platform: this.#platform,
       clock: this.#clock,
       log: this.#log,
     });
-    this.#suspects = new SuspectKeeper({
+    this.#suspects = new SuspectRecorder({
       board: this.board,
       platform: this.#platform,
       clock: this.#clock,
       log: this.#log,
     });
-    this.#rollouts = new RolloutKeeper({
+    this.#rollouts = new RolloutController({
       board: this.board,
       coordinator: this.#coordinator,
       platform: this.#platform,
@@ -175,15 +175,17 @@
       coordinator: this.#coordinator,
       connections: this.#connections,
     });
-    this.#targetSignals = new TargetSignalKeeper({
+    this.#targetSignals = new TargetSignalHandler({
       board: this.board,
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
-      onLeaving: (targetId) => this.#fleetState.targetLeaves(targetId),
+      onLeaving: (targetId) => this.#fleetState.targetLeaving(targetId),
     });
     this.#fleetState = this.#createFleetState();
-    this.#catalog = new PeerCatalog((item) => this.#fleetState.content(item));
+    this.#catalog = new SnapshotServer((kind) =>
+      this.#fleetState.snapshotOf(kind)
+    );
     this.#membership = this.#createMembership();
     this.#front = new FrontServer(this.#createParts(options.protocol));
     this.#loopWatch = new LoopWatch({
@@ -321,7 +323,7 @@
 
   async #stop(): Promise<void> {
     this.#isLeaving = true;
-    this.#membership.leave();
+    this.#membership.announceLeaving();
     await new GracefulStop({
       front: this.#front,
       clock: this.#clock,
@@ -363,13 +365,13 @@
 
   #handlePeerMessage(message: RoutingMessage, fromAddress: string): void {
     if (message.kind === MessageKind.Heartbeat) {
-      this.#membership.heard(message);
+      this.#membership.heartbeatReceived(message);
       const isCoordinator =
         message.from.instanceId === this.#placementClient.coordinatorId;
       if (isCoordinator && message.spending !== undefined) {
-        this.#spending.told(message.spending);
+        this.#spending.received(message.spending);
       }
-      this.#fleetState.heard(message);
+      this.#fleetState.heartbeatReceived(message);
       return;
     }
     this.#placementClient.handleMessage(
@@ -397,7 +399,9 @@
 
   /** Time until the next tick is needed. */
   #tickDelayMs(): number {
-    const untilHeartbeatMs = this.#membership.untilBeatMs(this.#clock.nowMs());
+    const untilHeartbeatMs = this.#membership.untilHeartbeatMs(
+      this.#clock.nowMs(),
+    );
     return this.#placementClient.hasWaiting
       ? BUSY_TICK_MS
       : Math.min(IDLE_TICK_MS, Math.max(BUSY_TICK_MS, untilHeartbeatMs));
@@ -476,7 +480,7 @@
       probes: new TargetProbes(),
       targetSignals: this.#targetSignals,
       onPlacedAtLeavingTarget: (targetId) =>
-        this.#fleetState.targetLeaves(targetId),
+        this.#fleetState.targetLeaving(targetId),
       failureDomain,
       lateMs: () => this.#lateMs,
       nextAskId: () => `${prefix}.${(this.#askCounter++).toString(36)}`,
@@ -488,32 +492,36 @@
     };
   }
 
-  #createFleetState(): FleetNews {
-    return new FleetNews({
+  #createFleetState(): FleetStateSync {
+    return new FleetStateSync({
       board: this.board,
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
-      catalogPort: this.#settings.catalogPort,
+      snapshotPort: this.#settings.catalogPort,
       configurationApplyMs: () => this.#settings.configurationApplyMs,
       rollouts: this.#rollouts,
       followsStore: () => this.#shouldFollowStore(),
-      onTargets: (beliefs) => this.#targetMaintenance.applyChanges(beliefs),
-      onConfiguration: (configuration) => this.#applyLimits(configuration),
-      onSpending: (record, ageMs) => this.#spending.takeUpRecord(record, ageMs),
-      onSuspects: (news) => this.#suspects.told(news),
-      onRateLimits: (news) => this.#targetSignals.toldOfRateLimits(news),
+      onTargetsChanged: (changes) =>
+        this.#targetMaintenance.applyChanges(changes),
+      onConfigurationChanged: (configuration) =>
+        this.#applyLimits(configuration),
+      onSpendingRead: (record, ageMs) =>
+        this.#spending.restoreRecord(record, ageMs),
+      onSuspectsReceived: (updates) => this.#suspects.received(updates),
+      onRateLimitsReceived: (updates) =>
+        this.#targetSignals.rateLimitsReceived(updates),
       // The cause of one silent connection may affect others.
-      onSilentConnection: () => this.#connections.closeAllIdle(),
-      onStoreWentBack: () => {
+      onConnectionStalled: () => this.#connections.closeAllIdle(),
+      onStoreRestored: () => {
         this.#coordinator.invalidateRecord();
-        this.#suspects.recordAnew();
+        this.#suspects.recordAgain();
       },
     });
   }
 
-  #createMembership(): MembershipKeeper {
-    return new MembershipKeeper({
+  #createMembership(): HeartbeatExchange {
+    return new HeartbeatExchange({
       board: this.board,
       clock: this.#clock,
       log: this.#log,
@@ -533,8 +541,8 @@
           ? this.board.suspects.updatesToSend(this.#clock.nowMs())
           : [],
       rollouts: () => this.board.rollouts.updatesToSend(this.#clock.nowMs()),
-      rateLimits: (of) =>
-        this.board.rateLimits.updatesToSend(this.#clock.nowMs(), of),
+      rateLimits: (context) =>
+        this.board.rateLimits.updatesToSend(this.#clock.nowMs(), context),
       targetNews: () => this.#fleetState.targetNews(),
     }, this.#self);
   }
--- a/packages/gateway/src/gateway_parts.ts
+++ b/packages/gateway/src/gateway_parts.ts
@@ -2,7 +2,7 @@
 
 import type { Agent } from "node:http";
 import type { RoutingBoard } from "@chestnuthatch/routing/routing_board";
-import type { TargetSignalKeeper } from "./target_signal_keeper.ts";
+import type { TargetSignalHandler } from "./target_signal_handler.ts";
 import type { EventLog } from "./event_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { PlacementClient } from "./placement_client.ts";
@@ -18,7 +18,7 @@
   readonly placementClient: PlacementClient;
   readonly protocol: CallProtocol;
   readonly probes: TargetProbes;
-  readonly targetSignals: TargetSignalKeeper;
+  readonly targetSignals: TargetSignalHandler;
   /** Failure domain of this instance. */
   readonly failureDomain: string;
   /** @returns Delay of the latest tick in milliseconds. */
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -15,10 +15,10 @@
 import { boardOf, memberOf } from "@chestnuthatch/routing/routing_test_support";
 import type { TargetRateLimits } from "@chestnuthatch/routing/target_rate_limits";
 import { EventLog } from "./event_log.ts";
-import { MembershipKeeper } from "./membership_keeper.ts";
+import { HeartbeatExchange } from "./heartbeat_exchange.ts";
 import { PlacementClient } from "./placement_client.ts";
-import { type Clock, type PlatformPort, StatusWrite } from "./ports.ts";
-import { SpendingKeeper } from "./spending_keeper.ts";
+import { type Clock, type PlatformPort, StatusWriteOutcome } from "./ports.ts";
+import { SpendingRecorder } from "./spending_recorder.ts";
 
 /** Uptime of all instances at time 0 of the test's clock, in milliseconds. */
 export const UPTIME_MS = 60_000;
@@ -27,9 +27,9 @@
 export interface FleetNode {
   readonly members: MemberView;
   readonly rateLimits: TargetRateLimits;
-  readonly membership: MembershipKeeper;
+  readonly membership: HeartbeatExchange;
   readonly placementClient: PlacementClient;
-  readonly spending: SpendingKeeper;
+  readonly spending: SpendingRecorder;
   /** Runs the timeouts of all components at the clock's present time. */
   tick(): void;
   /** @returns The time of the test's clock. */
@@ -75,7 +75,7 @@
   const discard = new Writable({ write: (_chunk, _code, done) => done() });
   const log = new EventLog(clock, instanceId, discard);
   const coordinator = new Coordinator(board, bounds);
-  const spending = new SpendingKeeper({
+  const spending = new SpendingRecorder({
     board,
     coordinator,
     platform: NO_OP_PLATFORM,
@@ -90,9 +90,9 @@
     send: (member, message) => send(instanceId, member.instanceId, message),
     startedAtMs: -UPTIME_MS,
     spendingWindowMs: bounds.allotmentTolerance.windowMs,
-    onTakeover: (share) => spending.standsIn(share),
+    onTakeover: (share) => spending.becameActingCoordinator(share),
   });
-  const membership = new MembershipKeeper({
+  const membership = new HeartbeatExchange({
     board,
     clock,
     log,
@@ -111,7 +111,8 @@
         : [],
     suspects: () => [],
     rollouts: () => [],
-    rateLimits: (of) => board.rateLimits.updatesToSend(clock.nowMs(), of),
+    rateLimits: (context) =>
+      board.rateLimits.updatesToSend(clock.nowMs(), context),
     targetNews: () => [],
   }, self);
   let wasCoordinator = false;
@@ -148,7 +149,7 @@
   recordSpending: () => Promise.resolve(false),
   recordSuspects: () => Promise.resolve(false),
   writeRolloutStatus: ({ rowVersion }) =>
-    Promise.resolve({ outcome: StatusWrite.Unknown, rowVersion }),
+    Promise.resolve({ outcome: StatusWriteOutcome.Unknown, rowVersion }),
   stop: () => {},
 };
 
@@ -163,12 +164,12 @@
   { message, fromId }: { message: RoutingMessage; fromId: string },
 ): void {
   if (message.kind === MessageKind.Heartbeat) {
-    membership.heard(message);
+    membership.heartbeatReceived(message);
     rateLimits.merge(message.rateLimits ?? [], nowMs());
     if (
       fromId === placementClient.coordinatorId && message.spending !== undefined
     ) {
-      spending.told(message.spending);
+      spending.received(message.spending);
     }
   } else {
     placementClient.handleMessage(message, fromId);
--- a/packages/gateway/src/partition_test_support.ts
+++ b/packages/gateway/src/partition_test_support.ts
@@ -1,41 +1,48 @@
-/** Time and partitions of a fleet in a test, on a manual clock. */
+/** Simulated network of a fleet in tests: a manual clock and partitions. */
 
-/** Runs what is due, and tells which instances a partition separates. */
+/**
+ * Runs scheduled functions by a manual clock, and determines which instances a
+ * network partition separates.
+ */
 export class PartitionedNetwork {
   readonly clock = { atMs: 0, nowMs: () => this.clock.atMs };
-  /** The failure domain that is cut off from all others, if any. */
-  cutDomain?: string;
+  /** Failure domain that is partitioned from all others, if any. */
+  isolatedDomain?: string;
   readonly #domainOf: Readonly<Record<string, string>>;
-  #onTheWay: { atMs: number; run: () => void }[] = [];
+  #scheduled: { atMs: number; run: () => void }[] = [];
 
-  /** @param domainOf Failure domains by instance; needed for partitions only. */
+  /**
+   * @param domainOf Failure domain by instance id; needed for partitions only.
+   */
   constructor(domainOf: Readonly<Record<string, string>> = {}) {
     this.#domainOf = domainOf;
   }
 
   /**
-   * @param fromId An instance.
-   * @param toId Another instance.
-   * @returns Whether a partition separates them.
+   * @param fromId Id of an instance.
+   * @param toId Id of another instance.
+   * @returns Whether the partition separates the two instances.
    */
-  isCut(fromId: string, toId: string): boolean {
-    return this.cutDomain !== undefined &&
-      (this.#domainOf[fromId] === this.cutDomain) !==
-        (this.#domainOf[toId] === this.cutDomain);
+  isPartitioned(fromId: string, toId: string): boolean {
+    return this.isolatedDomain !== undefined &&
+      (this.#domainOf[fromId] === this.isolatedDomain) !==
+        (this.#domainOf[toId] === this.isolatedDomain);
   }
 
   /**
-   * @param ms When, from now.
-   * @param run What is to run then.
+   * Schedules a function.
+   *
+   * @param delayMs Delay from now, by the manual clock.
+   * @param run The function.
    */
-  later(ms: number, run: () => void): void {
-    this.#onTheWay.push({ atMs: this.clock.atMs + ms, run });
+  schedule(delayMs: number, run: () => void): void {
+    this.#scheduled.push({ atMs: this.clock.atMs + delayMs, run });
   }
 
-  /** Runs what is due by now, but not what that adds. */
+  /** Runs the functions that are due, but none that these schedule. */
   runDue(): void {
-    const due = this.#onTheWay.filter(({ atMs }) => atMs <= this.clock.atMs);
-    this.#onTheWay = this.#onTheWay.filter((one) => !due.includes(one));
+    const due = this.#scheduled.filter(({ atMs }) => atMs <= this.clock.atMs);
+    this.#scheduled = this.#scheduled.filter((one) => !due.includes(one));
     due.forEach(({ run }) => run());
   }
 }
--- a/packages/gateway/src/peer_fetch.ts
+++ b/packages/gateway/src/peer_fetch.ts
@@ -1,65 +1,82 @@
-/** Fetches one item from whichever peer has news of it, one at a time. */
+/**
+ * Fetches a snapshot from peers that have a newer version, one at a time and at
+ * a limited rate.
+ */
 
 import type { MemberInfo } from "@chestnuthatch/routing/member_view";
 import type * as z from "zod";
 import { type EventLog, LogPart } from "./event_log.ts";
-import { type CatalogItem, catalogOf, fetchItem } from "./peer_catalog.ts";
+import {
+  fetchSnapshot,
+  snapshotAddressOf,
+  type SnapshotKind,
+} from "./snapshot_server.ts";
 import type { Clock } from "./ports.ts";
 
-/** What is fetched, and how often. */
+/** Snapshot to fetch, its receiver, and the rate limit. */
 export interface PeerFetchOptions<T> {
-  readonly item: CatalogItem;
+  readonly kind: SnapshotKind;
   readonly schema: z.ZodType<T>;
-  /** Least time between two attempts. */
-  readonly everyMs: number;
-  /** Called with what a peer handed over. */
+  /** Minimum time between the starts of two attempts. */
+  readonly minIntervalMs: number;
+  /** Called with the snapshot and the peer that sent it. */
   onFetched(fetched: T, from: MemberInfo): void;
 }
 
-/** What the fetch works with. */
+/** Dependencies of {@link PeerFetch}. */
 export interface PeerFetchParts {
   readonly clock: Clock;
   readonly log: EventLog;
-  readonly catalogPort: number;
+  /** Port of the peers' snapshot servers. */
+  readonly snapshotPort: number;
 }
 
-/** Asks peers for an item. */
+/** Fetches one kind of snapshot from peers. */
 export class PeerFetch<T> {
   readonly #parts: PeerFetchParts;
   readonly #options: PeerFetchOptions<T>;
-  #isUnderWay = false;
-  #askedAtMs = -Infinity;
+  #isFetching = false;
+  #startedAtMs = -Infinity;
 
   /**
-   * @param parts What it works with.
-   * @param options What is fetched.
+   * @param parts Dependencies.
+   * @param options Snapshot to fetch, its receiver, and the rate limit.
    */
   constructor(parts: PeerFetchParts, options: PeerFetchOptions<T>) {
     this.#parts = parts;
     this.#options = options;
   }
 
-  /** @param from A peer; not asked while another is, or was just now. */
-  ask(from: MemberInfo): void {
+  /**
+   * Fetches the snapshot, unless a fetch is in progress or has started less
+   * than the minimum interval ago.
+   *
+   * @param from Peer to fetch from.
+   */
+  fetchFrom(from: MemberInfo): void {
     const nowMs = this.#parts.clock.nowMs();
-    const isDue = nowMs - this.#askedAtMs >= this.#options.everyMs;
-    if (!this.#isUnderWay && isDue) {
-      this.#askedAtMs = nowMs;
+    const isDue = nowMs - this.#startedAtMs >= this.#options.minIntervalMs;
+    if (!this.#isFetching && isDue) {
+      this.#startedAtMs = nowMs;
       void this.#fetch(from);
     }
   }
 
   async #fetch(from: MemberInfo): Promise<void> {
-    const { catalogPort, log } = this.#parts;
-    const { item, schema, onFetched } = this.#options;
-    this.#isUnderWay = true;
-    const fetched = await fetchItem(catalogOf(from, catalogPort), item, schema);
-    this.#isUnderWay = false;
+    const { snapshotPort, log } = this.#parts;
+    const { kind, schema, onFetched } = this.#options;
+    this.#isFetching = true;
+    const fetched = await fetchSnapshot(
+      snapshotAddressOf(from, snapshotPort),
+      kind,
+      schema,
+    );
+    this.#isFetching = false;
     fetched.match(
       (content) => onFetched(content, from),
       (reason) => {
-        const facts = { member: from.instanceId, item, reason };
-        log.warn(LogPart.Members, "peer handed nothing over", facts);
+        const facts = { member: from.instanceId, item: kind, reason };
+        log.warn(LogPart.Members, "fetch from peer failed", facts);
       },
     );
   }
--- a/packages/gateway/src/slow_coordinator_test.ts
+++ b/packages/gateway/src/slow_coordinator_test.ts
@@ -74,7 +74,7 @@
       }
       const { targetId } = decision;
       const end = { askId, targetId, pool: "p", promptTokens: 500 };
-      this.#network.later(
+      this.#network.schedule(
         WORK_MS,
         () => placementClient.reportEnd({ ...end, failed: false }),
       );
@@ -84,7 +84,7 @@
   #send(fromId: string, toId: string, message: RoutingMessage): void {
     const isLate = fromId === this.slowId &&
       message.kind !== MessageKind.Heartbeat;
-    this.#network.later(
+    this.#network.schedule(
       isLate ? SLOW_MS : 0,
       () => deliverTo(this.#nodes.get(toId)!, { message, fromId }),
     );
