--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -541,8 +541,8 @@
           ? this.board.suspects.updatesToSend(this.#clock.nowMs())
           : [],
       rollouts: () => this.board.rollouts.updatesToSend(this.#clock.nowMs()),
-      rateLimits: (context) =>
-        this.board.rateLimits.updatesToSend(this.#clock.nowMs(), context),
+      rateLimits: (of) =>
+        this.board.rateLimits.updatesToSend(this.#clock.nowMs(), of),
       targetNews: () => this.#fleetState.targetNews(),
     }, this.#self);
   }
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -111,8 +111,7 @@
         : [],
     suspects: () => [],
     rollouts: () => [],
-    rateLimits: (context) =>
-      board.rateLimits.updatesToSend(clock.nowMs(), context),
+    rateLimits: (of) => board.rateLimits.updatesToSend(clock.nowMs(), of),
     targetNews: () => [],
   }, self);
   let wasCoordinator = false;
