--- a/packages/cli/src/instance_reads.ts
+++ b/packages/cli/src/instance_reads.ts
@@ -1,7 +1,7 @@
 /** Asks entry instances what they know. */
 
 import type { InstanceStatus } from "@chestnuthatch/core/status";
-import type { RequestStory } from "@chestnuthatch/core/why";
+import type { RequestExplanation } from "@chestnuthatch/core/request_explanation";
 import { callHttp } from "@chestnuthatch/daemon/http_call";
 import { parseJson } from "@chestnuthatch/daemon/ndjson_reader";
 import { err, ok, type Result } from "neverthrow";
@@ -31,7 +31,7 @@
 /** A request's story as one instance tells it. */
 export interface InstanceStory {
   readonly instanceId: string;
-  readonly story: RequestStory;
+  readonly story: RequestExplanation;
 }
 
 const TIMEOUT_MS = 5000;
@@ -160,8 +160,8 @@
     Array.isArray(status.targets);
 }
 
-function isStory(json: unknown): json is RequestStory {
-  const story = json as Partial<RequestStory> | null;
+function isStory(json: unknown): json is RequestExplanation {
+  const story = json as Partial<RequestExplanation> | null;
   return typeof story?.requestId === "string" &&
     Array.isArray(story.decisions) && Array.isArray(story.callLog);
 }
--- a/packages/core/src/admission.ts
+++ b/packages/core/src/admission.ts
@@ -10,7 +10,7 @@
 import type { Turn } from "./controller.ts";
 import type { RefusalCause } from "./refusals.ts";
 import type { RequestSpec } from "./request.ts";
-import { spreadRetryHint } from "./retry_hint.ts";
+import { jitteredRetryAfterMs } from "./retry_hint.ts";
 
 /** A request that may be held, with what the settings say of it. */
 export interface Admitted {
@@ -46,7 +46,7 @@
   if (settings === undefined) {
     return unread(spec, ErrorKind.NotReady, {
       message: "This instance has no settings yet; try again shortly.",
-      retryAfterMs: spreadRetryHint(turn, NOT_READY_RETRY_MS),
+      retryAfterMs: jitteredRetryAfterMs(turn, NOT_READY_RETRY_MS),
     });
   }
   if (settings.drainingInstances.has(turn.board.self.instanceId)) {
@@ -87,7 +87,7 @@
     return notRun(ErrorKind.ConcurrencyLimited, {
       message:
         `${key} has ${open} open requests here; ${policy.maxOpenRequests} are allowed.`,
-      retryAfterMs: spreadRetryHint(turn, policy.retryAfterMs),
+      retryAfterMs: jitteredRetryAfterMs(turn, policy.retryAfterMs),
     });
   }
   const bucket = filledBucket(turn, scope);
@@ -97,7 +97,7 @@
     return notRun(ErrorKind.RateLimited, {
       message:
         `${key} is over ${policy.maxRequestsPerSecond} requests a second here.`,
-      retryAfterMs: spreadRetryHint(
+      retryAfterMs: jitteredRetryAfterMs(
         turn,
         Math.max(untilNextMs, policy.retryAfterMs),
       ),
@@ -126,13 +126,13 @@
   const { rateBuckets } = turn.board.requests;
   const perSecond = scope.policy.maxRequestsPerSecond;
   const bucket = rateBuckets.get(scope.key) ??
-    { tokens: perSecond, filledAtMs: turn.nowMs };
-  const sinceMs = turn.nowMs - bucket.filledAtMs;
+    { tokens: perSecond, lastRefillAtMs: turn.nowMs };
+  const sinceMs = turn.nowMs - bucket.lastRefillAtMs;
   bucket.tokens = Math.min(
     perSecond,
     bucket.tokens + sinceMs / MS_PER_S * perSecond,
   );
-  bucket.filledAtMs = turn.nowMs;
+  bucket.lastRefillAtMs = turn.nowMs;
   rateBuckets.set(scope.key, bucket);
   return bucket;
 }
--- a/packages/core/src/every_event.ts
+++ b/packages/core/src/all_event_handlers.ts
@@ -1,15 +1,15 @@
-/** Lets a controller see events of every kind. */
+/** Event handlers of controllers that handle events of every kind. */
 
 import type { EventHandlers, Turn } from "./controller.ts";
 import { type CoreEvent, EventKind } from "./events.ts";
 
 /**
- * Makes a table that has one handler for all kinds of event.
+ * Creates a table that has one handler for all kinds of event.
  *
  * @param handle The handler.
- * @returns The table.
+ * @returns The table, with one entry per {@link EventKind}.
  */
-export function onEveryEvent(
+export function handlersForAllEvents(
   handle: (event: CoreEvent, turn: Turn) => void,
 ): EventHandlers {
   return Object.fromEntries(
--- a/packages/core/src/ask_flow.ts
+++ b/packages/core/src/ask_flow.ts
@@ -1,44 +1,57 @@
-/** The holder's asks: where they go, when they move, when they have failed. */
+/**
+ * The asks of waiting requests: which coordinators they are sent to, when they
+ * move to another coordinator, and when a request is refused for lack of one
+ * that grants.
+ */
 
 import {
   type PeerMessageKind,
   type PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
 import { ErrorKind } from "@chestnuthatch/wire/work";
-import { domainsOf, newAsk, sendAsk, withdrawAsk } from "./ask_messages.ts";
+import {
+  createOutgoingAsk,
+  getCandidateDomains,
+  sendAsk,
+  withdrawAsk,
+} from "./ask_messages.ts";
 import { refuseForAsks } from "./ask_refusals.ts";
 import {
   AskState,
   type HeldRequest,
   type Member,
-  type OutAsk,
+  type OutgoingAsk,
   shardKey,
 } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { rankCoordinators } from "./coordinators.ts";
 import { CounterName } from "./effects.ts";
-import { noteStep } from "./refusals.ts";
+import { recordStep } from "./refusals.ts";
 import { RequestState } from "./request.ts";
 import { FLOOR_MS } from "./shed_floor.ts";
 
-/** A predicted wait above this sends the ask to the other domains too. */
-const SPREAD_WAIT_MS = 20;
-/** A wait above this does, whatever was predicted. */
-const SPREAD_AFTER_MS = 100;
+/** With a longer predicted wait, a request also asks all other domains. */
+const MAX_SINGLE_DOMAIN_PREDICTED_WAIT_MS = 20;
+/** After this wait a request asks all domains, whatever was predicted. */
+const MAX_SINGLE_DOMAIN_WAIT_MS = 100;
 
-/** Refusals of several domains count together while none is older. */
-const FRESH_REFUSAL_MS = FLOOR_MS * 0.75;
+/**
+ * A domain's refusal for overload counts up to this age. It is less than the
+ * time for which a domain keeps its shed floor, so that the refusals that count
+ * together all still hold; after it, the domain may serve the tier again.
+ */
+const MAX_FRESH_REFUSAL_AGE_MS = FLOOR_MS * 0.75;
 
 /**
- * Begins to ask for a place: at the nearest domain that has the pool.
+ * Sends a request's first ask, to the first of its candidate domains.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request A request in the Waiting state.
  */
 export function startAsking(turn: Turn, request: HeldRequest): void {
   request.askViewNumber = turn.board.members.viewNumber;
   request.waitingSinceMs = turn.nowMs;
-  const [nearest] = domainsOf(turn, request);
+  const [nearest] = getCandidateDomains(turn, request);
   if (nearest === undefined) {
     refuseForAsks(turn, request);
     return;
@@ -47,18 +60,19 @@
 }
 
 /**
- * Asks one domain's coordinator, or its stand-in when it was silent.
+ * Asks one domain's coordinator, or the next in rank where it timed out.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request A request in the Waiting state.
- * @param failureDomain The domain whose targets are asked for.
+ * @param failureDomain Failure domain whose targets are asked for.
  */
 export function askDomain(
   turn: Turn,
   request: HeldRequest,
   failureDomain: string,
 ): void {
-  const ask = request.asks.get(failureDomain) ?? newAsk(failureDomain);
+  const ask = request.asks.get(failureDomain) ??
+    createOutgoingAsk(failureDomain);
   request.asks.set(failureDomain, ask);
   const coordinator = pickCoordinator(turn, request, ask);
   if (coordinator === undefined) {
@@ -82,12 +96,14 @@
 }
 
 /**
- * Looks after a waiting request's asks: silence, changed views, refusals.
+ * Checks a waiting request's asks: moves those whose coordinator timed out or
+ * changed, asks further domains after a long wait, and refuses the request
+ * when all domains have refused it.
  *
- * @param turn The turn of a tick.
+ * @param turn The turn of a tick event.
  * @param request A request in the Waiting state.
  */
-export function tendAsks(turn: Turn, request: HeldRequest): void {
+export function checkAsks(turn: Turn, request: HeldRequest): void {
   const { board } = turn;
   const timeoutMs = board.settings.inForce!.timing.askTimeoutMs;
   const viewChanged = request.askViewNumber !== board.members.viewNumber;
@@ -96,48 +112,48 @@
     if (
       ask.state === AskState.Sent && turn.nowMs - ask.sentAtMs >= timeoutMs
     ) {
-      moveSilentAsk(turn, request, ask);
+      moveTimedOutAsk(turn, request, ask);
     } else if (viewChanged && ask.state !== AskState.Refused) {
-      moveToRightfulCoordinator(turn, request, ask);
+      moveToCurrentCoordinator(turn, request, ask);
     }
   }
-  if (turn.nowMs - request.waitingSinceMs >= SPREAD_AFTER_MS) {
-    askEverywhere(turn, request);
+  if (turn.nowMs - request.waitingSinceMs >= MAX_SINGLE_DOMAIN_WAIT_MS) {
+    askAllDomains(turn, request);
   }
-  refuseWhenAllRefused(turn, request);
+  refuseIfAllRefused(turn, request);
 }
 
 /**
- * Handles a coordinator's word that the ask waits in its queue.
+ * Handles a coordinator's notice that an ask is in its queue.
  *
- * @param message What it said.
- * @param turn The turn it happens in.
+ * @param message The coordinator's message.
+ * @param turn The turn of the current event.
  */
 export function onAskQueued(
   message: PeerMessageOf<PeerMessageKind.AskQueued>,
   turn: Turn,
 ): void {
-  const found = currentAsk(turn, message);
+  const found = findCurrentAsk(turn, message);
   if (found === undefined) {
     return;
   }
   found.ask.state = AskState.Queued;
-  if (message.predictedWaitMs > SPREAD_WAIT_MS) {
-    askEverywhere(turn, found.request);
+  if (message.predictedWaitMs > MAX_SINGLE_DOMAIN_PREDICTED_WAIT_MS) {
+    askAllDomains(turn, found.request);
   }
 }
 
 /**
  * Handles a coordinator's refusal of an ask.
  *
- * @param message What it said.
- * @param turn The turn it happens in.
+ * @param message The coordinator's message.
+ * @param turn The turn of the current event.
  */
 export function onAskRefused(
   message: PeerMessageOf<PeerMessageKind.AskRefused>,
   turn: Turn,
 ): void {
-  const found = currentAsk(turn, message);
+  const found = findCurrentAsk(turn, message);
   if (found === undefined) {
     return;
   }
@@ -149,20 +165,21 @@
     reason: message.reason,
     atMs: turn.nowMs,
   };
-  noteStep(
+  recordStep(
     turn,
     request,
     `${ask.coordinatorId} refused for ${ask.failureDomain}: ${message.reason}`,
   );
-  askEverywhere(turn, request);
-  refuseWhenAllRefused(turn, request);
+  askAllDomains(turn, request);
+  refuseIfAllRefused(turn, request);
 }
 
 /**
- * Handles a coordinator's word that it does not know asks we think it holds.
+ * Handles a coordinator's notice that it does not have asks which this holder
+ * reported as waiting there: sends them again.
  *
- * @param message What it said.
- * @param turn The turn it happens in.
+ * @param message The coordinator's message.
+ * @param turn The turn of the current event.
  */
 export function onAsksUnknown(
   message: PeerMessageOf<PeerMessageKind.AsksUnknown>,
@@ -180,37 +197,41 @@
   }
 }
 
-function askEverywhere(turn: Turn, request: HeldRequest): void {
-  for (const domain of domainsOf(turn, request)) {
+function askAllDomains(turn: Turn, request: HeldRequest): void {
+  for (const domain of getCandidateDomains(turn, request)) {
     if (!request.asks.has(domain)) {
       askDomain(turn, request, domain);
     }
   }
 }
 
-function moveSilentAsk(turn: Turn, request: HeldRequest, ask: OutAsk): void {
+function moveTimedOutAsk(
+  turn: Turn,
+  request: HeldRequest,
+  ask: OutgoingAsk,
+): void {
   turn.count(CounterName.AskTimeouts);
-  noteStep(
+  recordStep(
     turn,
     request,
     `${ask.coordinatorId} was silent for ${ask.failureDomain}, asking the next`,
   );
   withdrawAsk(turn, request, ask);
-  ask.silentIds.add(ask.coordinatorId);
+  ask.timedOutCoordinatorIds.add(ask.coordinatorId);
   askDomain(turn, request, ask.failureDomain);
-  askEverywhere(turn, request);
+  askAllDomains(turn, request);
 }
 
-function moveToRightfulCoordinator(
+function moveToCurrentCoordinator(
   turn: Turn,
   request: HeldRequest,
-  ask: OutAsk,
+  ask: OutgoingAsk,
 ): void {
-  const rightful = pickCoordinator(turn, request, ask);
+  const current = pickCoordinator(turn, request, ask);
   if (
-    rightful === undefined ||
-    (rightful.instanceId === ask.coordinatorId &&
-      rightful.incarnation === ask.coordinatorIncarnation)
+    current === undefined ||
+    (current.instanceId === ask.coordinatorId &&
+      current.incarnation === ask.coordinatorIncarnation)
   ) {
     return;
   }
@@ -218,35 +239,35 @@
   askDomain(turn, request, ask.failureDomain);
 }
 
-function refuseWhenAllRefused(turn: Turn, request: HeldRequest): void {
-  const everyDomainRefused = domainsOf(turn, request).every((domain) =>
+function refuseIfAllRefused(turn: Turn, request: HeldRequest): void {
+  const allRefused = getCandidateDomains(turn, request).every((domain) =>
     request.asks.get(domain)?.state === AskState.Refused
   );
-  if (request.state !== RequestState.Waiting || !everyDomainRefused) {
+  if (request.state !== RequestState.Waiting || !allRefused) {
     return;
   }
-  const old = [...request.asks.values()].filter((ask) =>
-    isOldOverload(turn, ask)
+  const staleOverloads = [...request.asks.values()].filter((ask) =>
+    isStaleOverloadRefusal(turn, ask)
   );
-  if (old.length === 0 || request.deadlineAtMs <= turn.nowMs) {
+  if (staleOverloads.length === 0 || request.deadlineAtMs <= turn.nowMs) {
     refuseForAsks(turn, request);
     return;
   }
-  for (const ask of old) {
+  for (const ask of staleOverloads) {
     askDomain(turn, request, ask.failureDomain);
   }
 }
 
-/** A refusal after which that domain may have begun to serve lower tiers. */
-function isOldOverload(turn: Turn, { refusal }: OutAsk): boolean {
+/** Whether a domain refused for overload so long ago that it may serve now. */
+function isStaleOverloadRefusal(turn: Turn, { refusal }: OutgoingAsk): boolean {
   return refusal?.error === ErrorKind.Overloaded &&
-    turn.nowMs - refusal.atMs > FRESH_REFUSAL_MS;
+    turn.nowMs - refusal.atMs > MAX_FRESH_REFUSAL_AGE_MS;
 }
 
-function currentAsk(
+function findCurrentAsk(
   turn: Turn,
   message: { requestId: string; failureDomain: string; askNumber: number },
-): { request: HeldRequest; ask: OutAsk } | undefined {
+): { request: HeldRequest; ask: OutgoingAsk } | undefined {
   const request = turn.board.requests.byId.get(message.requestId);
   const ask = request?.asks.get(message.failureDomain);
   if (
@@ -261,7 +282,7 @@
 function pickCoordinator(
   turn: Turn,
   request: HeldRequest,
-  ask: OutAsk,
+  ask: OutgoingAsk,
 ): Member | undefined {
   const { failureDomain } = ask;
   const key = shardKey(request.spec.pool, failureDomain);
@@ -270,11 +291,11 @@
     { key, failureDomain },
     turn.nowMs,
   );
-  const answering = ranked.find((member) =>
-    !ask.silentIds.has(member.instanceId)
+  const responsive = ranked.find((member) =>
+    !ask.timedOutCoordinatorIds.has(member.instanceId)
   );
-  if (answering === undefined) {
-    ask.silentIds.clear();
+  if (responsive === undefined) {
+    ask.timedOutCoordinatorIds.clear();
   }
-  return answering ?? ranked[0];
+  return responsive ?? ranked[0];
 }
--- a/packages/core/src/ask_intake.ts
+++ b/packages/core/src/ask_intake.ts
@@ -4,7 +4,7 @@
   type AskDetail,
   PeerMessageKind,
 } from "@chestnuthatch/wire/peer_messages";
-import type { GrantAccount, WaitingAsk } from "./blackboard.ts";
+import type { GrantRecord, WaitingAsk } from "./blackboard.ts";
 import { cancelGrant, sendGrant } from "./grant_account.ts";
 import { hearHolder, type HolderWord } from "./holder_presence.ts";
 import { placeWaiting } from "./placement.ts";
@@ -33,7 +33,7 @@
   }
   const waiting = shard.waiting.get(detail.requestId);
   const lastNumber = waiting?.detail.askNumber ??
-    shard.closed.get(detail.requestId)?.askNumber ?? -1;
+    shard.tombstones.get(detail.requestId)?.askNumber ?? -1;
   const grant = [...shard.grants.values()]
     .find((each) => each.requestId === detail.requestId);
   const isLate = detail.askNumber < lastNumber ||
@@ -52,7 +52,7 @@
  */
 function answerFromGrant(
   view: ShardView,
-  grant: GrantAccount | undefined,
+  grant: GrantRecord | undefined,
   ask: { detail: AskDetail; lastNumber: number },
 ): boolean {
   if (grant === undefined) {
@@ -69,7 +69,7 @@
     const beat = view.shard.holders.get(grant.holderId)?.beat;
     const renewed = { ...grant, holderBeat: beat ?? grant.holderBeat };
     view.shard.grants.set(grant.grantId, renewed);
-    view.shard.closed.set(detail.requestId, {
+    view.shard.tombstones.set(detail.requestId, {
       askNumber: detail.askNumber,
       closedAtMs: view.nowMs,
     });
@@ -97,7 +97,7 @@
     prefillMs,
     kvTokens: view.kvTokensOf(detail),
     reservation: waiting?.reservation,
-    preemptedForAtMs: waiting?.preemptedForAtMs,
+    lastPreemptionAtMs: waiting?.lastPreemptionAtMs,
   };
   if (waiting === undefined && refuseUnservable(view, ask)) {
     return;
@@ -127,7 +127,7 @@
     askNumber,
     predictedWaitMs,
   });
-  view.turn.decide(
+  view.turn.recordDecision(
     requestId,
     "coordinator",
     `Queued among ${view.shard.waiting.size}; wait of ${predictedWaitMs} ms predicted`,
--- a/packages/core/src/ask_messages.ts
+++ b/packages/core/src/ask_messages.ts
@@ -1,26 +1,29 @@
-/** Asks as they go to coordinators. */
+/**
+ * The messages of asks: sends and withdraws them, and orders the failure
+ * domains that a request asks at.
+ */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
-import { AskState, type HeldRequest, type OutAsk } from "./blackboard.ts";
+import { AskState, type HeldRequest, type OutgoingAsk } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { beat } from "./holder_report.ts";
 import { domainsToAsk } from "./shard_domains.ts";
 import { hash32 } from "./text_hash.ts";
 
-/** Blocks of a prompt that tell where it belongs: 512 tokens. */
-const BEGINNING_BLOCKS = 8;
+/** Leading blocks of a prompt that select its domain: 512 tokens. */
+const AFFINITY_PREFIX_BLOCKS = 8;
 
 /**
- * Takes one ask back.
+ * Withdraws one ask from its coordinator.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
  * @param ask The ask.
  */
 export function withdrawAsk(
   turn: Turn,
   request: HeldRequest,
-  ask: OutAsk,
+  ask: OutgoingAsk,
 ): void {
   turn.send(ask.coordinatorId, {
     kind: PeerMessageKind.AskWithdrawn,
@@ -31,11 +34,11 @@
 }
 
 /**
- * Withdraws the asks of a request that needs no place any more.
+ * Withdraws the asks of a request that needs no grant any more.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
- * @param exceptDomain A domain whose coordinator knows already.
+ * @param exceptDomain Domain whose coordinator has closed its ask already.
  */
 export function withdrawAsks(
   turn: Turn,
@@ -55,15 +58,19 @@
 /**
  * Sends an ask to its coordinator.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
  * @param ask The ask.
  */
-export function sendAsk(turn: Turn, request: HeldRequest, ask: OutAsk): void {
-  // An ask under an old beat would only bring grants that are too old.
+export function sendAsk(
+  turn: Turn,
+  request: HeldRequest,
+  ask: OutgoingAsk,
+): void {
+  // A grant carries the beat of its ask; an old beat would make it stale.
   beat(turn);
   const { spec, policy } = request;
-  const domains = domainsOf(turn, request);
+  const domains = getCandidateDomains(turn, request);
   turn.send(ask.coordinatorId, {
     kind: PeerMessageKind.Ask,
     failureDomain: ask.failureDomain,
@@ -89,53 +96,54 @@
 }
 
 /**
- * Lists the domains that a request may be asked at, the first to ask in front:
- * the nearest, or for a long prompt the one that its beginning belongs to, so
- * that prompts which begin alike meet the same caches.
+ * Returns the failure domains that a request may be asked at, in order of
+ * preference: nearest first, or for a long prompt those of the own region by
+ * rendezvous hashing of its prefix, so that prompts with a common prefix reach
+ * the same caches.
  *
- * @param turn The turn, for the settings and where this instance is.
+ * @param turn The turn, for the settings and this instance's location.
  * @param request The request.
- * @returns Names of failure domains.
+ * @returns Names of failure domains, the first to ask in front.
  */
-export function domainsOf(
+export function getCandidateDomains(
   turn: Turn,
   request: HeldRequest,
 ): readonly string[] {
   const settingsVersion = turn.board.settings.inForce!.version;
-  if (request.domains?.settingsVersion !== settingsVersion) {
-    const names = orderDomains(turn, request);
-    request.domains = { settingsVersion, names };
+  if (request.candidateDomains?.settingsVersion !== settingsVersion) {
+    const names = rankDomains(turn, request);
+    request.candidateDomains = { settingsVersion, names };
   }
-  return request.domains.names;
+  return request.candidateDomains.names;
 }
 
-function orderDomains(turn: Turn, request: HeldRequest): string[] {
+function rankDomains(turn: Turn, request: HeldRequest): string[] {
   const settings = turn.board.settings.inForce!;
   const { self } = turn.board;
   const { pool, blockHashes } = request.spec;
   const domains = domainsToAsk(settings, self, pool);
-  const beginning = blockHashes[BEGINNING_BLOCKS - 1];
-  if (beginning === undefined) {
+  const prefixHash = blockHashes[AFFINITY_PREFIX_BLOCKS - 1];
+  if (prefixHash === undefined) {
     return domains;
   }
-  const isNear = (domain: string) =>
+  const isInRegion = (domain: string) =>
     settings.regionOfDomain.get(domain) === self.region;
-  const near = domains.filter(isNear)
-    .map((domain) => ({ domain, score: hash32(`${beginning}/${domain}`) }))
+  const inRegion = domains.filter(isInRegion)
+    .map((domain) => ({ domain, score: hash32(`${prefixHash}/${domain}`) }))
     .sort((a, b) => b.score - a.score);
   return [
-    ...near.map(({ domain }) => domain),
-    ...domains.filter((domain) => !isNear(domain)),
+    ...inRegion.map(({ domain }) => domain),
+    ...domains.filter((domain) => !isInRegion(domain)),
   ];
 }
 
 /**
- * Makes an ask that was not sent yet.
+ * Creates an ask that was not sent yet.
  *
- * @param failureDomain The domain whose targets are asked for.
- * @returns The ask.
+ * @param failureDomain Failure domain whose targets are asked for.
+ * @returns The ask, without a coordinator.
  */
-export function newAsk(failureDomain: string): OutAsk {
+export function createOutgoingAsk(failureDomain: string): OutgoingAsk {
   return {
     failureDomain,
     coordinatorId: "",
@@ -143,6 +151,6 @@
     askNumber: 0,
     sentAtMs: 0,
     state: AskState.Sent,
-    silentIds: new Set(),
+    timedOutCoordinatorIds: new Set(),
   };
 }
--- a/packages/core/src/ask_refusals.ts
+++ b/packages/core/src/ask_refusals.ts
@@ -4,8 +4,8 @@
 import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
 import type { HeldRequest } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
-import { endRequest } from "./outcomes.ts";
-import { spreadRetryHint } from "./retry_hint.ts";
+import { endWithRefusal } from "./outcomes.ts";
+import { jitteredRetryAfterMs } from "./retry_hint.ts";
 
 /**
  * Tells every domain that refused a request that it is now refused for good:
@@ -57,13 +57,13 @@
   }
   const telling = refusals.filter((refusal) => refusal.error === error);
   const hints = telling.map((refusal) => refusal.retryAfterMs);
-  endRequest(turn, request, {
+  endWithRefusal(turn, request, {
     error,
     ran: RunState.NotRun,
     message: telling[0]?.reason ??
       `Pool ${request.spec.pool} has no target within reach.`,
     retryAfterMs: hints.length > 0
       ? Math.min(...hints)
-      : spreadRetryHint(turn, request.policy.retryAfterMs),
+      : jitteredRetryAfterMs(turn, request.policy.retryAfterMs),
   });
 }
--- a/packages/core/src/attempts.ts
+++ b/packages/core/src/attempts.ts
@@ -1,34 +1,37 @@
-/** The one attempt of a request: what is told of it, and how it is cut. */
+/** Operations on a request's current attempt: timeout, cancel and reports. */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import type { HeldRequest } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { CounterName, EffectKind } from "./effects.ts";
 
-/** How long after its deadline an answer is still gathered for its key. */
-const GATHER_BEYOND_MS = 60_000;
-/** Lets the holder end a request at its deadline before the edge does. */
-const EDGE_MARGIN_MS = 1000;
+/** How long after the deadline an answer is still received to be kept. */
+const KEPT_ANSWER_EXTENSION_MS = 60_000;
+/**
+ * Added to the timeout of the I/O layer, so that the holder ends a request at
+ * its deadline before that timeout expires.
+ */
+const IO_TIMEOUT_MARGIN_MS = 1000;
 
 /**
- * Tells how long an answer is gathered. One that will be kept for its key is
- * gathered beyond its callers' deadlines.
+ * Returns how long the I/O layer waits for an answer. One that will be kept for
+ * an idempotency key is received even after its callers' deadlines.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request A dispatched request.
  * @returns A duration in milliseconds, at least 1.
  */
 export function answerTimeLeftMs(turn: Turn, request: HeldRequest): number {
-  const beyondMs = request.claim === undefined
-    ? EDGE_MARGIN_MS
-    : GATHER_BEYOND_MS;
-  return Math.max(1, request.deadlineAtMs - turn.nowMs) + beyondMs;
+  const extensionMs = request.claim === undefined
+    ? IO_TIMEOUT_MARGIN_MS
+    : KEPT_ANSWER_EXTENSION_MS;
+  return Math.max(1, request.deadlineAtMs - turn.nowMs) + extensionMs;
 }
 
 /**
- * Orders the target to stop a request's stream.
+ * Cancels a request's stream on its target.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request A dispatched request.
  */
 export function cancelAttempt(turn: Turn, request: HeldRequest): void {
@@ -42,13 +45,14 @@
 }
 
 /**
- * Tells the coordinator how the work under its grant ended.
+ * Reports to the coordinator that the work under its grant ended, with the
+ * durations that it learns the target's speed from.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request A dispatched request.
- * @param failed Whether it ended without a whole answer.
+ * @param failed Whether it ended without a complete answer.
  */
-export function reportWorkDone(
+export function sendWorkDone(
   turn: Turn,
   request: HeldRequest,
   failed: boolean,
@@ -74,13 +78,20 @@
 }
 
 /**
- * Counts the prompt work that came to nothing.
+ * Counts the prompt tokens that a target read for an answer that no caller gets.
  *
- * @param turn The turn it happens in.
- * @param request A dispatched request that nobody gets an answer to.
+ * @param turn The turn of the current event.
+ * @param request A dispatched request.
  */
-export function countWaste(turn: Turn, request: HeldRequest): void {
+export function countWastedTokens(turn: Turn, request: HeldRequest): void {
   const { spec, attempt } = request;
-  const read = Math.max(0, spec.promptTokens - (attempt?.cachedTokens ?? 0));
-  turn.count(CounterName.PromptTokensWasted, { tier: spec.tier }, read);
+  const uncachedTokens = Math.max(
+    0,
+    spec.promptTokens - (attempt?.cachedTokens ?? 0),
+  );
+  turn.count(
+    CounterName.PromptTokensWasted,
+    { tier: spec.tier },
+    uncachedTokens,
+  );
 }
--- a/packages/core/src/capacity.ts
+++ b/packages/core/src/capacity.ts
@@ -2,7 +2,7 @@
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import { TargetKind } from "@chestnuthatch/wire/work";
-import { type GrantAccount, type Target, TargetHealth } from "./blackboard.ts";
+import { type GrantRecord, type Target, TargetHealth } from "./blackboard.ts";
 import {
   reconciledUsage,
   type RoomSource,
@@ -49,7 +49,7 @@
   readonly settings: TargetSettings;
   readonly kind: TargetKind;
   readonly target: Target | undefined;
-  readonly grants: GrantAccount[];
+  readonly grants: GrantRecord[];
   /** When a prompt was last heard to have been read here. */
   readonly lastReadAtMs: number;
   readonly slotsTotal: number;
@@ -288,7 +288,7 @@
 function slotsTotalOf({ settings, target }: RoomSource): number {
   const reported = target?.load?.slotsTotal ?? settings.slots;
   const slots = Math.min(settings.slots, reported);
-  const share = target?.pace?.slotShare ?? 1;
+  const share = target?.stragglerState?.slotShare ?? 1;
   return slots === 0 ? 0 : Math.max(1, Math.floor(slots * share + ROUNDING));
 }
 
--- a/packages/core/src/capacity_test.ts
+++ b/packages/core/src/capacity_test.ts
@@ -1,7 +1,7 @@
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import type { GrantAccount, Target } from "./blackboard.ts";
+import type { GrantRecord, Target } from "./blackboard.ts";
 import { slotsForTier, TargetRoom } from "./capacity.ts";
 import { FakeShard } from "./fake_shard.ts";
 
@@ -22,7 +22,7 @@
     settings: fake.board.settings.inForce!.targets.get("t0")!,
     kind: TargetKind.Engine,
     target,
-    grants: grants as unknown as GrantAccount[],
+    grants: grants as unknown as GrantRecord[],
     ended,
     lastReadAtMs: -Infinity,
   });
--- a/packages/core/src/claim_flow.ts
+++ b/packages/core/src/claim_flow.ts
@@ -1,4 +1,7 @@
-/** Claims: a non-idempotent request with a key runs under a row of its own. */
+/**
+ * Claims of idempotency keys: a request that must not run twice waits until a
+ * row in the platform's table confirms that its key is its own.
+ */
 
 import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
 import { startAsking } from "./ask_flow.ts";
@@ -7,15 +10,19 @@
 import { isAlive } from "./coordinators.ts";
 import { EffectKind } from "./effects.ts";
 import { ClaimOutcome, type EventKind, type EventOf } from "./events.ts";
-import { readKeptAnswer } from "./kept_answer.ts";
-import { answerKeyOf, claimKeyOf, claimRowOf } from "./claim_rows.ts";
-import { deliverKeptAnswer, endRequest, runStateOf } from "./outcomes.ts";
-import { noteStep } from "./refusals.ts";
+import { parseKeptAnswer } from "./kept_answer.ts";
+import { buildClaimRow, claimRowKey, keptAnswerKey } from "./claim_rows.ts";
+import {
+  endWithKeptAnswer,
+  endWithRefusal,
+  knownRunState,
+} from "./outcomes.ts";
+import { recordStep } from "./refusals.ts";
 import { RequestState } from "./request.ts";
-import { spreadRetryHint } from "./retry_hint.ts";
+import { jitteredRetryAfterMs } from "./retry_hint.ts";
 
-/** How often the other holder's answer is looked for. */
-const LOOK_AGAIN_MS = 500;
+/** Interval between reads of the answer that another holder may keep. */
+const ANSWER_READ_INTERVAL_MS = 500;
 
 const HANDLER_BY_OUTCOME: Record<
   ClaimOutcome,
@@ -25,126 +32,130 @@
     request: HeldRequest,
   ) => void
 > = {
-  [ClaimOutcome.Held]: onHeld,
-  [ClaimOutcome.HeldElsewhere]: onHeldElsewhere,
+  [ClaimOutcome.Held]: onClaimHeld,
+  [ClaimOutcome.HeldElsewhere]: onClaimHeldElsewhere,
   [ClaimOutcome.Unknown]: (_event, turn, request) =>
-    refuseStoreAway(turn, request),
+    refuseStoreUnavailable(turn, request),
 };
 
 /**
- * Asks the platform's table for the request's claim row.
+ * Requests the write of a request's claim row in the platform's table.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request A request with an idempotency key.
  */
 export function startClaim(turn: Turn, request: HeldRequest): void {
   const { requestId } = request.spec;
-  const key = claimKeyOf(request.spec);
-  request.claim = { key, askedAtMs: turn.nowMs, held: false };
+  const key = claimRowKey(request.spec);
+  request.claim = { key, requestedAtMs: turn.nowMs, held: false };
   turn.emit({
     kind: EffectKind.WriteClaim,
     requestId,
     key,
-    row: claimRowOf(turn, request),
+    row: buildClaimRow(turn, request),
   });
 }
 
 /**
- * Handles what became of a claim.
+ * Handles the result of writing a claim row.
  *
- * @param event How the write or its read-back ended.
- * @param turn The turn it happens in.
+ * @param event Result of the write, or of reading the row back.
+ * @param turn The turn of the current event.
  */
 export function onClaimAnswered(
   event: EventOf<EventKind.ClaimAnswered>,
   turn: Turn,
 ): void {
-  const request = claimingRequest(turn, event.requestId);
+  const request = findClaimingRequest(turn, event.requestId);
   if (request !== undefined) {
     HANDLER_BY_OUTCOME[event.outcome](event, turn, request);
   }
 }
 
 /**
- * Handles what the object store has for a key that another holder claimed.
+ * Handles a read of the answer kept for a key that another holder claimed:
+ * delivers the answer, reads again while that holder may still keep one, or
+ * refuses the request.
  *
- * @param event What was read.
- * @param turn The turn it happens in.
+ * @param event The kept answer, if the object store has one.
+ * @param turn The turn of the current event.
  */
 export function onKeptAnswerRead(
   event: EventOf<EventKind.KeptAnswerRead>,
   turn: Turn,
 ): void {
-  const request = claimingRequest(turn, event.requestId);
-  const row = request?.claim?.foundElsewhere;
+  const request = findClaimingRequest(turn, event.requestId);
+  const row = request?.claim?.conflictingRow;
   if (request === undefined || row === undefined) {
     return;
   }
   const kept = event.content === undefined
     ? undefined
-    : readKeptAnswer(event.content);
+    : parseKeptAnswer(event.content);
   if (kept !== undefined && kept.contentHash === request.spec.contentHash) {
-    deliverKeptAnswer(turn, request, kept.answer);
+    endWithKeptAnswer(turn, request, kept.answer);
     return;
   }
   const holder = turn.board.members.byId.get(row.holderId);
-  const holderLives = holder !== undefined &&
+  const isHolderAlive = holder !== undefined &&
     holder.incarnation === row.holderIncarnation &&
     isAlive(turn.board, holder, turn.nowMs);
-  if (holderLives || event.unavailable) {
-    request.claim!.lookAgainAtMs = turn.nowMs + LOOK_AGAIN_MS;
+  if (isHolderAlive || event.unavailable) {
+    request.claim!.nextAnswerReadAtMs = turn.nowMs + ANSWER_READ_INTERVAL_MS;
     return;
   }
   refuseHeldElsewhere(turn, request);
 }
 
 /**
- * Looks after a request that waits for its claim.
+ * Checks a request that waits for its claim: refuses it when the write of the
+ * row timed out, and reads the other holder's answer again when that is due.
  *
- * @param turn The turn of a tick.
+ * @param turn The turn of a tick event.
  * @param request A request in the Claiming state.
  */
-export function tendClaim(turn: Turn, request: HeldRequest): void {
+export function checkClaim(turn: Turn, request: HeldRequest): void {
   const claim = request.claim!;
-  const waitedMs = turn.nowMs - claim.askedAtMs;
+  const waitedMs = turn.nowMs - claim.requestedAtMs;
   if (
-    claim.foundElsewhere === undefined && waitedMs >= request.policy.claimWaitMs
+    claim.conflictingRow === undefined && waitedMs >= request.policy.claimWaitMs
   ) {
-    refuseStoreAway(turn, request);
+    refuseStoreUnavailable(turn, request);
     return;
   }
   if (
-    claim.lookAgainAtMs !== undefined && turn.nowMs >= claim.lookAgainAtMs
+    claim.nextAnswerReadAtMs !== undefined &&
+    turn.nowMs >= claim.nextAnswerReadAtMs
   ) {
-    claim.lookAgainAtMs = undefined;
-    lookForKeptAnswer(turn, request);
+    claim.nextAnswerReadAtMs = undefined;
+    requestKeptAnswer(turn, request);
   }
 }
 
-function onHeld(
+function onClaimHeld(
   _event: EventOf<EventKind.ClaimAnswered>,
   turn: Turn,
   request: HeldRequest,
 ): void {
   request.claim!.held = true;
   request.state = RequestState.Waiting;
-  noteStep(turn, request, "Claim held");
+  recordStep(turn, request, "Claim held");
   startAsking(turn, request);
 }
 
-function onHeldElsewhere(
+function onClaimHeldElsewhere(
   event: EventOf<EventKind.ClaimAnswered>,
   turn: Turn,
   request: HeldRequest,
 ): void {
   const found = event.found;
   if (found === undefined) {
-    refuseStoreAway(turn, request);
+    refuseStoreUnavailable(turn, request);
     return;
   }
-  request.claim!.foundElsewhere = found;
+  request.claim!.conflictingRow = found;
   if (found.contentHash !== request.spec.contentHash) {
-    endRequest(turn, request, {
+    endWithRefusal(turn, request, {
       error: ErrorKind.KeyReusedDifferently,
       ran: RunState.NotRun,
       path: "idempotencyKey",
@@ -153,40 +164,40 @@
     });
     return;
   }
-  noteStep(turn, request, `Claim held by ${found.holderId}`);
-  lookForKeptAnswer(turn, request);
+  recordStep(turn, request, `Claim held by ${found.holderId}`);
+  requestKeptAnswer(turn, request);
 }
 
-function lookForKeptAnswer(turn: Turn, request: HeldRequest): void {
+function requestKeptAnswer(turn: Turn, request: HeldRequest): void {
   turn.emit({
     kind: EffectKind.ReadKeptAnswer,
     requestId: request.spec.requestId,
-    key: answerKeyOf(request.spec),
+    key: keptAnswerKey(request.spec),
   });
 }
 
-function refuseStoreAway(turn: Turn, request: HeldRequest): void {
-  endRequest(turn, request, {
+function refuseStoreUnavailable(turn: Turn, request: HeldRequest): void {
+  endWithRefusal(turn, request, {
     error: ErrorKind.StoreUnavailable,
-    ran: runStateOf(request),
+    ran: knownRunState(request),
     message:
       "The platform's table did not confirm the claim that keeps this request from running twice; this call was not run. Send it again with the same key.",
-    retryAfterMs: spreadRetryHint(turn, request.policy.retryAfterMs),
+    retryAfterMs: jitteredRetryAfterMs(turn, request.policy.retryAfterMs),
   });
 }
 
 function refuseHeldElsewhere(turn: Turn, request: HeldRequest): void {
-  const row = request.claim!.foundElsewhere!;
-  endRequest(turn, request, {
+  const row = request.claim!.conflictingRow!;
+  endWithRefusal(turn, request, {
     error: ErrorKind.ClaimHeldElsewhere,
     ran: RunState.MayHaveRun,
     message:
       `${row.holderId} claimed this key as ${row.requestId} and is gone; no answer was kept. Check by other means whether it ran.`,
-    retryAfterMs: spreadRetryHint(turn, request.policy.retryAfterMs),
+    retryAfterMs: jitteredRetryAfterMs(turn, request.policy.retryAfterMs),
   });
 }
 
-function claimingRequest(
+function findClaimingRequest(
   turn: Turn,
   requestId: string,
 ): HeldRequest | undefined {
--- a/packages/core/src/claim_rows.ts
+++ b/packages/core/src/claim_rows.ts
@@ -1,51 +1,54 @@
-/** Claim rows and kept answers of requests that must not run twice. */
+/**
+ * Claim rows and kept answers: what the store holds for the idempotency keys of
+ * requests that must not run twice.
+ */
 
 import type { HeldRequest } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { EffectKind } from "./effects.ts";
 import type { ClaimRow } from "./events.ts";
-import { keptAnswerOf } from "./kept_answer.ts";
+import { serializeKeptAnswer } from "./kept_answer.ts";
 import type { Answer, RequestSpec } from "./request.ts";
 
 /**
- * Names an idempotency key within its workspace.
+ * Scopes an idempotency key to its workspace.
  *
- * @param workspace The workspace.
+ * @param workspace Name of the workspace.
  * @param idempotencyKey The caller's key.
- * @returns The name used in the table, the object store and here.
+ * @returns The scoped key, as used in the table, the object store and memory.
  */
-export function keyName(workspace: string, idempotencyKey: string): string {
+export function scopedKey(workspace: string, idempotencyKey: string): string {
   return `${encodeURIComponent(workspace)}/${
     encodeURIComponent(idempotencyKey)
   }`;
 }
 
 /**
- * Names the row of a request's claim in the platform's table.
+ * Returns the key of a request's claim row in the platform's table.
  *
  * @param spec A request with an idempotency key.
- * @returns The row's key.
+ * @returns The key of the row.
  */
-export function claimKeyOf(spec: RequestSpec): string {
-  return `claim/${keyName(spec.workspace, spec.idempotencyKey!)}`;
+export function claimRowKey(spec: RequestSpec): string {
+  return `claim/${scopedKey(spec.workspace, spec.idempotencyKey!)}`;
 }
 
 /**
- * Names the answer kept for a request's key in the object store.
+ * Returns the key of a request's kept answer in the object store.
  *
  * @param spec A request with an idempotency key.
- * @returns The object's key.
+ * @returns The key of the object.
  */
-export function answerKeyOf(spec: RequestSpec): string {
-  return `answer/${keyName(spec.workspace, spec.idempotencyKey!)}`;
+export function keptAnswerKey(spec: RequestSpec): string {
+  return `answer/${scopedKey(spec.workspace, spec.idempotencyKey!)}`;
 }
 
 /**
- * Keeps an answer for the key of a claimed request.
+ * Stores the answer of a claimed request, for later calls with its key.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
- * @param answer Its whole answer.
+ * @param answer Its complete answer.
  */
 export function keepAnswer(
   turn: Turn,
@@ -58,40 +61,40 @@
   turn.emit({
     kind: EffectKind.KeepAnswer,
     requestId: request.spec.requestId,
-    key: answerKeyOf(request.spec),
-    content: keptAnswerOf(answer, request.spec.contentHash),
+    key: keptAnswerKey(request.spec),
+    content: serializeKeptAnswer(answer, request.spec.contentHash),
   });
 }
 
 /**
- * Gives a request's claim back, where it has one that may be its own.
+ * Voids a request's claim row, where the row may be its own.
  *
- * @param turn The turn it happens in.
- * @param request A request that was not sent and will not be.
+ * @param turn The turn of the current event.
+ * @param request A request that did not run and will not be sent.
  */
 export function voidClaim(turn: Turn, request: HeldRequest): void {
   const { claim } = request;
-  if (claim === undefined || claim.foundElsewhere !== undefined) {
+  if (claim === undefined || claim.conflictingRow !== undefined) {
     return;
   }
   turn.emit({
     kind: EffectKind.VoidClaim,
     requestId: request.spec.requestId,
     key: claim.key,
-    row: claimRowOf(turn, request),
+    row: buildClaimRow(turn, request),
   });
 }
 
 /**
- * Writes a request's claim row.
+ * Builds a request's claim row.
  *
- * @param turn The turn, for who the holder is.
+ * @param turn The turn, for the identity of this instance.
  * @param request The request.
- * @returns The row.
+ * @returns Content of the row.
  */
-export function claimRowOf(turn: Turn, request: HeldRequest): ClaimRow {
+export function buildClaimRow(turn: Turn, request: HeldRequest): ClaimRow {
   return {
-    nonce: request.nonce,
+    nonce: request.claimNonce,
     holderId: turn.board.self.instanceId,
     holderIncarnation: turn.board.self.incarnation,
     requestId: request.spec.requestId,
--- a/packages/core/src/controller.ts
+++ b/packages/core/src/controller.ts
@@ -1,4 +1,4 @@
-/** What every controller is, and what it is handed with each event. */
+/** The interface of controllers, and the context they get with each event. */
 
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
 import type { Blackboard } from "./blackboard.ts";
@@ -10,16 +10,21 @@
   type LogPart,
 } from "./effects.ts";
 import type { CoreEvent, EventKind, EventOf } from "./events.ts";
-import type { Randomness } from "./randomness.ts";
+import type { RandomSource } from "./random_source.ts";
 
-/** The blackboard, the time, and a place for effects, during one event. */
+/**
+ * The handling of one event, from its arrival until all controllers have run:
+ * gives them the state and the time, and collects their effects.
+ */
 export class Turn {
   readonly board: Blackboard;
-  readonly random: Randomness;
+  readonly random: RandomSource;
+  /** Time of the event on the instance's monotonic clock. */
   readonly nowMs: number;
+  /** Effects so far, in the order in which they are carried out. */
   readonly effects: Effect[] = [];
-  /** Messages from this instance to itself, handled within the same turn. */
-  readonly toSelf: PeerMessage[] = [];
+  /** Messages from this instance to itself, handled in the same turn. */
+  readonly selfMessages: PeerMessage[] = [];
 
   /**
    * @param board The instance's state.
@@ -27,14 +32,18 @@
    */
   constructor(
     board: Blackboard,
-    options: { nowMs: number; random: Randomness },
+    options: { nowMs: number; random: RandomSource },
   ) {
     this.board = board;
     this.nowMs = options.nowMs;
     this.random = options.random;
   }
 
-  /** @param effect An order for the edges. */
+  /**
+   * Adds an effect.
+   *
+   * @param effect The effect, which the I/O layer carries out after the turn.
+   */
   emit(effect: Effect): void {
     this.effects.push(effect);
   }
@@ -42,12 +51,12 @@
   /**
    * Sends a message to an instance, which may be this one.
    *
-   * @param peerId The instance.
+   * @param peerId Id of the instance.
    * @param message The message.
    */
   send(peerId: string, message: PeerMessage): void {
     if (peerId === this.board.self.instanceId) {
-      this.toSelf.push(message);
+      this.selfMessages.push(message);
       return;
     }
     this.emit({ kind: EffectKind.SendPeer, peerId, message });
@@ -56,20 +65,20 @@
   /**
    * Writes a log line.
    *
-   * @param level How grave it is.
-   * @param part The part it comes from.
-   * @param text A short sentence.
+   * @param level Severity of the line.
+   * @param part Part of the system that writes it.
+   * @param text The message, a short sentence.
    */
   log(level: LogLevel, part: LogPart, text: string): void {
     this.emit({ kind: EffectKind.Log, level, part, text });
   }
 
   /**
-   * Raises a counter.
+   * Increments a counter.
    *
-   * @param counter Which one.
-   * @param labels Bounded label values.
-   * @param by How much, 1 by default.
+   * @param counter Name of the counter.
+   * @param labels Label values, from a bounded set.
+   * @param by The increment, 1 by default.
    */
   count(
     counter: CounterName,
@@ -80,34 +89,37 @@
   }
 
   /**
-   * Records a step in a request's story.
+   * Records a decision about a request, which `why` shows.
    *
-   * @param requestId The request.
-   * @param by The controller that decided.
-   * @param text What was decided and why.
+   * @param requestId Id of the request.
+   * @param by Name of the controller that decided.
+   * @param text The decision and its reason.
    */
-  decide(requestId: string, by: string, text: string): void {
+  recordDecision(requestId: string, by: string, text: string): void {
     this.board.decisions.add(requestId, { atMs: this.nowMs, by, text });
   }
 }
 
-/** A handler for each kind of event a controller looks at. */
+/** Event handlers by kind of event. Kinds without a handler are ignored. */
 export type EventHandlers = {
   readonly [K in EventKind]?: (event: EventOf<K>, turn: Turn) => void;
 };
 
-/** A controller: a table of handlers over the blackboard. */
+/**
+ * A part of the scheduler: a table of event handlers that read the blackboard
+ * and write one section of it.
+ */
 export interface Controller {
   readonly name: string;
   readonly handlers: EventHandlers;
 }
 
 /**
- * Lets a controller handle an event, if it looks at that kind.
+ * Passes an event to a controller's handler for its kind, if there is one.
  *
  * @param controller The controller.
  * @param event The event.
- * @param turn The turn it happens in.
+ * @param turn The turn of the event.
  */
 export function runController(
   controller: Controller,
--- a/packages/core/src/coordinator_controller.ts
+++ b/packages/core/src/coordinator_controller.ts
@@ -11,7 +11,7 @@
 import { CacheEventKind } from "@chestnuthatch/wire/target_protocol";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { onAsk } from "./ask_intake.ts";
-import { type GrantAccount, type Shard, shardKey } from "./blackboard.ts";
+import { type GrantRecord, type Shard, shardKey } from "./blackboard.ts";
 import type { Controller, EventHandlers, Turn } from "./controller.ts";
 import {
   type CoordinatorOptions,
@@ -82,7 +82,7 @@
     const view = shard && this.#viewOf(shard, turn);
     if (view !== undefined) {
       handler(view, message, from);
-      shard!.lastActiveMs = turn.nowMs;
+      shard!.lastActiveAtMs = turn.nowMs;
     }
   }
 
@@ -102,7 +102,7 @@
     turn: Turn,
   ): void {
     for (const shard of turn.board.shards.byKey.values()) {
-      const index = shard.prefixes.get(targetId);
+      const index = shard.prefixIndexes.get(targetId);
       for (const { kind, blockHash } of answer.events) {
         if (kind === CacheEventKind.Stored) {
           index?.store([blockHash]);
@@ -202,7 +202,7 @@
   }
   grant.promptRead = true;
   markEarlierPromptsRead(shard, grant);
-  shard.lastReadAtMs.set(grant.work.targetId, nowMs);
+  shard.lastPromptReadAtMs.set(grant.work.targetId, nowMs);
   placeWaiting(view);
 }
 
@@ -210,7 +210,7 @@
  * Engines read prompts in the order they came, so earlier ones were read too.
  * Their own word may be lost, or their holder gone.
  */
-function markEarlierPromptsRead(shard: Shard, read: GrantAccount): void {
+function markEarlierPromptsRead(shard: Shard, read: GrantRecord): void {
   for (const grant of shard.grants.values()) {
     if (
       grant.work.targetId === read.work.targetId &&
@@ -234,7 +234,7 @@
   const kvTokens = failed ? 0 : Math.max(0, promptTokens - cachedTokens);
   closeGrant(shard, grant, { nowMs, kvTokens });
   if (!failed) {
-    shard.prefixes.get(message.targetId)?.store(blockHashes);
+    shard.prefixIndexes.get(message.targetId)?.store(blockHashes);
   }
   placeWaiting(new ShardView(shard, view.settings, view.turn));
 }
@@ -291,7 +291,7 @@
 
 function isIdle(shard: Shard, key: string, turn: Turn): boolean {
   const isEmpty = shard.waiting.size === 0 && shard.grants.size === 0;
-  if (!isEmpty || turn.nowMs - shard.lastActiveMs < IDLE_SHARD_MS) {
+  if (!isEmpty || turn.nowMs - shard.lastActiveAtMs < IDLE_SHARD_MS) {
     return false;
   }
   const [rightful] = rankCoordinators(
--- a/packages/core/src/coordinators.ts
+++ b/packages/core/src/coordinators.ts
@@ -2,7 +2,7 @@
 
 import { hash32 } from "./text_hash.ts";
 import type { Blackboard, Member } from "./blackboard.ts";
-import { timingOf } from "./timing.ts";
+import { timingInForce } from "./timing.ts";
 
 /** Added to a score so that instances of the shard's own domain come first. */
 const OWN_DOMAIN_BONUS = 2 ** 32;
@@ -21,7 +21,7 @@
  * @returns A duration in milliseconds.
  */
 export function silenceLimitMs(board: Blackboard): number {
-  const { memberTimeoutMs, heartbeatMs } = timingOf(board);
+  const { memberTimeoutMs, heartbeatMs } = timingInForce(board);
   const gossipRoundMs = heartbeatMs * board.members.byId.size /
     MEMBERS_RENEWED_PER_HEARTBEAT;
   return Math.max(memberTimeoutMs, gossipRoundMs);
@@ -42,7 +42,7 @@
 ): boolean {
   return member.instanceId === board.self.instanceId ||
     (member.heartbeat > 0 &&
-      nowMs - member.lastAdvancedMs < silenceLimitMs(board));
+      nowMs - member.heartbeatAdvancedAtMs < silenceLimitMs(board));
 }
 
 /**
@@ -82,8 +82,8 @@
 
 /** After a long pause others hold this instance's duties; it rejoins first. */
 function isSettling(board: Blackboard, nowMs: number): boolean {
-  const wokenAtMs = board.members.wokenAtMs ?? -Infinity;
-  return nowMs - wokenAtMs < timingOf(board).heartbeatMs;
+  const wokenAtMs = board.members.resumedAtMs ?? -Infinity;
+  return nowMs - wokenAtMs < timingInForce(board).heartbeatMs;
 }
 
 /**
--- a/packages/core/src/decision_log.ts
+++ b/packages/core/src/decision_log.ts
@@ -1,31 +1,34 @@
-/** A bounded record of decisions, so that `why` can tell a request's story. */
+/** A bounded log of decisions by request, which `why` shows. */
 
 import { LRUCache } from "lru-cache";
 
-/** One step in a request's story. */
+/** One decision about a request. */
 export interface DecisionEntry {
+  /** Time on the instance's monotonic clock. */
   readonly atMs: number;
-  /** The controller that decided. */
+  /** Name of the controller that decided. */
   readonly by: string;
+  /** The decision and its reason. */
   readonly text: string;
 }
 
+/** Bounds the memory of one request's log; later entries are dropped. */
 const MAX_ENTRIES_PER_REQUEST = 64;
 
-/** Keeps the latest decisions by request, the oldest requests dropped first. */
+/** Log of decisions by request. Evicts the least recently used request. */
 export class DecisionLog {
   readonly #byRequest: LRUCache<string, DecisionEntry[]>;
 
-  /** @param maxRequests How many requests are remembered. */
+  /** @param maxRequests Number of requests whose decisions are kept. */
   constructor(maxRequests: number) {
     this.#byRequest = new LRUCache({ max: maxRequests });
   }
 
   /**
-   * Adds one step to a request's story.
+   * Appends a decision, unless the log of the request is full.
    *
-   * @param requestId The request it is about.
-   * @param entry The step.
+   * @param requestId Id of the request.
+   * @param entry The decision.
    */
   add(requestId: string, entry: DecisionEntry): void {
     const entries = this.#byRequest.get(requestId) ?? [];
@@ -36,12 +39,12 @@
   }
 
   /**
-   * Tells a request's story.
+   * Returns the decisions about a request.
    *
-   * @param requestId The request asked about.
-   * @returns Its steps, oldest first; empty when it is not remembered.
+   * @param requestId Id of the request.
+   * @returns The decisions, oldest first; empty when none are kept.
    */
-  story(requestId: string): readonly DecisionEntry[] {
+  entries(requestId: string): readonly DecisionEntry[] {
     return this.#byRequest.get(requestId) ?? [];
   }
 }
--- a/packages/core/src/dispatch_flow.ts
+++ b/packages/core/src/dispatch_flow.ts
@@ -1,4 +1,4 @@
-/** From a grant to the target: the one dispatch of a request. */
+/** Grants: their validation, and the dispatch of a request to its target. */
 
 import {
   PeerMessageKind,
@@ -12,25 +12,26 @@
 import { CounterName, EffectKind } from "./effects.ts";
 import type { EventKind, EventOf } from "./events.ts";
 import { answerTimeLeftMs, cancelAttempt } from "./attempts.ts";
-import { endRequest } from "./outcomes.ts";
-import { noteStep } from "./refusals.ts";
+import { endWithRefusal } from "./outcomes.ts";
+import { recordStep } from "./refusals.ts";
 import { RequestState } from "./request.ts";
-import { spreadRetryHint } from "./retry_hint.ts";
+import { jitteredRetryAfterMs } from "./retry_hint.ts";
 
-/** Connections a request may find refused before it is given up. */
-const MAX_ATTEMPTS = 4;
+/** A request is refused after this many dispatches that were not sent. */
+const MAX_DISPATCH_ATTEMPTS = 4;
 
-/** Why a grant is returned whose coordinator has not heard the sign yet. */
-const LEAVING_TARGET = "the target is leaving";
+/** The coordinator of such a grant has not yet received the leaving sign. */
+const TARGET_LEAVING_REASON = "the target is leaving";
 
 type Grant = PeerMessageOf<PeerMessageKind.Grant>;
 
 /**
- * Handles a grant: dispatches, or hands it back.
+ * Handles a grant: dispatches the request, or returns the grant where it can
+ * no longer be used.
  *
  * @param grant The grant.
- * @param coordinatorId Who granted it.
- * @param turn The turn it happens in.
+ * @param coordinatorId Id of the coordinator that sent it.
+ * @param turn The turn of the current event.
  */
 export function onGrant(
   grant: Grant,
@@ -42,17 +43,21 @@
     return;
   }
   if (request === undefined || request.state !== RequestState.Waiting) {
-    returnGrant(turn, grant, { coordinatorId, pool: poolOf(turn, grant) });
+    returnGrant(turn, grant, { coordinatorId, pool: poolOfGrant(turn, grant) });
     return;
   }
-  const fault = faultOfGrant(turn, request, grant);
-  if (fault === undefined) {
+  const returnReason = grantReturnReason(turn, request, grant);
+  if (returnReason === undefined) {
     dispatch(turn, request, { grant, coordinatorId });
     return;
   }
-  noteStep(turn, request, `Grant of ${grant.targetId} returned: ${fault}`);
+  recordStep(
+    turn,
+    request,
+    `Grant of ${grant.targetId} returned: ${returnReason}`,
+  );
   returnGrant(turn, grant, { coordinatorId, pool: request.spec.pool });
-  if (fault === LEAVING_TARGET) {
+  if (returnReason === TARGET_LEAVING_REASON) {
     request.excludedTargetIds.push(grant.targetId);
   }
   if (request.deadlineAtMs > turn.nowMs) {
@@ -61,10 +66,11 @@
 }
 
 /**
- * Handles a dispatch of which no byte left: the request waits again.
+ * Handles a dispatch of which no byte was sent: returns the grant, and lets the
+ * request wait again or refuses it.
  *
- * @param event Which attempt, and why.
- * @param turn The turn it happens in.
+ * @param event The attempt, and why it was not sent.
+ * @param turn The turn of the current event.
  */
 export function onDispatchNotSent(
   event: EventOf<EventKind.DispatchNotSent>,
@@ -78,7 +84,7 @@
   ) {
     return;
   }
-  noteStep(turn, request, `Not sent to ${attempt.targetId}: ${event.reason}`);
+  recordStep(turn, request, `Not sent to ${attempt.targetId}: ${event.reason}`);
   turn.send(attempt.coordinatorId, {
     kind: PeerMessageKind.GrantReturned,
     requestId: event.requestId,
@@ -92,12 +98,14 @@
   if (event.targetUnreachable) {
     request.excludedTargetIds.push(attempt.targetId);
   }
-  if (request.calls.size === 0 || request.attempts >= MAX_ATTEMPTS) {
-    endRequest(turn, request, {
+  if (
+    request.calls.size === 0 || request.attemptCount >= MAX_DISPATCH_ATTEMPTS
+  ) {
+    endWithRefusal(turn, request, {
       error: ErrorKind.NoTarget,
       ran: RunState.NotRun,
-      message: `${request.attempts} targets refused the connection.`,
-      retryAfterMs: spreadRetryHint(turn, request.policy.retryAfterMs),
+      message: `${request.attemptCount} targets refused the connection.`,
+      retryAfterMs: jitteredRetryAfterMs(turn, request.policy.retryAfterMs),
     });
     return;
   }
@@ -105,10 +113,11 @@
 }
 
 /**
- * Handles a coordinator's order to cancel a running stream of a lower tier.
+ * Handles a coordinator's order to cancel a running stream, whose slot a higher
+ * tier needs.
  *
- * @param message Which grant.
- * @param turn The turn it happens in.
+ * @param message The request and its grant.
+ * @param turn The turn of the current event.
  */
 export function onPreempt(
   message: PeerMessageOf<PeerMessageKind.Preempt>,
@@ -123,25 +132,25 @@
   }
   turn.count(CounterName.Preemptions, { tier: request.spec.tier });
   cancelAttempt(turn, request);
-  endRequest(turn, request, {
+  endWithRefusal(turn, request, {
     error: ErrorKind.Preempted,
     ran: RunState.MayHaveRun,
     message: "Its stream was cancelled to make room for a higher tier.",
-    retryAfterMs: spreadRetryHint(turn, request.policy.retryAfterMs),
+    retryAfterMs: jitteredRetryAfterMs(turn, request.policy.retryAfterMs),
   });
 }
 
 function dispatch(
   turn: Turn,
   request: HeldRequest,
-  by: { grant: Grant; coordinatorId: string },
+  granted: { grant: Grant; coordinatorId: string },
 ): void {
-  const { grant, coordinatorId } = by;
+  const { grant, coordinatorId } = granted;
   const { spec, policy } = request;
-  request.attempts += 1;
+  request.attemptCount += 1;
   request.state = RequestState.Dispatched;
   request.attempt = {
-    attemptNonce: `${request.nonce}.${request.attempts}`,
+    attemptNonce: `${request.claimNonce}.${request.attemptCount}`,
     targetId: grant.targetId,
     grantId: grant.grantId,
     coordinatorId,
@@ -150,11 +159,11 @@
     promptRead: false,
     firstTokenAtMs: 0,
     cachedTokens: 0,
-    pieces: [],
+    textChunks: [],
     tokensReceived: 0,
     resumes: 0,
   };
-  noteGrant(turn, request, by);
+  recordGrant(turn, request, granted);
   turn.count(CounterName.Dispatches, { pool: spec.pool });
   turn.count(
     CounterName.PromptTokensDispatched,
@@ -183,30 +192,34 @@
   withdrawAsks(turn, request, grant.failureDomain);
 }
 
-function noteGrant(
+function recordGrant(
   turn: Turn,
   request: HeldRequest,
-  by: { grant: Grant; coordinatorId: string },
+  granted: { grant: Grant; coordinatorId: string },
 ): void {
-  const passedOver = by.grant.passedOver
+  const passedOver = granted.grant.passedOver
     .map((other) => `${other.targetId}: ${other.reason}`)
     .join("; ");
-  const others = passedOver === "" ? "" : ` (passed over: ${passedOver})`;
-  noteStep(
+  const passedOverNote = passedOver === ""
+    ? ""
+    : ` (passed over: ${passedOver})`;
+  recordStep(
     turn,
     request,
-    `${by.coordinatorId} granted ${by.grant.targetId}${others}; dispatched`,
+    `${granted.coordinatorId} granted ${granted.grant.targetId}${passedOverNote}; dispatched`,
   );
 }
 
-function faultOfGrant(
+function grantReturnReason(
   turn: Turn,
   request: HeldRequest,
   grant: Grant,
 ): string | undefined {
   const { board, nowMs } = turn;
-  const begunAtMs = board.requests.beatBegunAtMs.get(grant.holderBeat);
-  if (begunAtMs === undefined || nowMs - begunAtMs > grant.lifetimeMs) {
+  const beatStartedAtMs = board.requests.beatStartedAtMs.get(grant.holderBeat);
+  if (
+    beatStartedAtMs === undefined || nowMs - beatStartedAtMs > grant.lifetimeMs
+  ) {
     turn.count(CounterName.StaleGrants);
     return "too old";
   }
@@ -218,7 +231,7 @@
     return "the settings do not have the target in this pool";
   }
   if (settings.draining || board.targets.byId.get(grant.targetId)?.leaving) {
-    return LEAVING_TARGET;
+    return TARGET_LEAVING_REASON;
   }
   if (request.excludedTargetIds.includes(grant.targetId)) {
     return "the target refused a connection before";
@@ -229,19 +242,19 @@
 function returnGrant(
   turn: Turn,
   grant: Grant,
-  to: { coordinatorId: string; pool: string },
+  origin: { coordinatorId: string; pool: string },
 ): void {
   turn.count(CounterName.GrantsReturned);
-  turn.send(to.coordinatorId, {
+  turn.send(origin.coordinatorId, {
     kind: PeerMessageKind.GrantReturned,
     requestId: grant.requestId,
     grantId: grant.grantId,
-    pool: to.pool,
+    pool: origin.pool,
     failureDomain: grant.failureDomain,
     targetUnreachable: false,
   });
 }
 
-function poolOf(turn: Turn, grant: Grant): string {
+function poolOfGrant(turn: Turn, grant: Grant): string {
   return turn.board.settings.inForce?.targets.get(grant.targetId)?.pool ?? "";
 }
--- a/packages/core/src/effects.ts
+++ b/packages/core/src/effects.ts
@@ -1,10 +1,10 @@
-/** Everything the core can order the edges to do. */
+/** Effects: actions that the scheduler core requests from the I/O layer. */
 
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
 import type { AttemptRef, ClaimRow } from "./events.ts";
 import type { Answer, Refusal } from "./request.ts";
 
-/** Kinds of effect. */
+/** Kinds of {@link Effect}. */
 export enum EffectKind {
   SendPeer = "send_peer",
   Dispatch = "dispatch",
@@ -29,7 +29,7 @@
   ShutdownDone = "shutdown_done",
 }
 
-/** Level of a log line. */
+/** Severity of a log line. */
 export enum LogLevel {
   Debug = "debug",
   Info = "info",
@@ -37,7 +37,7 @@
   Error = "error",
 }
 
-/** Part of the system a log line comes from; it is the line's prefix. */
+/** Part of the system that writes a log line; it is the line's prefix. */
 export enum LogPart {
   Requests = "requests",
   Asks = "asks",
@@ -53,7 +53,7 @@
   Daemon = "daemon",
 }
 
-/** Counters the core asks for. */
+/** Names of the counters that the core increments. */
 export enum CounterName {
   RequestsReceived = "requests_received",
   Answers = "answers",
@@ -70,14 +70,14 @@
   PromptTokensWasted = "prompt_tokens_wasted",
 }
 
-/** A claim row to be written or voided. */
-export interface ClaimOrder {
+/** A claim row to write or to void. */
+export interface ClaimRowChange {
   readonly requestId: string;
   readonly key: string;
   readonly row: ClaimRow;
 }
 
-/** An effect, by kind. */
+/** An action for the I/O layer, by kind. */
 export type Effect =
   | {
     readonly kind: EffectKind.SendPeer;
@@ -91,9 +91,12 @@
     readonly maxOutputTokens: number;
     readonly tierRank: number;
     readonly value: number;
-    /** Time left to send it; not sent at all after that. */
+    /** Time left to send it; after that it must not be sent. */
     readonly timeLeftMs: number;
-    /** Time left to gather its answer, which may be kept for its key. */
+    /**
+     * Time left to receive its answer. It ends after the callers' deadlines, and
+     * much later where the answer is kept for an idempotency key.
+     */
     readonly answerTimeLeftMs: number;
   } & AttemptRef)
   | ({
@@ -106,8 +109,8 @@
     readonly kind: EffectKind.CancelStream;
     readonly targetId: string;
   } & AttemptRef)
-  | ({ readonly kind: EffectKind.WriteClaim } & ClaimOrder)
-  | ({ readonly kind: EffectKind.VoidClaim } & ClaimOrder)
+  | ({ readonly kind: EffectKind.WriteClaim } & ClaimRowChange)
+  | ({ readonly kind: EffectKind.VoidClaim } & ClaimRowChange)
   | {
     readonly kind: EffectKind.KeepAnswer;
     readonly requestId: string;
@@ -121,7 +124,7 @@
   }
   | {
     readonly kind: EffectKind.AnswerCaller;
-    /** The call answered; several calls may join one request. */
+    /** Id of the answered call; several calls may join one request. */
     readonly requestId: string;
     readonly answer: Answer;
   }
@@ -165,10 +168,10 @@
     readonly kind: EffectKind.Count;
     readonly counter: CounterName;
     readonly by: number;
-    /** Bounded label values only. */
+    /** Label values, from a bounded set. */
     readonly labels: Readonly<Record<string, string>>;
   }
   | { readonly kind: EffectKind.ShutdownDone };
 
-/** The effect of one kind. */
+/** The type of the effects of one kind. */
 export type EffectOf<K extends EffectKind> = Extract<Effect, { kind: K }>;
--- a/packages/core/src/error_table.ts
+++ b/packages/core/src/error_table.ts
@@ -1,22 +1,22 @@
-/** The closed table from error kind to what a caller is told. */
+/** The table of all error kinds: how each is answered to a caller. */
 
 import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
 
-/** How one kind of error is answered. */
+/** How one kind of error is answered to a caller. */
 export interface ErrorEntry {
   readonly httpStatus: number;
-  /** What may be relied on where nothing more exact is known. */
+  /** Whether the request may have run, where nothing more exact is known. */
   readonly defaultRun: RunState;
   /**
-   * Whether the same call can fare better when sent again. A call that may
-   * have run must be idempotent besides, or carry its idempotency key.
+   * Whether sending the call again can succeed. A call that may have run must
+   * also be idempotent or carry an idempotency key.
    */
   readonly mayRetry: boolean;
-  /** What the caller can do. */
+  /** Advice to the caller, sent with the error. */
   readonly hint: string;
 }
 
-/** Every error kind and its answer. */
+/** How each kind of error is answered, by kind. */
 export const ERROR_TABLE: Readonly<Record<ErrorKind, ErrorEntry>> = {
   [ErrorKind.BadRequest]: {
     httpStatus: 400,
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -1,4 +1,4 @@
-/** Everything the core can be told. Each event carries the local time. */
+/** Events that the I/O layer passes to the scheduler core. */
 
 import type { InstanceList } from "@chestnuthatch/wire/platform_protocol";
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
@@ -9,7 +9,7 @@
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 import type { RequestSpec } from "./request.ts";
 
-/** Kinds of event. */
+/** Kinds of {@link CoreEvent}. */
 export enum EventKind {
   /** Fires about every 50 ms. */
   Tick = "tick",
@@ -20,10 +20,13 @@
   PeerMessageReceived = "peer_message_received",
   PeerConnected = "peer_connected",
   PeerDisconnected = "peer_disconnected",
-  /** The connection was refused: no byte of the request left. */
+  /** A dispatch of which no byte was sent, as the connection was refused. */
   DispatchNotSent = "dispatch_not_sent",
   StreamEvent = "stream_event",
-  /** The stream closed, whole or not; the core knows from its events. */
+  /**
+   * The stream of an answer closed, complete or not; the core decides which
+   * from the events received.
+   */
   StreamClosed = "stream_closed",
   ServiceAnswered = "service_answered",
   LoadReported = "load_reported",
@@ -35,39 +38,44 @@
   ShutdownForced = "shutdown_forced",
 }
 
-/** How a claim write or read ended. */
+/** Result of the write of a claim row. */
 export enum ClaimOutcome {
-  /** The row is ours: written now, or read back with our nonce. */
+  /** The row is the request's own: written, or read back with its nonce. */
   Held = "held",
-  /** Another nonce holds the row. */
+  /** The row exists with another nonce. */
   HeldElsewhere = "held_elsewhere",
-  /** The store did not answer; the row may or may not exist. */
+  /** The store did not answer, so the row may or may not exist. */
   Unknown = "unknown",
 }
 
-/** What a claim row says. */
+/** Content of a claim row, which locks an idempotency key in the store. */
 export interface ClaimRow {
+  /** Identifies the writer's request, to tell an own row from another's. */
   readonly nonce: string;
   readonly holderId: string;
   readonly holderIncarnation: number;
   readonly requestId: string;
+  /** Hash of the request's content, to detect a reused key. */
   readonly contentHash: string;
 }
 
-interface AtTime {
-  /** The instance's own monotonic clock, in milliseconds. */
+interface EventTime {
+  /** Time of the event on the instance's own monotonic clock. */
   readonly nowMs: number;
 }
 
-/** Names one attempt; answers that name another are dropped. */
+/**
+ * Identifies one attempt of a request; answers that name another attempt are
+ * dropped.
+ */
 export interface AttemptRef {
   readonly requestId: string;
   readonly attemptNonce: string;
 }
 
-/** An event, by kind. */
+/** An event: something that happened outside the core, with its time. */
 export type CoreEvent =
-  & AtTime
+  & EventTime
   & (
     | { readonly kind: EventKind.Tick }
     | { readonly kind: EventKind.RequestArrived; readonly spec: RequestSpec }
@@ -76,52 +84,52 @@
       readonly kind: EventKind.ClaimAnswered;
       readonly requestId: string;
       readonly outcome: ClaimOutcome;
-      /** The row found, when held elsewhere. */
+      /** The row that was found, for `HeldElsewhere`. */
       readonly found?: ClaimRow;
     }
     | {
       readonly kind: EventKind.KeptAnswerRead;
       readonly requestId: string;
-      /** JSON of a kept answer; absent when there is none. */
+      /** JSON of the kept answer; absent when there is none. */
       readonly content?: string;
-      /** True when the store did not answer. */
+      /** Whether the store did not answer. */
       readonly unavailable: boolean;
     }
     | {
       readonly kind: EventKind.PeerMessageReceived;
       readonly fromId: string;
-      /** Incarnation the connection was opened by. */
+      /** Incarnation of the peer that opened the connection. */
       readonly fromIncarnation: number;
       readonly message: PeerMessage;
     }
     | {
       readonly kind: EventKind.PeerConnected;
       readonly peerId: string;
-      /** As the peer's handshake says, where the edge knows it. */
+      /** From the peer's handshake; absent where it is not known. */
       readonly failureDomain?: string;
     }
     | { readonly kind: EventKind.PeerDisconnected; readonly peerId: string }
     | ({
       readonly kind: EventKind.DispatchNotSent;
       readonly reason: string;
-      /** False where the cause lies with this instance, not the target. */
+      /** False where this instance is the cause, not the target. */
       readonly targetUnreachable: boolean;
     } & AttemptRef)
     | ({
       readonly kind: EventKind.StreamEvent;
-      /** As received; may name another attempt when answers are crossed. */
+      /** The line as received; it may name another attempt by mistake. */
       readonly event: EngineEvent;
     } & AttemptRef)
     | ({
       readonly kind: EventKind.StreamClosed;
-      /** Why it closed; empty for a clean end of the HTTP body. */
+      /** Why it closed; empty for a regular end of the HTTP body. */
       readonly reason: string;
-      /** True where the target refuses connections or knows no such attempt. */
+      /** Whether the target refuses connections or has no such attempt. */
       readonly lost?: boolean;
     } & AttemptRef)
     | ({
       readonly kind: EventKind.ServiceAnswered;
-      /** Ids as the service's answer named them. */
+      /** Ids in the service's answer. */
       readonly answered: AttemptRef;
       readonly body: string;
     } & AttemptRef)
@@ -146,5 +154,5 @@
     | { readonly kind: EventKind.ShutdownForced }
   );
 
-/** The event of one kind. */
+/** The type of the events of one kind. */
 export type EventOf<K extends EventKind> = Extract<CoreEvent, { kind: K }>;
--- a/packages/core/src/fair_share.ts
+++ b/packages/core/src/fair_share.ts
@@ -31,7 +31,7 @@
   owner: { tierRank: number; workspace: string },
 ): number {
   const virtualTime = shard.virtualTimeByTier.get(owner.tierRank) ?? 0;
-  return Math.max(virtualTime, shard.served.get(shareKey(owner)) ?? 0);
+  return Math.max(virtualTime, shard.finishTags.get(shareKey(owner)) ?? 0);
 }
 
 /**
@@ -43,7 +43,7 @@
 export function chargeWork(shard: Shard, work: SharedWork): void {
   const tag = startTag(shard, work);
   shard.virtualTimeByTier.set(work.tierRank, tag);
-  shard.served.set(shareKey(work), tag + shareOf(work));
+  shard.finishTags.set(shareKey(work), tag + shareOf(work));
 }
 
 /**
@@ -54,9 +54,9 @@
  */
 export function refundWork(shard: Shard, work: SharedWork): void {
   const key = shareKey(work);
-  const tag = shard.served.get(key);
+  const tag = shard.finishTags.get(key);
   if (tag !== undefined) {
-    shard.served.set(key, tag - shareOf(work));
+    shard.finishTags.set(key, tag - shareOf(work));
   }
 }
 
@@ -66,10 +66,10 @@
  * @param shard The shard.
  */
 export function pruneShares(shard: Shard): void {
-  for (const [key, tag] of shard.served) {
+  for (const [key, tag] of shard.finishTags) {
     const tierRank = Number(key.slice(0, key.indexOf("/")));
     if (tag <= (shard.virtualTimeByTier.get(tierRank) ?? 0)) {
-      shard.served.delete(key);
+      shard.finishTags.delete(key);
     }
   }
 }
--- a/packages/core/src/fake_core.ts
+++ b/packages/core/src/fake_core.ts
@@ -3,7 +3,7 @@
 import { Turn } from "./controller.ts";
 import { type Effect, type EffectKind, type EffectOf } from "./effects.ts";
 import { EventKind } from "./events.ts";
-import { seededRandomness } from "./randomness.ts";
+import { seededRandomSource } from "./random_source.ts";
 import { SchedulerCore } from "./scheduler_core.ts";
 
 /** Settings of one domain without targets, as operators write them. */
@@ -47,7 +47,7 @@
       failureDomain: "njiro-hall",
       address: `${instanceId}:7000`,
     })),
-    random: seededRandomness(TEST_SEED),
+    random: seededRandomSource(TEST_SEED),
   });
   core.handle({ kind: EventKind.Tick, nowMs: START_MS });
   return core;
@@ -61,7 +61,7 @@
  * @returns The turn.
  */
 export function makeTurn(core: SchedulerCore, nowMs = START_MS): Turn {
-  const random = seededRandomness(TEST_SEED);
+  const random = seededRandomSource(TEST_SEED);
   return new Turn(core.board, { nowMs, random });
 }
 
--- a/packages/core/src/fake_shard.ts
+++ b/packages/core/src/fake_shard.ts
@@ -18,7 +18,7 @@
 import { CoordinatorController } from "./coordinator_controller.ts";
 import { type Effect, EffectKind } from "./effects.ts";
 import { type CoreEvent, EventKind } from "./events.ts";
-import { type Randomness, seededRandomness } from "./randomness.ts";
+import { type RandomSource, seededRandomSource } from "./random_source.ts";
 import { SchedulerCore } from "./scheduler_core.ts";
 import { TargetController } from "./target_controller.ts";
 import { DEFAULT_TIMING } from "./timing.ts";
@@ -67,7 +67,7 @@
   #beat = 0;
   readonly #asked = new Map<string, AskDetail>();
   readonly #pastLoads = new Map<string, { atMs: number; load: TargetLoad }[]>();
-  readonly #random: Randomness = seededRandomness(1);
+  readonly #random: RandomSource = seededRandomSource(1);
   readonly #options: FakeOptions;
 
   constructor(options: FakeOptions) {
--- a/packages/core/src/grant_account.ts
+++ b/packages/core/src/grant_account.ts
@@ -2,7 +2,7 @@
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import type { ErrorKind } from "@chestnuthatch/wire/work";
-import type { GrantAccount, Shard, WaitingAsk } from "./blackboard.ts";
+import type { GrantRecord, Shard, WaitingAsk } from "./blackboard.ts";
 import { CounterName, LogLevel, LogPart } from "./effects.ts";
 import { chargeWork, refundWork } from "./fair_share.ts";
 import type { Placement } from "./target_choice.ts";
@@ -30,7 +30,7 @@
  * @param placement The ask and the target chosen for it.
  * @returns The grant as it stands in the account.
  */
-export function openGrant(view: ShardView, placement: Placement): GrantAccount {
+export function openGrant(view: ShardView, placement: Placement): GrantRecord {
   const { shard, turn } = view;
   const { ask, room, prediction } = placement;
   const { self, shards } = turn.board;
@@ -45,13 +45,13 @@
     costMs: ask.costMs,
     weight: view.policyOf(ask.detail).fairShareWeight,
   });
-  shard.prefixes.get(room.targetId)?.store(ask.detail.blockHashes);
+  shard.prefixIndexes.get(room.targetId)?.store(ask.detail.blockHashes);
   sendGrant(view, grant, {
     askNumber: ask.detail.askNumber,
     passedOver: placement.passedOver,
   });
   turn.count(CounterName.GrantsGiven, { pool: shard.pool });
-  turn.decide(
+  turn.recordDecision(
     ask.detail.requestId,
     DECIDED_BY,
     `Granted ${room.targetId} after ${
@@ -66,7 +66,7 @@
   view: ShardView,
   { ask, room, prediction }: Placement,
   grantId: string,
-): GrantAccount {
+): GrantRecord {
   const { detail } = ask;
   return {
     grantId,
@@ -92,12 +92,16 @@
     used: false,
     preempted: false,
     usedAtMs: Infinity,
-    listedBeat: -1,
+    lastReportedBeat: -1,
     costMs: ask.costMs,
     prefillQueueMs: prediction.prefillQueueMs,
     prefillMs: prediction.prefillMs,
     promptRead: false,
-    prefillGrantedMs: countPrefill(view, room.targetId, prediction.prefillMs),
+    cumulativePrefillMs: countPrefill(
+      view,
+      room.targetId,
+      prediction.prefillMs,
+    ),
     loadFactor: prediction.loadFactor,
   };
 }
@@ -108,7 +112,7 @@
   targetId: string,
   prefillMs: number,
 ): number {
-  const { prefillGrantedMs } = view.shard;
+  const { cumulativePrefillMs: prefillGrantedMs } = view.shard;
   const sumMs = (prefillGrantedMs.get(targetId) ?? 0) + prefillMs;
   prefillGrantedMs.set(targetId, sumMs);
   return sumMs;
@@ -123,7 +127,7 @@
  */
 export function sendGrant(
   view: ShardView,
-  grant: GrantAccount,
+  grant: GrantRecord,
   about: { askNumber: number; passedOver: Placement["passedOver"] },
 ): void {
   view.turn.send(grant.holderId, {
@@ -148,19 +152,19 @@
  */
 export function closeGrant(
   shard: Shard,
-  grant: GrantAccount,
+  grant: GrantRecord,
   end: { nowMs: number; kvTokens: number },
 ): void {
   shard.grants.delete(grant.grantId);
-  shard.closed.set(grant.grantId, { askNumber: 0, closedAtMs: end.nowMs });
+  shard.tombstones.set(grant.grantId, { askNumber: 0, closedAtMs: end.nowMs });
   const { targetId } = grant.work;
-  const ended = shard.ended.get(targetId) ?? [];
+  const ended = shard.endedWork.get(targetId) ?? [];
   ended.push({
     usedAtMs: grant.usedAtMs,
     endedAtMs: end.nowMs,
     kvTokens: end.kvTokens,
   });
-  shard.ended.set(targetId, ended.slice(-MAX_ENDED));
+  shard.endedWork.set(targetId, ended.slice(-MAX_ENDED));
 }
 
 /**
@@ -169,7 +173,7 @@
  * @param view The shard.
  * @param grant The grant.
  */
-export function cancelGrant(view: ShardView, grant: GrantAccount): void {
+export function cancelGrant(view: ShardView, grant: GrantRecord): void {
   // The target never had the work, so no report has shown it.
   grant.usedAtMs = Infinity;
   closeGrant(view.shard, grant, { nowMs: view.nowMs, kvTokens: 0 });
@@ -189,7 +193,7 @@
  */
 export function preemptGrant(
   view: ShardView,
-  grant: GrantAccount,
+  grant: GrantRecord,
   forWhom: string,
 ): void {
   const { requestId, grantId } = grant;
@@ -199,7 +203,7 @@
     requestId,
     grantId,
   });
-  view.turn.decide(
+  view.turn.recordDecision(
     requestId,
     DECIDED_BY,
     `Cancelled to make room for ${forWhom}`,
@@ -227,7 +231,7 @@
     askNumber,
     ...refusal,
   });
-  view.turn.decide(requestId, DECIDED_BY, `Refused: ${refusal.reason}`);
+  view.turn.recordDecision(requestId, DECIDED_BY, `Refused: ${refusal.reason}`);
   view.turn.log(
     LogLevel.Debug,
     LogPart.Coordinator,
@@ -244,7 +248,7 @@
 export function closeAsk(view: ShardView, ask: WaitingAsk): void {
   const { requestId, askNumber } = ask.detail;
   removeWaiting(view.shard, requestId);
-  view.shard.closed.set(requestId, { askNumber, closedAtMs: view.nowMs });
+  view.shard.tombstones.set(requestId, { askNumber, closedAtMs: view.nowMs });
 }
 
 /**
@@ -255,8 +259,8 @@
  * @returns The index.
  */
 export function prefixIndexOf(shard: Shard, targetId: string): PrefixIndex {
-  const index = shard.prefixes.get(targetId) ?? new PrefixIndex();
-  shard.prefixes.set(targetId, index);
+  const index = shard.prefixIndexes.get(targetId) ?? new PrefixIndex();
+  shard.prefixIndexes.set(targetId, index);
   return index;
 }
 
--- a/packages/core/src/heartbeat_gossip.ts
+++ b/packages/core/src/heartbeat_gossip.ts
@@ -9,7 +9,7 @@
 import { isAlive } from "./coordinators.ts";
 import { LogLevel, LogPart } from "./effects.ts";
 import { ensureMember } from "./member_table.ts";
-import type { Randomness } from "./randomness.ts";
+import type { RandomSource } from "./random_source.ts";
 
 /** Peers that one heartbeat is sent to. */
 export const HEARTBEAT_FANOUT = 3;
@@ -44,14 +44,14 @@
   const { members } = turn.board;
   const connected = connectedIds(turn.board);
   const stillConnected = new Set(connected);
-  const queue = (members.beatQueue ?? []).filter((id) =>
+  const queue = (members.heartbeatQueue ?? []).filter((id) =>
     stillConnected.has(id)
   );
   if (queue.length < HEARTBEAT_FANOUT) {
     const others = connected.filter((id) => !queue.includes(id));
     queue.push(...pickRandom(others, others.length, turn.random));
   }
-  members.beatQueue = queue.slice(HEARTBEAT_FANOUT);
+  members.heartbeatQueue = queue.slice(HEARTBEAT_FANOUT);
   return queue.slice(0, HEARTBEAT_FANOUT);
 }
 
@@ -114,7 +114,7 @@
     Object.assign(member, { leaving, settingsVersion, heartbeat, incarnation });
     member.failureDomain = self.failureDomain;
     member.connected = true;
-    member.lastAdvancedMs = members.lastHeartbeatAtMs;
+    member.heartbeatAdvancedAtMs = members.lastHeartbeatAtMs;
   }
 }
 
@@ -137,7 +137,7 @@
       isAlive(board, member, nowMs)
     )
     .sort((a, b) =>
-      b.lastAdvancedMs - a.lastAdvancedMs ||
+      b.heartbeatAdvancedAtMs - a.heartbeatAdvancedAtMs ||
       (a.instanceId < b.instanceId ? -1 : 1)
     );
   const recent = others.slice(0, RECENT_IN_DIGEST);
@@ -171,7 +171,7 @@
 function pickRandom<T>(
   items: readonly T[],
   count: number,
-  random: Randomness,
+  random: RandomSource,
 ): T[] {
   const pool = [...items];
   const picked: T[] = [];
@@ -219,7 +219,7 @@
   );
   if (word.heartbeat > member.heartbeat) {
     member.heartbeat = word.heartbeat;
-    member.lastAdvancedMs = turn.nowMs;
+    member.heartbeatAdvancedAtMs = turn.nowMs;
   }
 }
 
--- a/packages/core/src/heartbeat_gossip_test.ts
+++ b/packages/core/src/heartbeat_gossip_test.ts
@@ -32,7 +32,7 @@
   assert.is(member.incarnation, 5);
   assert.is(member.heartbeat, 10);
   assert.is(member.leaving, false);
-  assert.is(member.lastAdvancedMs, START_MS);
+  assert.is(member.heartbeatAdvancedAtMs, START_MS);
 });
 
 test("should reach the same state whatever the order of words", () => {
--- a/packages/core/src/held_requests.ts
+++ b/packages/core/src/held_requests.ts
@@ -1,18 +1,22 @@
-/** The table of requests on their holder: limits, keys, forgetting. */
+/**
+ * The table of requests that this instance holds: closes them, releases their
+ * keys and evicts them.
+ */
 
 import { RunState } from "@chestnuthatch/wire/work";
 import { scopeKey } from "./admission.ts";
 import type { HeldRequest } from "./blackboard.ts";
-import { keyName } from "./claim_rows.ts";
+import { scopedKey } from "./claim_rows.ts";
 import type { Turn } from "./controller.ts";
 import { RequestState } from "./request.ts";
 
-/** How long a finished request is kept for callers that ask again. */
-const KEEP_FINISHED_MS = 60_000;
-const FORGET_EVERY_MS = 1000;
+/** How long a finished request is kept for calls that repeat its key. */
+const FINISHED_RETENTION_MS = 60_000;
+/** Finished requests are evicted at most this often. */
+const EVICTION_INTERVAL_MS = 1000;
 
 /**
- * Tells whether a request has its final outcome.
+ * Returns whether a request has its final outcome.
  *
  * @param request The request.
  * @returns True once it is answered or refused.
@@ -23,19 +27,20 @@
 }
 
 /**
- * Forgets finished requests that have been kept long enough.
+ * Evicts finished requests whose retention time has passed.
  *
- * @param turn The turn of a tick.
+ * @param turn The turn of a tick event.
  */
-export function forgetOldRequests(turn: Turn): void {
+export function evictFinishedRequests(turn: Turn): void {
   const { requests } = turn.board;
-  if (turn.nowMs - requests.lastForgetAtMs < FORGET_EVERY_MS) {
+  if (turn.nowMs - requests.lastEvictionAtMs < EVICTION_INTERVAL_MS) {
     return;
   }
-  requests.lastForgetAtMs = turn.nowMs;
+  requests.lastEvictionAtMs = turn.nowMs;
   for (const request of requests.byId.values()) {
-    const isOld = turn.nowMs - request.finishedAtMs >= KEEP_FINISHED_MS;
-    if (isFinished(request) && isOld) {
+    const isExpired =
+      turn.nowMs - request.finishedAtMs >= FINISHED_RETENTION_MS;
+    if (isFinished(request) && isExpired) {
       requests.byId.delete(request.spec.requestId);
       releaseKey(turn, request);
     }
@@ -43,10 +48,10 @@
 }
 
 /**
- * Takes a finished request out of the limits, and lets its key run anew where
- * it did not run.
+ * Takes a finished request out of the concurrency limits, and releases its key
+ * where a later call with the key may run.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
  */
 export function closeRequest(turn: Turn, request: HeldRequest): void {
@@ -60,22 +65,22 @@
     openByScope.delete(key);
   }
   const refusal = request.outcome?.refusal;
-  const mayRunAnew = refusal !== undefined &&
+  const mayRunAgain = refusal !== undefined &&
     (refusal.ran === RunState.NotRun || request.attempt === undefined ||
       request.idempotent);
-  if (mayRunAnew) {
+  if (mayRunAgain) {
     releaseKey(turn, request);
   }
 }
 
 function releaseKey(turn: Turn, request: HeldRequest): void {
-  const { byKey } = turn.board.requests;
+  const { requestIdByKey } = turn.board.requests;
   const { workspace, idempotencyKey, requestId } = request.spec;
   if (idempotencyKey === undefined) {
     return;
   }
-  const name = keyName(workspace, idempotencyKey);
-  if (byKey.get(name) === requestId) {
-    byKey.delete(name);
+  const key = scopedKey(workspace, idempotencyKey);
+  if (requestIdByKey.get(key) === requestId) {
+    requestIdByKey.delete(key);
   }
 }
--- a/packages/core/src/holder_presence.ts
+++ b/packages/core/src/holder_presence.ts
@@ -1,6 +1,6 @@
 /** Which holders a coordinator hears, and what goes when one is gone. */
 
-import type { Blackboard, HolderSeen, Shard } from "./blackboard.ts";
+import type { Blackboard, HolderRecord, Shard } from "./blackboard.ts";
 import { isAlive } from "./coordinators.ts";
 import { dropOverdueOrphans } from "./orphaned_work.ts";
 import { removeWaiting } from "./shard_queue.ts";
@@ -26,7 +26,7 @@
   shard: Shard,
   word: HolderWord,
   nowMs: number,
-): HolderSeen | undefined {
+): HolderRecord | undefined {
   const known = shard.holders.get(word.holderId);
   if (known !== undefined && known.incarnation > word.incarnation) {
     return undefined;
@@ -35,8 +35,8 @@
     const seen = {
       incarnation: word.incarnation,
       beat: word.beat ?? 0,
-      beatHeardAtMs: nowMs,
-      reportBeat: -1,
+      beatAdvancedAtMs: nowMs,
+      lastReportBeat: -1,
     };
     shard.holders.set(word.holderId, seen);
     dropHolder(shard, { ...word, nowMs });
@@ -44,7 +44,7 @@
   }
   if (word.beat !== undefined && word.beat > known.beat) {
     known.beat = word.beat;
-    known.beatHeardAtMs = nowMs;
+    known.beatAdvancedAtMs = nowMs;
   }
   return known;
 }
@@ -96,7 +96,7 @@
 
 function isGone(
   board: Blackboard,
-  holder: { holderId: string; seen: HolderSeen; nowMs: number },
+  holder: { holderId: string; seen: HolderRecord; nowMs: number },
 ): boolean {
   const { holderId, seen, nowMs } = holder;
   const member = board.members.byId.get(holderId);
@@ -104,6 +104,6 @@
     return true;
   }
   const timeoutMs = board.settings.inForce?.timing.memberTimeoutMs ?? Infinity;
-  const isSilent = nowMs - seen.beatHeardAtMs > timeoutMs;
+  const isSilent = nowMs - seen.beatAdvancedAtMs > timeoutMs;
   return isSilent && (member === undefined || !isAlive(board, member, nowMs));
 }
--- a/packages/core/src/holder_reconcile.ts
+++ b/packages/core/src/holder_reconcile.ts
@@ -5,7 +5,7 @@
   type PeerMessageOf,
   type RunningWork,
 } from "@chestnuthatch/wire/peer_messages";
-import type { GrantAccount } from "./blackboard.ts";
+import type { GrantRecord } from "./blackboard.ts";
 import { closeGrant, preemptGrant } from "./grant_account.ts";
 import { hearHolder, type HolderWord } from "./holder_presence.ts";
 import { HOLDER_BEAT_MS } from "./holder_report.ts";
@@ -33,10 +33,10 @@
 ): void {
   const { shard, nowMs } = view;
   const seen = hearHolder(shard, word, nowMs);
-  if (seen === undefined || report.holderBeat < seen.reportBeat) {
+  if (seen === undefined || report.holderBeat < seen.lastReportBeat) {
     return;
   }
-  seen.reportBeat = report.holderBeat;
+  seen.lastReportBeat = report.holderBeat;
   renewAsks(view, report, word);
   for (const work of report.running) {
     noteRunning(view, work, { ...word, beat: report.holderBeat });
@@ -74,7 +74,7 @@
 }
 
 function closedLately(view: ShardView, id: string): boolean {
-  const closed = view.shard.closed.get(id);
+  const closed = view.shard.tombstones.get(id);
   return closed !== undefined &&
     view.nowMs - closed.closedAtMs < CLOSED_GRACE_MS;
 }
@@ -89,7 +89,7 @@
   if (grant === undefined) {
     return;
   }
-  grant.listedBeat = word.beat;
+  grant.lastReportedBeat = word.beat;
   grant.orphanedAtMs = undefined;
   grant.usedAtMs = Math.min(grant.usedAtMs, nowMs);
   grant.used = true;
@@ -104,15 +104,15 @@
   view: ShardView,
   work: RunningWork,
   word: Required<HolderWord>,
-): GrantAccount | undefined {
+): GrantRecord | undefined {
   const { shard, nowMs } = view;
-  if (shard.closed.has(work.grantId)) {
+  if (shard.tombstones.has(work.grantId)) {
     return undefined;
   }
   const room = view.rooms.find((each) => each.targetId === work.targetId);
   const detail = { ...ADOPTED_ASK, ...work };
   const serviceMs = room === undefined ? 0 : view.predict(room, detail).totalMs;
-  const grant: GrantAccount = {
+  const grant: GrantRecord = {
     grantId: work.grantId,
     requestId: work.requestId,
     holderId: word.holderId,
@@ -125,12 +125,12 @@
     used: true,
     preempted: false,
     usedAtMs: nowMs,
-    listedBeat: word.beat,
+    lastReportedBeat: word.beat,
     costMs: 0,
     prefillQueueMs: 0,
     prefillMs: 0,
     promptRead: true,
-    prefillGrantedMs: shard.prefillGrantedMs.get(work.targetId) ?? 0,
+    cumulativePrefillMs: shard.cumulativePrefillMs.get(work.targetId) ?? 0,
     loadFactor: 1,
   };
   shard.grants.set(work.grantId, grant);
@@ -162,7 +162,7 @@
   const lifetimeBeats = MARGIN_BEATS +
     Math.ceil(settings.timing.grantLifetimeMs / HOLDER_BEAT_MS);
   for (const grant of [...shard.grants.values()]) {
-    const { listedBeat, holderBeat } = grant;
+    const { lastReportedBeat: listedBeat, holderBeat } = grant;
     const hasEnded = listedBeat >= 0 && report.holderBeat > listedBeat;
     const hasLapsed = report.holderBeat > holderBeat + lifetimeBeats;
     if (
--- a/packages/core/src/holder_report.ts
+++ b/packages/core/src/holder_report.ts
@@ -34,8 +34,8 @@
   }
   requests.lastBeatAtMs = turn.nowMs;
   requests.holderBeat += 1;
-  requests.beatBegunAtMs.set(requests.holderBeat, turn.nowMs);
-  requests.beatBegunAtMs.delete(requests.holderBeat - MAX_BEATS);
+  requests.beatStartedAtMs.set(requests.holderBeat, turn.nowMs);
+  requests.beatStartedAtMs.delete(requests.holderBeat - MAX_BEATS);
 }
 
 /**
@@ -52,7 +52,7 @@
   requests.lastReportAtMs = turn.nowMs;
   const reports = gatherReports(turn);
   addClosingReports(turn, reports);
-  requests.reportedTo.clear();
+  requests.lastReportRecipients.clear();
   for (const report of reports.values()) {
     sendReport(turn, report);
     rememberReport(turn, report);
@@ -121,7 +121,9 @@
 }
 
 function addClosingReports(turn: Turn, reports: Map<string, Report>): void {
-  for (const [key, coordinatorIds] of turn.board.requests.reportedTo) {
+  for (
+    const [key, coordinatorIds] of turn.board.requests.lastReportRecipients
+  ) {
     const separator = key.lastIndexOf("@");
     for (const coordinatorId of coordinatorIds) {
       reportFor(reports, {
@@ -157,7 +159,7 @@
   if (report.waitingRequestIds.length + report.running.length === 0) {
     return;
   }
-  const { reportedTo } = turn.board.requests;
+  const { lastReportRecipients: reportedTo } = turn.board.requests;
   const key = shardKey(report.pool, report.failureDomain);
   const ids = reportedTo.get(key) ?? new Set();
   ids.add(report.coordinatorId);
--- a/packages/core/src/kept_answer.ts
+++ b/packages/core/src/kept_answer.ts
@@ -1,4 +1,7 @@
-/** Answers as they are kept in the object store, for callers that ask again. */
+/**
+ * Format of kept answers: answers in the object store, for later calls with the
+ * same idempotency key.
+ */
 
 import * as z from "zod";
 import type { Answer } from "./request.ts";
@@ -15,27 +18,30 @@
   }),
 });
 
-/** A kept answer, with the hash of the request that it answers. */
+/** A kept answer, with the content hash of the request that it answers. */
 export type KeptAnswer = z.infer<typeof keptAnswerSchema>;
 
 /**
- * Writes an answer for the object store.
+ * Serializes an answer for the object store.
  *
- * @param answer The whole answer.
- * @param contentHash Hash of the request it answers.
+ * @param answer The complete answer.
+ * @param contentHash Hash of the content of the request that it answers.
  * @returns JSON text.
  */
-export function keptAnswerOf(answer: Answer, contentHash: string): string {
+export function serializeKeptAnswer(
+  answer: Answer,
+  contentHash: string,
+): string {
   return JSON.stringify({ contentHash, answer });
 }
 
 /**
- * Reads an answer back.
+ * Parses a kept answer.
  *
  * @param content JSON text from the object store.
- * @returns The kept answer, or nothing when the text is not one.
+ * @returns The kept answer, or undefined when the text is not a valid one.
  */
-export function readKeptAnswer(content: string): KeptAnswer | undefined {
+export function parseKeptAnswer(content: string): KeptAnswer | undefined {
   let parsed: unknown;
   try {
     parsed = JSON.parse(content);
--- a/packages/core/src/learned_rates.ts
+++ b/packages/core/src/learned_rates.ts
@@ -6,7 +6,7 @@
   PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
 import { TargetKind } from "@chestnuthatch/wire/work";
-import type { GrantAccount, Target, TargetPace } from "./blackboard.ts";
+import type { GrantRecord, StragglerState, Target } from "./blackboard.ts";
 import { priorRates } from "./work_cost.ts";
 
 /** Weight of a new sample in the recent rates. */
@@ -30,7 +30,7 @@
 export interface LearningContext {
   readonly settings: TargetSettings;
   readonly kind: TargetKind;
-  readonly grant?: GrantAccount;
+  readonly grant?: GrantRecord;
   /** All prompt work granted on the target so far. */
   readonly prefillGrantedMs: number;
 }
@@ -43,7 +43,7 @@
 
 type RateSamples = Partial<Record<RateName, RateSample>>;
 type WorkDone = PeerMessageOf<PeerMessageKind.WorkDone>;
-type RateName = keyof TargetPace["longTerm"];
+type RateName = keyof StragglerState["longTerm"];
 
 /**
  * Learns from work that ended.
@@ -60,7 +60,7 @@
 ): boolean {
   const otherPrefillMs = by.grant === undefined
     ? 0
-    : by.prefillGrantedMs - by.grant.prefillGrantedMs;
+    : by.prefillGrantedMs - by.grant.cumulativePrefillMs;
   const samples = by.kind === TargetKind.Service
     ? serviceSamples(done)
     : engineSamples(done, by.grant, otherPrefillMs);
@@ -83,14 +83,17 @@
  * @param settings Its settings.
  * @returns The pace.
  */
-export function paceOf(target: Target, settings: TargetSettings): TargetPace {
+export function paceOf(
+  target: Target,
+  settings: TargetSettings,
+): StragglerState {
   const { prefillMsPerToken, decodeMsPerToken, callMs } = priorRates(settings);
-  target.pace ??= {
+  target.stragglerState ??= {
     slotShare: 1,
     longTerm: { prefillMsPerToken, decodeMsPerToken, callMs },
     lastRecoveryAtMs: -Infinity,
   };
-  return target.pace;
+  return target.stragglerState;
 }
 
 function serviceSamples(done: WorkDone): RateSamples {
@@ -103,7 +106,7 @@
 /** Rates of an idle target: what the load then added is taken off. */
 function engineSamples(
   done: WorkDone,
-  grant: GrantAccount | undefined,
+  grant: GrantRecord | undefined,
   otherPrefillMs: number,
 ): RateSamples {
   const samples: RateSamples = {};
@@ -139,13 +142,14 @@
   if (done.outputTokens >= MIN_OUTPUT_TOKENS && done.decodeMs > 0) {
     const ownMs = done.decodeMs - lostDecodeMs(done, otherPrefillMs);
     const sample = done.decodeMs / ownMs;
-    rates.decodeStretch += RECENT_WEIGHT * (sample - rates.decodeStretch);
+    rates.prefillInterferenceRatio += RECENT_WEIGHT *
+      (sample - rates.prefillInterferenceRatio);
   }
 }
 
 function learnRate(
   { rates }: Target,
-  { longTerm }: TargetPace,
+  { longTerm }: StragglerState,
   { name, sample, weight }: RateSample & { name: RateName },
 ): void {
   // The first samples weigh more: settings only guess at a target's speed.
--- a/packages/core/src/member_table.ts
+++ b/packages/core/src/member_table.ts
@@ -5,7 +5,7 @@
 import type { Blackboard, Member } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
-import { timingOf } from "./timing.ts";
+import { timingInForce } from "./timing.ts";
 
 /** Most members kept, whatever rumours say. */
 const MAX_MEMBERS = 4096;
@@ -50,7 +50,7 @@
     heartbeat: 0,
     leaving: false,
     settingsVersion: 0,
-    lastAdvancedMs: -Infinity,
+    heartbeatAdvancedAtMs: -Infinity,
     listed: false,
     connected: false,
   };
@@ -122,10 +122,11 @@
  */
 export function forgetGoneMembers(turn: Turn): void {
   const { board, nowMs } = turn;
-  const forgetAfterMs = FORGET_AFTER_TIMEOUTS * timingOf(board).memberTimeoutMs;
+  const forgetAfterMs = FORGET_AFTER_TIMEOUTS *
+    timingInForce(board).memberTimeoutMs;
   for (const member of [...board.members.byId.values()]) {
     const isSelf = member.instanceId === board.self.instanceId;
-    const isSilent = nowMs - member.lastAdvancedMs > forgetAfterMs;
+    const isSilent = nowMs - member.heartbeatAdvancedAtMs > forgetAfterMs;
     if (!isSelf && !member.listed && !member.connected && isSilent) {
       forget(turn, member);
     }
--- a/packages/core/src/membership_controller.ts
+++ b/packages/core/src/membership_controller.ts
@@ -11,7 +11,7 @@
 import { isEligible } from "./coordinators.ts";
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
 import { EventKind, type EventOf } from "./events.ts";
-import { onEveryEvent } from "./every_event.ts";
+import { handlersForAllEvents } from "./all_event_handlers.ts";
 import {
   beat,
   hearMembers,
@@ -24,7 +24,7 @@
   mergeInstanceList,
 } from "./member_table.ts";
 import { notePause } from "./pause_watch.ts";
-import { timingOf, withJitter } from "./timing.ts";
+import { timingInForce, withJitter } from "./timing.ts";
 import { keepConnections } from "./wanted_peers.ts";
 
 /** An instance named by the start settings. */
@@ -45,7 +45,7 @@
   constructor(seedPeers: readonly SeedPeer[]) {
     this.#seedPeers = seedPeers;
     const own: Controller = { name: this.name, handlers: OWN_HANDLERS };
-    this.handlers = onEveryEvent((event, turn) => {
+    this.handlers = handlersForAllEvents((event, turn) => {
       this.#begin(turn);
       notePause(turn);
       runController(own, event, turn);
@@ -85,7 +85,7 @@
   refreshSelf(turn);
   refreshView(turn);
   pollList(turn);
-  const { heartbeatMs } = timingOf(turn.board);
+  const { heartbeatMs } = timingInForce(turn.board);
   if (turn.nowMs - turn.board.members.lastHeartbeatAtMs >= heartbeatMs) {
     forgetGoneMembers(turn);
     keepConnections(turn);
@@ -98,7 +98,7 @@
   if (turn.nowMs < (members.nextListPollAtMs ?? -Infinity)) {
     return;
   }
-  const { listPollMs } = timingOf(turn.board);
+  const { listPollMs } = timingInForce(turn.board);
   members.lastListPollAtMs = turn.nowMs;
   members.nextListPollAtMs = turn.nowMs + withJitter(listPollMs, turn.random);
   turn.emit({ kind: EffectKind.PollInstanceList });
--- a/packages/core/src/orphaned_work.ts
+++ b/packages/core/src/orphaned_work.ts
@@ -52,8 +52,8 @@
     0,
     grants.length - load.slotsUsed - load.waitingRequests,
   );
-  const before = shard.excessByTarget.get(load.targetId) ?? 0;
-  shard.excessByTarget.set(load.targetId, excess);
+  const before = shard.excessGrantsByTarget.get(load.targetId) ?? 0;
+  shard.excessGrantsByTarget.set(load.targetId, excess);
   grants
     .filter((grant) => (grant.orphanedAtMs ?? Infinity) <= asOfMs)
     .sort((a, b) => a.expectedEndMs - b.expectedEndMs)
--- a/packages/core/src/outcomes.ts
+++ b/packages/core/src/outcomes.ts
@@ -1,8 +1,8 @@
-/** How requests end, and what is kept of them afterwards. */
+/** Ends requests with an answer or a refusal, and releases what they used. */
 
 import { type ErrorKind, RunState } from "@chestnuthatch/wire/work";
 import { withdrawAsks } from "./ask_messages.ts";
-import { cancelAttempt, countWaste, reportWorkDone } from "./attempts.ts";
+import { cancelAttempt, countWastedTokens, sendWorkDone } from "./attempts.ts";
 import type { HeldRequest, WaitingCall } from "./blackboard.ts";
 import { keepAnswer, voidClaim } from "./claim_rows.ts";
 import type { Turn } from "./controller.ts";
@@ -10,24 +10,25 @@
 import { closeRequest } from "./held_requests.ts";
 import { learnOutputLength } from "./output_length.ts";
 import {
-  noteStep,
+  recordStep,
   type RefusalCause,
-  refuseOneCall,
+  refuseCallOfRequest,
   refuseRequest,
 } from "./refusals.ts";
 import { type Answer, RequestState } from "./request.ts";
 
-/** Share of the expected answer from which a stream is worth finishing. */
-const NEARLY_DONE_SHARE = 0.8;
+/** Least share of the expected answer received to finish without callers. */
+const MIN_SHARE_TO_FINISH = 0.8;
 
 /**
- * Ends a request with a refusal, and everything that was begun for it.
+ * Ends a request with a refusal: withdraws its asks, voids its claim if it did
+ * not run, and reports a dispatched attempt as failed.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
  * @param cause Why it is refused.
  */
-export function endRequest(
+export function endWithRefusal(
   turn: Turn,
   request: HeldRequest,
   cause: RefusalCause,
@@ -37,21 +38,21 @@
     voidClaim(turn, request);
   }
   if (request.attempt !== undefined) {
-    reportWorkDone(turn, request, true);
-    countWaste(turn, request);
+    sendWorkDone(turn, request, true);
+    countWastedTokens(turn, request);
   }
   refuseRequest(turn, request, cause);
   closeRequest(turn, request);
 }
 
 /**
- * Ends a request with its whole answer.
+ * Ends a request with its complete answer.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request A dispatched request.
- * @param text The whole answer.
+ * @param text The complete answer.
  */
-export function deliverAnswer(
+export function endWithAnswer(
   turn: Turn,
   request: HeldRequest,
   text: string,
@@ -65,13 +66,13 @@
     waitedMs: attempt.sentAtMs - request.arrivedAtMs,
     totalMs: turn.nowMs - request.arrivedAtMs,
   };
-  noteStep(turn, request, `Answered whole by ${attempt.targetId}`);
+  recordStep(turn, request, `Answered whole by ${attempt.targetId}`);
   if (request.calls.size === 0) {
-    countWaste(turn, request);
+    countWastedTokens(turn, request);
   }
   answerCalls(turn, request, answer);
   keepAnswer(turn, request, answer);
-  reportWorkDone(turn, request, false);
+  sendWorkDone(turn, request, false);
   learnOutputLength(
     turn.board.requests,
     { ...request.spec, maxOutputTokens: request.maxOutputTokens },
@@ -83,26 +84,26 @@
 /**
  * Ends a request with an answer that another holder kept for its key.
  *
- * @param turn The turn it happens in.
- * @param request A request that never was dispatched here.
+ * @param turn The turn of the current event.
+ * @param request A request that was not dispatched by this instance.
  * @param answer The kept answer.
  */
-export function deliverKeptAnswer(
+export function endWithKeptAnswer(
   turn: Turn,
   request: HeldRequest,
   answer: Answer,
 ): void {
-  noteStep(turn, request, `Answered from the answer kept for its key`);
+  recordStep(turn, request, `Answered from the answer kept for its key`);
   answerCalls(turn, request, answer);
   closeRequest(turn, request);
 }
 
 /**
- * Answers one call, in the words of that call.
+ * Answers one call under its own request id.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request that the call joined.
- * @param options The call, and the request's answer.
+ * @param options Id of the call, and the request's answer.
  */
 export function answerCall(
   turn: Turn,
@@ -120,72 +121,76 @@
 }
 
 /**
- * Takes a caller away whose time is over or who has gone; the request ends
- * when nobody waits for it and its work may be given up.
+ * Removes a caller whose deadline passed or who hung up. The request ends with
+ * its last caller, unless it runs and is worth finishing.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
- * @param options The caller, and why it goes.
+ * @param options The caller's call, and the error it is refused with.
  */
-export function dropCaller(
+export function removeCaller(
   turn: Turn,
   request: HeldRequest,
   options: { call: WaitingCall; error: ErrorKind; message: string },
 ): void {
-  // For the others that wait for it, the request may still run.
+  // The request may still run for its other callers.
   const isShared = request.calls.size > 1;
   const cause: RefusalCause = {
     error: options.error,
-    ran: isShared ? RunState.MayHaveRun : runStateOf(request),
+    ran: isShared ? RunState.MayHaveRun : knownRunState(request),
     message: options.message,
     retryAfterMs: request.policy.retryAfterMs,
   };
   if (isShared) {
-    refuseOneCall(turn, request, { call: options.call, cause });
+    refuseCallOfRequest(turn, request, { call: options.call, cause });
     return;
   }
   if (request.state !== RequestState.Dispatched) {
-    endRequest(turn, request, cause);
+    endWithRefusal(turn, request, cause);
     return;
   }
-  refuseOneCall(turn, request, { call: options.call, cause });
-  if (isWorthFinishing(request)) {
-    noteStep(turn, request, "Nobody waits; the answer is gathered for its key");
+  refuseCallOfRequest(turn, request, { call: options.call, cause });
+  if (shouldRunToCompletion(request)) {
+    recordStep(
+      turn,
+      request,
+      "Nobody waits; the answer is gathered for its key",
+    );
     return;
   }
   cancelAttempt(turn, request);
-  endRequest(turn, request, cause);
+  endWithRefusal(turn, request, cause);
 }
 
 /**
- * Tells truthfully whether a request ran. A request with a claim is its key:
- * until the claim is ours, an earlier call at another instance may have run.
+ * Returns what is certain about whether a request ran. Until its claim is
+ * confirmed, an earlier call with its key may have run at another instance.
  *
  * @param request The request.
- * @returns What its callers may rely on now.
+ * @returns `NotRun` only where it is certain that the request has not run.
  */
-export function runStateOf(request: HeldRequest): RunState {
+export function knownRunState(request: HeldRequest): RunState {
   const { attempt, claim, spec } = request;
-  const keyInDoubt = claim !== undefined && !claim.held &&
-    (!spec.firstAttempt || claim.foundElsewhere !== undefined);
-  const inDoubt = attempt !== undefined || keyInDoubt;
-  return inDoubt ? RunState.MayHaveRun : RunState.NotRun;
+  const keyMayHaveRun = claim !== undefined && !claim.held &&
+    (!spec.firstAttempt || claim.conflictingRow !== undefined);
+  const mayHaveRun = attempt !== undefined || keyMayHaveRun;
+  return mayHaveRun ? RunState.MayHaveRun : RunState.NotRun;
 }
 
-function isWorthFinishing(request: HeldRequest): boolean {
-  if (!request.streams || !request.idempotent) {
+function shouldRunToCompletion(request: HeldRequest): boolean {
+  if (!request.isEngineStream || !request.idempotent) {
     return true;
   }
   const attempt = request.attempt!;
-  const nearlyDone = attempt.tokensReceived >=
-    request.expectedOutputTokens * NEARLY_DONE_SHARE;
-  return request.spec.idempotencyKey !== undefined && nearlyDone;
+  const isNearlyDone = attempt.tokensReceived >=
+    request.expectedOutputTokens * MIN_SHARE_TO_FINISH;
+  return request.spec.idempotencyKey !== undefined && isNearlyDone;
 }
 
 function answerCalls(turn: Turn, request: HeldRequest, answer: Answer): void {
   for (const callId of request.calls.keys()) {
     answerCall(turn, request, { callId, answer });
-    turn.board.requests.joined.delete(callId);
+    turn.board.requests.requestIdByJoinedCall.delete(callId);
   }
   request.calls.clear();
   request.state = RequestState.Answered;
--- a/packages/core/src/overload_refusal.ts
+++ b/packages/core/src/overload_refusal.ts
@@ -3,7 +3,7 @@
 import { ErrorKind } from "@chestnuthatch/wire/work";
 import type { WaitingAsk } from "./blackboard.ts";
 import { refuseAsk } from "./grant_account.ts";
-import { spreadRetryHint } from "./retry_hint.ts";
+import { jitteredRetryAfterMs } from "./retry_hint.ts";
 import { lanesOfTier, type QueuedWork } from "./shard_queue.ts";
 import { holdGrantsBelow, raiseFloor } from "./shed_floor.ts";
 import type { ShardView } from "./shard_view.ts";
@@ -31,7 +31,10 @@
   const hintMs = Number.isFinite(backlogMs) ? backlogMs : 0;
   refuseAsk(view, ask, {
     error: ErrorKind.Overloaded,
-    retryAfterMs: spreadRetryHint(view.turn, Math.max(retryAfterMs, hintMs)),
+    retryAfterMs: jitteredRetryAfterMs(
+      view.turn,
+      Math.max(retryAfterMs, hintMs),
+    ),
     reason,
   });
 }
--- a/packages/core/src/pace_watch.ts
+++ b/packages/core/src/pace_watch.ts
@@ -1,7 +1,7 @@
 /** Watches how fast each target works, and adjusts its slots. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
-import type { GrantAccount, Shard, Target } from "./blackboard.ts";
+import type { GrantRecord, Shard, Target } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
 import { shardsOf } from "./settings_index.ts";
@@ -25,13 +25,13 @@
 function watchTarget(turn: Turn, shard: Shard, each: TargetSettings): void {
   const target = turn.board.targets.byId.get(each.id)!;
   const overdue = overdueRatio(usedGrantsOn(shard, each.id), turn.nowMs);
-  if (target.pace === undefined && overdue === 1) {
+  if (target.stragglerState === undefined && overdue === 1) {
     return;
   }
   const slowdown = Math.max(overdue, slowdownOf(target, kindOf(turn, each)));
   const seen = { slowdown, nowMs: turn.nowMs };
   if (adjustSlots(target, each, seen)) {
-    const percent = Math.round(target.pace!.slotShare * 100);
+    const percent = Math.round(target.stragglerState!.slotShare * 100);
     turn.log(
       LogLevel.Warn,
       LogPart.Targets,
@@ -42,7 +42,7 @@
   }
 }
 
-function usedGrantsOn(shard: Shard, targetId: string): GrantAccount[] {
+function usedGrantsOn(shard: Shard, targetId: string): GrantRecord[] {
   return [...shard.grants.values()].filter((grant) =>
     grant.used && grant.work.targetId === targetId
   );
--- a/packages/core/src/pause_watch.ts
+++ b/packages/core/src/pause_watch.ts
@@ -2,7 +2,7 @@
 
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
-import { timingOf } from "./timing.ts";
+import { timingInForce } from "./timing.ts";
 
 /** Share of the member timeout that a gap between events must pass. */
 const PAUSE_SHARE = 0.5;
@@ -17,17 +17,17 @@
  */
 export function notePause(turn: Turn): void {
   const { members } = turn.board;
-  const { memberTimeoutMs } = timingOf(turn.board);
+  const { memberTimeoutMs } = timingInForce(turn.board);
   const gapMs = turn.nowMs - (members.lastEventAtMs ?? turn.nowMs);
   members.lastEventAtMs = turn.nowMs;
   if (gapMs <= memberTimeoutMs * PAUSE_SHARE) {
     return;
   }
   for (const member of members.byId.values()) {
-    member.lastAdvancedMs += gapMs;
+    member.heartbeatAdvancedAtMs += gapMs;
   }
   if (gapMs >= memberTimeoutMs) {
-    members.wokenAtMs = turn.nowMs;
+    members.resumedAtMs = turn.nowMs;
   }
   turn.log(
     LogLevel.Warn,
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -8,7 +8,7 @@
  * its slack, room is kept for it on one target.
  */
 
-import type { Lane, WaitingAsk } from "./blackboard.ts";
+import type { WaitingAsk, WorkspaceQueue } from "./blackboard.ts";
 import { startTag } from "./fair_share.ts";
 import { openGrant } from "./grant_account.ts";
 import { keepReservedRooms, keepRoomWhenAged } from "./kept_room.ts";
@@ -21,7 +21,7 @@
 const MAX_TRIED_PER_LANE = 256;
 
 interface LaneCursor {
-  readonly lane: Lane;
+  readonly lane: WorkspaceQueue;
   readonly asks: readonly WaitingAsk[];
   next: number;
   tried: number;
@@ -78,7 +78,7 @@
     }
   }
 
-  #placeReserved(lane: Lane): void {
+  #placeReserved(lane: WorkspaceQueue): void {
     for (const ask of [...lane.asks.values()]) {
       if (ask.reservation !== undefined) {
         this.#tryPlace(ask);
--- a/packages/core/src/preemption.ts
+++ b/packages/core/src/preemption.ts
@@ -1,6 +1,6 @@
 /** Plans room for asks that cannot wait any longer. */
 
-import type { GrantAccount, WaitingAsk } from "./blackboard.ts";
+import type { GrantRecord, WaitingAsk } from "./blackboard.ts";
 import { type Need, shortage, type TargetRoom } from "./capacity.ts";
 import { prefillQueueOf } from "./prefill_queue.ts";
 import type { ShardView } from "./shard_view.ts";
@@ -9,7 +9,7 @@
 /** Running work to cancel so that an ask fits on one target. */
 export interface PreemptionPlan {
   readonly room: TargetRoom;
-  readonly victims: readonly GrantAccount[];
+  readonly victims: readonly GrantRecord[];
 }
 
 /** Room of a shard as it will be, shared out among urgent asks. */
@@ -63,7 +63,7 @@
     return best;
   }
 
-  #victimsOn(room: TargetRoom, ask: WaitingAsk): GrantAccount[] | undefined {
+  #victimsOn(room: TargetRoom, ask: WaitingAsk): GrantRecord[] | undefined {
     const candidates = room.grants
       .filter((grant) => isPreemptible(this.#view, grant, ask.detail.tierRank))
       .sort((a, b) =>
@@ -71,7 +71,7 @@
         progressOf(a, this.#view.nowMs) - progressOf(b, this.#view.nowMs)
       );
     const going = this.#endingBy(room, -Infinity);
-    const victims: GrantAccount[] = [];
+    const victims: GrantRecord[] = [];
     for (const grant of candidates) {
       victims.push(grant);
       const ending = [...going, ...victims];
@@ -87,7 +87,7 @@
   }
 
   /** Grants on a target that are being cancelled, or end by a time. */
-  #endingBy(room: TargetRoom, byMs: number): GrantAccount[] {
+  #endingBy(room: TargetRoom, byMs: number): GrantRecord[] {
     return room.grants.filter((grant) =>
       grant.preempted || grant.expectedEndMs <= byMs
     );
@@ -96,14 +96,14 @@
   #fitsWithout(
     room: TargetRoom,
     ask: WaitingAsk,
-    ending: readonly GrantAccount[],
+    ending: readonly GrantRecord[],
   ): boolean {
     const used = this.#usedWithout(room, ending);
     return shortage(room, this.#view.needOf(ask), used) === undefined &&
       this.#endsInTime(room, ask, { ending, used });
   }
 
-  #usedWithout(room: TargetRoom, ending: readonly GrantAccount[]): Usage {
+  #usedWithout(room: TargetRoom, ending: readonly GrantRecord[]): Usage {
     const promised = this.#promised.get(room.targetId);
     return {
       slots: room.used.slots - ending.length + (promised?.slots ?? 0),
@@ -115,7 +115,7 @@
   #endsInTime(
     room: TargetRoom,
     ask: WaitingAsk,
-    then: { ending: readonly GrantAccount[]; used: Usage },
+    then: { ending: readonly GrantRecord[]; used: Usage },
   ): boolean {
     const { nowMs } = this.#view;
     const staying = room.grants.filter((grant) => !then.ending.includes(grant));
@@ -161,7 +161,7 @@
  */
 export function isPreemptible(
   view: ShardView,
-  grant: GrantAccount,
+  grant: GrantRecord,
   tierRank: number,
 ): boolean {
   return grant.work.tierRank > tierRank && grant.work.cancellable &&
@@ -178,7 +178,7 @@
   return Math.min(...plan.victims.map((grant) => grant.work.tierRank));
 }
 
-function progressOf(grant: GrantAccount, nowMs: number): number {
+function progressOf(grant: GrantRecord, nowMs: number): number {
   const expectedMs = Math.max(1, grant.expectedEndMs - grant.grantedAtMs);
   return (nowMs - grant.grantedAtMs) / expectedMs;
 }
--- a/packages/core/src/prefill_queue.ts
+++ b/packages/core/src/prefill_queue.ts
@@ -1,6 +1,6 @@
 /** Prompt work that a target has still to do for the grants it was given. */
 
-import type { GrantAccount } from "./blackboard.ts";
+import type { GrantRecord } from "./blackboard.ts";
 
 /** Prompt work that waits on a target. */
 export interface PrefillQueue {
@@ -19,11 +19,11 @@
  * @returns Durations in milliseconds.
  */
 export function prefillQueueOf(
-  grants: readonly GrantAccount[],
+  grants: readonly GrantRecord[],
   since: { nowMs: number; lastReadAtMs: number },
 ): PrefillQueue {
   let workMs = 0;
-  let first: GrantAccount | undefined;
+  let first: GrantRecord | undefined;
   for (const grant of grants) {
     if (!grant.promptRead) {
       workMs += grant.prefillMs;
--- a/packages/core/src/refusals.ts
+++ b/packages/core/src/refusals.ts
@@ -1,4 +1,4 @@
-/** Builds truthful refusals and ends requests. */
+/** Builds refusals, sends them to callers and records a request's steps. */
 
 import { type ErrorKind, RunState } from "@chestnuthatch/wire/work";
 import type { HeldRequest, WaitingCall } from "./blackboard.ts";
@@ -7,20 +7,24 @@
 import { CounterName, EffectKind } from "./effects.ts";
 import { type Refusal, RequestState } from "./request.ts";
 
-/** What a refusal says, before it is put in a caller's words. */
+/** The reason of a refusal, before it is addressed to a call. */
 export interface RefusalCause {
   readonly error: ErrorKind;
+  /** Whether the request may have run. */
   readonly ran: RunState;
+  /** The error in words, for the caller. */
   readonly message: string;
+  /** Name of the field that is at fault. */
   readonly path?: string;
+  /** Time to wait before the call is sent again. */
   readonly retryAfterMs?: number;
 }
 
 /**
- * Refuses a call that never became a request here.
+ * Refuses a call that did not become a request of this instance.
  *
- * @param turn The turn it happens in.
- * @param callId The call.
+ * @param turn The turn of the current event.
+ * @param callId Id of the call.
  * @param cause Why it is refused.
  */
 export function refuseCall(
@@ -28,35 +32,35 @@
   callId: string,
   cause: RefusalCause,
 ): void {
-  emitRefusal(turn, callId, { cause, repeatable: true, callLog: [] });
+  emitRefusal(turn, callId, { cause, isRepeatable: true, callLog: [] });
 }
 
 /**
- * Refuses one of a request's callers; the request itself goes on.
+ * Refuses one of a request's calls; the request itself continues.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
  * @param options The call and why it is refused.
  */
-export function refuseOneCall(
+export function refuseCallOfRequest(
   turn: Turn,
   request: HeldRequest,
   options: { call: WaitingCall; cause: RefusalCause },
 ): void {
   request.calls.delete(options.call.callId);
-  turn.board.requests.joined.delete(options.call.callId);
+  turn.board.requests.requestIdByJoinedCall.delete(options.call.callId);
   emitRefusal(turn, options.call.callId, {
     cause: options.cause,
-    repeatable: isRepeatable(request),
+    isRepeatable: isRepeatable(request),
     tier: request.spec.tier,
     callLog: request.callLog,
   });
 }
 
 /**
- * Ends a request with a refusal for every caller that still waits.
+ * Sets a request's outcome to a refusal, and refuses every call that waits.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
  * @param cause Why it is refused.
  */
@@ -65,15 +69,15 @@
   request: HeldRequest,
   cause: RefusalCause,
 ): void {
-  noteStep(turn, request, `Refused: ${cause.error}, ${cause.message}`);
+  recordStep(turn, request, `Refused: ${cause.error}, ${cause.message}`);
   for (const call of [...request.calls.values()]) {
-    refuseOneCall(turn, request, { call, cause });
+    refuseCallOfRequest(turn, request, { call, cause });
   }
   request.state = RequestState.Refused;
   request.outcome = {
-    refusal: makeRefusal(request.spec.requestId, {
+    refusal: buildRefusal(request.spec.requestId, {
       cause,
-      repeatable: isRepeatable(request),
+      isRepeatable: isRepeatable(request),
       callLog: request.callLog,
     }),
   };
@@ -81,53 +85,61 @@
 }
 
 /**
- * Adds a step to a request's call log and its story.
+ * Records a step of a request in its call log and its decisions.
  *
- * @param turn The turn it happens in.
+ * @param turn The turn of the current event.
  * @param request The request.
- * @param text What happened.
+ * @param text The step, in words.
  */
-export function noteStep(turn: Turn, request: HeldRequest, text: string): void {
+export function recordStep(
+  turn: Turn,
+  request: HeldRequest,
+  text: string,
+): void {
   const afterMs = Math.round(turn.nowMs - request.arrivedAtMs);
   request.callLog.push(`${afterMs} ms: ${text}`);
-  turn.decide(request.spec.requestId, "holder", text);
+  turn.recordDecision(request.spec.requestId, "holder", text);
 }
 
 interface RefusalContext {
   readonly cause: RefusalCause;
-  /** Whether the same call may be sent again without running twice. */
-  readonly repeatable: boolean;
-  /** Name of the tier, where the request was held. */
+  /** Whether the call can be sent again without running twice. */
+  readonly isRepeatable: boolean;
+  /** Name of the tier; absent where the call became no request. */
   readonly tier?: string;
   readonly callLog: readonly string[];
 }
 
-/** A key makes any request repeatable: a second call cannot run it again. */
+/** With an idempotency key, a second call cannot run the request again. */
 function isRepeatable(request: HeldRequest): boolean {
   return request.idempotent || request.spec.idempotencyKey !== undefined;
 }
 
-function emitRefusal(turn: Turn, callId: string, of: RefusalContext): void {
-  const refusal = makeRefusal(callId, of);
+function emitRefusal(
+  turn: Turn,
+  callId: string,
+  context: RefusalContext,
+): void {
+  const refusal = buildRefusal(callId, context);
   turn.count(CounterName.Refusals, {
     error: refusal.error,
     ran: refusal.ran,
-    tier: of.tier ?? "",
+    tier: context.tier ?? "",
   });
   turn.emit({ kind: EffectKind.RefuseCaller, requestId: callId, refusal });
 }
 
-function makeRefusal(requestId: string, of: RefusalContext): Refusal {
-  const { cause } = of;
-  const safeToRepeat = cause.ran === RunState.NotRun || of.repeatable;
+function buildRefusal(requestId: string, context: RefusalContext): Refusal {
+  const { cause } = context;
+  const isSafeToRepeat = cause.ran === RunState.NotRun || context.isRepeatable;
   return {
     requestId,
     error: cause.error,
     ran: cause.ran,
     message: cause.message,
     path: cause.path,
-    mayRetry: safeToRepeat && ERROR_TABLE[cause.error].mayRetry,
+    mayRetry: isSafeToRepeat && ERROR_TABLE[cause.error].mayRetry,
     retryAfterMs: cause.retryAfterMs,
-    callLog: [...of.callLog],
+    callLog: [...context.callLog],
   };
 }
--- a/packages/core/src/request.ts
+++ b/packages/core/src/request.ts
@@ -1,20 +1,26 @@
-/** A request as its holder keeps it, and how it may end. */
+/** Types of a request, its states and its outcomes. */
 
 import type { ErrorKind, RunState } from "@chestnuthatch/wire/work";
 
-/** The life of a request on its holder. */
+/** State of a request on its holder, the instance that accepted it. */
 export enum RequestState {
-  /** Waiting for a claim row, or for another's answer to the same key. */
+  /** Waits for its claim row, or for another holder's answer to its key. */
   Claiming = "claiming",
-  /** Asks are out at coordinators. */
+  /** Has asks at coordinators and waits for a grant. */
   Waiting = "waiting",
-  /** Handed to a target; a request enters this state once, ever. */
+  /**
+   * Sent to a target. It returns to `Waiting` only where the connection was
+   * refused and no byte was sent.
+   */
   Dispatched = "dispatched",
   Answered = "answered",
   Refused = "refused",
 }
 
-/** What a caller asked for, checked at the edge, body left at the edge. */
+/**
+ * A caller's request, validated by the I/O layer, which keeps the body; the
+ * scheduler gets only what it decides by.
+ */
 export interface RequestSpec {
   readonly requestId: string;
   readonly workspace: string;
@@ -25,38 +31,46 @@
   readonly deadlineMs?: number;
   readonly idempotent?: boolean;
   readonly idempotencyKey?: string;
-  /** The caller's word that no earlier call had this key. */
+  /** Whether the caller asserts that no earlier call had this key. */
   readonly firstAttempt?: boolean;
   readonly stream: boolean;
-  /** Hash of everything that makes the request what it is. */
+  /** Hash of the fields that determine the answer, to compare reused keys. */
   readonly contentHash: string;
-  /** Fingerprints of the prompt's leading blocks. */
+  /** Hashes of the prompt's leading blocks, for prefix caching. */
   readonly blockHashes: readonly string[];
 }
 
-/** A whole answer. */
+/** A complete answer to a request. */
 export interface Answer {
   readonly requestId: string;
   readonly text: string;
   readonly outputTokens: number;
+  /** The target that gave it. */
   readonly targetId: string;
+  /** Time from the request's arrival to its dispatch. */
   readonly waitedMs: number;
+  /** Time from the request's arrival to the complete answer. */
   readonly totalMs: number;
 }
 
-/** A truthful refusal. */
+/** The error that a caller gets instead of an answer. */
 export interface Refusal {
   readonly requestId: string;
   readonly error: ErrorKind;
+  /** Whether the request may have run; `NotRun` only where that is certain. */
   readonly ran: RunState;
   readonly message: string;
+  /** Name of the field that is at fault. */
   readonly path?: string;
+  /** Whether sending the call again is safe and can succeed. */
   readonly mayRetry: boolean;
+  /** Time to wait before the call is sent again. */
   readonly retryAfterMs?: number;
+  /** Steps of the request's processing, in words. */
   readonly callLog: readonly string[];
 }
 
-/** The one final outcome of a request. */
+/** The final outcome of a request, of which it has one. */
 export type Outcome =
   | { readonly answer: Answer; readonly refusal?: undefined }
   | { readonly refusal: Refusal; readonly answer?: undefined };
--- a/packages/core/src/request_controller.ts
+++ b/packages/core/src/request_controller.ts
@@ -1,4 +1,7 @@
-/** The holder: every request's life, from its arrival to its one outcome. */
+/**
+ * The holder's side of scheduling: processes each accepted request from its
+ * arrival to its one outcome.
+ */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { ErrorKind, RunState, TargetKind } from "@chestnuthatch/wire/work";
@@ -11,51 +14,63 @@
   scopeKey,
 } from "./admission.ts";
 import {
+  checkAsks,
   onAskQueued,
   onAskRefused,
   onAsksUnknown,
   startAsking,
-  tendAsks,
 } from "./ask_flow.ts";
 import type { HeldRequest, WaitingCall } from "./blackboard.ts";
 import {
+  checkClaim,
   onClaimAnswered,
   onKeptAnswerRead,
   startClaim,
-  tendClaim,
 } from "./claim_flow.ts";
 import type { Controller, EventHandlers, Turn } from "./controller.ts";
 import { onDispatchNotSent, onGrant, onPreempt } from "./dispatch_flow.ts";
 import { CounterName, EffectKind } from "./effects.ts";
 import { EventKind, type EventOf } from "./events.ts";
 import { beat, reportToCoordinators } from "./holder_report.ts";
-import { keyName } from "./claim_rows.ts";
-import { forgetOldRequests, isFinished } from "./held_requests.ts";
-import { answerCall, dropCaller, endRequest, runStateOf } from "./outcomes.ts";
+import { scopedKey } from "./claim_rows.ts";
+import { evictFinishedRequests, isFinished } from "./held_requests.ts";
+import {
+  answerCall,
+  endWithRefusal,
+  knownRunState,
+  removeCaller,
+} from "./outcomes.ts";
 import { expectedOutputLength } from "./output_length.ts";
-import { noteStep, refuseCall } from "./refusals.ts";
+import { recordStep, refuseCall } from "./refusals.ts";
 import { type RequestSpec, RequestState } from "./request.ts";
 import {
   onServiceAnswered,
   onStreamClosed,
   onStreamEvent,
-  tendStream,
+  resumeStreamWhenDue,
 } from "./stream_flow.ts";
 
-const TEND_BY_STATE: Partial<
+/** Handlers of periodic work; finished requests need none. */
+const TICK_HANDLER_BY_STATE: Partial<
   Record<RequestState, (turn: Turn, request: HeldRequest) => void>
 > = {
-  [RequestState.Claiming]: tendClaim,
-  [RequestState.Waiting]: tendAsks,
-  [RequestState.Dispatched]: tendStream,
+  [RequestState.Claiming]: checkClaim,
+  [RequestState.Waiting]: checkAsks,
+  [RequestState.Dispatched]: resumeStreamWhenDue,
 };
 
-/** Holds requests: admits, claims, asks, dispatches, gathers and answers. */
+/**
+ * Processes the requests that this instance holds: admits them, claims their
+ * idempotency keys, asks coordinators for grants, dispatches them to targets,
+ * receives the answers and answers the callers.
+ */
 export class RequestController implements Controller {
   readonly name = "request";
   readonly handlers: EventHandlers = {
-    [EventKind.RequestArrived]: (event, turn) => arrive(event.spec, turn),
-    [EventKind.CallerHungUp]: (event, turn) => hangUp(event.requestId, turn),
+    [EventKind.RequestArrived]: (event, turn) =>
+      onRequestArrived(event.spec, turn),
+    [EventKind.CallerHungUp]: (event, turn) =>
+      onCallerHungUp(event.requestId, turn),
     [EventKind.ClaimAnswered]: onClaimAnswered,
     [EventKind.KeptAnswerRead]: onKeptAnswerRead,
     [EventKind.DispatchNotSent]: onDispatchNotSent,
@@ -63,8 +78,9 @@
     [EventKind.StreamClosed]: onStreamClosed,
     [EventKind.ServiceAnswered]: onServiceAnswered,
     [EventKind.PeerMessageReceived]: onPeerMessage,
-    [EventKind.Tick]: (_event, turn) => tick(turn),
-    [EventKind.ShutdownForced]: (_event, turn) => refuseWhatIsLeft(turn),
+    [EventKind.Tick]: (_event, turn) => onTick(turn),
+    [EventKind.ShutdownForced]: (_event, turn) =>
+      refuseUnfinishedRequests(turn),
   };
 }
 
@@ -87,7 +103,7 @@
   }
 }
 
-function arrive(spec: RequestSpec, turn: Turn): void {
+function onRequestArrived(spec: RequestSpec, turn: Turn): void {
   const admitted = checkRequest(turn, spec);
   const { tier, workspace } = spec;
   turn.count(
@@ -99,32 +115,36 @@
     return;
   }
 
-  const known = requestOfKey(turn, spec);
-  if (known !== undefined) {
-    join(turn, known, { spec, deadlineMs: admitted.deadlineMs });
+  const existing = findRequestByKey(turn, spec);
+  if (existing !== undefined) {
+    joinRequest(turn, existing, { spec, deadlineMs: admitted.deadlineMs });
     return;
   }
   const scope = { key: scopeKey(spec), policy: admitted.policy };
-  const limited = checkLimits(turn, scope);
-  if (limited !== undefined) {
+  const limitRefusal = checkLimits(turn, scope);
+  if (limitRefusal !== undefined) {
     const ran = runStateUnclaimed(spec, admitted.idempotent);
-    refuseCall(turn, spec.requestId, { ...limited, ran });
+    refuseCall(turn, spec.requestId, { ...limitRefusal, ran });
     return;
   }
-  begin(turn, hold(turn, spec, admitted));
+  startRequest(turn, createHeldRequest(turn, spec, admitted));
 }
 
-function hold(turn: Turn, spec: RequestSpec, admitted: Admitted): HeldRequest {
+function createHeldRequest(
+  turn: Turn,
+  spec: RequestSpec,
+  admitted: Admitted,
+): HeldRequest {
   const { self, requests } = turn.board;
   const { policy, pool, idempotent, maxOutputTokens } = admitted;
-  const streams = pool.kind === TargetKind.Engine;
+  const isEngineStream = pool.kind === TargetKind.Engine;
   requests.nonceCounter += 1;
   const request: HeldRequest = {
     spec,
     policy,
     idempotent,
-    streams,
-    cancellable: streams && idempotent && policy.preemptible,
+    isEngineStream,
+    cancellable: isEngineStream && idempotent && policy.preemptible,
     maxOutputTokens,
     expectedOutputTokens: expectedOutputLength(
       requests,
@@ -135,22 +155,23 @@
     deadlineAtMs: turn.nowMs + admitted.deadlineMs,
     state: RequestState.Waiting,
     calls: new Map(),
-    nonce: `${self.instanceId}.${self.incarnation}.${requests.nonceCounter}`,
+    claimNonce:
+      `${self.instanceId}.${self.incarnation}.${requests.nonceCounter}`,
     asks: new Map(),
     askNumber: 0,
     excludedTargetIds: [],
     askViewNumber: 0,
     waitingSinceMs: turn.nowMs,
-    attempts: 0,
+    attemptCount: 0,
     finishedAtMs: 0,
     callLog: [],
   };
   addCall(request, { spec, deadlineMs: admitted.deadlineMs }, turn);
-  remember(turn, request);
+  indexRequest(turn, request);
   return request;
 }
 
-function remember(turn: Turn, request: HeldRequest): void {
+function indexRequest(turn: Turn, request: HeldRequest): void {
   const { requests } = turn.board;
   const { spec } = request;
   const key = scopeKey(spec);
@@ -158,16 +179,16 @@
   requests.unfinished.set(spec.requestId, request);
   requests.openByScope.set(key, (requests.openByScope.get(key) ?? 0) + 1);
   if (spec.idempotencyKey !== undefined) {
-    requests.byKey.set(
-      keyName(spec.workspace, spec.idempotencyKey),
+    requests.requestIdByKey.set(
+      scopedKey(spec.workspace, spec.idempotencyKey),
       spec.requestId,
     );
   }
 }
 
-function begin(turn: Turn, request: HeldRequest): void {
+function startRequest(turn: Turn, request: HeldRequest): void {
   const { spec } = request;
-  noteStep(turn, request, `Received for ${spec.pool} as ${spec.tier}`);
+  recordStep(turn, request, `Received for ${spec.pool} as ${spec.tier}`);
   if (!request.idempotent && spec.idempotencyKey !== undefined) {
     request.state = RequestState.Claiming;
     startClaim(turn, request);
@@ -176,22 +197,27 @@
   startAsking(turn, request);
 }
 
-function requestOfKey(turn: Turn, spec: RequestSpec): HeldRequest | undefined {
-  const { byId, byKey } = turn.board.requests;
+function findRequestByKey(
+  turn: Turn,
+  spec: RequestSpec,
+): HeldRequest | undefined {
+  const { byId, requestIdByKey } = turn.board.requests;
   if (spec.idempotencyKey === undefined) {
     return undefined;
   }
-  const known = byKey.get(keyName(spec.workspace, spec.idempotencyKey));
-  return known === undefined ? undefined : byId.get(known);
+  const requestId = requestIdByKey.get(
+    scopedKey(spec.workspace, spec.idempotencyKey),
+  );
+  return requestId === undefined ? undefined : byId.get(requestId);
 }
 
-function join(
+function joinRequest(
   turn: Turn,
   request: HeldRequest,
-  by: { spec: RequestSpec; deadlineMs: number },
+  joining: { spec: RequestSpec; deadlineMs: number },
 ): void {
-  const callId = by.spec.requestId;
-  if (by.spec.contentHash !== request.spec.contentHash) {
+  const callId = joining.spec.requestId;
+  if (joining.spec.contentHash !== request.spec.contentHash) {
     refuseCall(turn, callId, {
       error: ErrorKind.KeyReusedDifferently,
       ran: RunState.NotRun,
@@ -201,11 +227,18 @@
     });
     return;
   }
-  turn.decide(callId, "holder", `Joined ${request.spec.requestId} by its key`);
+  turn.recordDecision(
+    callId,
+    "holder",
+    `Joined ${request.spec.requestId} by its key`,
+  );
   if (!isFinished(request)) {
-    addCall(request, by, turn);
-    turn.board.requests.joined.set(callId, request.spec.requestId);
-    sendWhatCameSoFar(turn, request, callId);
+    addCall(request, joining, turn);
+    turn.board.requests.requestIdByJoinedCall.set(
+      callId,
+      request.spec.requestId,
+    );
+    replayStreamedText(turn, request, callId);
     return;
   }
   const { answer, refusal } = request.outcome!;
@@ -216,12 +249,12 @@
   refuseCall(turn, callId, refusal!);
 }
 
-function sendWhatCameSoFar(
+function replayStreamedText(
   turn: Turn,
   request: HeldRequest,
   callId: string,
 ): void {
-  const text = request.attempt?.pieces.join("") ?? "";
+  const text = request.attempt?.textChunks.join("") ?? "";
   if (request.calls.get(callId)?.stream && text !== "") {
     turn.emit({ kind: EffectKind.StreamToCaller, requestId: callId, text });
   }
@@ -229,70 +262,70 @@
 
 function addCall(
   request: HeldRequest,
-  by: { spec: RequestSpec; deadlineMs: number },
+  caller: { spec: RequestSpec; deadlineMs: number },
   turn: Turn,
 ): void {
-  request.calls.set(by.spec.requestId, {
-    callId: by.spec.requestId,
+  request.calls.set(caller.spec.requestId, {
+    callId: caller.spec.requestId,
     arrivedAtMs: turn.nowMs,
-    deadlineAtMs: turn.nowMs + by.deadlineMs,
-    stream: by.spec.stream,
+    deadlineAtMs: turn.nowMs + caller.deadlineMs,
+    stream: caller.spec.stream,
   });
 }
 
-function hangUp(callId: string, turn: Turn): void {
-  const { byId, joined } = turn.board.requests;
-  const request = byId.get(joined.get(callId) ?? callId);
+function onCallerHungUp(callId: string, turn: Turn): void {
+  const { byId, requestIdByJoinedCall } = turn.board.requests;
+  const request = byId.get(requestIdByJoinedCall.get(callId) ?? callId);
   const call = request?.calls.get(callId);
   if (request === undefined || call === undefined) {
     return;
   }
-  dropCaller(turn, request, {
+  removeCaller(turn, request, {
     call,
     error: ErrorKind.CallerGone,
     message: "The caller hung up.",
   });
 }
 
-function tick(turn: Turn): void {
+function onTick(turn: Turn): void {
   if (turn.board.settings.inForce === undefined) {
     return;
   }
   beat(turn);
   for (const request of [...turn.board.requests.unfinished.values()]) {
-    dropLateCallers(turn, request);
-    TEND_BY_STATE[request.state]?.(turn, request);
+    removeExpiredCallers(turn, request);
+    TICK_HANDLER_BY_STATE[request.state]?.(turn, request);
   }
   reportToCoordinators(turn);
-  forgetOldRequests(turn);
+  evictFinishedRequests(turn);
 }
 
-function dropLateCallers(turn: Turn, request: HeldRequest): void {
+function removeExpiredCallers(turn: Turn, request: HeldRequest): void {
   for (const call of [...request.calls.values()]) {
     if (call.deadlineAtMs <= turn.nowMs) {
-      dropLateCaller(turn, request, call);
+      removeExpiredCaller(turn, request, call);
     }
   }
 }
 
-function dropLateCaller(
+function removeExpiredCaller(
   turn: Turn,
   request: HeldRequest,
   call: WaitingCall,
 ): void {
   const waitedMs = Math.round(turn.nowMs - call.arrivedAtMs);
-  dropCaller(turn, request, {
+  removeCaller(turn, request, {
     call,
     error: ErrorKind.DeadlineExceeded,
     message: `No whole answer within ${waitedMs} ms, while ${request.state}.`,
   });
 }
 
-function refuseWhatIsLeft(turn: Turn): void {
+function refuseUnfinishedRequests(turn: Turn): void {
   for (const request of [...turn.board.requests.unfinished.values()]) {
-    endRequest(turn, request, {
+    endWithRefusal(turn, request, {
       error: ErrorKind.ShuttingDown,
-      ran: runStateOf(request),
+      ran: knownRunState(request),
       message: "This instance had to stop before the answer was whole.",
       retryAfterMs: request.policy.retryAfterMs,
     });
--- a/packages/core/src/why.ts
+++ b/packages/core/src/request_explanation.ts
@@ -1,11 +1,11 @@
-/** Tells a request's story from what its holder remembers. */
+/** Explains the processing of a request, from what its holder has kept. */
 
 import type { Blackboard, HeldRequest } from "./blackboard.ts";
 import type { DecisionEntry } from "./decision_log.ts";
 import type { Outcome, Refusal, RequestState } from "./request.ts";
 
-/** The attempt of a request, for people. */
-export interface AttemptStory {
+/** The latest attempt of a request, as part of its explanation. */
+export interface AttemptExplanation {
   readonly attemptNonce: string;
   readonly targetId: string;
   readonly coordinatorId: string;
@@ -16,8 +16,8 @@
   readonly tokensReceived: number;
 }
 
-/** How a request ended; an answer's text is left out. */
-export interface OutcomeStory {
+/** The outcome of a request, without the text of an answer. */
+export interface OutcomeExplanation {
   readonly answered: boolean;
   readonly targetId?: string;
   readonly outputTokens?: number;
@@ -26,12 +26,15 @@
   readonly refusal?: Refusal;
 }
 
-/** All that is known of one request. Times are on this instance's clock. */
-export interface RequestStory {
+/**
+ * Explanation of one request, which `why` prints. Times are milliseconds on the
+ * clock of the instance that gives it.
+ */
+export interface RequestExplanation {
   readonly requestId: string;
-  /** False when neither the request nor any decision is remembered here. */
+  /** False when this instance has neither the request nor any decision. */
   readonly known: boolean;
-  /** The request that this call joined, where it did. */
+  /** Id of the request that this call joined; absent where it joined none. */
   readonly joinedRequestId?: string;
   readonly state?: RequestState;
   readonly workspace?: string;
@@ -41,45 +44,48 @@
   readonly finishedAtMs?: number;
   readonly decisions: readonly DecisionEntry[];
   readonly callLog: readonly string[];
-  readonly attempt?: AttemptStory;
-  readonly outcome?: OutcomeStory;
+  readonly attempt?: AttemptExplanation;
+  readonly outcome?: OutcomeExplanation;
 }
 
 /**
- * Tells a request's story.
+ * Explains a request: its state, decisions, latest attempt and outcome.
  *
  * @param board The instance's state.
- * @param requestId The request, or a call that joined one.
- * @returns The story, ready for JSON.
+ * @param requestId Id of the request, or of a call that joined one.
+ * @returns The explanation, which can be written as JSON.
  */
-export function whyOf(board: Blackboard, requestId: string): RequestStory {
-  const joinedRequestId = board.requests.joined.get(requestId);
+export function explainRequest(
+  board: Blackboard,
+  requestId: string,
+): RequestExplanation {
+  const joinedRequestId = board.requests.requestIdByJoinedCall.get(requestId);
   const held = board.requests.byId.get(joinedRequestId ?? requestId);
-  const decisions = storyOf(board, requestId, joinedRequestId);
+  const decisions = collectDecisions(board, requestId, joinedRequestId);
   return {
     requestId,
     known: held !== undefined || decisions.length > 0,
     ...(joinedRequestId === undefined ? {} : { joinedRequestId }),
     decisions,
     callLog: [...(held?.callLog ?? [])],
-    ...(held === undefined ? {} : describeHeld(held)),
+    ...(held === undefined ? {} : describeRequest(held)),
   };
 }
 
-function storyOf(
+function collectDecisions(
   board: Blackboard,
   requestId: string,
   joinedRequestId?: string,
 ): DecisionEntry[] {
-  const own = board.decisions.story(requestId);
+  const own = board.decisions.entries(requestId);
   if (joinedRequestId === undefined || joinedRequestId === requestId) {
     return [...own];
   }
-  return [...own, ...board.decisions.story(joinedRequestId)]
+  return [...own, ...board.decisions.entries(joinedRequestId)]
     .sort((a, b) => a.atMs - b.atMs);
 }
 
-function describeHeld(held: HeldRequest): Partial<RequestStory> {
+function describeRequest(held: HeldRequest): Partial<RequestExplanation> {
   const { attempt, outcome, spec } = held;
   return {
     state: held.state,
@@ -95,7 +101,7 @@
 
 function describeAttempt(
   attempt: NonNullable<HeldRequest["attempt"]>,
-): AttemptStory {
+): AttemptExplanation {
   const { attemptNonce, targetId, coordinatorId, grantId } = attempt;
   const { sentAtMs, cachedTokens, resumes, tokensReceived } = attempt;
   return {
@@ -110,7 +116,7 @@
   };
 }
 
-function describeOutcome(outcome: Outcome): OutcomeStory {
+function describeOutcome(outcome: Outcome): OutcomeExplanation {
   if (outcome.refusal !== undefined) {
     return { answered: false, refusal: outcome.refusal };
   }
--- a/packages/core/src/retry_hint.ts
+++ b/packages/core/src/retry_hint.ts
@@ -1,14 +1,14 @@
-/** Retry hints that spread the returning load. */
+/** Retry hints with jitter, so that callers do not come back all at once. */
 
 import type { Turn } from "./controller.ts";
 
 /**
- * Spreads a retry hint over one to two times its base.
+ * Draws a retry delay between one and two times its base.
  *
- * @param turn The turn, for its randomness.
- * @param baseMs Smallest hint, in milliseconds.
- * @returns The hint, in whole milliseconds.
+ * @param turn The turn, for its source of random numbers.
+ * @param baseMs Shortest delay, in milliseconds.
+ * @returns The delay, in whole milliseconds.
  */
-export function spreadRetryHint(turn: Turn, baseMs: number): number {
+export function jitteredRetryAfterMs(turn: Turn, baseMs: number): number {
   return Math.round(baseMs * (1 + turn.random.next()));
 }
--- a/packages/core/src/scheduler_core.ts
+++ b/packages/core/src/scheduler_core.ts
@@ -1,4 +1,7 @@
-/** The core of one instance: events in, effects out, no I/O. */
+/**
+ * The scheduler of one instance as a deterministic state machine: it receives
+ * events, returns effects and does no I/O itself.
+ */
 
 import type { Blackboard } from "./blackboard.ts";
 import { type Controller, runController, Turn } from "./controller.ts";
@@ -11,38 +14,39 @@
   MembershipController,
   type SeedPeer,
 } from "./membership_controller.ts";
-import type { Randomness } from "./randomness.ts";
+import type { RandomSource } from "./random_source.ts";
 import { RequestController } from "./request_controller.ts";
 import { SettingsController } from "./settings_controller.ts";
 import { ShutdownController } from "./shutdown_controller.ts";
 import { TargetController } from "./target_controller.ts";
 
-/** Who the instance is and what it may keep. */
+/** Identity and limits of the instance that a {@link SchedulerCore} runs. */
 export interface CoreOptions {
   readonly instanceId: string;
+  /** Increases with every start of the instance. */
   readonly incarnation: number;
   readonly failureDomain: string;
   readonly region: string;
-  /** Instances to reach before the platform's list is known. */
+  /** Instances to connect to before the platform's list was read. */
   readonly seedPeers: readonly SeedPeer[];
-  readonly random: Randomness;
-  /** Stories kept for `why`. */
-  readonly maxDecisions?: number;
-  /** Switches of the placement policy, for measurements. */
+  readonly random: RandomSource;
+  /** Number of requests whose decisions are kept for `why`; 2000 by default. */
+  readonly maxRequestsWithDecisions?: number;
+  /** Switches of the placement policy, used by measurements. */
   readonly policy?: CoordinatorOptions;
 }
 
-const DEFAULT_MAX_DECISIONS = 2000;
+const DEFAULT_MAX_REQUESTS_WITH_DECISIONS = 2000;
 
-/** Runs the controllers over the blackboard, in a fixed order. */
+/** Runs the controllers on the blackboard, in a fixed order. */
 export class SchedulerCore {
   readonly board: Blackboard;
-  readonly #random: Randomness;
+  readonly #random: RandomSource;
   readonly #controllers: readonly Controller[];
 
-  /** @param options Who the instance is. */
+  /** @param options Identity and limits of the instance. */
   constructor(options: CoreOptions) {
-    this.board = makeBlackboard(options);
+    this.board = createBlackboard(options);
     this.#random = options.random;
     this.#controllers = [
       new SettingsController(),
@@ -55,23 +59,24 @@
   }
 
   /**
-   * Handles one event, and whatever this instance says to itself because of it.
+   * Handles one event, and the messages that this instance sends to itself while
+   * handling it.
    *
    * @param event What happened, with the local time.
-   * @returns What the edges are to do, in order.
+   * @returns Effects for the I/O layer to carry out, in order.
    */
   handle(event: CoreEvent): Effect[] {
     const turn = new Turn(this.board, {
       nowMs: event.nowMs,
       random: this.#random,
     });
-    this.#run(event, turn);
+    this.#runControllers(event, turn);
     for (
-      let message = turn.toSelf.shift();
+      let message = turn.selfMessages.shift();
       message !== undefined;
-      message = turn.toSelf.shift()
+      message = turn.selfMessages.shift()
     ) {
-      this.#run({
+      this.#runControllers({
         kind: EventKind.PeerMessageReceived,
         nowMs: event.nowMs,
         fromId: this.board.self.instanceId,
@@ -82,14 +87,14 @@
     return turn.effects;
   }
 
-  #run(event: CoreEvent, turn: Turn): void {
+  #runControllers(event: CoreEvent, turn: Turn): void {
     for (const controller of this.#controllers) {
       runController(controller, event, turn);
     }
   }
 }
 
-function makeBlackboard(options: CoreOptions): Blackboard {
+function createBlackboard(options: CoreOptions): Blackboard {
   return {
     self: {
       instanceId: options.instanceId,
@@ -110,20 +115,22 @@
     requests: {
       byId: new Map(),
       unfinished: new Map(),
-      lastForgetAtMs: -Infinity,
-      joined: new Map(),
-      byKey: new Map(),
+      lastEvictionAtMs: -Infinity,
+      requestIdByJoinedCall: new Map(),
+      requestIdByKey: new Map(),
       holderBeat: 0,
-      beatBegunAtMs: new Map(),
+      beatStartedAtMs: new Map(),
       lastBeatAtMs: -Infinity,
       lastReportAtMs: -Infinity,
-      reportedTo: new Map(),
+      lastReportRecipients: new Map(),
       nonceCounter: 0,
       openByScope: new Map(),
       rateBuckets: new Map(),
       learnedOutputTokens: new Map(),
     },
     shards: { byKey: new Map(), grantCounter: 0 },
-    decisions: new DecisionLog(options.maxDecisions ?? DEFAULT_MAX_DECISIONS),
+    decisions: new DecisionLog(
+      options.maxRequestsWithDecisions ?? DEFAULT_MAX_REQUESTS_WITH_DECISIONS,
+    ),
   };
 }
--- a/packages/core/src/settings_controller.ts
+++ b/packages/core/src/settings_controller.ts
@@ -18,7 +18,7 @@
   offerSettings,
   offerToOlderPeers,
 } from "./settings_offers.ts";
-import { timingOf, withJitter } from "./timing.ts";
+import { timingInForce, withJitter } from "./timing.ts";
 
 /** Most faults of refused settings that are written to the log. */
 const MAX_FAULTS_LOGGED = 3;
@@ -102,7 +102,7 @@
   if (turn.nowMs < (settings.nextPollAtMs ?? -Infinity)) {
     return;
   }
-  const { settingsPollMs } = timingOf(turn.board);
+  const { settingsPollMs } = timingInForce(turn.board);
   settings.lastPollAtMs = turn.nowMs;
   settings.nextPollAtMs = turn.nowMs + withJitter(settingsPollMs, turn.random);
   turn.emit({
@@ -138,7 +138,7 @@
   settings.inForce = buildSettings(tree.value, given.version);
   settings.content = given.content;
   settings.changeId = given.changeId;
-  settings.refused = undefined;
+  settings.rejected = undefined;
   announce(turn);
 }
 
@@ -155,7 +155,7 @@
 }
 
 function wasRefused(turn: Turn, given: SettingsVersion): boolean {
-  const { refused } = turn.board.settings;
+  const { rejected: refused } = turn.board.settings;
   return refused?.version === given.version &&
     refused.content === given.content;
 }
@@ -165,7 +165,7 @@
     return;
   }
   const { version, content, changeId } = given;
-  turn.board.settings.refused = { version, content };
+  turn.board.settings.rejected = { version, content };
   turn.log(
     LogLevel.Error,
     LogPart.Settings,
--- a/packages/core/src/settings_offers.ts
+++ b/packages/core/src/settings_offers.ts
@@ -77,8 +77,8 @@
  */
 export function askNewerPeer(turn: Turn, peerId: string): void {
   const { settings } = turn.board;
-  if (turn.nowMs >= (settings.nextWantedAtMs ?? -Infinity)) {
-    settings.nextWantedAtMs = turn.nowMs + WANTED_REPEAT_MS;
+  if (turn.nowMs >= (settings.nextPeerRequestAtMs ?? -Infinity)) {
+    settings.nextPeerRequestAtMs = turn.nowMs + WANTED_REPEAT_MS;
     askForSettings(turn, peerId);
   }
 }
@@ -110,6 +110,6 @@
 function offersOf(
   board: Blackboard,
 ): Map<string, { version: number; atMs: number }> {
-  board.settings.offers ??= new Map();
-  return board.settings.offers;
+  board.settings.lastOfferByPeer ??= new Map();
+  return board.settings.lastOfferByPeer;
 }
--- a/packages/core/src/shard_queue.ts
+++ b/packages/core/src/shard_queue.ts
@@ -1,7 +1,7 @@
 /** The asks that wait at a coordinator, by tier and workspace. */
 
 import { LRUCache } from "lru-cache";
-import type { Lane, Shard, WaitingAsk } from "./blackboard.ts";
+import type { Shard, WaitingAsk, WorkspaceQueue } from "./blackboard.ts";
 
 /** Closed asks and grants remembered against late messages. */
 const MAX_CLOSED = 8192;
@@ -35,21 +35,21 @@
     failureDomain,
     waiting: new Map(),
     grants: new Map(),
-    floorUntilMs: new Map(),
+    shedFloorUntilMs: new Map(),
     grantHoldUntilMs: new Map(),
-    lastReadAtMs: new Map(),
-    prefillGrantedMs: new Map(),
-    served: new Map(),
-    sinceMs: nowMs,
+    lastPromptReadAtMs: new Map(),
+    cumulativePrefillMs: new Map(),
+    finishTags: new Map(),
+    coordinatorSinceMs: nowMs,
     virtualTimeByTier: new Map(),
-    lanes: new Map(),
-    ended: new Map(),
+    workspaceQueues: new Map(),
+    endedWork: new Map(),
     holders: new Map(),
-    closed: new LRUCache({ max: MAX_CLOSED }),
-    excessByTarget: new Map(),
-    prefixes: new Map(),
-    lastActiveMs: nowMs,
-    nextQueueCheckMs: nowMs,
+    tombstones: new LRUCache({ max: MAX_CLOSED }),
+    excessGrantsByTarget: new Map(),
+    prefixIndexes: new Map(),
+    lastActiveAtMs: nowMs,
+    nextQueueCheckAtMs: nowMs,
   };
 }
 
@@ -63,7 +63,7 @@
   removeWaiting(shard, ask.detail.requestId);
   const { requestId, tierRank, workspace } = ask.detail;
   const key = `${tierRank}/${workspace}`;
-  const lane = shard.lanes.get(key) ?? {
+  const lane = shard.workspaceQueues.get(key) ?? {
     tierRank,
     workspace,
     asks: new Map<string, WaitingAsk>(),
@@ -71,7 +71,7 @@
     kvTokenMs: 0,
     prefillMs: 0,
   };
-  shard.lanes.set(key, lane);
+  shard.workspaceQueues.set(key, lane);
   lane.asks.set(requestId, ask);
   const work = queuedWorkOf(ask);
   lane.costMs += work.costMs;
@@ -97,14 +97,14 @@
   }
   shard.waiting.delete(requestId);
   const key = `${ask.detail.tierRank}/${ask.detail.workspace}`;
-  const lane = shard.lanes.get(key)!;
+  const lane = shard.workspaceQueues.get(key)!;
   lane.asks.delete(requestId);
   const work = queuedWorkOf(ask);
   lane.costMs -= work.costMs;
   lane.kvTokenMs -= work.kvTokenMs;
   lane.prefillMs -= work.prefillMs;
   if (lane.asks.size === 0) {
-    shard.lanes.delete(key);
+    shard.workspaceQueues.delete(key);
   }
   return ask;
 }
@@ -133,7 +133,9 @@
  * @returns Ranks, the highest tier first.
  */
 export function waitingTiers(shard: Shard): number[] {
-  const ranks = new Set([...shard.lanes.values()].map((lane) => lane.tierRank));
+  const ranks = new Set(
+    [...shard.workspaceQueues.values()].map((lane) => lane.tierRank),
+  );
   return [...ranks].sort((a, b) => a - b);
 }
 
@@ -144,8 +146,8 @@
  * @param tierRank The tier.
  * @returns Its lanes, in an order that does not change.
  */
-export function lanesOfTier(shard: Shard, tierRank: number): Lane[] {
-  return [...shard.lanes.values()]
+export function lanesOfTier(shard: Shard, tierRank: number): WorkspaceQueue[] {
+  return [...shard.workspaceQueues.values()]
     .filter((lane) => lane.tierRank === tierRank)
     .sort((a, b) => compareText(a.workspace, b.workspace));
 }
@@ -158,7 +160,7 @@
  * @param nowMs The local time.
  * @returns Its asks, the one to serve first in front.
  */
-export function orderLane(lane: Lane, nowMs: number): WaitingAsk[] {
+export function orderLane(lane: WorkspaceQueue, nowMs: number): WaitingAsk[] {
   const ranked = [...lane.asks.values()].map((ask) => ({
     ask,
     rank: worthOf(ask) * urgencyOf(ask, nowMs),
--- a/packages/core/src/shard_view.ts
+++ b/packages/core/src/shard_view.ts
@@ -8,7 +8,7 @@
 import { TargetKind } from "@chestnuthatch/wire/work";
 import {
   type Blackboard,
-  type GrantAccount,
+  type GrantRecord,
   type Shard,
   shardKey,
   type WaitingAsk,
@@ -71,7 +71,7 @@
    */
   get isWarmingUp(): boolean {
     const warmUpMs = this.settings.timing.holderReportMs + WARM_UP_MARGIN_MS;
-    return this.nowMs - this.shard.sinceMs < warmUpMs;
+    return this.nowMs - this.shard.coordinatorSinceMs < warmUpMs;
   }
 
   /** @returns Rooms of the targets that may get work at all. */
@@ -128,7 +128,7 @@
     const lifetimeMs = this.settings.timing.grantLifetimeMs;
     const seen = this.shard.holders.get(ask.holderId);
     return seen !== undefined &&
-      this.nowMs - seen.beatHeardAtMs < lifetimeMs * FRESH_BEAT_SHARE;
+      this.nowMs - seen.beatAdvancedAtMs < lifetimeMs * FRESH_BEAT_SHARE;
   }
 
   /**
@@ -148,7 +148,7 @@
     },
   ): Prediction {
     const { promptTokens, expectedOutputTokens, blockHashes } = detail;
-    const cachedTokens = this.shard.prefixes.get(room.targetId)
+    const cachedTokens = this.shard.prefixIndexes.get(room.targetId)
       ?.cachedTokens(blockHashes, promptTokens) ?? 0;
     return predictService(
       { promptTokens, cachedTokens, expectedOutputTokens },
@@ -201,7 +201,7 @@
 
 function readRooms(view: ShardView, board: Blackboard): TargetRoom[] {
   const { shard, settings, kind } = view;
-  const grantsByTarget = new Map<string, GrantAccount[]>();
+  const grantsByTarget = new Map<string, GrantRecord[]>();
   for (const grant of shard.grants.values()) {
     const { targetId } = grant.work;
     const grants = grantsByTarget.get(targetId);
@@ -219,8 +219,8 @@
       kind,
       target: board.targets.byId.get(target.id),
       grants: grantsByTarget.get(target.id) ?? [],
-      ended: shard.ended.get(target.id) ?? [],
-      lastReadAtMs: shard.lastReadAtMs.get(target.id) ?? -Infinity,
+      ended: shard.endedWork.get(target.id) ?? [],
+      lastReadAtMs: shard.lastPromptReadAtMs.get(target.id) ?? -Infinity,
     })
   );
 }
--- a/packages/core/src/shed_floor.ts
+++ b/packages/core/src/shed_floor.ts
@@ -26,7 +26,7 @@
  * @param tierRank The tier.
  */
 export function raiseFloor(view: ShardView, tierRank: number): void {
-  view.shard.floorUntilMs.set(tierRank, view.nowMs + FLOOR_MS);
+  view.shard.shedFloorUntilMs.set(tierRank, view.nowMs + FLOOR_MS);
 }
 
 /**
@@ -58,7 +58,7 @@
  * @returns Its rank; Infinity where no floor stands.
  */
 export function floorOf({ shard, nowMs }: ShardView): number {
-  return highestStanding(shard.floorUntilMs, nowMs);
+  return highestStanding(shard.shedFloorUntilMs, nowMs);
 }
 
 /**
--- a/packages/core/src/shedding.ts
+++ b/packages/core/src/shedding.ts
@@ -9,7 +9,7 @@
 import type { WaitingAsk } from "./blackboard.ts";
 import { refuseAsk } from "./grant_account.ts";
 import { refuseOverloaded } from "./overload_refusal.ts";
-import { spreadRetryHint } from "./retry_hint.ts";
+import { jitteredRetryAfterMs } from "./retry_hint.ts";
 import {
   lanesOfTier,
   latestStartMs,
@@ -40,8 +40,8 @@
 export function shedOverload(view: ShardView): void {
   refuseWhereNothingLives(view);
   serveUrgent(view);
-  if (view.nowMs >= view.shard.nextQueueCheckMs) {
-    view.shard.nextQueueCheckMs = view.nowMs + QUEUE_CHECK_MS;
+  if (view.nowMs >= view.shard.nextQueueCheckAtMs) {
+    view.shard.nextQueueCheckAtMs = view.nowMs + QUEUE_CHECK_MS;
     refuseHopelessOfLowestTier(view);
   }
 }
@@ -77,7 +77,7 @@
  */
 export function refuseUnservable(view: ShardView, ask: WaitingAsk): boolean {
   const { retryAfterMs } = view.policyOf(ask.detail);
-  const hintMs = spreadRetryHint(view.turn, retryAfterMs);
+  const hintMs = jitteredRetryAfterMs(view.turn, retryAfterMs);
   if (!view.rooms.some((room) => view.isPossible(room, ask))) {
     refuseAsk(view, ask, {
       error: ErrorKind.NoTarget,
@@ -138,7 +138,7 @@
 
 /** Whether nothing of a lower tier waits or runs in the shard. */
 function isLowestPresent(view: ShardView, tierRank: number): boolean {
-  return [...view.shard.lanes.values()].every((lane) =>
+  return [...view.shard.workspaceQueues.values()].every((lane) =>
     lane.tierRank <= tierRank
   ) && [...view.shard.grants.values()].every((grant) =>
     grant.work.tierRank <= tierRank
--- a/packages/core/src/shutdown_controller.ts
+++ b/packages/core/src/shutdown_controller.ts
@@ -9,7 +9,7 @@
 } from "./controller.ts";
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
 import { EventKind } from "./events.ts";
-import { onEveryEvent } from "./every_event.ts";
+import { handlersForAllEvents } from "./all_event_handlers.ts";
 import { beatToAll } from "./heartbeat_gossip.ts";
 import { isFinished } from "./held_requests.ts";
 
@@ -22,7 +22,7 @@
   /** Makes the controller of an instance that is not leaving. */
   constructor() {
     const own: Controller = { name: this.name, handlers: OWN_HANDLERS };
-    this.handlers = onEveryEvent((event, turn) => {
+    this.handlers = handlersForAllEvents((event, turn) => {
       runController(own, event, turn);
       if (turn.board.self.leaving && !this.#done) {
         this.#endIfIdle(turn, event.kind === EventKind.ShutdownForced);
--- a/packages/core/src/shutdown_controller_test.ts
+++ b/packages/core/src/shutdown_controller_test.ts
@@ -11,7 +11,7 @@
 import { RequestState } from "./request.ts";
 import type { SchedulerCore } from "./scheduler_core.ts";
 import { statusOf } from "./status.ts";
-import { whyOf } from "./why.ts";
+import { explainRequest } from "./request_explanation.ts";
 
 function coreWithRequest(): SchedulerCore {
   const core = makeFakeCore(["njiro-2"]);
@@ -67,12 +67,12 @@
 test("should tell its status and a request's story as plain JSON", () => {
   const core = coreWithRequest();
   const status = statusOf(core.board, START_MS);
-  const story = whyOf(core.board, "request-1");
+  const story = explainRequest(core.board, "request-1");
   assert.ok(story.known);
   const open = status.requestsByState;
   assert.is(open.claiming + open.waiting + open.dispatched, 1);
   assert.not.match(JSON.stringify([status, story]), /null/);
-  assert.not(whyOf(core.board, "request-2").known);
+  assert.not(explainRequest(core.board, "request-2").known);
 });
 
 test.run();
--- a/packages/core/src/status.ts
+++ b/packages/core/src/status.ts
@@ -151,7 +151,7 @@
     settingsVersion: isSelf
       ? board.settings.inForce?.version ?? 0
       : member.settingsVersion,
-    silentMs: ageMs(member.lastAdvancedMs, nowMs),
+    silentMs: ageMs(member.heartbeatAdvancedAtMs, nowMs),
   };
 }
 
@@ -180,7 +180,7 @@
   return {
     pool: shard.pool,
     failureDomain: shard.failureDomain,
-    coordinatedForMs: nowMs - shard.sinceMs,
+    coordinatedForMs: nowMs - shard.coordinatorSinceMs,
     waitingByTier: countWaiting(board, shard),
     grants: grants.length,
     grantsInUse: grants.filter((grant) => grant.used).length,
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -1,7 +1,7 @@
 /** Finds targets that have become slow, cuts their slots, lets them recover. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
-import type { GrantAccount, Target } from "./blackboard.ts";
+import type { GrantRecord, Target } from "./blackboard.ts";
 import { paceOf } from "./learned_rates.ts";
 
 /** A target this much slower than it should be is cut. */
@@ -63,7 +63,7 @@
  * while it is within bounds.
  */
 export function overdueRatio(
-  grants: readonly GrantAccount[],
+  grants: readonly GrantRecord[],
   nowMs: number,
 ): number {
   const ratios = grants
@@ -92,7 +92,7 @@
 ): boolean {
   const { slowdown, nowMs } = seen;
   target.rates.slowdown = slowdown;
-  if (target.pace === undefined && slowdown <= CUT_ABOVE) {
+  if (target.stragglerState === undefined && slowdown <= CUT_ABOVE) {
     return false;
   }
   const pace = paceOf(target, settings);
@@ -124,7 +124,7 @@
   pace.lastRecoveryAtMs = nowMs;
 }
 
-function changeOf({ rates, pace }: Target): number {
+function changeOf({ rates, stragglerState: pace }: Target): number {
   if (pace === undefined) {
     return 1;
   }
--- a/packages/core/src/stream_flow.ts
+++ b/packages/core/src/stream_flow.ts
@@ -1,4 +1,7 @@
-/** Gathers a target's answer, whole or not at all. */
+/**
+ * Receives a target's answer and resumes its stream after a failure. A request
+ * is answered with a complete answer or refused.
+ */
 
 import {
   type EngineEvent,
@@ -11,18 +14,18 @@
 import { CounterName, EffectKind } from "./effects.ts";
 import type { AttemptRef, EventKind, EventOf } from "./events.ts";
 import { answerTimeLeftMs } from "./attempts.ts";
-import { deliverAnswer, endRequest } from "./outcomes.ts";
-import { noteStep } from "./refusals.ts";
+import { endWithAnswer, endWithRefusal } from "./outcomes.ts";
+import { recordStep } from "./refusals.ts";
 import { RequestState } from "./request.ts";
-import { spreadRetryHint } from "./retry_hint.ts";
+import { jitteredRetryAfterMs } from "./retry_hint.ts";
 
 /**
- * Delays before the tries to resume a broken stream on the same target; the
- * last one is repeated until the deadline, since a cut may last.
+ * Backoff delays before each resume of a broken stream on the same target. The
+ * last one repeats until the deadline, since a network failure may last long.
  */
 const RESUME_DELAYS_MS: readonly number[] = [0, 250, 1000, 2000, 4000];
-/** Tries where the connection is not what failed. */
-const MAX_RESUMES_UNLESS_CUT = 3;
+/** Limit of resumes where the cause is not a failure of the connection. */
+const MAX_RESUMES_WITHOUT_CONNECTION_FAILURE = 3;
 
 type EventHandler<K extends EngineEventKind> = (
   event: Extract<EngineEvent, { kind: K }>,
@@ -40,16 +43,16 @@
 /**
  * Handles one line of an engine's stream.
  *
- * @param event The line, with the attempt its connection belongs to.
- * @param turn The turn it happens in.
+ * @param event The line, and the attempt that its connection belongs to.
+ * @param turn The turn of the current event.
  */
 export function onStreamEvent(
   event: EventOf<EventKind.StreamEvent>,
   turn: Turn,
 ): void {
-  const request = requestOfAttempt(turn, event);
-  if (request === undefined || !namesAttempt(request, event.event)) {
-    dropStray(turn);
+  const request = findDispatchedRequest(turn, event);
+  if (request === undefined || !isCurrentAttempt(request, event.event)) {
+    countStrayAnswer(turn);
     return;
   }
   const handler = HANDLER_BY_KIND[event.event.kind] as EventHandler<
@@ -59,58 +62,63 @@
 }
 
 /**
- * Handles a plain service's answer.
+ * Handles the answer of a service, which does not stream.
  *
- * @param event The answer, with the attempt its connection belongs to.
- * @param turn The turn it happens in.
+ * @param event The answer, and the attempt that its connection belongs to.
+ * @param turn The turn of the current event.
  */
 export function onServiceAnswered(
   event: EventOf<EventKind.ServiceAnswered>,
   turn: Turn,
 ): void {
-  const request = requestOfAttempt(turn, event);
+  const request = findDispatchedRequest(turn, event);
   if (request === undefined) {
-    dropStray(turn);
+    countStrayAnswer(turn);
     return;
   }
-  if (!namesAttempt(request, event.answered)) {
-    dropStray(turn);
-    refuseBroken(turn, request, "The target answered for another request.");
+  if (!isCurrentAttempt(request, event.answered)) {
+    countStrayAnswer(turn);
+    refuseIncompleteAnswer(
+      turn,
+      request,
+      "The target answered for another request.",
+    );
     return;
   }
   request.attempt!.firstTokenAtMs = turn.nowMs;
-  deliverAnswer(turn, request, event.body);
+  endWithAnswer(turn, request, event.body);
 }
 
 /**
- * Handles the end of a connection to a target.
+ * Handles the end of the connection that an answer is streamed on. The stream
+ * is broken, unless the answer is already complete.
  *
- * @param event Which attempt's, and why.
- * @param turn The turn it happens in.
+ * @param event The attempt, and why its connection ended.
+ * @param turn The turn of the current event.
  */
 export function onStreamClosed(
   event: EventOf<EventKind.StreamClosed>,
   turn: Turn,
 ): void {
-  const request = requestOfAttempt(turn, event);
+  const request = findDispatchedRequest(turn, event);
   if (request === undefined) {
     return;
   }
-  const isCut = event.reason !== "" && !event.lost;
+  const isConnectionFailure = event.reason !== "" && !event.lost;
   const reason = event.reason === "" ? "closed before its end" : event.reason;
-  breakStream(turn, request, { reason, isCut });
+  onBrokenStream(turn, request, { reason, isConnectionFailure });
 }
 
 /**
- * Asks for the rest of a broken stream once its delay has passed.
+ * Resumes a broken stream once its backoff delay has passed.
  *
- * @param turn The turn of a tick.
+ * @param turn The turn of a tick event.
  * @param request A dispatched request.
  */
-export function tendStream(turn: Turn, request: HeldRequest): void {
+export function resumeStreamWhenDue(turn: Turn, request: HeldRequest): void {
   const attempt = request.attempt!;
   if (attempt.resumeAtMs !== undefined && turn.nowMs >= attempt.resumeAtMs) {
-    resumeNow(turn, request, attempt);
+    resumeStream(turn, request, attempt);
   }
 }
 
@@ -141,18 +149,18 @@
 ): void {
   const attempt = request.attempt!;
   if (event.index < attempt.tokensReceived) {
-    dropStray(turn);
+    countStrayAnswer(turn);
     return;
   }
   if (event.index > attempt.tokensReceived) {
     const reason = `token ${attempt.tokensReceived} is missing`;
-    breakStream(turn, request, { reason, isCut: false });
+    onBrokenStream(turn, request, { reason, isConnectionFailure: false });
     return;
   }
   if (attempt.firstTokenAtMs === 0) {
     attempt.firstTokenAtMs = turn.nowMs;
   }
-  attempt.pieces.push(event.text);
+  attempt.textChunks.push(event.text);
   attempt.tokensReceived += event.tokens ?? 1;
   for (const call of request.calls.values()) {
     if (call.stream) {
@@ -174,10 +182,10 @@
   if (event.outputTokens !== attempt.tokensReceived) {
     const reason =
       `${attempt.tokensReceived} of ${event.outputTokens} tokens came`;
-    breakStream(turn, request, { reason, isCut: false });
+    onBrokenStream(turn, request, { reason, isConnectionFailure: false });
     return;
   }
-  deliverAnswer(turn, request, attempt.pieces.join(""));
+  endWithAnswer(turn, request, attempt.textChunks.join(""));
 }
 
 function onEngineError(
@@ -186,37 +194,49 @@
   request: HeldRequest,
 ): void {
   const notRun = event.notRun && request.attempt!.tokensReceived === 0;
-  endRequest(turn, request, {
+  endWithRefusal(turn, request, {
     error: notRun ? ErrorKind.TargetRefused : ErrorKind.TargetFailed,
     ran: notRun ? RunState.NotRun : RunState.MayHaveRun,
     message: `${request.attempt!.targetId} said: ${event.message}`,
-    retryAfterMs: spreadRetryHint(turn, request.policy.retryAfterMs),
+    retryAfterMs: jitteredRetryAfterMs(turn, request.policy.retryAfterMs),
   });
 }
 
-/** A cut may heal until the deadline; a target that has no more will not. */
-function breakStream(
+/**
+ * Resumes a broken stream after a backoff, or refuses the request. A connection
+ * may recover until the deadline, so there is no limit for its failures; a
+ * target that has no more of the answer will not recover.
+ */
+function onBrokenStream(
   turn: Turn,
   request: HeldRequest,
-  { reason, isCut }: { reason: string; isCut: boolean },
+  { reason, isConnectionFailure }: {
+    reason: string;
+    isConnectionFailure: boolean;
+  },
 ): void {
   const attempt = request.attempt!;
-  const isHopeless = !isCut && attempt.resumes >= MAX_RESUMES_UNLESS_CUT;
-  if (!request.streams || isHopeless) {
-    refuseBroken(turn, request, reason);
+  const isOutOfResumes = !isConnectionFailure &&
+    attempt.resumes >= MAX_RESUMES_WITHOUT_CONNECTION_FAILURE;
+  if (!request.isEngineStream || isOutOfResumes) {
+    refuseIncompleteAnswer(turn, request, reason);
     return;
   }
   const delayMs = RESUME_DELAYS_MS[attempt.resumes] ??
     RESUME_DELAYS_MS.at(-1)!;
-  noteStep(turn, request, `Stream broke (${reason}); to be resumed`);
+  recordStep(turn, request, `Stream broke (${reason}); to be resumed`);
   attempt.resumes += 1;
   attempt.resumeAtMs = turn.nowMs + delayMs;
   if (delayMs === 0) {
-    resumeNow(turn, request, attempt);
+    resumeStream(turn, request, attempt);
   }
 }
 
-function resumeNow(turn: Turn, request: HeldRequest, attempt: Attempt): void {
+function resumeStream(
+  turn: Turn,
+  request: HeldRequest,
+  attempt: Attempt,
+): void {
   attempt.resumeAtMs = undefined;
   turn.count(CounterName.StreamResumes);
   turn.emit({
@@ -229,32 +249,36 @@
   });
 }
 
-function refuseBroken(turn: Turn, request: HeldRequest, reason: string): void {
+function refuseIncompleteAnswer(
+  turn: Turn,
+  request: HeldRequest,
+  reason: string,
+): void {
   const { attempt } = request;
-  const begun = attempt!.tokensReceived > 0;
-  endRequest(turn, request, {
-    error: begun ? ErrorKind.AnswerIncomplete : ErrorKind.TargetFailed,
+  const hasText = attempt!.tokensReceived > 0;
+  endWithRefusal(turn, request, {
+    error: hasText ? ErrorKind.AnswerIncomplete : ErrorKind.TargetFailed,
     ran: RunState.MayHaveRun,
     message: `${attempt!.targetId} did not answer whole: ${reason}`,
-    retryAfterMs: spreadRetryHint(turn, request.policy.retryAfterMs),
+    retryAfterMs: jitteredRetryAfterMs(turn, request.policy.retryAfterMs),
   });
 }
 
-function requestOfAttempt(
+function findDispatchedRequest(
   turn: Turn,
-  of: AttemptRef,
+  ref: AttemptRef,
 ): HeldRequest | undefined {
-  const request = turn.board.requests.byId.get(of.requestId);
+  const request = turn.board.requests.byId.get(ref.requestId);
   const isCurrent = request?.state === RequestState.Dispatched &&
-    request.attempt?.attemptNonce === of.attemptNonce;
+    request.attempt?.attemptNonce === ref.attemptNonce;
   return isCurrent ? request : undefined;
 }
 
-function namesAttempt(request: HeldRequest, named: AttemptRef): boolean {
-  return named.requestId === request.spec.requestId &&
-    named.attemptNonce === request.attempt!.attemptNonce;
+function isCurrentAttempt(request: HeldRequest, ref: AttemptRef): boolean {
+  return ref.requestId === request.spec.requestId &&
+    ref.attemptNonce === request.attempt!.attemptNonce;
 }
 
-function dropStray(turn: Turn): void {
+function countStrayAnswer(turn: Turn): void {
   turn.count(CounterName.StrayAnswersDropped);
 }
--- a/packages/core/src/target_controller.ts
+++ b/packages/core/src/target_controller.ts
@@ -83,7 +83,7 @@
     this.#takeSettings(turn);
     const target = turn.board.targets.byId.get(load.targetId);
     if (target !== undefined) {
-      target.pollPending = false;
+      target.isPollInFlight = false;
       target.failedPolls = 0;
       takeLoad(turn, target, load);
     }
@@ -134,7 +134,7 @@
     signNumber: 0,
     loadAsOfMs: -Infinity,
     lastPollAtMs: -Infinity,
-    pollPending: false,
+    isPollInFlight: false,
     failedPolls: 0,
     unreachableSinceMs: 0,
     rates: priorRates(settings),
@@ -160,7 +160,7 @@
   if (target === undefined) {
     return;
   }
-  target.pollPending = false;
+  target.isPollInFlight = false;
   target.failedPolls += 1;
   if (target.failedPolls >= MAX_FAILED_POLLS) {
     suspend(turn, target, `${target.failedPolls} polls failed in a row`);
@@ -201,7 +201,7 @@
       settings: settings!,
       kind: pool.kind,
       grant: shardOf(turn, message)?.grants.get(message.grantId),
-      prefillGrantedMs: shardOf(turn, message)?.prefillGrantedMs
+      prefillGrantedMs: shardOf(turn, message)?.cumulativePrefillMs
         .get(message.targetId) ?? 0,
     });
   }
--- a/packages/core/src/target_controller_test.ts
+++ b/packages/core/src/target_controller_test.ts
@@ -21,7 +21,7 @@
       heartbeat: 1,
       leaving: false,
       settingsVersion: 1,
-      lastAdvancedMs: fake.nowMs,
+      heartbeatAdvancedAtMs: fake.nowMs,
       listed: true,
       connected: true,
     });
@@ -128,7 +128,7 @@
   }
   assert.is(fake.shard.grants.size, 2);
   fake.advance(15_000);
-  assert.is(targetOf(fake).pace!.slotShare, 1);
+  assert.is(targetOf(fake).stragglerState!.slotShare, 1);
 });
 
 test("should count three failed polls in a row as unreachable", () => {
@@ -191,16 +191,19 @@
   const fake = new FakeShard({ targets: [{ slots: 8 }, { slots: 8 }] });
   runWork(fake, { targetId: "t0", decodeMsPerToken: 10, times: 10 });
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 10 });
-  assert.is(targetOf(fake, "t1").pace!.slotShare, 1);
+  assert.is(targetOf(fake, "t1").stragglerState!.slotShare, 1);
   runWork(fake, { targetId: "t1", decodeMsPerToken: 100, times: 10 });
   const cut = targetOf(fake, "t1");
-  assert.ok(cut.pace!.slotShare < 0.2, `share ${cut.pace!.slotShare}`);
-  assert.is(targetOf(fake, "t0").pace!.slotShare, 1);
+  assert.ok(
+    cut.stragglerState!.slotShare < 0.2,
+    `share ${cut.stragglerState!.slotShare}`,
+  );
+  assert.is(targetOf(fake, "t0").stragglerState!.slotShare, 1);
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 15 });
-  assert.ok(cut.pace!.slotShare < 0.5, "recovery is slow");
+  assert.ok(cut.stragglerState!.slotShare < 0.5, "recovery is slow");
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 10 });
   fake.advance(20_000);
-  assert.is(cut.pace!.slotShare, 1);
+  assert.is(cut.stragglerState!.slotShare, 1);
 });
 
 test("should cut a target on which everything stands still", () => {
@@ -213,9 +216,9 @@
     fake.running.set(id, { ...each, endMs: Infinity });
   }
   fake.advance(3000);
-  assert.is(targetOf(fake).pace, undefined);
+  assert.is(targetOf(fake).stragglerState, undefined);
   fake.advance(2500);
-  assert.ok(targetOf(fake).pace!.slotShare <= 1 / 3);
+  assert.ok(targetOf(fake).stragglerState!.slotShare <= 1 / 3);
 });
 
 test.run();
--- a/packages/core/src/target_polls.ts
+++ b/packages/core/src/target_polls.ts
@@ -82,14 +82,14 @@
   const { loadPollMs } = turn.board.settings.inForce!.timing;
   const sinceMs = turn.nowMs - target.lastPollAtMs;
   const isLost = sinceMs >= loadPollMs * LOST_AFTER_INTERVALS;
-  if (sinceMs >= loadPollMs && (!target.pollPending || isLost)) {
+  if (sinceMs >= loadPollMs && (!target.isPollInFlight || isLost)) {
     pollLoad(turn, target, settings);
   }
 }
 
 function pollLoad(turn: Turn, target: Target, settings: TargetSettings): void {
   target.lastPollAtMs = turn.nowMs;
-  target.pollPending = true;
+  target.isPollInFlight = true;
   turn.emit({
     kind: EffectKind.PollLoad,
     targetId: target.targetId,
@@ -129,7 +129,7 @@
 ): readonly string[] {
   const { board, nowMs } = turn;
   const { viewNumber } = board.members;
-  const { coordinated } = board.targets;
+  const { coordinatedShards: coordinated } = board.targets;
   if (
     coordinated?.viewNumber === viewNumber &&
     coordinated.settingsVersion === settings.version
@@ -142,7 +142,7 @@
         board.self.instanceId
     )
     .map(({ key }) => key);
-  board.targets.coordinated = {
+  board.targets.coordinatedShards = {
     viewNumber,
     settingsVersion: settings.version,
     shardKeys,
--- a/packages/core/src/target_usage.ts
+++ b/packages/core/src/target_usage.ts
@@ -2,7 +2,7 @@
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type { TargetKind } from "@chestnuthatch/wire/work";
-import type { EndedWork, GrantAccount, Target } from "./blackboard.ts";
+import type { EndedWork, GrantRecord, Target } from "./blackboard.ts";
 
 /** Slots and KV memory. */
 export interface Usage {
@@ -16,7 +16,7 @@
   readonly kind: TargetKind;
   readonly target: Target | undefined;
   /** This coordinator's grants on the target. */
-  readonly grants: readonly GrantAccount[];
+  readonly grants: readonly GrantRecord[];
   readonly ended: readonly EndedWork[];
   /** When a prompt was last heard to have been read there. */
   readonly lastReadAtMs: number;
@@ -71,11 +71,11 @@
  * shows beyond the account's prompts, and room for its answers to grow.
  */
 function unknownKvTokens(
-  grants: readonly GrantAccount[],
+  grants: readonly GrantRecord[],
   report: {
     unknownSlots: number;
     kvTokens: number;
-    isKnown: (grant: GrantAccount) => boolean;
+    isKnown: (grant: GrantRecord) => boolean;
   },
 ): number {
   if (report.unknownSlots <= 0) {
--- a/packages/core/src/text_hash.ts
+++ b/packages/core/src/text_hash.ts
@@ -1,10 +1,13 @@
-/** Fast hashes of texts and bytes, the same on every instance. */
+/**
+ * Fast non-cryptographic hashes of texts and bytes. Instances compare the
+ * results, so all versions must compute the same ones.
+ */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
 /**
- * Hashes a text to 32 bits (FNV-1a with a final mix).
+ * Hashes a text to 32 bits (FNV-1a over UTF-16 code units, then a final mix).
  *
  * @param text Any text.
  * @returns An unsigned 32-bit number.
@@ -20,15 +23,15 @@
   return hash >>> 0;
 }
 
-const HEX = 16;
-const HEX_DIGITS = 8;
+const HEX_RADIX = 16;
+const HEX_DIGITS_PER_HALF = 8;
 
-/** Start of the second half, so that the halves do not collide together. */
+/** Differs from the first half, so that both do not collide for one input. */
 const SECOND_OFFSET = 0x2f0b4c47;
 const SECOND_PRIME = 0x85ebca6b;
 
 /**
- * Hashes bytes to 64 bits: wide enough to stand for the bytes themselves.
+ * Hashes bytes to 64 bits, wide enough to identify the bytes by their hash.
  *
  * @param bytes Any bytes.
  * @returns Sixteen hexadecimal digits.
@@ -42,9 +45,9 @@
     second = Math.imul(second ^ byte, SECOND_PRIME);
     second = (second << 13) | (second >>> 19);
   }
-  return hexOf(first) + hexOf(second);
+  return toHex32(first) + toHex32(second);
 }
 
-function hexOf(hash: number): string {
-  return (hash >>> 0).toString(HEX).padStart(HEX_DIGITS, "0");
+function toHex32(hash: number): string {
+  return (hash >>> 0).toString(HEX_RADIX).padStart(HEX_DIGITS_PER_HALF, "0");
 }
--- a/packages/core/src/urgent_asks.ts
+++ b/packages/core/src/urgent_asks.ts
@@ -75,7 +75,7 @@
     shedBelowEverywhere(view, highestTierOf(preemption));
     const forWhom = describeAsk(ask);
     preemption.victims.forEach((grant) => preemptGrant(view, grant, forWhom));
-    ask.preemptedForAtMs = view.nowMs;
+    ask.lastPreemptionAtMs = view.nowMs;
     ask.reservation = {
       targetId: preemption.room.targetId,
       readyAtMs: view.nowMs,
@@ -96,7 +96,7 @@
 }
 
 function awaitsCancelled(view: ShardView, ask: WaitingAsk): boolean {
-  const sinceMs = view.nowMs - (ask.preemptedForAtMs ?? -Infinity);
+  const sinceMs = view.nowMs - (ask.lastPreemptionAtMs ?? -Infinity);
   return sinceMs < PREEMPTION_PATIENCE_MS;
 }
 
--- a/packages/core/src/wait_estimate.ts
+++ b/packages/core/src/wait_estimate.ts
@@ -1,6 +1,6 @@
 /** Estimates how long an ask will wait for a target. */
 
-import type { Lane, WaitingAsk } from "./blackboard.ts";
+import type { WaitingAsk, WorkspaceQueue } from "./blackboard.ts";
 import { shortage, slotsForTier } from "./capacity.ts";
 import type { QueuedWork } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
@@ -79,7 +79,7 @@
 ): QueuedWork {
   let ahead = ownAhead;
   const { tierRank, workspace } = ask.detail;
-  for (const lane of view.shard.lanes.values()) {
+  for (const lane of view.shard.workspaceQueues.values()) {
     if (lane.tierRank < tierRank) {
       ahead = addWork(ahead, lane);
     } else if (lane.tierRank === tierRank && lane.workspace !== workspace) {
@@ -92,7 +92,7 @@
 /** Of another workspace's work, only its fair share goes before the ask. */
 function fairTurnOf(
   view: ShardView,
-  lane: Lane,
+  lane: WorkspaceQueue,
   own: { ask: WaitingAsk; ownAhead: QueuedWork },
 ): QueuedWork {
   const ownWeight = view.policyOf(own.ask.detail).fairShareWeight;
--- a/packages/core/src/work_cost.ts
+++ b/packages/core/src/work_cost.ts
@@ -64,7 +64,7 @@
   const prefillMs = uncachedTokens * rates.prefillMsPerToken;
   const loadFactor = loadFactorAt(speed.utilization);
   const decodeMs = work.expectedOutputTokens * rates.decodeMsPerToken *
-    loadFactor * rates.decodeStretch;
+    loadFactor * rates.prefillInterferenceRatio;
   return {
     prefillQueueMs: speed.prefillQueueMs,
     prefillMs,
@@ -87,7 +87,7 @@
     prefillMsPerToken: msPerToken(settings.prefillTokensPerSecond),
     decodeMsPerToken: msPerToken(settings.decodeTokensPerSecond),
     callMs: settings.callMs,
-    decodeStretch: 1,
+    prefillInterferenceRatio: 1,
     samples: 0,
     slowdown: 1,
   };
--- a/packages/daemon/src/entry_instance.ts
+++ b/packages/daemon/src/entry_instance.ts
@@ -9,7 +9,7 @@
   LogPart,
 } from "@chestnuthatch/core/effects";
 import { type CoreEvent, EventKind } from "@chestnuthatch/core/events";
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 import { SchedulerCore } from "@chestnuthatch/core/scheduler_core";
 import { type InstanceEdges, makeEdges } from "./instance_edges.ts";
 import { Logger } from "./logger.ts";
@@ -254,6 +254,6 @@
     failureDomain: settings.failureDomain,
     region: settings.region,
     seedPeers: settings.peers.seeds,
-    random: seededRandomness(incarnation % MAX_SEED),
+    random: seededRandomSource(incarnation % MAX_SEED),
   });
 }
--- a/packages/daemon/src/peer_links_test.ts
+++ b/packages/daemon/src/peer_links_test.ts
@@ -1,7 +1,7 @@
 import { connect } from "node:net";
 import { EventEmitter, once } from "node:events";
 import { EventKind } from "@chestnuthatch/core/events";
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 import { encodeFrame, FrameFault } from "@chestnuthatch/wire/frame_codec";
 import { HandshakeRole } from "@chestnuthatch/wire/handshake";
 import {
@@ -53,7 +53,7 @@
     };
     const { incarnation = 1 } = options;
     this.identity = { instanceId: id, incarnation, failureDomain: "tengeru" };
-    const random = seededRandomness(id.length);
+    const random = seededRandomSource(id.length);
     this.links = new PeerLinks(this.context, {
       identity: this.identity,
       secret: options.secret ?? SECRET,
--- a/packages/daemon/src/request_reads.ts
+++ b/packages/daemon/src/request_reads.ts
@@ -1,7 +1,7 @@
 /** What an instance tells of one request, by the id given to a call. */
 
 import type { Blackboard } from "@chestnuthatch/core/blackboard";
-import { whyOf } from "@chestnuthatch/core/why";
+import { explainRequest } from "@chestnuthatch/core/request_explanation";
 
 /**
  * Tells how far a request has come.
@@ -35,8 +35,8 @@
 ): object | undefined {
   const requestId = requestIdOf(board, callId);
   const isKnown = board.requests.byId.has(requestId) ||
-    board.decisions.story(requestId).length > 0;
-  return isKnown ? whyOf(board, requestId) : undefined;
+    board.decisions.entries(requestId).length > 0;
+  return isKnown ? explainRequest(board, requestId) : undefined;
 }
 
 /**
@@ -47,5 +47,5 @@
  * @returns The id of the request that it joined, or its own.
  */
 export function requestIdOf(board: Blackboard, callId: string): string {
-  return board.requests.joined.get(callId) ?? callId;
+  return board.requests.requestIdByJoinedCall.get(callId) ?? callId;
 }
--- a/packages/gateway/src/allotment_across_a_cut_test.ts
+++ b/packages/gateway/src/allotment_across_a_cut_test.ts
@@ -13,9 +13,9 @@
  */
 
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 import {
   MessageKind,
   type RoutingMessage,
@@ -70,11 +70,11 @@
   readonly #nodes: ReadonlyMap<string, FleetNode>;
   #asked = 0;
 
-  readonly #random: Randomness;
+  readonly #random: RandomSource;
   #perStep = 0;
 
   constructor(seed: number) {
-    this.#random = seededRandomness(seed);
+    this.#random = seededRandomSource(seed);
     this.#nodes = new Map(IDS.map((id) => [id, this.#node(id)]));
   }
 
--- a/packages/gateway/src/rate_limits_test.ts
+++ b/packages/gateway/src/rate_limits_test.ts
@@ -4,9 +4,9 @@
  */
 
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 import type { RoutingMessage } from "@chestnuthatch/routing/peer_messages";
 import { askOf } from "@chestnuthatch/routing/routing_test_support";
 import { test } from "uvu";
@@ -59,7 +59,7 @@
   readonly clock = this.#network.clock;
   readonly limitPerS = new Map<string, number>();
   readonly refused: { atMs: number; retryAfterMs: number }[] = [];
-  readonly #random: Randomness;
+  readonly #random: RandomSource;
   readonly #nodes: Map<string, FleetNode>;
   readonly #arrivals = new Map<string, Arrival[]>();
   /** When each instance first passed on an answer with a limit, by target. */
@@ -68,7 +68,7 @@
   #asked = 0;
 
   constructor(seed = 1) {
-    this.#random = seededRandomness(seed);
+    this.#random = seededRandomSource(seed);
     this.#nodes = new Map(IDS.map((id) => [id, this.#node(id)]));
     this.run(6000);
   }
--- a/packages/measure/src/baseline_instance.ts
+++ b/packages/measure/src/baseline_instance.ts
@@ -5,9 +5,9 @@
  */
 
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 import type { Refusal } from "@chestnuthatch/core/request";
 import { EngineEventKind } from "@chestnuthatch/wire/target_protocol";
 import { ErrorKind, RunState, type TargetLoad } from "@chestnuthatch/wire/work";
@@ -46,7 +46,7 @@
   readonly #context: InstanceContext;
   readonly #options: BaselineInstanceOptions;
   readonly #targets: TargetPort;
-  readonly #random: Randomness;
+  readonly #random: RandomSource;
   readonly #mailbox = new Mailbox();
   readonly #loads = new Map<string, TargetLoad>();
   /** The running attempt of each open call. */
@@ -65,7 +65,7 @@
     this.#context = context;
     this.#options = options;
     this.#targets = new TargetPort(context, options.failureDomain);
-    this.#random = seededRandomness(options.seed);
+    this.#random = seededRandomSource(options.seed);
   }
 
   /** @inheritdoc */
--- a/packages/measure/src/callers.ts
+++ b/packages/measure/src/callers.ts
@@ -1,6 +1,6 @@
 /** Callers behind the balancer: they call, wait, come back and hang up. */
 
-import type { Randomness } from "@chestnuthatch/core/randomness";
+import type { RandomSource } from "@chestnuthatch/core/random_source";
 import type { Refusal } from "@chestnuthatch/core/request";
 import type { CallerEnd, EntryInstance } from "./entry_instance.ts";
 import type { EventQueue } from "./event_queue.ts";
@@ -16,7 +16,7 @@
 /** What callers share with the world. */
 export interface CallersContext {
   readonly queue: EventQueue;
-  readonly random: Randomness;
+  readonly random: RandomSource;
   readonly checker: PromiseChecker;
   readonly journal: RunJournal;
   /** One-way delay to an instance. */
--- a/packages/measure/src/core_instance.ts
+++ b/packages/measure/src/core_instance.ts
@@ -11,7 +11,7 @@
   type CoreEvent,
   EventKind,
 } from "@chestnuthatch/core/events";
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 import { readinessOf } from "@chestnuthatch/core/readiness";
 import { type RequestSpec, RequestState } from "@chestnuthatch/core/request";
 import type { SeedPeer } from "@chestnuthatch/core/membership_controller";
@@ -99,12 +99,12 @@
     this.context = context;
     this.place = options;
     this.incarnation = options.incarnation;
-    const random = seededRandomness(options.seed + options.incarnation);
+    const random = seededRandomSource(options.seed + options.incarnation);
     this.clockOffsetMs = random.next() * LARGEST_CLOCK_OFFSET_MS;
     this.core = new SchedulerCore({
       ...options,
       random,
-      maxDecisions: MAX_DECISIONS,
+      maxRequestsWithDecisions: MAX_DECISIONS,
     });
     this.targets = new TargetPort(context, options.failureDomain);
     this.claims = new ClaimPort(context, options.failureDomain);
@@ -467,9 +467,10 @@
   /** @inheritdoc */
   story(requestId: string): string[] {
     const board = this.#process?.core.board;
-    const heldAs = board?.requests.joined.get(requestId) ?? requestId;
+    const heldAs = board?.requests.requestIdByJoinedCall.get(requestId) ??
+      requestId;
     const offsetMs = this.#process?.clockOffsetMs ?? 0;
-    return (board?.decisions.story(heldAs) ?? []).map(({ atMs, by, text }) =>
+    return (board?.decisions.entries(heldAs) ?? []).map(({ atMs, by, text }) =>
       `${Math.round(atMs - offsetMs)} ms ${this.instanceId} ${by}: ${text}`
     );
   }
--- a/packages/measure/src/manual_world.ts
+++ b/packages/measure/src/manual_world.ts
@@ -4,7 +4,7 @@
  */
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 import { shardKey } from "@chestnuthatch/core/blackboard";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
@@ -77,14 +77,14 @@
     this.platform = new PlatformHost({
       queue,
       network: this.network,
-      random: seededRandomness(seed + 1),
+      random: seededRandomSource(seed + 1),
     });
     this.targets = this.#makeTargets(seed);
     this.#callers = new Callers({
       queue,
       checker,
       journal,
-      random: seededRandomness(seed + 2),
+      random: seededRandomSource(seed + 2),
       delayMs: plan.delays.toCallersMs,
       instances: () => this.instances,
     });
--- a/packages/measure/src/memory_costs.ts
+++ b/packages/measure/src/memory_costs.ts
@@ -5,7 +5,7 @@
 import { runInNewContext } from "node:vm";
 import { type CoreEvent, EventKind } from "@chestnuthatch/core/events";
 import { PrefixIndex } from "@chestnuthatch/core/prefix_index";
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 import { SchedulerCore } from "@chestnuthatch/core/scheduler_core";
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
@@ -145,7 +145,7 @@
       failureDomain: "njiro-hall",
       address: "127.2.0.0:8100",
     }],
-    random: seededRandomness(1),
+    random: seededRandomSource(1),
   });
   core.handle({
     kind: EventKind.SettingsRead,
--- a/packages/measure/src/placement_costs.ts
+++ b/packages/measure/src/placement_costs.ts
@@ -7,9 +7,9 @@
 
 import { performance } from "node:perf_hooks";
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 import { Coordinator } from "@chestnuthatch/routing/coordinator";
 import {
   type FleetConfiguration,
@@ -101,7 +101,7 @@
 class PlacementRun {
   readonly #load: PlacementLoad;
   readonly #queue = new EventQueue();
-  readonly #random: Randomness = seededRandomness(SEED);
+  readonly #random: RandomSource = seededRandomSource(SEED);
   readonly #coordinator: Coordinator;
   readonly #running = new Map<string, RunningWork & { holderId: string }>();
   readonly #waiting = new Map<string, WorkAsk>();
