--- a/packages/measure/src/platform_host.ts
+++ b/packages/measure/src/platform_host.ts
@@ -14,7 +14,7 @@
 } from "@chestnuthatch/wire/platform_protocol";
 import type { EventQueue } from "./event_queue.ts";
 import type { Network } from "./network.ts";
-import type { Randomness } from "@chestnuthatch/core/randomness";
+import type { RandomSource } from "@chestnuthatch/core/random_source";
 
 /** One version of the settings in the platform's table. */
 export interface StoredSettings {
@@ -39,7 +39,7 @@
 export class PlatformHost {
   readonly #queue: EventQueue;
   readonly #network: Network;
-  readonly #random: Randomness;
+  readonly #random: RandomSource;
   readonly #model = new PlatformModel({
     listLagMs: LIST_LAG_MS,
     writeLimit: { perSecond: WRITES_PER_SECOND, burst: WRITES_PER_SECOND },
@@ -50,7 +50,7 @@
 
   /** @param context The clock, the links and a source of randomness. */
   constructor(
-    context: { queue: EventQueue; network: Network; random: Randomness },
+    context: { queue: EventQueue; network: Network; random: RandomSource },
   ) {
     this.#queue = context.queue;
     this.#network = context.network;
--- a/packages/routing/src/version_evidence_test.ts
+++ b/packages/routing/src/version_evidence_test.ts
@@ -1,6 +1,6 @@
 /** Sound and bad versions told apart, by seeded series of answers. */
 
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { Verdict, VersionEvidence } from "./version_evidence.ts";
@@ -67,7 +67,7 @@
 
 /** Canary answers until the version was told bad; undefined where it was not. */
 function toldBadAfter(seed: number, trial: Trial): number | undefined {
-  const random = seededRandomness(seed);
+  const random = seededRandomSource(seed);
   const evidence = new VersionEvidence();
   const newTargetIds = idsOf(TARGETS);
   const scope = { newTargetIds, isPromoted: false };
--- a/packages/standins/src/cache_event_log.ts
+++ b/packages/standins/src/cache_event_log.ts
@@ -5,9 +5,9 @@
   CacheEventsAnswer,
 } from "@chestnuthatch/wire/target_protocol";
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 
 /** How late and how gappy the events are. */
 export interface CacheEventLogOptions {
@@ -31,14 +31,14 @@
 /** Bounded log of cache events. */
 export class CacheEventLog {
   readonly #options: CacheEventLogOptions;
-  readonly #randomness: Randomness;
+  readonly #randomness: RandomSource;
   #events: LoggedEvent[] = [];
   #lastSequence = 0;
 
   /** @param options How late and how gappy the events are. */
   constructor(options: CacheEventLogOptions) {
     this.#options = options;
-    this.#randomness = seededRandomness(options.seed);
+    this.#randomness = seededRandomSource(options.seed);
   }
 
   /**
--- a/packages/standins/src/engine_model_test.ts
+++ b/packages/standins/src/engine_model_test.ts
@@ -10,7 +10,7 @@
 import * as assert from "uvu/assert";
 import { EngineModel, type EngineOutput } from "./engine_model.ts";
 import type { EngineModelOptions } from "./engine_options.ts";
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 
 const MAX_STEPS = 100_000;
 const OPTIONS: EngineModelOptions = {
@@ -110,7 +110,7 @@
 
 test("should never exceed its KV memory or slots, and leave nobody out", () => {
   const model = engine({ slots: 4, kvTokens: 2_000 });
-  const randomness = seededRandomness(3);
+  const randomness = seededRandomSource(3);
   const ids = Array.from({ length: 200 }, (_, i) => `r${i}`);
   const events: EngineOutput[] = [];
   ids.forEach((id, i) => {
--- a/packages/standins/src/randomness.ts
+++ b/packages/standins/src/randomness.ts
@@ -1,6 +1,6 @@
 /** Numbers that depend on nothing but a seed and a text. */
 
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 import { hash32 } from "@chestnuthatch/core/text_hash";
 
 /**
@@ -11,5 +11,5 @@
  * @returns A number from 0 up to, not including, 1.
  */
 export function fractionOf(seed: number, text: string): number {
-  return seededRandomness((seed ^ hash32(text)) | 0).next();
+  return seededRandomSource((seed ^ hash32(text)) | 0).next();
 }
--- a/packages/standins/src/workload.ts
+++ b/packages/standins/src/workload.ts
@@ -1,9 +1,9 @@
 /** The two deployments' requests, made from a seed. */
 
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 import { fractionOf } from "./randomness.ts";
 import {
   type Deployment,
@@ -96,7 +96,7 @@
  * @returns The requests in time order; the same for the same options.
  */
 export function generateWorkload(options: WorkloadOptions): WorkItem[] {
-  const randomness = seededRandomness(options.seed);
+  const randomness = seededRandomSource(options.seed);
   const items: WorkItem[] = [];
   options.phases.forEach((phase, i) => {
     const endMs = options.phases.at(i + 1)?.fromMs ?? options.durationMs;
@@ -163,7 +163,7 @@
 function* arrivalsIn(
   phase: RatePhase,
   untilMs: number,
-  { randomness }: { readonly randomness: Randomness },
+  { randomness }: { readonly randomness: RandomSource },
 ): Generator<number> {
   if (phase.ratePerSecond <= 0) {
     return;
@@ -179,7 +179,7 @@
 
 interface ItemContext {
   readonly options: WorkloadOptions;
-  readonly randomness: Randomness;
+  readonly randomness: RandomSource;
   readonly number: number;
 }
 
@@ -224,7 +224,7 @@
 
 function pickWeighted<T>(
   choices: readonly T[],
-  randomness: Randomness,
+  randomness: RandomSource,
   { weightOf }: { readonly weightOf: (choice: T) => number },
 ): T {
   const total = choices.reduce((sum, choice) => sum + weightOf(choice), 0);
@@ -246,7 +246,7 @@
 function withRepeats(
   items: WorkItem[],
   repeats: RepeatOptions | undefined,
-  { randomness }: { readonly randomness: Randomness },
+  { randomness }: { readonly randomness: RandomSource },
 ): WorkItem[] {
   if (repeats === undefined) {
     return items;
--- a/tests/core_net.ts
+++ b/tests/core_net.ts
@@ -11,9 +11,9 @@
   PeerMessageKind,
 } from "@chestnuthatch/wire/peer_messages";
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 import type { SeedPeer } from "@chestnuthatch/core/membership_controller";
 import { SchedulerCore } from "@chestnuthatch/core/scheduler_core";
 import { ManualClock } from "./manual_clock.ts";
@@ -88,7 +88,7 @@
 export class CoreNet {
   readonly #options: CoreNetOptions;
   readonly #clock = new ManualClock();
-  readonly #random: Randomness;
+  readonly #random: RandomSource;
   readonly #nodes = new Map<string, NetNode>();
   readonly #cuts = new Set<string>();
   readonly #toLose: LostMessage[] = [];
@@ -96,7 +96,7 @@
   /** @param options How to run the cores. */
   constructor(options: CoreNetOptions) {
     this.#options = options;
-    this.#random = seededRandomness(options.seed);
+    this.#random = seededRandomSource(options.seed);
     options.instances.forEach((instance, index) => {
       const node = this.#makeNode(instance, index);
       this.#nodes.set(instance.instanceId, node);
@@ -283,7 +283,7 @@
         address: `${one.instanceId}:7000`,
       }));
     const seed = this.#options.seed + index * SEEDS_PER_INSTANCE + incarnation;
-    const random = seededRandomness(seed);
+    const random = seededRandomSource(seed);
     return new SchedulerCore({
       instanceId,
       failureDomain,
--- a/tests/ended_targets_plan.ts
+++ b/tests/ended_targets_plan.ts
@@ -1,6 +1,6 @@
 /** What happens in one run of a request that ends targets. */
 
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 
 /** What happens to instances before the request comes again. */
 export enum Disturbance {
@@ -51,7 +51,7 @@
  * @returns A run drawn by it.
  */
 export function planEndedTargets(seed: number): EndedTargetsPlan {
-  const randomness = seededRandomness(seed);
+  const randomness = seededRandomSource(seed);
   const between = ({ least, most }: { least: number; most: number }) =>
     least + Math.floor(randomness.next() * (most - least + 1));
   const turns = { least: 0, most: DISTURBANCES.length - 1 };
--- a/tests/ended_targets_run.ts
+++ b/tests/ended_targets_run.ts
@@ -7,9 +7,9 @@
 
 import { setTimeout as pause } from "node:timers/promises";
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 import { freePorts } from "@chestnuthatch/platform/free_ports";
 import {
   type CallResult,
@@ -105,7 +105,7 @@
   readonly #store = new StandinStore();
   readonly #engines: StandinTarget[] = [];
   readonly #instances: SoakInstance[] = [];
-  readonly #randomness: Randomness;
+  readonly #randomness: RandomSource;
   readonly #returning = new Set<NodeJS.Timeout>();
   readonly #answers: CallResult[] = [];
   readonly #bystanders: CallResult[] = [];
@@ -117,7 +117,7 @@
 
   constructor(plan: EndedTargetsPlan) {
     this.#plan = plan;
-    this.#randomness = seededRandomness(plan.seed);
+    this.#randomness = seededRandomSource(plan.seed);
   }
 
   async play(): Promise<EndedTargetsOutcome> {
--- a/tests/session_driver.ts
+++ b/tests/session_driver.ts
@@ -10,7 +10,7 @@
 import type { RequestSpec } from "@chestnuthatch/core/request";
 import { readinessOf } from "@chestnuthatch/core/readiness";
 import { statusOf } from "@chestnuthatch/core/status";
-import { whyOf } from "@chestnuthatch/core/why";
+import { explainRequest } from "@chestnuthatch/core/request_explanation";
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
 import {
   type EngineEvent,
@@ -328,7 +328,10 @@
   }
 
   #writeStory(step: StepOf<StepAction.Why>): void {
-    const story = whyOf(this.#net.core(step.instance).board, step.requestId);
+    const story = explainRequest(
+      this.#net.core(step.instance).board,
+      step.requestId,
+    );
     for (const [name, value] of Object.entries(story)) {
       this.#writeField(name, value);
     }
--- a/tests/soak_callers.ts
+++ b/tests/soak_callers.ts
@@ -3,9 +3,9 @@
 import { Agent, type IncomingMessage } from "node:http";
 import { setTimeout as pause } from "node:timers/promises";
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 import {
   type CallResult,
   sendCall,
@@ -105,7 +105,7 @@
 export class SoakCallers {
   readonly records: CallRecord[] = [];
   readonly #seed: number;
-  readonly #random: Randomness;
+  readonly #random: RandomSource;
   readonly #agent = new Agent({ keepAlive: true });
   readonly #keptAgents: Agent[] = [];
   readonly #open = new Set<Promise<unknown>>();
@@ -113,7 +113,7 @@
   /** @param seed Names the calls, and draws who leaves. */
   constructor(seed: number) {
     this.#seed = seed;
-    this.#random = seededRandomness(seed);
+    this.#random = seededRandomSource(seed);
   }
 
   /**
--- a/tests/soak_draw.ts
+++ b/tests/soak_draw.ts
@@ -1,17 +1,17 @@
 /** Draws for plans of the soak. */
 
 import {
-  type Randomness,
-  seededRandomness,
-} from "@chestnuthatch/core/randomness";
+  type RandomSource,
+  seededRandomSource,
+} from "@chestnuthatch/core/random_source";
 
 /** The same draws for the same seed. */
 export class Draw {
-  readonly #random: Randomness;
+  readonly #random: RandomSource;
 
   /** @param seed The seed. */
   constructor(seed: number) {
-    this.#random = seededRandomness(seed);
+    this.#random = seededRandomSource(seed);
   }
 
   /**
