--- a/packages/core/src/ask_flow.ts
+++ b/packages/core/src/ask_flow.ts
@@ -1,7 +1,7 @@
 /**
  * The asks of waiting requests: which coordinators they are sent to, when they
- * move to another coordinator, and when a request is refused for lack of one
- * that grants.
+ * move to another coordinator, and when a request is refused because all
+ * domains refused it.
  */
 
 import {
@@ -36,9 +36,9 @@
 const MAX_SINGLE_DOMAIN_WAIT_MS = 100;
 
 /**
- * A domain's refusal for overload counts up to this age. It is less than the
- * time for which a domain keeps its shed floor, so that the refusals that count
- * together all still hold; after it, the domain may serve the tier again.
+ * Refusals for overload by several domains count together while none is older.
+ * This is shorter than a domain's shed floor lasts, so that no domain can have
+ * begun to serve lower tiers in the meantime.
  */
 const MAX_FRESH_REFUSAL_AGE_MS = FLOOR_MS * 0.75;
 
@@ -51,12 +51,12 @@
 export function startAsking(turn: Turn, request: HeldRequest): void {
   request.askViewNumber = turn.board.members.viewNumber;
   request.waitingSinceMs = turn.nowMs;
-  const [nearest] = getCandidateDomains(turn, request);
-  if (nearest === undefined) {
+  const [first] = getCandidateDomains(turn, request);
+  if (first === undefined) {
     refuseForAsks(turn, request);
     return;
   }
-  askDomain(turn, request, nearest);
+  askDomain(turn, request, first);
 }
 
 /**
@@ -258,7 +258,7 @@
   }
 }
 
-/** Whether a domain refused for overload so long ago that it may serve now. */
+/** Whether a domain refused so long ago that it may serve lower tiers now. */
 function isStaleOverloadRefusal(turn: Turn, { refusal }: OutgoingAsk): boolean {
   return refusal?.error === ErrorKind.Overloaded &&
     turn.nowMs - refusal.atMs > MAX_FRESH_REFUSAL_AGE_MS;
--- a/packages/core/src/attempts.ts
+++ b/packages/core/src/attempts.ts
@@ -78,7 +78,8 @@
 }
 
 /**
- * Counts the prompt tokens that a target read for an answer that no caller gets.
+ * Counts the prompt tokens that a target read for an answer which no caller
+ * gets.
  *
  * @param turn The turn of the current event.
  * @param request A dispatched request.
--- a/packages/core/src/effects.ts
+++ b/packages/core/src/effects.ts
@@ -94,8 +94,8 @@
     /** Time left to send it; after that it must not be sent. */
     readonly timeLeftMs: number;
     /**
-     * Time left to receive its answer. It ends after the callers' deadlines, and
-     * much later where the answer is kept for an idempotency key.
+     * Time left to receive its answer. It ends after the callers' deadlines,
+     * and much later where the answer is kept for an idempotency key.
      */
     readonly answerTimeLeftMs: number;
   } & AttemptRef)
--- a/packages/core/src/outcomes.ts
+++ b/packages/core/src/outcomes.ts
@@ -177,6 +177,7 @@
   return mayHaveRun ? RunState.MayHaveRun : RunState.NotRun;
 }
 
+/** A call of a service, and work that must not run twice, is not cancelled. */
 function shouldRunToCompletion(request: HeldRequest): boolean {
   if (!request.isEngineStream || !request.idempotent) {
     return true;
--- a/packages/core/src/refusals.ts
+++ b/packages/core/src/refusals.ts
@@ -118,20 +118,20 @@
 function emitRefusal(
   turn: Turn,
   callId: string,
-  context: RefusalContext,
+  of: RefusalContext,
 ): void {
-  const refusal = buildRefusal(callId, context);
+  const refusal = buildRefusal(callId, of);
   turn.count(CounterName.Refusals, {
     error: refusal.error,
     ran: refusal.ran,
-    tier: context.tier ?? "",
+    tier: of.tier ?? "",
   });
   turn.emit({ kind: EffectKind.RefuseCaller, requestId: callId, refusal });
 }
 
-function buildRefusal(requestId: string, context: RefusalContext): Refusal {
-  const { cause } = context;
-  const isSafeToRepeat = cause.ran === RunState.NotRun || context.isRepeatable;
+function buildRefusal(requestId: string, of: RefusalContext): Refusal {
+  const { cause } = of;
+  const isSafeToRepeat = cause.ran === RunState.NotRun || of.isRepeatable;
   return {
     requestId,
     error: cause.error,
@@ -140,6 +140,6 @@
     path: cause.path,
     mayRetry: isSafeToRepeat && ERROR_TABLE[cause.error].mayRetry,
     retryAfterMs: cause.retryAfterMs,
-    callLog: [...context.callLog],
+    callLog: [...of.callLog],
   };
 }
--- a/packages/core/src/request_explanation.ts
+++ b/packages/core/src/request_explanation.ts
@@ -28,7 +28,7 @@
 
 /**
  * Explanation of one request, which `why` prints. Times are milliseconds on the
- * clock of the instance that gives it.
+ * monotonic clock of the instance that was asked.
  */
 export interface RequestExplanation {
   readonly requestId: string;
@@ -42,7 +42,9 @@
   readonly pool?: string;
   readonly arrivedAtMs?: number;
   readonly finishedAtMs?: number;
+  /** Decisions about it, oldest first. */
   readonly decisions: readonly DecisionEntry[];
+  /** Steps of its processing as its callers see them, oldest first. */
   readonly callLog: readonly string[];
   readonly attempt?: AttemptExplanation;
   readonly outcome?: OutcomeExplanation;
--- a/packages/core/src/scheduler_core.ts
+++ b/packages/core/src/scheduler_core.ts
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Handles one event, and the messages that this instance sends to itself while
-   * handling it.
+   * Handles one event, and the messages that this instance sends to itself
+   * while it does so.
    *
    * @param event What happened, with the local time.
    * @returns Effects for the I/O layer to carry out, in order.
--- a/packages/core/src/stream_flow.ts
+++ b/packages/core/src/stream_flow.ts
@@ -266,11 +266,11 @@
 
 function findDispatchedRequest(
   turn: Turn,
-  ref: AttemptRef,
+  of: AttemptRef,
 ): HeldRequest | undefined {
-  const request = turn.board.requests.byId.get(ref.requestId);
+  const request = turn.board.requests.byId.get(of.requestId);
   const isCurrent = request?.state === RequestState.Dispatched &&
-    request.attempt?.attemptNonce === ref.attemptNonce;
+    request.attempt?.attemptNonce === of.attemptNonce;
   return isCurrent ? request : undefined;
 }
 
--- a/packages/core/src/text_hash.ts
+++ b/packages/core/src/text_hash.ts
@@ -1,6 +1,6 @@
 /**
- * Fast non-cryptographic hashes of texts and bytes. Instances compare the
- * results, so all versions must compute the same ones.
+ * Fast non-cryptographic hashes of texts and bytes. All instances must
+ * compute the same hashes, since they choose a shard's coordinator by them.
  */
 
 const FNV_OFFSET = 0x811c9dc5;
