--- a/packages/routing/src/version_evidence_test.ts
+++ b/packages/routing/src/version_evidence_test.ts
@@ -1,6 +1,6 @@
 /** Verdicts on sound and bad versions, by seeded series of random answers. */
 
-import { seededRandomness } from "@chestnuthatch/core/randomness";
+import { seededRandomSource } from "@chestnuthatch/core/random_source";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { Verdict, VersionEvidence } from "./version_evidence.ts";
@@ -69,7 +69,7 @@
  * Number of canary answers until the verdict is bad; undefined if it never is.
  */
 function answersUntilBad(seed: number, trial: Trial): number | undefined {
-  const random = seededRandomness(seed);
+  const random = seededRandomSource(seed);
   const evidence = new VersionEvidence();
   const newTargetIds = idsOf(TARGETS);
   const scope = { newTargetIds, isPromoted: false };
