--- a/packages/core/src/admission.ts
+++ b/packages/core/src/admission.ts
@@ -1,4 +1,4 @@
-/** What is checked at the door before a request is held. */
+/** Admission control: the checks a request passes before it is held. */
 
 import { ErrorKind, RunState, TargetKind } from "@chestnuthatch/wire/work";
 import type {
@@ -12,94 +12,105 @@
 import type { RequestSpec } from "./request.ts";
 import { spreadRetryHint } from "./retry_hint.ts";
 
-/** A request that may be held, with what the settings say of it. */
-export interface Admitted {
+/**
+ * The terms on which a request is held, as resolved from its settings: the
+ * values that the request leaves open come from its tier's policy and its pool.
+ */
+export interface Admission {
+  /** Policy of the request's workspace and tier. */
   readonly policy: TierPolicy;
+  /** Settings of the request's pool. */
   readonly pool: PoolSettings;
   readonly maxOutputTokens: number;
+  /** Time from the request's arrival to its deadline. */
   readonly deadlineMs: number;
+  /** Whether the request may run more than once. */
   readonly idempotent: boolean;
 }
 
-const MAX_NAMES_TOLD = 12;
-const NOT_READY_RETRY_MS = 1000;
+/** Allowed names listed in the refusal of an unknown name. */
+const MAX_NAMES_LISTED = 12;
+/** Shortest retry hint while this instance has no settings. */
+const NOT_READY_RETRY_AFTER_MS = 1000;
 const MS_PER_S = 1000;
 
 /**
  * Checks a request against the settings and this instance's state.
  *
- * @param turn The turn it arrived in.
+ * @param turn The turn in which the request arrived.
  * @param spec The request.
- * @returns What to hold it by, or why it is refused.
+ * @returns The terms on which to hold the request, or the cause of its refusal.
  */
 export function checkRequest(
   turn: Turn,
   spec: RequestSpec,
-): Admitted | RefusalCause {
+): Admission | RefusalCause {
   const settings = turn.board.settings.inForce;
   if (turn.board.self.leaving) {
-    return unread(spec, ErrorKind.ShuttingDown, {
+    return refusalBeforeClaim(spec, ErrorKind.ShuttingDown, {
       message: "This instance is shutting down; send the request to another.",
       retryAfterMs: 0,
     });
   }
   if (settings === undefined) {
-    return unread(spec, ErrorKind.NotReady, {
+    return refusalBeforeClaim(spec, ErrorKind.NotReady, {
       message: "This instance has no settings yet; try again shortly.",
-      retryAfterMs: spreadRetryHint(turn, NOT_READY_RETRY_MS),
+      retryAfterMs: spreadRetryHint(turn, NOT_READY_RETRY_AFTER_MS),
     });
   }
   if (settings.drainingInstances.has(turn.board.self.instanceId)) {
-    return unread(spec, ErrorKind.ShuttingDown, {
+    return refusalBeforeClaim(spec, ErrorKind.ShuttingDown, {
       message: "This instance is being drained; send the request to another.",
       retryAfterMs: 0,
     });
   }
-  return checkNames(settings, spec) ?? admit(turn, spec, settings);
+  return checkNames(settings, spec) ?? resolveAdmission(turn, spec, settings);
 }
 
 /**
- * Tells a refusal from an admission.
+ * Narrows the result of {@link checkRequest} to a refusal.
  *
- * @param checked What {@link checkRequest} returned.
- * @returns True for a refusal.
+ * @param checked The result of {@link checkRequest}.
+ * @returns Whether the request is refused.
  */
 export function isRefusal(
-  checked: Admitted | RefusalCause,
+  checked: Admission | RefusalCause,
 ): checked is RefusalCause {
   return "error" in checked;
 }
 
 /**
- * Takes one request out of its workspace's and tier's limits.
+ * Checks a request against the limits of its workspace and tier on this
+ * instance, and takes one token from their rate bucket if it is within them.
  *
- * @param turn The turn it arrived in.
- * @param scope Name of the workspace and tier, and their policy.
- * @returns Why it is refused, or nothing when it is within the limits.
+ * @param turn The turn in which the request arrived.
+ * @param scope Key of the workspace and tier, from {@link scopeKey}, and the
+ * policy that holds their limits.
+ * @returns The cause of the refusal, or undefined within the limits.
  */
-export function checkLimits(
+export function consumeLimits(
   turn: Turn,
   scope: { key: string; policy: TierPolicy },
 ): RefusalCause | undefined {
   const { key, policy } = scope;
-  const open = turn.board.requests.openByScope.get(key) ?? 0;
-  if (open >= policy.maxOpenRequests) {
-    return notRun(ErrorKind.ConcurrencyLimited, {
+  const openRequests = turn.board.requests.openByScope.get(key) ?? 0;
+  if (openRequests >= policy.maxOpenRequests) {
+    return notRunRefusal(ErrorKind.ConcurrencyLimited, {
       message:
-        `${key} has ${open} open requests here; ${policy.maxOpenRequests} are allowed.`,
+        `${key} has ${openRequests} open requests here; ${policy.maxOpenRequests} are allowed.`,
       retryAfterMs: spreadRetryHint(turn, policy.retryAfterMs),
     });
   }
-  const bucket = filledBucket(turn, scope);
+  const bucket = refillBucket(turn, scope);
   if (bucket.tokens < 1) {
-    const untilNextMs = (1 - bucket.tokens) / policy.maxRequestsPerSecond *
+    const untilNextTokenMs = (1 - bucket.tokens) / policy.maxRequestsPerSecond *
       MS_PER_S;
-    return notRun(ErrorKind.RateLimited, {
+    return notRunRefusal(ErrorKind.RateLimited, {
       message:
         `${key} is over ${policy.maxRequestsPerSecond} requests a second here.`,
       retryAfterMs: spreadRetryHint(
         turn,
-        Math.max(untilNextMs, policy.retryAfterMs),
+        Math.max(untilNextTokenMs, policy.retryAfterMs),
       ),
     });
   }
@@ -108,10 +119,11 @@
 }
 
 /**
- * Names a workspace's tier in limits, learned lengths and messages.
+ * Returns the key of a request's workspace and tier in rate limits, counts of
+ * open requests and messages.
  *
- * @param spec The request.
- * @returns The name.
+ * @param spec The request's workspace and tier.
+ * @returns The key, as `workspace/tier`.
  */
 export function scopeKey(
   spec: Pick<RequestSpec, "workspace" | "tier">,
@@ -119,18 +131,18 @@
   return `${spec.workspace}/${spec.tier}`;
 }
 
-function filledBucket(
+function refillBucket(
   turn: Turn,
   scope: { key: string; policy: TierPolicy },
 ): RateBucket {
   const { rateBuckets } = turn.board.requests;
-  const perSecond = scope.policy.maxRequestsPerSecond;
+  const ratePerS = scope.policy.maxRequestsPerSecond;
   const bucket = rateBuckets.get(scope.key) ??
-    { tokens: perSecond, filledAtMs: turn.nowMs };
-  const sinceMs = turn.nowMs - bucket.filledAtMs;
+    { tokens: ratePerS, filledAtMs: turn.nowMs };
+  const elapsedMs = turn.nowMs - bucket.filledAtMs;
   bucket.tokens = Math.min(
-    perSecond,
-    bucket.tokens + sinceMs / MS_PER_S * perSecond,
+    ratePerS,
+    bucket.tokens + elapsedMs / MS_PER_S * ratePerS,
   );
   bucket.filledAtMs = turn.nowMs;
   rateBuckets.set(scope.key, bucket);
@@ -142,21 +154,21 @@
   spec: RequestSpec,
 ): RefusalCause | undefined {
   if (!settings.workspaces.has(spec.workspace)) {
-    return unknownName(ErrorKind.UnknownWorkspace, {
+    return unknownNameRefusal(ErrorKind.UnknownWorkspace, {
       path: "workspace",
       found: spec.workspace,
       allowed: settings.workspaces,
     });
   }
   if (!settings.tiers.includes(spec.tier)) {
-    return unknownName(ErrorKind.UnknownTier, {
+    return unknownNameRefusal(ErrorKind.UnknownTier, {
       path: "tier",
       found: spec.tier,
       allowed: settings.tiers,
     });
   }
   if (!settings.pools.has(spec.pool)) {
-    return unknownName(ErrorKind.UnknownPool, {
+    return unknownNameRefusal(ErrorKind.UnknownPool, {
       path: "pool",
       found: spec.pool,
       allowed: settings.pools.keys(),
@@ -165,11 +177,11 @@
   return undefined;
 }
 
-function admit(
+function resolveAdmission(
   turn: Turn,
   spec: RequestSpec,
   settings: SettingsInForce,
-): Admitted | RefusalCause {
+): Admission | RefusalCause {
   const pool = settings.pools.get(spec.pool)!;
   const policy = settings.policyFor({
     region: turn.board.self.region,
@@ -178,7 +190,7 @@
   });
   const deadlineMs = spec.deadlineMs ?? policy.deadlineMs;
   if (deadlineMs > policy.maxDeadlineMs) {
-    return notRun(ErrorKind.BadRequest, {
+    return notRunRefusal(ErrorKind.BadRequest, {
       path: "deadlineMs",
       message:
         `deadlineMs is ${deadlineMs}; at most ${policy.maxDeadlineMs} is allowed.`,
@@ -201,67 +213,72 @@
   if (of.pool.kind !== TargetKind.Engine) {
     return undefined;
   }
-  const wanted = of.spec.promptTokens + of.maxOutputTokens;
-  const largest = Math.max(
+  const requiredTokens = of.spec.promptTokens + of.maxOutputTokens;
+  const maxKvTokens = Math.max(
     0,
     ...[...settings.targets.values()]
       .filter((target) => target.pool === of.pool.name)
       .map((target) => target.kvTokens),
   );
-  const allowed = Math.min(of.pool.contextTokens, largest);
-  if (wanted <= allowed) {
+  const maxTokens = Math.min(of.pool.contextTokens, maxKvTokens);
+  if (requiredTokens <= maxTokens) {
     return undefined;
   }
-  return notRun(ErrorKind.PromptTooLarge, {
+  return notRunRefusal(ErrorKind.PromptTooLarge, {
     path: "promptTokens",
     message:
-      `Prompt (${of.spec.promptTokens}) and answer (${of.maxOutputTokens}) together are ${wanted} tokens; pool ${of.pool.name} holds at most ${allowed}.`,
+      `Prompt (${of.spec.promptTokens}) and answer (${of.maxOutputTokens}) together are ${requiredTokens} tokens; pool ${of.pool.name} holds at most ${maxTokens}.`,
   });
 }
 
-function unknownName(
+function unknownNameRefusal(
   error: ErrorKind,
   of: { path: string; found: string; allowed: Iterable<string> },
 ): RefusalCause {
   const names = [...of.allowed];
-  const told = names.slice(0, MAX_NAMES_TOLD).join(", ");
-  const more = names.length > MAX_NAMES_TOLD ? ", …" : "";
-  return notRun(error, {
+  const listed = names.slice(0, MAX_NAMES_LISTED).join(", ");
+  const ellipsis = names.length > MAX_NAMES_LISTED ? ", …" : "";
+  return notRunRefusal(error, {
     path: of.path,
     message:
-      `${of.path} "${of.found}" is not in the settings; allowed: ${told}${more}.`,
+      `${of.path} "${of.found}" is not in the settings; allowed: ${listed}${ellipsis}.`,
   });
 }
 
-/** Refuses before it is known whether the key of the request ran elsewhere. */
-function unread(
+/**
+ * Returns the refusal of a request whose claim has not been read, so that it is
+ * not known whether an earlier call with the same idempotency key has run.
+ */
+function refusalBeforeClaim(
   spec: RequestSpec,
   error: ErrorKind,
-  rest: Omit<RefusalCause, "error" | "ran">,
+  details: Omit<RefusalCause, "error" | "ran">,
 ): RefusalCause {
-  const ran = runStateUnclaimed(spec, spec.idempotent ?? false);
-  return { error, ran, ...rest };
+  const ran = runStateWithoutClaim(spec, spec.idempotent ?? false);
+  return { error, ran, ...details };
 }
 
 /**
- * Tells what is known of a request that was refused without a claim.
+ * Returns the run state to report for a request that is refused without a
+ * claim.
  *
  * @param spec The request.
- * @param idempotent Whether it may run twice.
- * @returns Not run, but for a key that an earlier call may have run.
+ * @param idempotent Whether the request may run twice.
+ * @returns `MayHaveRun` where an earlier call with the same idempotency key may
+ * have run the request, `NotRun` otherwise.
  */
-export function runStateUnclaimed(
+export function runStateWithoutClaim(
   spec: RequestSpec,
   idempotent: boolean,
 ): RunState {
-  const keyInDoubt = !idempotent && spec.idempotencyKey !== undefined &&
+  const mayHaveRunEarlier = !idempotent && spec.idempotencyKey !== undefined &&
     !spec.firstAttempt;
-  return keyInDoubt ? RunState.MayHaveRun : RunState.NotRun;
+  return mayHaveRunEarlier ? RunState.MayHaveRun : RunState.NotRun;
 }
 
-function notRun(
+function notRunRefusal(
   error: ErrorKind,
-  rest: Omit<RefusalCause, "error" | "ran">,
+  details: Omit<RefusalCause, "error" | "ran">,
 ): RefusalCause {
-  return { error, ran: RunState.NotRun, ...rest };
+  return { error, ran: RunState.NotRun, ...details };
 }
--- a/packages/core/src/ask_flow.ts
+++ b/packages/core/src/ask_flow.ts
@@ -6,7 +6,7 @@
 } from "@chestnuthatch/wire/peer_messages";
 import { ErrorKind } from "@chestnuthatch/wire/work";
 import { domainsOf, newAsk, sendAsk, withdrawAsk } from "./ask_messages.ts";
-import { refuseForAsks } from "./ask_refusals.ts";
+import { endWithAskRefusals } from "./ask_refusals.ts";
 import {
   AskState,
   type HeldRequest,
@@ -19,7 +19,7 @@
 import { CounterName } from "./effects.ts";
 import { noteStep } from "./refusals.ts";
 import { RequestState } from "./request.ts";
-import { FLOOR_MS } from "./shed_floor.ts";
+import { FLOOR_DURATION_MS } from "./shed_floor.ts";
 
 /** A predicted wait above this sends the ask to the other domains too. */
 const SPREAD_WAIT_MS = 20;
@@ -27,7 +27,7 @@
 const SPREAD_AFTER_MS = 100;
 
 /** Refusals of several domains count together while none is older. */
-const FRESH_REFUSAL_MS = FLOOR_MS * 0.75;
+const FRESH_REFUSAL_MS = FLOOR_DURATION_MS * 0.75;
 
 /**
  * Begins to ask for a place: at the nearest domain that has the pool.
@@ -40,7 +40,7 @@
   request.waitingSinceMs = turn.nowMs;
   const [nearest] = domainsOf(turn, request);
   if (nearest === undefined) {
-    refuseForAsks(turn, request);
+    endWithAskRefusals(turn, request);
     return;
   }
   askDomain(turn, request, nearest);
@@ -229,7 +229,7 @@
     isOldOverload(turn, ask)
   );
   if (old.length === 0 || request.deadlineAtMs <= turn.nowMs) {
-    refuseForAsks(turn, request);
+    endWithAskRefusals(turn, request);
     return;
   }
   for (const ask of old) {
--- a/packages/core/src/ask_intake.ts
+++ b/packages/core/src/ask_intake.ts
@@ -1,59 +1,62 @@
-/** What a coordinator does with an ask that comes in. */
+/** Handling of the asks that a coordinator receives. */
 
 import {
   type AskDetail,
   PeerMessageKind,
 } from "@chestnuthatch/wire/peer_messages";
 import type { GrantAccount, WaitingAsk } from "./blackboard.ts";
-import { cancelGrant, sendGrant } from "./grant_account.ts";
+import { cancelGrant, sendGrant } from "./grant_lifecycle.ts";
 import { hearHolder, type HolderWord } from "./holder_presence.ts";
 import { placeWaiting } from "./placement.ts";
-import { addWaiting, lanesOfTier } from "./shard_queue.ts";
+import { enqueueAsk, lanesOfTier } from "./shard_queue.ts";
 import { ShardView } from "./shard_view.ts";
 import { refuseOverloaded } from "./overload_refusal.ts";
-import { floorOf } from "./shed_floor.ts";
-import { refuseAtDoor, refuseUnservable } from "./shedding.ts";
+import { floorTierOf } from "./shed_floor.ts";
+import { refuseOnArrival, refuseUnservable } from "./shedding.ts";
 import { estimateWaitMs, NO_WORK } from "./wait_estimate.ts";
 
 /**
- * Takes in an ask: grants, queues or refuses it, or answers it from a grant.
+ * Handles an ask: grants, queues or refuses it, or resends the grant that its
+ * request already has. Asks that are older than the request's latest one are
+ * ignored.
  *
- * @param view The shard it is for.
- * @param detail What is asked.
- * @param from The holder.
+ * @param view The shard that is asked.
+ * @param detail The ask, as its holder sent it.
+ * @param sender The holder that sent the ask, with its heartbeat.
  */
-export function onAsk(
+export function handleAsk(
   view: ShardView,
   detail: AskDetail,
-  from: HolderWord,
+  sender: HolderWord,
 ): void {
   const { shard } = view;
-  if (hearHolder(shard, from, view.nowMs) === undefined) {
+  if (hearHolder(shard, sender, view.nowMs) === undefined) {
     return;
   }
   const waiting = shard.waiting.get(detail.requestId);
-  const lastNumber = waiting?.detail.askNumber ??
+  const lastAskNumber = waiting?.detail.askNumber ??
     shard.closed.get(detail.requestId)?.askNumber ?? -1;
   const grant = [...shard.grants.values()]
     .find((each) => each.requestId === detail.requestId);
-  const isLate = detail.askNumber < lastNumber ||
-    (detail.askNumber === lastNumber && waiting === undefined && !grant);
-  if (isLate || answerFromGrant(view, grant, { detail, lastNumber })) {
+  const isStale = detail.askNumber < lastAskNumber ||
+    (detail.askNumber === lastAskNumber && waiting === undefined && !grant);
+  if (isStale || answerFromGrant(view, grant, { detail, lastAskNumber })) {
     return;
   }
-  const current = new ShardView(shard, view.settings, view.turn);
-  enqueue(current, { detail, from, waiting });
+  const currentView = new ShardView(shard, view.settings, view.turn);
+  admitAsk(currentView, { detail, sender, waiting });
 }
 
 /**
- * Answers an ask of a request that is granted already: with the same grant
- * while it is not known to be used. An ask that excludes the grant's target,
- * or comes after its use, tells that the grant is void.
+ * Answers an ask of a request that already has a grant: resends the grant while
+ * it is not known to be used. A newer ask that excludes the grant's target, or
+ * that arrives after the grant was used, means that the grant is void; then the
+ * grant is cancelled and the ask is handled as a new one.
  */
 function answerFromGrant(
   view: ShardView,
   grant: GrantAccount | undefined,
-  ask: { detail: AskDetail; lastNumber: number },
+  ask: { detail: AskDetail; lastAskNumber: number },
 ): boolean {
   if (grant === undefined) {
     return false;
@@ -61,7 +64,7 @@
   const { detail } = ask;
   const isVoid = detail.excludedTargetIds.includes(grant.work.targetId) ||
     grant.used;
-  if (isVoid && detail.askNumber > ask.lastNumber) {
+  if (isVoid && detail.askNumber > ask.lastAskNumber) {
     cancelGrant(view, grant);
     return false;
   }
@@ -78,16 +81,17 @@
   return true;
 }
 
-function enqueue(
+/** Refuses an ask, or queues it and places what can be placed. */
+function admitAsk(
   view: ShardView,
-  came: { detail: AskDetail; from: HolderWord; waiting?: WaitingAsk },
+  received: { detail: AskDetail; sender: HolderWord; waiting?: WaitingAsk },
 ): void {
-  const { detail, from, waiting } = came;
-  const { idleMs, loadedMs, prefillMs } = view.outlook(detail);
+  const { detail, sender, waiting } = received;
+  const { idleMs, loadedMs, prefillMs } = view.estimateService(detail);
   const ask: WaitingAsk = {
-    holderId: from.holderId,
-    holderIncarnation: from.incarnation,
-    holderBeat: from.beat ?? 0,
+    holderId: sender.holderId,
+    holderIncarnation: sender.incarnation,
+    holderBeat: sender.beat ?? 0,
     detail,
     arrivedAtMs: waiting?.arrivedAtMs ?? view.nowMs,
     deadlineAtMs: view.nowMs + detail.timeLeftMs,
@@ -102,14 +106,14 @@
   if (waiting === undefined && refuseUnservable(view, ask)) {
     return;
   }
-  if (detail.tierRank > floorOf(view)) {
+  if (detail.tierRank > floorTierOf(view)) {
     refuseOverloaded(view, ask, "work of a higher tier is being shed");
     return;
   }
-  addWaiting(view.shard, ask);
+  enqueueAsk(view.shard, ask);
   placeWaiting(view);
   const isWaiting = view.shard.waiting.has(detail.requestId);
-  if (isWaiting && (waiting !== undefined || !refuseAtDoor(view, ask))) {
+  if (isWaiting && (waiting !== undefined || !refuseOnArrival(view, ask))) {
     sendQueued(view, ask);
   }
 }
--- a/packages/core/src/ask_refusals.ts
+++ b/packages/core/src/ask_refusals.ts
@@ -1,4 +1,7 @@
-/** Which of several coordinators' refusals a caller is told. */
+/**
+ * The refusal of a request whose asks were all refused: which of the
+ * coordinators' errors the caller receives.
+ */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
@@ -8,11 +11,11 @@
 import { spreadRetryHint } from "./retry_hint.ts";
 
 /**
- * Tells every domain that refused a request that it is now refused for good:
- * no lower tier may be served instead. A single domain's refusal is not yet
- * one, since another may still serve the request.
+ * Orders every domain that refused a request to shed all lower tiers, since no
+ * lower tier may be served in place of the request. A single domain's refusal
+ * does not cause this, since another domain may still serve the request.
  */
-function shedBelow(turn: Turn, request: HeldRequest): void {
+function sendShedBelow(turn: Turn, request: HeldRequest): void {
   const lowestRank = turn.board.settings.inForce!.tiers.length - 1;
   const tierRank = request.policy.rank;
   if (tierRank >= lowestRank) {
@@ -31,39 +34,40 @@
   }
 }
 
-/** Errors in the order in which they explain a refusal best. */
-const TELLING_ERRORS: readonly ErrorKind[] = [
+/** Errors of refused asks by precedence: the first that occurs is reported. */
+const ERRORS_BY_PRECEDENCE: readonly ErrorKind[] = [
   ErrorKind.Overloaded,
   ErrorKind.DeadlineUnreachable,
   ErrorKind.NoTarget,
 ];
 
 /**
- * Refuses a request for the reasons that its coordinators gave.
+ * Ends a request with the error, reason and shortest retry hint of the asks
+ * that coordinators refused.
  *
- * @param turn The turn it happens in.
- * @param request A request whose asks were all refused.
+ * @param turn The turn of the current event.
+ * @param request The request, all of whose asks were refused.
  */
-export function refuseForAsks(turn: Turn, request: HeldRequest): void {
+export function endWithAskRefusals(turn: Turn, request: HeldRequest): void {
   const refusals = [...request.asks.values()].flatMap((ask) =>
     ask.refusal === undefined ? [] : [ask.refusal]
   );
   const error =
-    TELLING_ERRORS.find((kind) =>
+    ERRORS_BY_PRECEDENCE.find((kind) =>
       refusals.some((refusal) => refusal.error === kind)
     ) ?? ErrorKind.NoTarget;
   if (error === ErrorKind.Overloaded) {
-    shedBelow(turn, request);
+    sendShedBelow(turn, request);
   }
-  const telling = refusals.filter((refusal) => refusal.error === error);
-  const hints = telling.map((refusal) => refusal.retryAfterMs);
+  const reported = refusals.filter((refusal) => refusal.error === error);
+  const retryHintsMs = reported.map((refusal) => refusal.retryAfterMs);
   endRequest(turn, request, {
     error,
     ran: RunState.NotRun,
-    message: telling[0]?.reason ??
+    message: reported[0]?.reason ??
       `Pool ${request.spec.pool} has no target within reach.`,
-    retryAfterMs: hints.length > 0
-      ? Math.min(...hints)
+    retryAfterMs: retryHintsMs.length > 0
+      ? Math.min(...retryHintsMs)
       : spreadRetryHint(turn, request.policy.retryAfterMs),
   });
 }
--- a/packages/core/src/capacity.ts
+++ b/packages/core/src/capacity.ts
@@ -1,17 +1,23 @@
-/** What each target of a shard can still take, by the coordinator's account. */
+/**
+ * The free capacity of each target of a shard, computed from the coordinator's
+ * recorded grants and the target's load report.
+ */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { type GrantAccount, type Target, TargetHealth } from "./blackboard.ts";
 import {
-  reconciledUsage,
-  type RoomSource,
-  type Usage,
+  type CapacityInputs,
+  reconcileUsage,
+  type TargetUsage,
 } from "./target_usage.ts";
 import { type PrefillQueue, prefillQueueOf } from "./prefill_queue.ts";
 
-/** Why a target gets nothing, or not this ask. Shown by `why`. */
-export enum PassedOver {
+/**
+ * Why a target is not chosen for an ask. `why` prints these texts, and holders
+ * receive them with the grant.
+ */
+export enum PassedOverReason {
   Unknown = "not known yet",
   Leaving = "leaving",
   Draining = "draining",
@@ -23,189 +29,203 @@
   NoSlot = "no free slot for this tier",
   NoKvMemory = "no KV memory free for it",
   PrefillBusy = "enough prompts wait there already",
-  Kept = "room kept for another ask",
+  Reserved = "room kept for another ask",
   TooLate = "would end after the deadline",
   NotSooner = "would not end sooner",
 }
 
-/** What an ask takes of a target. */
-export interface Need {
+/** The resources that an ask occupies on a target. */
+export interface ResourceDemand {
   readonly requestId: string;
   readonly tierRank: number;
   readonly kvTokens: number;
-  /** Share of the slots that its tier must leave free. */
+  /** Share (0 to 1) of slots and KV memory that the ask's tier leaves free. */
   readonly headroomShare: number;
 }
 
-interface KeptRoom extends Need {
+/** Resources reserved on a target for one ask. */
+interface ReservedCapacity extends ResourceDemand {
+  /** Local time at which they are expected to be free. */
   readonly readyAtMs: number;
 }
 
-const ROUNDING = 1e-9;
+/** Keeps errors of floating-point products from changing a rounded result. */
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** One target's room while a shard's asks are placed. */
-export class TargetRoom {
+/**
+ * Used, reserved and free capacity of one target while the asks of its shard
+ * are placed. Placing work updates it.
+ */
+export class TargetCapacity {
   readonly targetId: string;
   readonly settings: TargetSettings;
   readonly kind: TargetKind;
   readonly target: Target | undefined;
   readonly grants: GrantAccount[];
-  /** When a prompt was last heard to have been read here. */
+  /** Local time of the latest `PromptRead` message about the target. */
   readonly lastReadAtMs: number;
+  /** Slots that the target may fill at its current pace. */
   readonly slotsTotal: number;
   readonly kvTotalTokens: number;
-  readonly used: Usage;
-  readonly #kept: KeptRoom[] = [];
+  /** Capacity in use, including work placed since this object was created. */
+  readonly used: TargetUsage;
+  readonly #reserved: ReservedCapacity[] = [];
 
-  /** @param source What is known of the target. */
-  constructor(source: RoomSource) {
-    this.settings = source.settings;
-    this.targetId = source.settings.id;
-    this.kind = source.kind;
-    this.target = source.target;
-    this.grants = [...source.grants];
-    this.lastReadAtMs = source.lastReadAtMs;
-    this.slotsTotal = slotsTotalOf(source);
-    this.kvTotalTokens = kvTotalOf(source);
-    this.used = reconciledUsage(source);
+  /** @param inputs Settings, state, grants and ended work of the target. */
+  constructor(inputs: CapacityInputs) {
+    this.settings = inputs.settings;
+    this.targetId = inputs.settings.id;
+    this.kind = inputs.kind;
+    this.target = inputs.target;
+    this.grants = [...inputs.grants];
+    this.lastReadAtMs = inputs.lastReadAtMs;
+    this.slotsTotal = slotsTotalOf(inputs);
+    this.kvTotalTokens = kvTotalTokensOf(inputs);
+    this.used = reconcileUsage(inputs);
   }
 
-  /** @returns Why it counts as gone; undefined while it lives. */
-  get closedFor(): PassedOver | undefined {
+  /** Why the target may get no work at all; undefined while it is available. */
+  get unavailableReason(): PassedOverReason | undefined {
     if (this.target === undefined) {
-      return PassedOver.Unknown;
+      return PassedOverReason.Unknown;
     }
     if (this.target.leaving) {
-      return PassedOver.Leaving;
+      return PassedOverReason.Leaving;
     }
     if (this.settings.draining) {
-      return PassedOver.Draining;
+      return PassedOverReason.Draining;
     }
     return this.target.health === TargetHealth.Unreachable
-      ? PassedOver.Unreachable
+      ? PassedOverReason.Unreachable
       : undefined;
   }
 
-  /** Whether the target's report shows as much work as this account has. */
-  get showsAllItsWork(): boolean {
+  /** Whether the load report shows at least as much work as grants exist. */
+  get reportsAllGrants(): boolean {
     const load = this.target?.load;
     return load !== undefined &&
       load.slotsUsed + load.waitingRequests >= this.grants.length;
   }
 
-  /** Whether the target shows work that this account does not have. */
-  get hasUnknownWork(): boolean {
+  /** Whether the target reports work beyond this coordinator's grants. */
+  get hasUnaccountedWork(): boolean {
     return this.used.slots > this.grants.length;
   }
 
-  /** @returns Whether any slot is free. */
+  /** Whether the target is available, has reported, and has a free slot. */
   get hasFreeSlot(): boolean {
-    return this.closedFor === undefined && this.target?.load !== undefined &&
+    return this.unavailableReason === undefined &&
+      this.target?.load !== undefined &&
       this.used.slots < this.slotsTotal;
   }
 
-  /** @returns Share (0 to 1) of its slots in use. */
+  /** Share (0 to 1) of the target's slots in use. */
   get utilization(): number {
     return this.slotsTotal === 0 ? 1 : this.used.slots / this.slotsTotal;
   }
 
   /**
-   * Tells whether the target could hold the work if it were empty.
+   * Checks whether the target could hold the work if it were idle.
    *
-   * @param kvTokens KV memory that the work needs.
-   * @returns True where it could.
+   * @param kvTokens KV memory that the work needs, in tokens.
+   * @returns Whether the work fits; always true for services, which have no KV
+   * memory.
    */
-  couldHold(kvTokens: number): boolean {
+  fitsWhenEmpty(kvTokens: number): boolean {
     return this.kind === TargetKind.Service || kvTokens <= this.kvTotalTokens;
   }
 
   /**
-   * Tells what stands against placing work here now.
+   * Checks whether work can be placed on the target now.
    *
-   * @param need What the work takes.
-   * @returns The reason, or undefined where it fits.
+   * @param demand Resources that the work occupies.
+   * @returns Why the work cannot be placed, or undefined where it fits.
    */
-  obstacle(need: Need): PassedOver | undefined {
-    if (this.closedFor !== undefined) {
-      return this.closedFor;
+  rejectionOf(demand: ResourceDemand): PassedOverReason | undefined {
+    if (this.unavailableReason !== undefined) {
+      return this.unavailableReason;
     }
     if (this.target?.load === undefined) {
-      return PassedOver.NoReport;
+      return PassedOverReason.NoReport;
     }
-    if (!this.couldHold(need.kvTokens)) {
-      return PassedOver.TooSmall;
+    if (!this.fitsWhenEmpty(demand.kvTokens)) {
+      return PassedOverReason.TooSmall;
     }
-    return shortage(this, need, this.used) ??
-      (shortage(this, need, this.#usedWithKept(need)) && PassedOver.Kept);
+    return shortage(this, demand, this.used) ??
+      (shortage(this, demand, this.#usedWithReserved(demand)) &&
+        PassedOverReason.Reserved);
   }
 
   /**
-   * Keeps room for an ask against all others of its tier and lower.
+   * Reserves resources for an ask; other asks of its tier and of lower tiers
+   * may not take them.
    *
-   * @param need What the ask takes.
-   * @param readyAtMs When the room is expected to be there.
+   * @param demand Resources that the ask occupies.
+   * @param readyAtMs Local time at which the resources are expected to be free.
    */
-  keep(need: Need, readyAtMs: number): void {
-    this.#kept.push({ ...need, readyAtMs });
+  reserve(demand: ResourceDemand, readyAtMs: number): void {
+    this.#reserved.push({ ...demand, readyAtMs });
   }
 
-  /** @returns Whether room is kept here for any ask. */
-  get hasKept(): boolean {
-    return this.#kept.length > 0;
+  /** Whether resources are reserved here for any ask. */
+  get hasReservation(): boolean {
+    return this.#reserved.length > 0;
   }
 
   /**
-   * Gives the time until which room kept from an ask stays unused.
+   * Returns the time until which the resources reserved against an ask stay
+   * unused.
    *
-   * @param need What the ask takes.
-   * @returns A local time; Infinity where nothing is kept from it.
+   * @param demand Resources that the ask occupies.
+   * @returns The earliest local time at which one of the reservations is
+   * expected to be used; Infinity where nothing is reserved against the ask.
    */
-  keptRoomReadyAtMs(need: Need): number {
+  reservedReadyAtMs(demand: ResourceDemand): number {
     return Math.min(
-      ...this.#keptFrom(need).map((kept) => kept.readyAtMs),
+      ...this.#reservedAgainst(demand).map((reserved) => reserved.readyAtMs),
     );
   }
 
   /**
-   * Counts work as placed here.
+   * Counts work as placed here, and releases the reservation made for it.
    *
-   * @param need What it takes.
+   * @param demand Resources that the work occupies.
    */
-  take(need: Need): void {
+  allocate(demand: ResourceDemand): void {
     this.used.slots += 1;
-    this.used.kvTokens += need.kvTokens;
-    const index = this.#kept.findIndex((kept) =>
-      kept.requestId === need.requestId
+    this.used.kvTokens += demand.kvTokens;
+    const index = this.#reserved.findIndex((reserved) =>
+      reserved.requestId === demand.requestId
     );
     if (index >= 0) {
-      this.#kept.splice(index, 1);
+      this.#reserved.splice(index, 1);
     }
   }
 
   /**
-   * Gives the prompt work that stands before new work here.
+   * Estimates the time until the target has read the prompts it has.
    *
-   * @param nowMs The local time.
-   * @returns A duration in milliseconds.
+   * @param nowMs The local time in milliseconds.
+   * @returns The length of the prefill queue in milliseconds.
    */
   prefillQueueMs(nowMs: number): number {
     return this.#prefillQueue(nowMs).totalMs;
   }
 
   /**
-   * Tells whether so much prompt work waits here that more should wait with
-   * the coordinator, where tiers are known. A short prompt may wait behind the
-   * one being read, since it holds up nobody.
+   * Checks whether the target's prefill queue is so long that another prompt
+   * should wait at the coordinator, which orders prompts by tier. A short
+   * prompt may queue behind the one being read, since it delays no others.
    *
-   * @param nowMs The local time.
-   * @param prefillMs Time that the prompt in question takes.
-   * @returns True while it should not be added.
+   * @param nowMs The local time in milliseconds.
+   * @param prefillMs Time to read the prompt to be added, in milliseconds.
+   * @returns Whether the prompt should not be added now.
    */
   isPrefillBusy(nowMs: number, prefillMs: number): boolean {
-    const { totalMs, notBegunMs } = this.#prefillQueue(nowMs);
-    return totalMs > MAX_WAIT_BEHIND_MS ||
+    const { totalMs, notStartedMs } = this.#prefillQueue(nowMs);
+    return totalMs > MAX_SHORT_PROMPT_WAIT_MS ||
       (totalMs > MAX_PREFILL_QUEUE_MS &&
-        notBegunMs + prefillMs > MAX_PREFILL_QUEUE_MS);
+        notStartedMs + prefillMs > MAX_PREFILL_QUEUE_MS);
   }
 
   #prefillQueue(nowMs: number): PrefillQueue {
@@ -213,86 +233,98 @@
     return prefillQueueOf(this.grants, { nowMs, lastReadAtMs });
   }
 
-  #usedWithKept(need: Need): Usage {
+  #usedWithReserved(demand: ResourceDemand): TargetUsage {
     const used = { ...this.used };
-    for (const kept of this.#keptFrom(need)) {
+    for (const reserved of this.#reservedAgainst(demand)) {
       used.slots += 1;
-      used.kvTokens += kept.kvTokens;
+      used.kvTokens += reserved.kvTokens;
     }
     return used;
   }
 
-  #keptFrom(need: Need): KeptRoom[] {
-    return this.#kept.filter((kept) =>
-      kept.requestId !== need.requestId && kept.tierRank <= need.tierRank
+  #reservedAgainst(demand: ResourceDemand): ReservedCapacity[] {
+    return this.#reserved.filter((reserved) =>
+      reserved.requestId !== demand.requestId &&
+      reserved.tierRank <= demand.tierRank
     );
   }
 }
 
 /**
- * Prompt work that may stand before new work on an engine. Engines know no
- * tiers: what waits there, waits before every higher tier that comes later. It
- * suffices to bridge the time until the next placement.
+ * Longest prefill queue in front of new work on an engine. Engines know no
+ * tiers: prompts queued there go before those of a higher tier that arrive
+ * later. The queue only has to last until the next placement.
  */
 const MAX_PREFILL_QUEUE_MS = 250;
 
-/** A short prompt does not wait behind one that takes longer than this. */
-const MAX_WAIT_BEHIND_MS = 800;
+/** Longest prefill queue behind which a short prompt may be placed. */
+const MAX_SHORT_PROMPT_WAIT_MS = 800;
 
 /**
- * Tells what would be missing for work on a target.
+ * Checks whether work would fit on a target at a given usage.
  *
- * @param room The target.
- * @param need What the work takes.
- * @param used What is in use there.
- * @returns The reason, or undefined where it would fit.
+ * @param capacity Capacity of the target.
+ * @param demand Resources that the work occupies.
+ * @param used Usage of the target to assume.
+ * @returns The resource that is short, or undefined where the work fits.
  */
 export function shortage(
-  room: TargetRoom,
-  need: Need,
-  used: Usage,
-): PassedOver | undefined {
-  if (used.slots + 1 > slotsForTier(room.slotsTotal, need.headroomShare)) {
-    return PassedOver.NoSlot;
+  capacity: TargetCapacity,
+  demand: ResourceDemand,
+  used: TargetUsage,
+): PassedOverReason | undefined {
+  if (
+    used.slots + 1 > slotsForTier(capacity.slotsTotal, demand.headroomShare)
+  ) {
+    return PassedOverReason.NoSlot;
   }
-  const bounded = room.kind === TargetKind.Engine;
-  return bounded && used.kvTokens + need.kvTokens > kvForTier(room, need)
-    ? PassedOver.NoKvMemory
+  const isKvBounded = capacity.kind === TargetKind.Engine;
+  return isKvBounded &&
+      used.kvTokens + demand.kvTokens > kvTokensForTier(capacity, demand)
+    ? PassedOverReason.NoKvMemory
     : undefined;
 }
 
 /**
- * Gives the slots that a tier may fill: all but its headroom, at least one.
+ * Returns the number of slots that a tier may fill: all but its headroom, and
+ * at least one.
  *
  * @param slotsTotal Slots of the target.
- * @param headroomShare Share of them that the tier must leave free.
- * @returns A number of slots.
+ * @param headroomShare Share (0 to 1) of the slots that the tier leaves free.
+ * @returns The number of slots.
  */
 export function slotsForTier(
   slotsTotal: number,
   headroomShare: number,
 ): number {
-  const headroom = Math.ceil(slotsTotal * headroomShare - ROUNDING);
-  return Math.min(slotsTotal, Math.max(1, slotsTotal - headroom));
+  const headroomSlots = Math.ceil(
+    slotsTotal * headroomShare - ROUNDING_TOLERANCE,
+  );
+  return Math.min(slotsTotal, Math.max(1, slotsTotal - headroomSlots));
 }
 
 /**
- * Gives the KV memory that a tier may fill: all but its headroom, and always
- * enough for one request that has the target to itself.
+ * Returns the KV memory that a tier may fill, in tokens: all but its headroom,
+ * and always enough for one request that has the target to itself.
  */
-function kvForTier(room: TargetRoom, need: Need): number {
-  const share = room.kvTotalTokens * (1 - need.headroomShare);
-  return Math.min(room.kvTotalTokens, Math.max(share, need.kvTokens));
+function kvTokensForTier(
+  capacity: TargetCapacity,
+  demand: ResourceDemand,
+): number {
+  const share = capacity.kvTotalTokens * (1 - demand.headroomShare);
+  return Math.min(capacity.kvTotalTokens, Math.max(share, demand.kvTokens));
 }
 
-function slotsTotalOf({ settings, target }: RoomSource): number {
+function slotsTotalOf({ settings, target }: CapacityInputs): number {
   const reported = target?.load?.slotsTotal ?? settings.slots;
   const slots = Math.min(settings.slots, reported);
   const share = target?.pace?.slotShare ?? 1;
-  return slots === 0 ? 0 : Math.max(1, Math.floor(slots * share + ROUNDING));
+  return slots === 0
+    ? 0
+    : Math.max(1, Math.floor(slots * share + ROUNDING_TOLERANCE));
 }
 
-function kvTotalOf({ settings, target }: RoomSource): number {
+function kvTotalTokensOf({ settings, target }: CapacityInputs): number {
   return Math.min(
     settings.kvTokens,
     target?.load?.kvTotalTokens ?? settings.kvTokens,
--- a/packages/core/src/coordinator_controller.ts
+++ b/packages/core/src/coordinator_controller.ts
@@ -1,6 +1,7 @@
 /**
- * The coordinator of shards: keeps their waiting asks and the account of
- * their targets, grants, sheds, and reconciles with holders and targets.
+ * The controller of the shards that this instance coordinates. It queues asks,
+ * records grants, places and sheds work, and reconciles its records with the
+ * reports of holders and targets.
  */
 
 import {
@@ -10,7 +11,7 @@
 } from "@chestnuthatch/wire/peer_messages";
 import { CacheEventKind } from "@chestnuthatch/wire/target_protocol";
 import { TargetKind } from "@chestnuthatch/wire/work";
-import { onAsk } from "./ask_intake.ts";
+import { handleAsk } from "./ask_intake.ts";
 import { type GrantAccount, type Shard, shardKey } from "./blackboard.ts";
 import type { Controller, EventHandlers, Turn } from "./controller.ts";
 import {
@@ -24,69 +25,80 @@
   cancelGrant,
   closeAsk,
   closeGrant,
-  prefixIndexOf,
-} from "./grant_account.ts";
+  ensurePrefixIndex,
+} from "./grant_lifecycle.ts";
 import { dropGone, hearHolder, type HolderWord } from "./holder_presence.ts";
 import { reconcileReport } from "./holder_reconcile.ts";
 import { reconcileOrphans } from "./orphaned_work.ts";
 import { placeWaiting } from "./placement.ts";
-import { newShard } from "./shard_queue.ts";
+import { createShard } from "./shard_queue.ts";
 import { ShardView } from "./shard_view.ts";
 import { shedOverload } from "./shedding.ts";
 import { shedBelow } from "./urgent_asks.ts";
 
-/** An empty shard is kept this long after its last ask or report. */
-const IDLE_SHARD_MS = 30_000;
+/**
+ * Time after its last ask or report at which an empty shard is deleted, unless
+ * this instance is still its coordinator.
+ */
+const IDLE_SHARD_TTL_MS = 30_000;
 
-type MessageEvent = EventOf<EventKind.PeerMessageReceived>;
+type PeerMessageEvent = EventOf<EventKind.PeerMessageReceived>;
 
-/** Handles the messages of one kind about a shard that is served here. */
+/** Handlers of peer messages that concern one shard, by kind of message. */
 type MessageHandlers = {
   readonly [K in PeerMessageKind]?: (
     view: ShardView,
     message: PeerMessageOf<K>,
-    from: HolderWord,
+    sender: HolderWord,
   ) => void;
 };
 
-/** Writes the shards section. */
+/**
+ * Schedules the work of the shards that this instance coordinates. It is the
+ * only writer of the `shards` section of the blackboard.
+ *
+ * A shard is the targets of one pool in one failure domain. Holders, the
+ * instances that have accepted requests, send asks (scheduling requests) to the
+ * shard's coordinator, which answers them with grants (leases of capacity on
+ * one target), with refusals, or with the predicted wait in its queue.
+ */
 export class CoordinatorController implements Controller {
   readonly name = "coordinator";
   readonly handlers: EventHandlers = {
     [EventKind.PeerMessageReceived]: (event, turn) =>
-      this.#onMessage(event, turn),
-    [EventKind.LoadReported]: (event, turn) => this.#onLoad(event, turn),
+      this.#handleMessage(event, turn),
+    [EventKind.LoadReported]: (event, turn) => this.#handleLoad(event, turn),
     [EventKind.CacheEventsRead]: (event, turn) =>
-      this.#onCacheEvents(event, turn),
-    [EventKind.Tick]: (_event, turn) => this.#onTick(turn),
+      this.#handleCacheEvents(event, turn),
+    [EventKind.Tick]: (_event, turn) => this.#handleTick(turn),
   };
   readonly #options: CoordinatorOptions;
 
-  /** @param options Switches for measurements. */
+  /** @param options Which parts of the placement policy are enabled. */
   constructor(options: CoordinatorOptions = DEFAULT_COORDINATOR_OPTIONS) {
     this.#options = options;
   }
 
-  #onMessage(event: MessageEvent, turn: Turn): void {
+  #handleMessage(event: PeerMessageEvent, turn: Turn): void {
     const { message } = event;
     const handler = MESSAGE_HANDLERS[message.kind] as
-      | ((view: ShardView, message: PeerMessage, from: HolderWord) => void)
+      | ((view: ShardView, message: PeerMessage, sender: HolderWord) => void)
       | undefined;
-    const place = placeOf(message);
-    if (handler === undefined || place === undefined) {
+    const shardId = shardIdOf(message);
+    if (handler === undefined || shardId === undefined) {
       return;
     }
-    const from = holderWordOf(event);
-    hearInAllShards(turn, from);
-    const shard = shardFor(turn, message, place);
+    const sender = senderOf(event);
+    recordSenderInAllShards(turn, sender);
+    const shard = findOrCreateShard(turn, message, shardId);
     const view = shard && this.#viewOf(shard, turn);
     if (view !== undefined) {
-      handler(view, message, from);
+      handler(view, message, sender);
       shard!.lastActiveMs = turn.nowMs;
     }
   }
 
-  #onLoad({ load }: EventOf<EventKind.LoadReported>, turn: Turn): void {
+  #handleLoad({ load }: EventOf<EventKind.LoadReported>, turn: Turn): void {
     const target = turn.board.settings.inForce?.targets.get(load.targetId);
     const shard = target &&
       turn.board.shards.byKey.get(shardKey(target.pool, target.failureDomain));
@@ -97,7 +109,7 @@
     }
   }
 
-  #onCacheEvents(
+  #handleCacheEvents(
     { targetId, answer }: EventOf<EventKind.CacheEventsRead>,
     turn: Turn,
   ): void {
@@ -113,7 +125,7 @@
     }
   }
 
-  #onTick(turn: Turn): void {
+  #handleTick(turn: Turn): void {
     for (const [key, shard] of [...turn.board.shards.byKey]) {
       const view = this.#viewOf(shard, turn);
       if (view === undefined) {
@@ -136,40 +148,42 @@
     }
     const view = new ShardView(shard, settings, turn);
     if (this.#options.affinity && view.kind === TargetKind.Engine) {
-      view.rooms.forEach((room) => prefixIndexOf(shard, room.targetId));
+      view.capacities.forEach((capacity) =>
+        ensurePrefixIndex(shard, capacity.targetId)
+      );
     }
     return view;
   }
 }
 
 const MESSAGE_HANDLERS: MessageHandlers = {
-  [PeerMessageKind.Ask]: (view, message, from) =>
-    onAsk(view, message.ask, from),
-  [PeerMessageKind.AskWithdrawn]: onAskWithdrawn,
-  [PeerMessageKind.GrantUsed]: onGrantUsed,
-  [PeerMessageKind.GrantReturned]: onGrantReturned,
-  [PeerMessageKind.PromptRead]: onPromptRead,
-  [PeerMessageKind.WorkDone]: onWorkDone,
+  [PeerMessageKind.Ask]: (view, message, sender) =>
+    handleAsk(view, message.ask, sender),
+  [PeerMessageKind.AskWithdrawn]: handleAskWithdrawn,
+  [PeerMessageKind.GrantUsed]: handleGrantUsed,
+  [PeerMessageKind.GrantReturned]: handleGrantReturned,
+  [PeerMessageKind.PromptRead]: handlePromptRead,
+  [PeerMessageKind.WorkDone]: handleWorkDone,
   [PeerMessageKind.ShedBelow]: (view, { tierRank }) =>
     shedBelow(view, tierRank),
-  [PeerMessageKind.HolderReport]: (view, message, from) => {
-    reconcileReport(view, message, from);
+  [PeerMessageKind.HolderReport]: (view, message, sender) => {
+    reconcileReport(view, message, sender);
     placeWaiting(new ShardView(view.shard, view.settings, view.turn));
   },
 };
 
-function onAskWithdrawn(
+function handleAskWithdrawn(
   view: ShardView,
   { requestId }: PeerMessageOf<PeerMessageKind.AskWithdrawn>,
-  from: HolderWord,
+  sender: HolderWord,
 ): void {
   const ask = view.shard.waiting.get(requestId);
-  if (ask?.holderId === from.holderId) {
+  if (ask?.holderId === sender.holderId) {
     closeAsk(view, ask);
   }
 }
 
-function onGrantUsed(
+function handleGrantUsed(
   view: ShardView,
   { grantId }: PeerMessageOf<PeerMessageKind.GrantUsed>,
 ): void {
@@ -180,7 +194,7 @@
   }
 }
 
-function onGrantReturned(
+function handleGrantReturned(
   view: ShardView,
   { grantId }: PeerMessageOf<PeerMessageKind.GrantReturned>,
 ): void {
@@ -191,7 +205,7 @@
   }
 }
 
-function onPromptRead(
+function handlePromptRead(
   view: ShardView,
   { grantId }: PeerMessageOf<PeerMessageKind.PromptRead>,
 ): void {
@@ -207,21 +221,22 @@
 }
 
 /**
- * Engines read prompts in the order they came, so earlier ones were read too.
- * Their own word may be lost, or their holder gone.
+ * Marks the prompts of earlier grants on the same target as read, since engines
+ * read prompts in order of arrival. The `PromptRead` messages of those grants
+ * may have been lost, or their holders may have failed.
  */
-function markEarlierPromptsRead(shard: Shard, read: GrantAccount): void {
+function markEarlierPromptsRead(shard: Shard, readGrant: GrantAccount): void {
   for (const grant of shard.grants.values()) {
     if (
-      grant.work.targetId === read.work.targetId &&
-      grant.usedAtMs < read.usedAtMs
+      grant.work.targetId === readGrant.work.targetId &&
+      grant.usedAtMs < readGrant.usedAtMs
     ) {
       grant.promptRead = true;
     }
   }
 }
 
-function onWorkDone(
+function handleWorkDone(
   view: ShardView,
   message: PeerMessageOf<PeerMessageKind.WorkDone>,
 ): void {
@@ -239,7 +254,7 @@
   placeWaiting(new ShardView(shard, view.settings, view.turn));
 }
 
-function holderWordOf(event: MessageEvent): HolderWord {
+function senderOf(event: PeerMessageEvent): HolderWord {
   const { message } = event;
   return {
     holderId: event.fromId,
@@ -248,16 +263,19 @@
   };
 }
 
-/** A beat heard about one shard makes grants of all the others fresher too. */
-function hearInAllShards(turn: Turn, word: HolderWord): void {
+/**
+ * Records the sender's heartbeat in every shard that knows it as a holder, so
+ * that a message about one shard keeps its asks in all the others fresh.
+ */
+function recordSenderInAllShards(turn: Turn, sender: HolderWord): void {
   for (const shard of turn.board.shards.byKey.values()) {
-    if (shard.holders.has(word.holderId)) {
-      hearHolder(shard, word, turn.nowMs);
+    if (shard.holders.has(sender.holderId)) {
+      hearHolder(shard, sender, turn.nowMs);
     }
   }
 }
 
-function placeOf(
+function shardIdOf(
   message: PeerMessage,
 ): { pool: string; failureDomain: string } | undefined {
   if (message.kind === PeerMessageKind.Ask) {
@@ -269,35 +287,38 @@
   return "pool" in message && "failureDomain" in message ? message : undefined;
 }
 
-/** The shard a message is about; begun by asks and by reports of work. */
-function shardFor(
+/**
+ * Finds the shard that a message is about. An ask, or a holder's report that
+ * lists work, creates the shard where there is none.
+ */
+function findOrCreateShard(
   turn: Turn,
   message: PeerMessage,
-  place: { pool: string; failureDomain: string },
+  shardId: { pool: string; failureDomain: string },
 ): Shard | undefined {
   const { byKey } = turn.board.shards;
-  const key = shardKey(place.pool, place.failureDomain);
-  const known = byKey.get(key);
-  const begins = message.kind === PeerMessageKind.Ask ||
+  const key = shardKey(shardId.pool, shardId.failureDomain);
+  const existing = byKey.get(key);
+  const opensShard = message.kind === PeerMessageKind.Ask ||
     (message.kind === PeerMessageKind.HolderReport &&
       message.running.length + message.waitingRequestIds.length > 0);
-  if (known !== undefined || !begins) {
-    return known;
+  if (existing !== undefined || !opensShard) {
+    return existing;
   }
-  const shard = newShard(place.pool, place.failureDomain, turn.nowMs);
+  const shard = createShard(shardId.pool, shardId.failureDomain, turn.nowMs);
   byKey.set(key, shard);
   return shard;
 }
 
 function isIdle(shard: Shard, key: string, turn: Turn): boolean {
   const isEmpty = shard.waiting.size === 0 && shard.grants.size === 0;
-  if (!isEmpty || turn.nowMs - shard.lastActiveMs < IDLE_SHARD_MS) {
+  if (!isEmpty || turn.nowMs - shard.lastActiveMs < IDLE_SHARD_TTL_MS) {
     return false;
   }
-  const [rightful] = rankCoordinators(
+  const [coordinator] = rankCoordinators(
     turn.board,
     { key, failureDomain: shard.failureDomain },
     turn.nowMs,
   );
-  return rightful?.instanceId !== turn.board.self.instanceId;
+  return coordinator?.instanceId !== turn.board.self.instanceId;
 }
--- a/packages/core/src/coordinator_options.ts
+++ b/packages/core/src/coordinator_options.ts
@@ -1,12 +1,12 @@
-/** What can be switched off in placement, so that its worth can be measured. */
+/** Options that disable parts of the placement policy for comparison runs. */
 
-/** Switches of the coordinator's and the target controller's policy. */
+/** Options of the coordinator and of the target controller. */
 export interface CoordinatorOptions {
-  /** Whether cached prompt prefixes count in predictions. */
+  /** Whether predicted service times account for cached prompt prefixes. */
   readonly affinity: boolean;
 }
 
-/** What holds where nothing else is said. */
+/** Options in force unless others are given: the whole policy is enabled. */
 export const DEFAULT_COORDINATOR_OPTIONS: CoordinatorOptions = {
   affinity: true,
 };
--- a/packages/core/src/coordinators.ts
+++ b/packages/core/src/coordinators.ts
@@ -1,26 +1,34 @@
-/** Which instance coordinates which shard: rendezvous hashing over the view. */
+/**
+ * Liveness and eligibility of members, and the assignment of coordinators to
+ * shards by rendezvous hashing over the eligible members. The coordinator of a
+ * shard is the instance that schedules the work of the shard's targets.
+ */
 
 import { hash32 } from "./text_hash.ts";
 import type { Blackboard, Member } from "./blackboard.ts";
 import { timingOf } from "./timing.ts";
 
-/** Added to a score so that instances of the shard's own domain come first. */
-const OWN_DOMAIN_BONUS = 2 ** 32;
+/**
+ * Added to a member's score for shards of its own failure domain. Hashes have
+ * 32 bits, so a member with the bonus ranks before every member without it.
+ */
+const OWN_DOMAIN_SCORE_BONUS = 2 ** 32;
 
 /**
- * Members whose heartbeats gossip surely renews in one heartbeat interval;
- * see `docs/design/membership.md` for the trials behind it.
+ * Lower bound of the members whose heartbeats gossip renews in one heartbeat
+ * interval; `docs/design/membership.md` has the trials behind it.
  */
 const MEMBERS_RENEWED_PER_HEARTBEAT = 2;
 
 /**
- * Gives the silence after which a member counts as gone. It grows with the
- * fleet, since a bounded digest takes longer to come round to each member.
+ * Returns the time without a heartbeat after which a member counts as failed.
+ * It grows with the fleet, since a gossip digest of bounded size takes longer
+ * to include every member.
  *
  * @param board The instance's state.
- * @returns A duration in milliseconds.
+ * @returns The timeout in milliseconds.
  */
-export function silenceLimitMs(board: Blackboard): number {
+export function livenessTimeoutMs(board: Blackboard): number {
   const { memberTimeoutMs, heartbeatMs } = timingOf(board);
   const gossipRoundMs = heartbeatMs * board.members.byId.size /
     MEMBERS_RENEWED_PER_HEARTBEAT;
@@ -28,12 +36,12 @@
 }
 
 /**
- * Tells whether a member's heartbeat has advanced lately.
+ * Checks whether a member's heartbeat advanced within the liveness timeout.
  *
  * @param board The instance's state.
- * @param member The member asked about.
- * @param nowMs The local time.
- * @returns True for this instance itself, too.
+ * @param member The member to check.
+ * @param nowMs The local time in milliseconds.
+ * @returns Whether the member counts as alive; always true for this instance.
  */
 export function isAlive(
   board: Blackboard,
@@ -42,59 +50,65 @@
 ): boolean {
   return member.instanceId === board.self.instanceId ||
     (member.heartbeat > 0 &&
-      nowMs - member.lastAdvancedMs < silenceLimitMs(board));
+      nowMs - member.lastAdvancedMs < livenessTimeoutMs(board));
 }
 
 /**
- * Tells whether a member may be given duties now.
+ * Checks whether a member may coordinate shards now.
  *
- * A member that this instance keeps a connection to must be connected. One
- * that it keeps none to by design is judged by its heartbeats alone. A member
- * known only by rumour has no failure domain yet and gets no duties.
+ * A member that this instance dials must be connected. A member that it does
+ * not dial by design is checked by its heartbeats alone. A member known only
+ * from gossip has no failure domain yet and is not eligible.
  *
  * @param board The instance's state.
- * @param member The member asked about.
- * @param nowMs The local time.
- * @returns True when it is alive and not leaving.
+ * @param member The member to check.
+ * @param nowMs The local time in milliseconds.
+ * @returns Whether the member is alive, reachable, and neither leaving nor
+ * draining.
  */
 export function isEligible(
   board: Blackboard,
   member: Member,
   nowMs: number,
 ): boolean {
-  if (isGoingAway(board, member)) {
+  if (isLeavingOrDraining(board, member)) {
     return false;
   }
   if (member.instanceId === board.self.instanceId) {
-    return !isSettling(board, nowMs);
+    return !isRejoiningAfterPause(board, nowMs);
   }
-  const reachable = member.connected || member.dialledAddress === undefined;
-  return reachable && member.failureDomain !== "" &&
+  const isReachable = member.connected || member.dialledAddress === undefined;
+  return isReachable && member.failureDomain !== "" &&
     isAlive(board, member, nowMs);
 }
 
-function isGoingAway(board: Blackboard, member: Member): boolean {
+function isLeavingOrDraining(board: Blackboard, member: Member): boolean {
   const isSelf = member.instanceId === board.self.instanceId;
   return member.leaving || member.listedLeaving === true ||
     (isSelf && board.self.leaving) ||
     board.settings.inForce?.drainingInstances.has(member.instanceId) === true;
 }
 
-/** After a long pause others hold this instance's duties; it rejoins first. */
-function isSettling(board: Blackboard, nowMs: number): boolean {
+/**
+ * Whether this instance resumed from a long pause less than one heartbeat
+ * interval ago. Its shards have moved to other coordinators meanwhile, so it
+ * rejoins the membership before it coordinates again.
+ */
+function isRejoiningAfterPause(board: Blackboard, nowMs: number): boolean {
   const wokenAtMs = board.members.wokenAtMs ?? -Infinity;
   return nowMs - wokenAtMs < timingOf(board).heartbeatMs;
 }
 
 /**
- * Ranks the instances that may coordinate a shard, the coordinator first.
- * Live instances of the shard's own domain come before all others. Where no
- * instance is eligible, this one serves what it holds by itself.
+ * Ranks the instances that may coordinate a shard; the first one is its
+ * coordinator. Instances of the shard's own failure domain rank before all
+ * others. Where no instance is eligible, this instance coordinates the shard
+ * for the requests that it holds itself.
  *
  * @param board The instance's state.
  * @param shard The shard's key and failure domain.
- * @param nowMs The local time.
- * @returns Eligible members, best first.
+ * @param nowMs The local time in milliseconds.
+ * @returns The eligible members in order of rank.
  */
 export function rankCoordinators(
   board: Blackboard,
@@ -112,11 +126,12 @@
 }
 
 /**
- * Orders members by their rendezvous score for a shard.
+ * Sorts members by their rendezvous hash for a shard, those of the shard's
+ * failure domain first.
  *
- * @param members The members to order.
+ * @param members The members to sort.
  * @param shard The shard's key and failure domain.
- * @returns The members, best first.
+ * @returns The members in order of rank.
  */
 export function rankMembers<
   M extends Pick<Member, "instanceId" | "failureDomain">,
@@ -127,7 +142,9 @@
   const scored = members.map((member) => ({
     member,
     score: hash32(`${shard.key}/${member.instanceId}`) +
-      (member.failureDomain === shard.failureDomain ? OWN_DOMAIN_BONUS : 0),
+      (member.failureDomain === shard.failureDomain
+        ? OWN_DOMAIN_SCORE_BONUS
+        : 0),
   }));
   scored.sort((a, b) =>
     b.score - a.score || (a.member.instanceId < b.member.instanceId ? -1 : 1)
--- a/packages/core/src/fair_share.ts
+++ b/packages/core/src/fair_share.ts
@@ -1,30 +1,33 @@
 /**
- * Fair shares between the workspaces of a tier: start-time fair queueing.
+ * Fair shares between the workspaces of a tier, by start-time fair queueing.
  *
- * Each workspace has a tag that rises by cost over weight with all work it
- * gets; the workspace with the lowest tag goes next. A workspace that was idle
- * starts at the tier's virtual time, so it saves up no claim to the past.
+ * Each workspace has a tag that rises by cost divided by weight with all work
+ * granted to it; the workspace with the lowest tag is served next. An idle
+ * workspace starts again at the tier's virtual time, so that idle time earns it
+ * no credit.
  */
 
 import type { Shard } from "./blackboard.ts";
 
-/** Work of one workspace in one tier. */
-export interface SharedWork {
+/** Granted work to charge to one workspace's share in one tier. */
+export interface ChargedWork {
   readonly tierRank: number;
   readonly workspace: string;
+  /** Predicted service time of the work. */
   readonly costMs: number;
   /** The workspace's weight among those of its tier. */
   readonly weight: number;
 }
 
+/** Lower bound of weights, which keeps charges finite. */
 const MIN_WEIGHT = 0.001;
 
 /**
- * Gives a workspace's place among those of its tier.
+ * Returns the start tag of a workspace in its tier.
  *
- * @param shard The shard.
- * @param owner The tier and workspace.
- * @returns Its tag; the lowest goes next.
+ * @param shard The shard whose shares are read.
+ * @param owner The workspace and the rank of the tier.
+ * @returns The tag; the workspace with the lowest tag is served next.
  */
 export function startTag(
   shard: Shard,
@@ -35,35 +38,37 @@
 }
 
 /**
- * Charges work to its workspace's share.
+ * Charges granted work to its workspace's share, and advances the tier's
+ * virtual time.
  *
- * @param shard The shard.
- * @param work The work that was granted.
+ * @param shard The shard in which the work was granted.
+ * @param work The granted work.
  */
-export function chargeWork(shard: Shard, work: SharedWork): void {
+export function chargeWork(shard: Shard, work: ChargedWork): void {
   const tag = startTag(shard, work);
   shard.virtualTimeByTier.set(work.tierRank, tag);
-  shard.served.set(shareKey(work), tag + shareOf(work));
+  shard.served.set(shareKey(work), tag + chargeOf(work));
 }
 
 /**
- * Takes back a charge for work that was not done.
+ * Refunds the charge for work that was not done.
  *
- * @param shard The shard.
- * @param work The work as it was charged.
+ * @param shard The shard in which the work was granted.
+ * @param work The work, as it was charged.
  */
-export function refundWork(shard: Shard, work: SharedWork): void {
+export function refundWork(shard: Shard, work: ChargedWork): void {
   const key = shareKey(work);
   const tag = shard.served.get(key);
   if (tag !== undefined) {
-    shard.served.set(key, tag - shareOf(work));
+    shard.served.set(key, tag - chargeOf(work));
   }
 }
 
 /**
- * Forgets workspaces whose tag says nothing any more.
+ * Deletes the tags that are not above their tier's virtual time, since these
+ * workspaces would start at the virtual time anyway.
  *
- * @param shard The shard.
+ * @param shard The shard whose tags are pruned.
  */
 export function pruneShares(shard: Shard): void {
   for (const [key, tag] of shard.served) {
@@ -74,7 +79,7 @@
   }
 }
 
-function shareOf(work: SharedWork): number {
+function chargeOf(work: ChargedWork): number {
   return work.costMs / Math.max(MIN_WEIGHT, work.weight);
 }
 
--- a/packages/core/src/fake_shard.ts
+++ b/packages/core/src/fake_shard.ts
@@ -1,4 +1,4 @@
-/** Test support: one coordinator with fake holders and fake targets. */
+/** Test support: one coordinator with a fake holder and fake targets. */
 
 import type {
   SettingsInForce,
@@ -23,53 +23,71 @@
 import { TargetController } from "./target_controller.ts";
 import { DEFAULT_TIMING } from "./timing.ts";
 
+/** Name of the pool that the fake shard serves. */
 export const POOL = "msaidizi";
+/** Failure domain of the fake shard and of its coordinator. */
 export const DOMAIN = "njiro-hall";
+/** Instance id of the fake holder. */
 export const HOLDER = "entry-2";
 const SELF = "entry-1";
 const TICK_MS = 50;
 const REPORT_MS = 500;
 
-/** What a test sets of a target or a tier; the rest has defaults. */
+/** The settings that a test overrides; all others have defaults. */
 export interface FakeOptions {
+  /** Settings of each target; their ids are `t0`, `t1` and so on. */
   readonly targets: readonly Partial<TargetSettings>[];
+  /** Policies of the tiers, the highest tier first; three tiers by default. */
   readonly tiers?: readonly Partial<TierPolicy>[];
-  /** Weights of workspaces, 1 by default. */
+  /** Fair-share weights by workspace, 1 by default. */
   readonly weights?: Readonly<Record<string, number>>;
+  /** Kind of the pool's targets, engines by default. */
   readonly kind?: TargetKind;
-  /** Whether granted work is used, run and ended by itself. */
+  /** Whether grants are used and their work run to its end automatically. */
   readonly runsWork?: boolean;
+  /** Whether cached prompt prefixes count in predictions, true by default. */
   readonly affinity?: boolean;
 }
 
-interface Running {
+/** Work that runs on a fake target. */
+interface RunningGrant {
   readonly work: RunningWork;
   readonly kvTokens: number;
-  readonly endMs: number;
+  readonly endAtMs: number;
 }
 
 type Grant = PeerMessageOf<PeerMessageKind.Grant>;
 
-/** Drives the target and the coordinator controller on a manual clock. */
+/**
+ * Runs the target and the coordinator controller of one instance on a manual
+ * clock, against a fake holder and fake targets.
+ */
 export class FakeShard {
   readonly board: Blackboard;
   readonly controllers: readonly Controller[];
-  readonly running = new Map<string, Running>();
+  /** Work that runs on the fake targets, by grant id. */
+  readonly running = new Map<string, RunningGrant>();
+  /** All messages sent so far, in order. */
   readonly sent: PeerMessage[] = [];
-  /** Looks at every message to a holder, after the event that sent it. */
+  /** Called with every message that was sent, after the event's handlers. */
   onSent: (message: PeerMessage) => void = () => {};
-  /** Load reports show the state of this long ago. */
+  /** Age of the state that load reports show. */
   reportAgeMs = 0;
-  /** Time from an order to cancel a stream to its end. */
+  /** Time from a `Preempt` message to the end of its stream. */
   cancelMs = 0;
+  /** Whether the holder sends no reports. */
   holderIsSilent = false;
   nowMs = 0;
   #beat = 0;
-  readonly #asked = new Map<string, AskDetail>();
-  readonly #pastLoads = new Map<string, { atMs: number; load: TargetLoad }[]>();
+  readonly #askDetails = new Map<string, AskDetail>();
+  readonly #loadHistory = new Map<
+    string,
+    { atMs: number; load: TargetLoad }[]
+  >();
   readonly #random: Randomness = seededRandomness(1);
   readonly #options: FakeOptions;
 
+  /** @param options The settings of the targets and tiers. */
   constructor(options: FakeOptions) {
     this.#options = options;
     this.board = new SchedulerCore({
@@ -86,43 +104,68 @@
       new TargetController(policy),
       new CoordinatorController(policy),
     ];
-    this.step();
+    this.tick();
   }
 
+  /** The coordinator's shard; undefined before the first ask or report. */
   get shard(): Shard {
     return this.board.shards.byKey.get(shardKey(POOL, DOMAIN))!;
   }
 
-  /** Requests granted so far, in order. */
+  /** All grants sent so far, in order. */
   get grants(): Grant[] {
     return this.of(PeerMessageKind.Grant);
   }
 
+  /**
+   * Filters the sent messages by kind.
+   *
+   * @param kind The kind of message.
+   * @returns All messages of the kind sent so far, in order.
+   */
   of<K extends PeerMessageKind>(kind: K): PeerMessageOf<K>[] {
     return this.sent.filter((each): each is PeerMessageOf<K> =>
       each.kind === kind
     );
   }
 
+  /**
+   * Passes an event to the controllers, and executes the messages they send.
+   *
+   * @param event The event without its time.
+   * @returns The effects of the event.
+   */
   handle(event: Record<string, unknown>): Effect[] {
     const turn = new Turn(this.board, {
       nowMs: this.nowMs,
       random: this.#random,
     });
     for (const controller of this.controllers) {
-      const full = { ...event, nowMs: this.nowMs } as unknown as CoreEvent;
-      runController(controller, full, turn);
+      const fullEvent = { ...event, nowMs: this.nowMs } as unknown as CoreEvent;
+      runController(controller, fullEvent, turn);
     }
     const messages = turn.effects.flatMap((effect) =>
       effect.kind === EffectKind.SendPeer ? [effect.message] : []
     );
     this.sent.push(...messages);
     messages.forEach((message) => this.onSent(message));
-    messages.forEach((message) => this.#react(message));
+    messages.forEach((message) => this.#executeMessage(message));
     return turn.effects;
   }
 
-  hear(message: PeerMessage, fromId = HOLDER, fromIncarnation = 1): Effect[] {
+  /**
+   * Passes a peer message to the controllers.
+   *
+   * @param message The message.
+   * @param fromId Instance id of the sender, the fake holder by default.
+   * @param fromIncarnation Incarnation of the sender.
+   * @returns The effects of the event.
+   */
+  receive(
+    message: PeerMessage,
+    fromId = HOLDER,
+    fromIncarnation = 1,
+  ): Effect[] {
     return this.handle({
       kind: EventKind.PeerMessageReceived,
       fromId,
@@ -131,10 +174,16 @@
     });
   }
 
+  /**
+   * Sends an ask of the fake holder to the coordinator.
+   *
+   * @param detail The request id, and fields that replace the defaults.
+   * @returns The effects of the event.
+   */
   ask(detail: Partial<AskDetail> & { requestId: string }): Effect[] {
-    const ask = { ...ASK, ...detail };
-    this.#asked.set(ask.requestId, ask);
-    return this.hear({
+    const ask = { ...DEFAULT_ASK, ...detail };
+    this.#askDetails.set(ask.requestId, ask);
+    return this.receive({
       kind: PeerMessageKind.Ask,
       failureDomain: DOMAIN,
       holderBeat: this.#beat,
@@ -142,10 +191,16 @@
     });
   }
 
-  report(
+  /**
+   * Sends a report of the fake holder to the coordinator.
+   *
+   * @param fields Fields that replace the holder's actual state.
+   * @returns The effects of the event.
+   */
+  reportHolder(
     fields: Partial<PeerMessageOf<PeerMessageKind.HolderReport>> = {},
   ): Effect[] {
-    return this.hear({
+    return this.receive({
       kind: PeerMessageKind.HolderReport,
       pool: POOL,
       failureDomain: DOMAIN,
@@ -156,28 +211,34 @@
     });
   }
 
-  /** Reports a load as it was, or with the given figures. */
-  load(targetId: string, fields: Partial<TargetLoad> = {}): Effect[] {
-    const past = this.#pastLoads.get(targetId)!;
-    const asOfMs = Math.max(past[0].atMs, this.nowMs - this.reportAgeMs);
-    const shown = past.findLast(({ atMs }) => atMs <= asOfMs)!.load;
-    const load = { ...shown, ageMs: this.nowMs - asOfMs, ...fields };
+  /**
+   * Reports a target's load as it was {@link FakeShard.reportAgeMs} ago.
+   *
+   * @param targetId Id of the target.
+   * @param fields Figures that replace those of the fake target.
+   * @returns The effects of the event.
+   */
+  reportLoad(targetId: string, fields: Partial<TargetLoad> = {}): Effect[] {
+    const history = this.#loadHistory.get(targetId)!;
+    const asOfMs = Math.max(history[0].atMs, this.nowMs - this.reportAgeMs);
+    const reported = history.findLast(({ atMs }) => atMs <= asOfMs)!.load;
+    const load = { ...reported, ageMs: this.nowMs - asOfMs, ...fields };
     return this.handle({ kind: EventKind.LoadReported, load });
   }
 
-  #rememberLoad(settings: TargetSettings): void {
-    const here = [...this.running.values()]
+  #recordLoad(settings: TargetSettings): void {
+    const onTarget = [...this.running.values()]
       .filter(({ work }) => work.targetId === settings.id);
-    const past = this.#pastLoads.get(settings.id) ?? [];
-    this.#pastLoads.set(settings.id, past);
-    past.push({
+    const history = this.#loadHistory.get(settings.id) ?? [];
+    this.#loadHistory.set(settings.id, history);
+    history.push({
       atMs: this.nowMs,
       load: {
         targetId: settings.id,
         ageMs: 0,
-        slotsUsed: here.length,
+        slotsUsed: onTarget.length,
         slotsTotal: settings.slots,
-        kvUsedTokens: here.reduce((sum, each) => sum + each.kvTokens, 0),
+        kvUsedTokens: onTarget.reduce((sum, each) => sum + each.kvTokens, 0),
         kvTotalTokens: settings.kvTokens,
         waitingRequests: 0,
         leaving: false,
@@ -185,43 +246,54 @@
     });
   }
 
-  /** One tick, with the ends, reports and loads that are due. */
-  step(): void {
+  /** Advances the clock by one tick, with all ends and reports that are due. */
+  tick(): void {
     this.nowMs += TICK_MS;
-    for (const [grantId, { endMs }] of [...this.running]) {
-      if (endMs <= this.nowMs) {
-        this.done(grantId);
+    for (const [grantId, { endAtMs }] of [...this.running]) {
+      if (endAtMs <= this.nowMs) {
+        this.endWork(grantId);
       }
     }
     if (this.nowMs % 250 === 0) {
       this.#beat += 1;
     }
     if (this.nowMs % REPORT_MS === 0 && !this.holderIsSilent && this.shard) {
-      this.report();
+      this.reportHolder();
     }
     for (const target of this.board.settings.inForce!.targets.values()) {
-      this.#rememberLoad(target);
+      this.#recordLoad(target);
       if (this.nowMs % 250 === 0 || this.nowMs === TICK_MS) {
-        this.load(target.id);
+        this.reportLoad(target.id);
       }
     }
     this.handle({ kind: EventKind.Tick });
   }
 
+  /**
+   * Advances the clock tick by tick.
+   *
+   * @param ms The duration in milliseconds.
+   */
   advance(ms: number): void {
     for (const endMs = this.nowMs + ms; this.nowMs < endMs;) {
-      this.step();
+      this.tick();
     }
   }
 
-  done(
+  /**
+   * Ends the work of a grant, and reports its end to the coordinator.
+   *
+   * @param grantId Id of the grant.
+   * @param fields Fields of the report that replace the defaults.
+   */
+  endWork(
     grantId: string,
     fields: Partial<PeerMessageOf<PeerMessageKind.WorkDone>> = {},
   ): void {
     const grant = this.shard.grants.get(grantId);
     const work = this.running.get(grantId)?.work ?? grant?.work;
     this.running.delete(grantId);
-    this.hear({
+    this.receive({
       kind: PeerMessageKind.WorkDone,
       requestId: work?.requestId ?? "",
       grantId,
@@ -239,15 +311,21 @@
     });
   }
 
-  use(grant: Grant): void {
+  /**
+   * Starts the work of a grant on its target, and reports its use to the
+   * coordinator.
+   *
+   * @param grant The grant as it was sent.
+   */
+  useGrant(grant: Grant): void {
     const { requestId, grantId } = grant;
-    const account = this.shard.grants.get(grantId)!;
+    const recorded = this.shard.grants.get(grantId)!;
     this.running.set(grantId, {
-      work: account.work,
-      kvTokens: this.#asked.get(requestId)!.promptTokens,
-      endMs: account.expectedEndMs,
+      work: recorded.work,
+      kvTokens: this.#askDetails.get(requestId)!.promptTokens,
+      endAtMs: recorded.expectedEndMs,
     });
-    this.hear({
+    this.receive({
       kind: PeerMessageKind.GrantUsed,
       requestId,
       grantId,
@@ -256,23 +334,23 @@
     });
   }
 
-  #react(message: PeerMessage): void {
+  #executeMessage(message: PeerMessage): void {
     if (this.#options.runsWork !== true) {
       return;
     }
     if (message.kind === PeerMessageKind.Grant) {
-      this.use(message);
+      this.useGrant(message);
     } else if (message.kind === PeerMessageKind.Preempt) {
       const running = this.running.get(message.grantId)!;
       this.running.set(message.grantId, {
         ...running,
-        endMs: Math.min(running.endMs, this.nowMs + this.cancelMs),
+        endAtMs: Math.min(running.endAtMs, this.nowMs + this.cancelMs),
       });
     }
   }
 }
 
-const ASK: AskDetail = {
+const DEFAULT_ASK: AskDetail = {
   requestId: "",
   askNumber: 1,
   pool: POOL,
@@ -290,8 +368,8 @@
   spreadIndex: 0,
 };
 
-/** 0.1 ms a token of prompt, 10 ms a token of answer on an idle target. */
-const TARGET: Omit<TargetSettings, "id"> = {
+/** Idle targets take 0.1 ms per prompt token and 10 ms per output token. */
+const DEFAULT_TARGET: Omit<TargetSettings, "id"> = {
   pool: POOL,
   failureDomain: DOMAIN,
   address: "127.0.1.1:80",
@@ -305,7 +383,7 @@
   draining: false,
 };
 
-const POLICY: TierPolicy = {
+const DEFAULT_POLICY: TierPolicy = {
   tier: "",
   rank: 0,
   value: 1,
@@ -325,7 +403,7 @@
 function settingsOf(options: FakeOptions): SettingsInForce {
   const tiers = options.tiers ?? [{}, {}, {}];
   const targets = options.targets.map((each, index) => ({
-    ...TARGET,
+    ...DEFAULT_TARGET,
     id: `t${index}`,
     ...each,
   }));
@@ -347,7 +425,7 @@
     policyFor: ({ tier, workspace }) => {
       const rank = Number(tier.slice("tier-".length));
       const fairShareWeight = options.weights?.[workspace] ?? 1;
-      return { ...POLICY, tier, rank, fairShareWeight, ...tiers[rank] };
+      return { ...DEFAULT_POLICY, tier, rank, fairShareWeight, ...tiers[rank] };
     },
   };
 }
--- a/packages/core/src/grant_account.ts
+++ b/packages/core/src/grant_lifecycle.ts
@@ -1,4 +1,7 @@
-/** Opens and closes grants in a coordinator's account, and answers asks. */
+/**
+ * Opening, closing and cancelling of grants, and refusals of asks. A grant is a
+ * coordinator's lease of capacity on one target for one request.
+ */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import type { ErrorKind } from "@chestnuthatch/wire/work";
@@ -7,45 +10,49 @@
 import { chargeWork, refundWork } from "./fair_share.ts";
 import type { Placement } from "./target_choice.ts";
 import { PrefixIndex } from "./prefix_index.ts";
-import { removeWaiting } from "./shard_queue.ts";
+import { dequeueAsk } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
 
+/** Author of the coordinator's entries in the decision log. */
 const DECIDED_BY = "coordinator";
 
-/** Ended work remembered for one target until its next report. */
-const MAX_ENDED = 256;
+/** Ended work kept for one target until its next load report. */
+const MAX_ENDED_PER_TARGET = 256;
 
-/** Why an ask is refused. */
+/** The refusal of an ask, as its holder receives it. */
 export interface AskRefusal {
   readonly error: ErrorKind;
+  /** Time after which the caller may try again. */
   readonly retryAfterMs: number;
+  /** Explanation for the caller. */
   readonly reason: string;
 }
 
 /**
- * Carries a placement out: takes the ask out of the queue, opens the grant
- * and sends it.
+ * Executes a placement: removes the ask from the queue, records a grant for it,
+ * charges its cost to the workspace's fair share, and sends the grant to the
+ * holder.
  *
- * @param view The shard.
+ * @param view The shard that the ask waits in.
  * @param placement The ask and the target chosen for it.
- * @returns The grant as it stands in the account.
+ * @returns The recorded grant.
  */
 export function openGrant(view: ShardView, placement: Placement): GrantAccount {
   const { shard, turn } = view;
-  const { ask, room, prediction } = placement;
+  const { ask, capacity, prediction } = placement;
   const { self, shards } = turn.board;
   closeAsk(view, ask);
   shards.grantCounter += 1;
   const grantId =
     `${self.instanceId}.${self.incarnation}.${shards.grantCounter}`;
-  const grant = grantOf(view, placement, grantId);
+  const grant = createGrant(view, placement, grantId);
   shard.grants.set(grantId, grant);
   chargeWork(shard, {
     ...ask.detail,
     costMs: ask.costMs,
     weight: view.policyOf(ask.detail).fairShareWeight,
   });
-  shard.prefixes.get(room.targetId)?.store(ask.detail.blockHashes);
+  shard.prefixes.get(capacity.targetId)?.store(ask.detail.blockHashes);
   sendGrant(view, grant, {
     askNumber: ask.detail.askNumber,
     passedOver: placement.passedOver,
@@ -54,7 +61,7 @@
   turn.decide(
     ask.detail.requestId,
     DECIDED_BY,
-    `Granted ${room.targetId} after ${
+    `Granted ${capacity.targetId} after ${
       Math.round(view.nowMs - ask.arrivedAtMs)
     }` +
       ` ms; end predicted in ${Math.round(prediction.totalMs)} ms`,
@@ -62,9 +69,9 @@
   return grant;
 }
 
-function grantOf(
+function createGrant(
   view: ShardView,
-  { ask, room, prediction }: Placement,
+  { ask, capacity, prediction }: Placement,
   grantId: string,
 ): GrantAccount {
   const { detail } = ask;
@@ -73,11 +80,11 @@
     requestId: detail.requestId,
     holderId: ask.holderId,
     holderIncarnation: ask.holderIncarnation,
-    holderBeat: beatOf(view.shard, ask.holderId),
+    holderBeat: holderBeatOf(view.shard, ask.holderId),
     work: {
       requestId: detail.requestId,
       grantId,
-      targetId: room.targetId,
+      targetId: capacity.targetId,
       pool: detail.pool,
       workspace: detail.workspace,
       tierRank: detail.tierRank,
@@ -97,13 +104,17 @@
     prefillQueueMs: prediction.prefillQueueMs,
     prefillMs: prediction.prefillMs,
     promptRead: false,
-    prefillGrantedMs: countPrefill(view, room.targetId, prediction.prefillMs),
+    prefillGrantedMs: addGrantedPrefill(
+      view,
+      capacity.targetId,
+      prediction.prefillMs,
+    ),
     loadFactor: prediction.loadFactor,
   };
 }
 
-/** Adds to all the prompt work ever granted on a target; gives the sum. */
-function countPrefill(
+/** Adds a prompt to the total prefill time granted on a target; returns it. */
+function addGrantedPrefill(
   view: ShardView,
   targetId: string,
   prefillMs: number,
@@ -115,36 +126,39 @@
 }
 
 /**
- * Sends a grant, for the first time or again.
+ * Sends a grant to its holder, for the first time or again.
  *
- * @param view The shard.
- * @param grant The grant.
- * @param about The ask it answers, and the targets passed over.
+ * @param view The shard that the grant belongs to.
+ * @param grant The grant to send.
+ * @param answered Number of the ask that the grant answers, and the targets
+ * that were passed over for it.
  */
 export function sendGrant(
   view: ShardView,
   grant: GrantAccount,
-  about: { askNumber: number; passedOver: Placement["passedOver"] },
+  answered: { askNumber: number; passedOver: Placement["passedOver"] },
 ): void {
   view.turn.send(grant.holderId, {
     kind: PeerMessageKind.Grant,
     requestId: grant.requestId,
     grantId: grant.grantId,
     failureDomain: view.shard.failureDomain,
-    askNumber: about.askNumber,
+    askNumber: answered.askNumber,
     targetId: grant.work.targetId,
     holderBeat: grant.holderBeat,
     lifetimeMs: view.settings.timing.grantLifetimeMs,
-    passedOver: [...about.passedOver],
+    passedOver: [...answered.passedOver],
   });
 }
 
 /**
- * Closes a grant whose work ended or will not come.
+ * Closes a grant whose work has ended or will not be dispatched, and keeps the
+ * ended work until a load report made after its end arrives.
  *
- * @param shard The shard.
- * @param grant The grant.
- * @param end The local time, and the KV memory certainly given back.
+ * @param shard The shard that the grant belongs to.
+ * @param grant The grant to close.
+ * @param end The local time in milliseconds, and the KV memory that has surely
+ * been freed, in tokens.
  */
 export function closeGrant(
   shard: Shard,
@@ -160,17 +174,17 @@
     endedAtMs: end.nowMs,
     kvTokens: end.kvTokens,
   });
-  shard.ended.set(targetId, ended.slice(-MAX_ENDED));
+  shard.ended.set(targetId, ended.slice(-MAX_ENDED_PER_TARGET));
 }
 
 /**
- * Closes a grant that was not used, and takes its charge back.
+ * Closes a grant that was not used, and refunds its charge to the fair share.
  *
- * @param view The shard.
- * @param grant The grant.
+ * @param view The shard that the grant belongs to.
+ * @param grant The grant to cancel.
  */
 export function cancelGrant(view: ShardView, grant: GrantAccount): void {
-  // The target never had the work, so no report has shown it.
+  // The work was never dispatched, so no load report includes it.
   grant.usedAtMs = Infinity;
   closeGrant(view.shard, grant, { nowMs: view.nowMs, kvTokens: 0 });
   refundWork(view.shard, {
@@ -181,16 +195,17 @@
 }
 
 /**
- * Tells a holder to cancel a running stream.
+ * Marks a running stream as preempted, and orders its holder to cancel it.
  *
- * @param view The shard.
- * @param grant The grant it runs under.
- * @param forWhom Who needs the room, in words.
+ * @param view The shard that the grant belongs to.
+ * @param grant The grant of the stream.
+ * @param beneficiary Description of the work that needs the capacity, for the
+ * decision log.
  */
 export function preemptGrant(
   view: ShardView,
   grant: GrantAccount,
-  forWhom: string,
+  beneficiary: string,
 ): void {
   const { requestId, grantId } = grant;
   grant.preempted = true;
@@ -202,16 +217,16 @@
   view.turn.decide(
     requestId,
     DECIDED_BY,
-    `Cancelled to make room for ${forWhom}`,
+    `Cancelled to make room for ${beneficiary}`,
   );
 }
 
 /**
- * Refuses an ask.
+ * Refuses an ask, and removes it from the queue if it waits there.
  *
- * @param view The shard.
- * @param ask The ask, waiting or just come.
- * @param refusal Why, and when to come back.
+ * @param view The shard that was asked.
+ * @param ask The ask to refuse; it need not be queued yet.
+ * @param refusal The refusal to send to the ask's holder.
  */
 export function refuseAsk(
   view: ShardView,
@@ -236,30 +251,31 @@
 }
 
 /**
- * Takes an ask out of the queue and remembers it against late copies.
+ * Removes an ask from the queue, and records its number so that late copies of
+ * it are recognized.
  *
- * @param view The shard.
- * @param ask The ask.
+ * @param view The shard that was asked.
+ * @param ask The ask to close.
  */
 export function closeAsk(view: ShardView, ask: WaitingAsk): void {
   const { requestId, askNumber } = ask.detail;
-  removeWaiting(view.shard, requestId);
+  dequeueAsk(view.shard, requestId);
   view.shard.closed.set(requestId, { askNumber, closedAtMs: view.nowMs });
 }
 
 /**
- * Makes the prefix index of a target, where it has none.
+ * Returns the prefix index of a target, and creates it where there is none.
  *
- * @param shard The shard.
- * @param targetId The target.
- * @returns The index.
+ * @param shard The shard that the target belongs to.
+ * @param targetId Id of the target.
+ * @returns The index of the target's cached prompt blocks.
  */
-export function prefixIndexOf(shard: Shard, targetId: string): PrefixIndex {
+export function ensurePrefixIndex(shard: Shard, targetId: string): PrefixIndex {
   const index = shard.prefixes.get(targetId) ?? new PrefixIndex();
   shard.prefixes.set(targetId, index);
   return index;
 }
 
-function beatOf(shard: Shard, holderId: string): number {
+function holderBeatOf(shard: Shard, holderId: string): number {
   return shard.holders.get(holderId)?.beat ?? 0;
 }
--- a/packages/core/src/holder_presence.ts
+++ b/packages/core/src/holder_presence.ts
@@ -3,7 +3,7 @@
 import type { Blackboard, HolderSeen, Shard } from "./blackboard.ts";
 import { isAlive } from "./coordinators.ts";
 import { dropOverdueOrphans } from "./orphaned_work.ts";
-import { removeWaiting } from "./shard_queue.ts";
+import { dequeueAsk } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
 
 /** Who sent a message, and its beat where it carried one. */
@@ -68,7 +68,7 @@
   }
   for (const ask of [...shard.waiting.values()]) {
     if (nowMs - ask.renewedAtMs > settings.timing.askExpiryMs) {
-      removeWaiting(shard, ask.detail.requestId);
+      dequeueAsk(shard, ask.detail.requestId);
     }
   }
   dropOverdueOrphans(view);
@@ -84,7 +84,7 @@
     owner.holderIncarnation < holder.incarnation;
   for (const ask of [...shard.waiting.values()]) {
     if (isOld(ask)) {
-      removeWaiting(shard, ask.detail.requestId);
+      dequeueAsk(shard, ask.detail.requestId);
     }
   }
   for (const grant of shard.grants.values()) {
--- a/packages/core/src/holder_reconcile.ts
+++ b/packages/core/src/holder_reconcile.ts
@@ -6,7 +6,7 @@
   type RunningWork,
 } from "@chestnuthatch/wire/peer_messages";
 import type { GrantAccount } from "./blackboard.ts";
-import { closeGrant, preemptGrant } from "./grant_account.ts";
+import { closeGrant, preemptGrant } from "./grant_lifecycle.ts";
 import { hearHolder, type HolderWord } from "./holder_presence.ts";
 import { HOLDER_BEAT_MS } from "./holder_report.ts";
 import type { ShardView } from "./shard_view.ts";
@@ -109,7 +109,7 @@
   if (shard.closed.has(work.grantId)) {
     return undefined;
   }
-  const room = view.rooms.find((each) => each.targetId === work.targetId);
+  const room = view.capacities.find((each) => each.targetId === work.targetId);
   const detail = { ...ADOPTED_ASK, ...work };
   const serviceMs = room === undefined ? 0 : view.predict(room, detail).totalMs;
   const grant: GrantAccount = {
--- a/packages/core/src/holder_reconcile_test.ts
+++ b/packages/core/src/holder_reconcile_test.ts
@@ -23,32 +23,32 @@
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
   fake.ask({ requestId: "lost" });
   fake.ask({ requestId: "next" });
-  fake.report({ holderBeat: 8, waitingRequestIds: ["next"] });
+  fake.reportHolder({ holderBeat: 8, waitingRequestIds: ["next"] });
   assert.is(fake.grants.length, 1, "the lifetime and a margin is eight beats");
-  fake.report({ holderBeat: 9, waitingRequestIds: ["next"] });
+  fake.reportHolder({ holderBeat: 9, waitingRequestIds: ["next"] });
   assert.is(fake.grants.at(-1)?.requestId, "next");
 });
 
 test("should free listed work as soon as a later report leaves it out", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
-  fake.report({ holderBeat: 3, running: [RUNNING] });
+  fake.reportHolder({ holderBeat: 3, running: [RUNNING] });
   assert.is(fake.shard.grants.size, 1);
-  fake.report({ holderBeat: 2, running: [] });
+  fake.reportHolder({ holderBeat: 2, running: [] });
   assert.is(fake.shard.grants.size, 1, "an older report tells nothing");
-  fake.report({ holderBeat: 4, running: [] });
+  fake.reportHolder({ holderBeat: 4, running: [] });
   assert.is(fake.shard.grants.size, 0);
 });
 
 test("should adopt running work it did not grant, and keep its room", () => {
   const fake = new FakeShard({ targets: [{}] });
-  fake.report({ running: [RUNNING] });
+  fake.reportHolder({ running: [RUNNING] });
   fake.ask({ requestId: "large", promptTokens: 5000 });
   assert.is(fake.grants.length, 0, "KV memory is held by the adopted work");
-  fake.report({ holderBeat: 1, running: [RUNNING] });
+  fake.reportHolder({ holderBeat: 1, running: [RUNNING] });
   assert.is(fake.shard.grants.size, 1, "it is adopted once");
-  fake.done(RUNNING.grantId);
+  fake.endWork(RUNNING.grantId);
   assert.is(fake.grants.length, 1);
-  fake.report({ holderBeat: 2, running: [RUNNING] });
+  fake.reportHolder({ holderBeat: 2, running: [RUNNING] });
   assert.is(fake.shard.grants.size, 1, "ended work is not adopted again");
 });
 
@@ -56,7 +56,7 @@
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
   fake.ask({ requestId: "granted" });
   fake.ask({ requestId: "waiting" });
-  fake.report({ waitingRequestIds: ["granted", "waiting", "unknown"] });
+  fake.reportHolder({ waitingRequestIds: ["granted", "waiting", "unknown"] });
   assert.equal(
     fake.of(PeerMessageKind.AsksUnknown).map(({ requestIds }) => requestIds),
     [["unknown"]],
@@ -77,8 +77,8 @@
   fake.ask({ requestId: "b", askNumber: 6, timeLeftMs: 8000 });
   assert.is(fake.shard.waiting.get("b")!.deadlineAtMs, fake.nowMs + 8000);
   assert.is(fake.shard.grants.size, 1);
-  fake.use(fake.grants[0]);
-  fake.done(fake.grants[0].grantId);
+  fake.useGrant(fake.grants[0]);
+  fake.endWork(fake.grants[0].grantId);
   fake.ask({ requestId: "a", askNumber: 3 });
   assert.not(fake.shard.waiting.has("a"), "a copy after the end is ignored");
 });
@@ -96,7 +96,7 @@
   fake.ask({ requestId: "runs" });
   fake.ask({ requestId: "withdrawn" });
   fake.ask({ requestId: "forgotten" });
-  fake.hear({
+  fake.receive({
     kind: PeerMessageKind.AskWithdrawn,
     pool: POOL,
     failureDomain: DOMAIN,
@@ -115,7 +115,7 @@
     expectedOutputTokens: 1900,
     timeLeftMs: 30_000,
   });
-  fake.use(fake.grants[0]);
+  fake.useGrant(fake.grants[0]);
   fake.ask({ requestId: "waits" });
   fake.holderIsSilent = true;
   fake.advance(4000);
@@ -140,9 +140,9 @@
     waitingRequestIds: [],
     running: [],
   };
-  fake.hear(report, HOLDER, 2);
+  fake.receive(report, HOLDER, 2);
   assert.is(fake.shard.waiting.size, 0);
-  fake.hear({ ...report, holderBeat: 90, running: [RUNNING] }, HOLDER, 1);
+  fake.receive({ ...report, holderBeat: 90, running: [RUNNING] }, HOLDER, 1);
   assert.not(fake.shard.grants.has(RUNNING.grantId));
 });
 
@@ -153,7 +153,7 @@
   fake.holderIsSilent = true;
   fake.advance(2000);
   assert.is(fake.grants.length, 1);
-  fake.report({ holderBeat: 50, waitingRequestIds: ["waits"] });
+  fake.reportHolder({ holderBeat: 50, waitingRequestIds: ["waits"] });
   assert.is(fake.grants.length, 2);
 });
 
--- a/packages/core/src/learned_rates.ts
+++ b/packages/core/src/learned_rates.ts
@@ -1,4 +1,4 @@
-/** Learns a target's speed from the work that ended there. */
+/** Estimates of a target's speed from the work that ended there. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type {
@@ -7,37 +7,42 @@
 } from "@chestnuthatch/wire/peer_messages";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import type { GrantAccount, Target, TargetPace } from "./blackboard.ts";
-import { priorRates } from "./work_cost.ts";
+import { priorRates } from "./service_prediction.ts";
 
-/** Weight of a new sample in the recent rates. */
+/** Weight of a new sample in the moving average of the recent rates. */
 const RECENT_WEIGHT = 0.2;
-/** Weight of a new sample in the long-term rates. */
+/** Weight of a new sample in the moving average of the long-term rates. */
 const LONG_TERM_WEIGHT = 0.02;
-/** Fewer tokens than this tell nothing of a rate. */
+/** Work with fewer tokens than these bounds gives no sample of a rate. */
 const MIN_OUTPUT_TOKENS = 8;
 const MIN_PROMPT_TOKENS = 256;
-/** A prompt this long counts in full; shorter ones count by their length. */
-const FULL_PROMPT_TOKENS = 2000;
-/** Share of a decode's speed that is lost while the engine reads a prompt. */
-const DECODE_LOST_TO_PREFILL = 0.5;
-/** Beyond this ratio to the long-term rate a sample hardly moves it. */
-const ODD_RATIO = 1.5;
-const ODD_SAMPLE_DAMPING = 0.1;
-/** Samples after which the long-term rates rest on more than the settings. */
-const SETTLED_SAMPLES = 20;
+/** Prompts of at least this length have full weight, shorter ones less. */
+const FULL_WEIGHT_PROMPT_TOKENS = 2000;
+/** Share of its speed that a decode loses while the engine reads a prompt. */
+const DECODE_LOST_TO_PREFILL_SHARE = 0.5;
+/** A sample above this ratio to the long-term rate counts as an outlier. */
+const MIN_OUTLIER_RATIO = 1.5;
+/** Factor on the weight of outliers in the long-term rates. */
+const OUTLIER_WEIGHT = 0.1;
+/**
+ * Samples before which no sample is an outlier: until then the long-term rates
+ * rest mostly on the settings.
+ */
+const MIN_SAMPLES_FOR_OUTLIERS = 20;
 
-/** What is known beside the report of the work. */
-export interface LearningContext {
+/** The context of ended work that its report does not contain. */
+export interface RateContext {
   readonly settings: TargetSettings;
   readonly kind: TargetKind;
+  /** The grant that the work ran under; absent where this instance has none. */
   readonly grant?: GrantAccount;
-  /** All prompt work granted on the target so far. */
+  /** Total prefill time granted on the target so far. */
   readonly prefillGrantedMs: number;
 }
 
 interface RateSample {
   readonly sample: number;
-  /** How much it counts, from 0 to 1. */
+  /** Weight of the sample (0 to 1). */
   readonly weight: number;
 }
 
@@ -46,28 +51,28 @@
 type RateName = keyof TargetPace["longTerm"];
 
 /**
- * Learns from work that ended.
+ * Updates a target's estimated rates from work that ended there.
  *
- * @param target The target it ran on.
- * @param done How it went.
- * @param by The target's settings and kind, and the grant it ran under.
- * @returns Whether anything was learned.
+ * @param target The target on which the work ran.
+ * @param workDone The holder's message that the work ended, with its timings.
+ * @param context The target's settings and kind, and the work's grant.
+ * @returns Whether the work gave a sample of any rate.
  */
-export function learnFrom(
+export function updateRates(
   target: Target,
-  done: WorkDone,
-  by: LearningContext,
+  workDone: WorkDone,
+  context: RateContext,
 ): boolean {
-  const otherPrefillMs = by.grant === undefined
+  const otherPrefillMs = context.grant === undefined
     ? 0
-    : by.prefillGrantedMs - by.grant.prefillGrantedMs;
-  const samples = by.kind === TargetKind.Service
-    ? serviceSamples(done)
-    : engineSamples(done, by.grant, otherPrefillMs);
-  learnStretch(target, done, otherPrefillMs);
+    : context.prefillGrantedMs - context.grant.prefillGrantedMs;
+  const samples = context.kind === TargetKind.Service
+    ? serviceSamples(workDone)
+    : engineSamples(workDone, context.grant, otherPrefillMs);
+  updateDecodeStretch(target, workDone, otherPrefillMs);
   const names = Object.keys(samples) as RateName[];
   for (const name of names) {
-    learnRate(target, paceOf(target, by.settings), {
+    updateRate(target, ensurePace(target, context.settings), {
       name,
       ...samples[name]!,
     });
@@ -77,13 +82,17 @@
 }
 
 /**
- * Gives a target's pace, beginning one where there is none.
+ * Returns a target's pace, that is its long-term rates and the share of its
+ * slots that it may fill, and creates it where there is none.
  *
  * @param target The target.
- * @param settings Its settings.
- * @returns The pace.
+ * @param settings The target's settings, which give the initial rates.
+ * @returns The pace of the target.
  */
-export function paceOf(target: Target, settings: TargetSettings): TargetPace {
+export function ensurePace(
+  target: Target,
+  settings: TargetSettings,
+): TargetPace {
   const { prefillMsPerToken, decodeMsPerToken, callMs } = priorRates(settings);
   target.pace ??= {
     slotShare: 1,
@@ -93,32 +102,32 @@
   return target.pace;
 }
 
-function serviceSamples(done: WorkDone): RateSamples {
-  const callMs = done.firstTokenMs + done.decodeMs;
-  return done.failed || callMs <= 0
+function serviceSamples(workDone: WorkDone): RateSamples {
+  const callMs = workDone.firstTokenMs + workDone.decodeMs;
+  return workDone.failed || callMs <= 0
     ? {}
     : { callMs: { sample: callMs, weight: 1 } };
 }
 
-/** Rates of an idle target: what the load then added is taken off. */
+/** Samples the rates of an idle target: the effects of load are subtracted. */
 function engineSamples(
-  done: WorkDone,
+  workDone: WorkDone,
   grant: GrantAccount | undefined,
   otherPrefillMs: number,
 ): RateSamples {
   const samples: RateSamples = {};
-  const uncachedTokens = done.promptTokens - done.cachedTokens;
-  const prefillMs = done.firstTokenMs - (grant?.prefillQueueMs ?? 0);
+  const uncachedTokens = workDone.promptTokens - workDone.cachedTokens;
+  const prefillMs = workDone.firstTokenMs - (grant?.prefillQueueMs ?? 0);
   if (uncachedTokens >= MIN_PROMPT_TOKENS && prefillMs > 0) {
     samples.prefillMsPerToken = {
       sample: prefillMs / uncachedTokens,
-      weight: Math.min(1, uncachedTokens / FULL_PROMPT_TOKENS),
+      weight: Math.min(1, uncachedTokens / FULL_WEIGHT_PROMPT_TOKENS),
     };
   }
-  if (done.outputTokens >= MIN_OUTPUT_TOKENS && done.decodeMs > 0) {
-    const lostMs = lostDecodeMs(done, otherPrefillMs);
+  if (workDone.outputTokens >= MIN_OUTPUT_TOKENS && workDone.decodeMs > 0) {
+    const lostMs = decodeLostToPrefillMs(workDone, otherPrefillMs);
     samples.decodeMsPerToken = {
-      sample: (done.decodeMs - lostMs) / done.outputTokens /
+      sample: (workDone.decodeMs - lostMs) / workDone.outputTokens /
         (grant?.loadFactor ?? 1),
       weight: 1,
     };
@@ -126,35 +135,40 @@
   return samples;
 }
 
-function lostDecodeMs(done: WorkDone, otherPrefillMs: number): number {
-  return DECODE_LOST_TO_PREFILL * Math.min(otherPrefillMs, done.decodeMs);
+function decodeLostToPrefillMs(
+  workDone: WorkDone,
+  otherPrefillMs: number,
+): number {
+  return DECODE_LOST_TO_PREFILL_SHARE *
+    Math.min(otherPrefillMs, workDone.decodeMs);
 }
 
-/** Learns how much longer decodes take for the prompts read beside them. */
-function learnStretch(
+/** Updates the ratio by which concurrent prefills lengthen decodes. */
+function updateDecodeStretch(
   { rates }: Target,
-  done: WorkDone,
+  workDone: WorkDone,
   otherPrefillMs: number,
 ): void {
-  if (done.outputTokens >= MIN_OUTPUT_TOKENS && done.decodeMs > 0) {
-    const ownMs = done.decodeMs - lostDecodeMs(done, otherPrefillMs);
-    const sample = done.decodeMs / ownMs;
+  if (workDone.outputTokens >= MIN_OUTPUT_TOKENS && workDone.decodeMs > 0) {
+    const undisturbedMs = workDone.decodeMs -
+      decodeLostToPrefillMs(workDone, otherPrefillMs);
+    const sample = workDone.decodeMs / undisturbedMs;
     rates.decodeStretch += RECENT_WEIGHT * (sample - rates.decodeStretch);
   }
 }
 
-function learnRate(
+function updateRate(
   { rates }: Target,
   { longTerm }: TargetPace,
   { name, sample, weight }: RateSample & { name: RateName },
 ): void {
-  // The first samples weigh more: settings only guess at a target's speed.
-  const firstWeight = 1 / (rates.samples + 2);
-  const isOdd = rates.samples >= SETTLED_SAMPLES &&
-    sample > longTerm[name] * ODD_RATIO;
-  const recentWeight = Math.max(RECENT_WEIGHT, firstWeight) * weight;
-  const longTermWeight = Math.max(LONG_TERM_WEIGHT, firstWeight) * weight *
-    (isOdd ? ODD_SAMPLE_DAMPING : 1);
+  // The first samples have more weight: the settings are only an estimate.
+  const initialWeight = 1 / (rates.samples + 2);
+  const isOutlier = rates.samples >= MIN_SAMPLES_FOR_OUTLIERS &&
+    sample > longTerm[name] * MIN_OUTLIER_RATIO;
+  const recentWeight = Math.max(RECENT_WEIGHT, initialWeight) * weight;
+  const longTermWeight = Math.max(LONG_TERM_WEIGHT, initialWeight) * weight *
+    (isOutlier ? OUTLIER_WEIGHT : 1);
   rates[name] += recentWeight * (sample - rates[name]);
   longTerm[name] += longTermWeight * (sample - longTerm[name]);
 }
--- a/packages/core/src/orphaned_work.ts
+++ b/packages/core/src/orphaned_work.ts
@@ -1,32 +1,39 @@
-/** Work whose holder is gone: kept until its target or time shows it ended. */
+/**
+ * Orphaned work, whose holder has failed. Its grants are kept until its
+ * target's load reports or the time passed show that the work has ended.
+ */
 
 import type { TargetLoad } from "@chestnuthatch/wire/work";
-import { closeGrant } from "./grant_account.ts";
+import { closeGrant } from "./grant_lifecycle.ts";
 import type { ShardView } from "./shard_view.ts";
 
-/** Work used this lately may not have reached its target at a report's time. */
+/**
+ * Work dispatched within this time before a load report was made may not have
+ * reached its target by then.
+ */
 const ARRIVAL_MARGIN_MS = 300;
 
-/** How long after its expected end the work of a gone holder is kept. */
-const ORPHAN_MARGIN_MS = 10_000;
+/** Time after its expected end for which orphaned work is kept. */
+const ORPHAN_GRACE_MS = 10_000;
 
 /**
- * Frees work of gone holders that must have ended long ago, unless its target
- * still shows as much work as the account has.
+ * Closes the grants of orphaned work that should have ended long ago, unless
+ * its target still reports at least as much work as it has grants.
  *
- * @param view The shard.
+ * @param view The shard whose grants are checked.
  */
 export function dropOverdueOrphans(view: ShardView): void {
   const { shard, nowMs } = view;
-  const full = new Set(
-    view.rooms.filter((room) => room.showsAllItsWork)
-      .map((room) => room.targetId),
+  const fullyReported = new Set(
+    view.capacities.filter((capacity) => capacity.reportsAllGrants)
+      .map((capacity) => capacity.targetId),
   );
   for (const grant of [...shard.grants.values()]) {
     if (
-      grant.orphanedAtMs !== undefined && !full.has(grant.work.targetId) &&
+      grant.orphanedAtMs !== undefined &&
+      !fullyReported.has(grant.work.targetId) &&
       nowMs > Math.max(grant.expectedEndMs, grant.orphanedAtMs) +
-          ORPHAN_MARGIN_MS
+          ORPHAN_GRACE_MS
     ) {
       closeGrant(shard, grant, { nowMs, kvTokens: 0 });
     }
@@ -34,16 +41,18 @@
 }
 
 /**
- * Frees work of gone holders that two reports of its target in a row no longer
- * show.
+ * Closes the grants of orphaned work that two consecutive load reports of its
+ * target no longer include.
  *
- * @param view The shard.
- * @param load A new report of one of its targets.
+ * @param view The shard that the target belongs to.
+ * @param load The new load report.
  */
 export function reconcileOrphans(view: ShardView, load: TargetLoad): void {
   const { shard, nowMs } = view;
-  const room = view.rooms.find((each) => each.targetId === load.targetId);
-  const asOfMs = room?.target?.loadAsOfMs ?? nowMs;
+  const capacity = view.capacities.find((each) =>
+    each.targetId === load.targetId
+  );
+  const asOfMs = capacity?.target?.loadAsOfMs ?? nowMs;
   const grants = [...shard.grants.values()].filter((grant) =>
     grant.work.targetId === load.targetId &&
     grant.usedAtMs <= asOfMs - ARRIVAL_MARGIN_MS
@@ -52,11 +61,11 @@
     0,
     grants.length - load.slotsUsed - load.waitingRequests,
   );
-  const before = shard.excessByTarget.get(load.targetId) ?? 0;
+  const previousExcess = shard.excessByTarget.get(load.targetId) ?? 0;
   shard.excessByTarget.set(load.targetId, excess);
   grants
     .filter((grant) => (grant.orphanedAtMs ?? Infinity) <= asOfMs)
     .sort((a, b) => a.expectedEndMs - b.expectedEndMs)
-    .slice(0, Math.min(excess, before))
+    .slice(0, Math.min(excess, previousExcess))
     .forEach((grant) => closeGrant(shard, grant, { nowMs, kvTokens: 0 }));
 }
--- a/packages/core/src/outcomes.ts
+++ b/packages/core/src/outcomes.ts
@@ -8,7 +8,7 @@
 import type { Turn } from "./controller.ts";
 import { CounterName, EffectKind } from "./effects.ts";
 import { closeRequest } from "./held_requests.ts";
-import { learnOutputLength } from "./output_length.ts";
+import { recordOutputLength } from "./output_length.ts";
 import {
   noteStep,
   type RefusalCause,
@@ -72,7 +72,7 @@
   answerCalls(turn, request, answer);
   keepAnswer(turn, request, answer);
   reportWorkDone(turn, request, false);
-  learnOutputLength(
+  recordOutputLength(
     turn.board.requests,
     { ...request.spec, maxOutputTokens: request.maxOutputTokens },
     answer.outputTokens,
--- a/packages/core/src/output_length.ts
+++ b/packages/core/src/output_length.ts
@@ -1,68 +1,73 @@
 /**
- * Learns how long answers are: by workspace, tier and pool, and by the size of
- * the prompt and of the answer asked for, since one tier may hold short
+ * Estimates of output lengths by workspace, tier and pool, and by the size of
+ * the prompt and of the requested output, since one tier may serve both short
  * questions and long documents.
  */
 
 import type { RequestsSection } from "./blackboard.ts";
 import type { RequestSpec } from "./request.ts";
 
-/** The quantile that is learned: three answers of four are no longer. */
-const QUANTILE = 0.75;
-/** How far one answer moves the estimate, as a share of the estimate. */
+/** The estimated quantile: three outputs of four are no longer. */
+const LEARNED_QUANTILE = 0.75;
+/** Step by which one output moves the estimate, as a share of the estimate. */
 const STEP_SHARE = 0.05;
+/** Bound of the estimates kept; scopes beyond it get none. */
 const MAX_SCOPES = 5000;
 
-/** What an answer's length is learned by. */
-export type LengthScope =
+/** The properties of a request by which its output length is estimated. */
+export type OutputLengthScope =
   & Pick<RequestSpec, "workspace" | "tier" | "pool" | "promptTokens">
   & { readonly maxOutputTokens: number };
 
 /**
- * Moves the learned quantile by one answer.
+ * Updates the estimated quantile of a scope with the length of one output.
  *
- * @param requests The section that holds the estimates.
- * @param scope Where the answer belongs.
- * @param outputTokens Its length.
+ * @param requests The section of the blackboard that holds the estimates.
+ * @param scope The scope of the ended request.
+ * @param outputTokens Length of its output in tokens.
  */
-export function learnOutputLength(
+export function recordOutputLength(
   requests: RequestsSection,
-  scope: LengthScope,
+  scope: OutputLengthScope,
   outputTokens: number,
 ): void {
   const { learnedOutputTokens } = requests;
-  const key = lengthKey(scope);
+  const key = scopeKeyOf(scope);
   const estimate = learnedOutputTokens.get(key) ?? outputTokens;
   const step = Math.max(1, estimate * STEP_SHARE);
-  const moved = outputTokens > estimate
-    ? estimate + step * QUANTILE
-    : estimate - step * (1 - QUANTILE);
+  const updated = outputTokens > estimate
+    ? estimate + step * LEARNED_QUANTILE
+    : estimate - step * (1 - LEARNED_QUANTILE);
   if (learnedOutputTokens.size < MAX_SCOPES || learnedOutputTokens.has(key)) {
-    learnedOutputTokens.set(key, Math.max(1, moved));
+    learnedOutputTokens.set(key, Math.max(1, updated));
   }
 }
 
 /**
- * Tells how long an answer is expected to be.
+ * Returns the expected output length of a request.
  *
- * @param requests The section that holds the estimates.
- * @param scope Where the request belongs.
- * @param fallbackTokens What the settings expect.
- * @returns Tokens, at least 1 and at most the bound.
+ * @param requests The section of the blackboard that holds the estimates.
+ * @param scope The scope of the request.
+ * @param fallbackTokens Expected length by the settings, in tokens, for scopes
+ * without an estimate.
+ * @returns The number of tokens, from 1 to the request's `maxOutputTokens`.
  */
 export function expectedOutputLength(
   requests: RequestsSection,
-  scope: LengthScope,
+  scope: OutputLengthScope,
   fallbackTokens: number,
 ): number {
-  const learned = requests.learnedOutputTokens.get(lengthKey(scope)) ??
+  const expectedTokens = requests.learnedOutputTokens.get(scopeKeyOf(scope)) ??
     fallbackTokens;
-  return Math.max(1, Math.min(Math.round(learned), scope.maxOutputTokens));
+  return Math.max(
+    1,
+    Math.min(Math.round(expectedTokens), scope.maxOutputTokens),
+  );
 }
 
-function lengthKey(scope: LengthScope): string {
-  const promptClass = Math.ceil(Math.log2(scope.promptTokens + 1) / 2);
-  const answerClass = Math.ceil(Math.log2(scope.maxOutputTokens + 1));
+function scopeKeyOf(scope: OutputLengthScope): string {
+  const promptSizeClass = Math.ceil(Math.log2(scope.promptTokens + 1) / 2);
+  const outputSizeClass = Math.ceil(Math.log2(scope.maxOutputTokens + 1));
   const owner = `${scope.workspace}/${scope.tier}/${scope.pool}`;
-  return `${owner}/${promptClass}/${answerClass}`;
+  return `${owner}/${promptSizeClass}/${outputSizeClass}`;
 }
--- a/packages/core/src/overload_refusal.ts
+++ b/packages/core/src/overload_refusal.ts
@@ -1,8 +1,8 @@
-/** Refuses an ask for overload, with a hint that grows with the backlog. */
+/** Refusals for overload, whose retry hint grows with the backlog. */
 
 import { ErrorKind } from "@chestnuthatch/wire/work";
 import type { WaitingAsk } from "./blackboard.ts";
-import { refuseAsk } from "./grant_account.ts";
+import { refuseAsk } from "./grant_lifecycle.ts";
 import { spreadRetryHint } from "./retry_hint.ts";
 import { lanesOfTier, type QueuedWork } from "./shard_queue.ts";
 import { holdGrantsBelow, raiseFloor } from "./shed_floor.ts";
@@ -10,11 +10,13 @@
 import { estimateWaitMs, NO_WORK } from "./wait_estimate.ts";
 
 /**
- * Refuses an ask for overload.
+ * Refuses an ask for overload, and keeps lower tiers from being served instead:
+ * an ask sent to this shard only raises the shard's floor, one sent to several
+ * domains holds back grants until the others have decided.
  *
- * @param view The shard.
- * @param ask The ask.
- * @param reason Why, in words.
+ * @param view The shard that was asked.
+ * @param ask The ask to refuse.
+ * @param reason Explanation for the caller.
  */
 export function refuseOverloaded(
   view: ShardView,
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -1,58 +1,62 @@
 /**
- * Chooses which waiting asks get which targets now.
+ * Placement of waiting asks on targets.
  *
- * Tiers go strictly in order: while an ask that could run on a live target
- * waits for room, nothing of a lower tier is placed. Within a tier workspaces
- * take turns by fair share, and asks of a workspace go by worth and urgency.
- * An ask that does not fit is passed by; once it has waited away a share of
- * its slack, room is kept for it on one target.
+ * Tiers are served strictly in order: while an ask that could run on an
+ * available target waits for capacity, no ask of a lower tier is placed. Within
+ * a tier, workspaces are served by fair share, and the asks of a workspace by
+ * value and urgency. An ask that does not fit is skipped; once it has waited
+ * for a share of its slack, capacity is reserved for it on one target.
  */
 
 import type { Lane, WaitingAsk } from "./blackboard.ts";
 import { startTag } from "./fair_share.ts";
-import { openGrant } from "./grant_account.ts";
-import { keepReservedRooms, keepRoomWhenAged } from "./kept_room.ts";
-import { lanesOfTier, orderLane, waitingTiers } from "./shard_queue.ts";
+import { openGrant } from "./grant_lifecycle.ts";
+import { applyReservations, reserveWhenAged } from "./reservations.ts";
+import { lanesOfTier, rankLane, waitingTiers } from "./shard_queue.ts";
 import { lowestGrantableTier } from "./shed_floor.ts";
 import type { ShardView } from "./shard_view.ts";
-import { choosePlace } from "./target_choice.ts";
+import { chooseTarget } from "./target_choice.ts";
 
-/** Asks of one lane that may be found not to fit before the lane is left. */
-const MAX_TRIED_PER_LANE = 256;
+/** Asks of one lane that may fail to fit before the lane is skipped. */
+const MAX_MISSES_PER_LANE = 256;
 
+/** Progress of one placement run through the ranked asks of a lane. */
 interface LaneCursor {
   readonly lane: Lane;
   readonly asks: readonly WaitingAsk[];
-  next: number;
-  tried: number;
+  /** Index of the next ask to try. */
+  nextIndex: number;
+  /** Asks tried without success. */
+  misses: number;
 }
 
 /**
- * Places whatever asks of a shard can be placed now.
+ * Places all asks of a shard that can be placed now.
  *
- * @param view The shard as it is now.
+ * @param view The shard, created after the latest change of its grants or load.
  */
 export function placeWaiting(view: ShardView): void {
   if (view.shard.waiting.size > 0) {
-    new Placer(view).placeAll();
+    new PlacementRun(view).placeAll();
   }
 }
 
-class Placer {
+/** One placement run over the queue of a shard. */
+class PlacementRun {
   readonly #view: ShardView;
 
   constructor(view: ShardView) {
     this.#view = view;
-    keepReservedRooms(view);
+    applyReservations(view);
   }
 
   placeAll(): void {
     for (const tierRank of waitingTiers(this.#view.shard)) {
-      if (!this.#hasRoom() || tierRank > lowestGrantableTier(this.#view)) {
+      if (!this.#hasCapacity() || tierRank > lowestGrantableTier(this.#view)) {
         return;
       }
       this.#placeTier(tierRank);
-      if (this.#someoneWaitsForRoom(tierRank)) {
+      if (this.#hasWaitingCandidate(tierRank)) {
         return;
       }
     }
@@ -66,11 +70,11 @@
     }
     const cursors: LaneCursor[] = lanes.map((lane) => ({
       lane,
-      asks: orderLane(lane, nowMs),
-      next: 0,
-      tried: 0,
+      asks: rankLane(lane, nowMs),
+      nextIndex: 0,
+      misses: 0,
     }));
-    while (cursors.length > 0 && this.#hasRoom()) {
+    while (cursors.length > 0 && this.#hasCapacity()) {
       const cursor = this.#nextCursor(cursors);
       if (!this.#placeNext(cursor)) {
         cursors.splice(cursors.indexOf(cursor), 1);
@@ -93,17 +97,23 @@
     );
   }
 
-  /** Places the first ask of a lane that fits; false when none is left. */
+  /**
+   * Places the lane's next ask that fits.
+   *
+   * @param cursor The lane and the progress in it.
+   * @returns Whether an ask was placed; false once no ask is left to try.
+   */
   #placeNext(cursor: LaneCursor): boolean {
     while (
-      cursor.next < cursor.asks.length && cursor.tried < MAX_TRIED_PER_LANE
+      cursor.nextIndex < cursor.asks.length &&
+      cursor.misses < MAX_MISSES_PER_LANE
     ) {
-      const ask = cursor.asks[cursor.next];
-      cursor.next += 1;
+      const ask = cursor.asks[cursor.nextIndex];
+      cursor.nextIndex += 1;
       if (this.#tryPlace(ask)) {
         return true;
       }
-      cursor.tried += 1;
+      cursor.misses += 1;
     }
     return false;
   }
@@ -116,27 +126,30 @@
     ) {
       return false;
     }
-    const placement = choosePlace(this.#view, ask);
+    const placement = chooseTarget(this.#view, ask);
     if (placement === undefined) {
-      keepRoomWhenAged(this.#view, ask);
+      reserveWhenAged(this.#view, ask);
       return false;
     }
-    placement.room.take(placement.need);
-    placement.room.grants.push(openGrant(this.#view, placement));
+    placement.capacity.allocate(placement.demand);
+    placement.capacity.grants.push(openGrant(this.#view, placement));
     return true;
   }
 
-  #hasRoom(): boolean {
-    return this.#view.rooms.some((room) =>
-      room.hasFreeSlot && !room.isPrefillBusy(this.#view.nowMs, 0)
+  #hasCapacity(): boolean {
+    return this.#view.capacities.some((capacity) =>
+      capacity.hasFreeSlot && !capacity.isPrefillBusy(this.#view.nowMs, 0)
     );
   }
 
-  #someoneWaitsForRoom(tierRank: number): boolean {
+  /** Whether an ask of the tier waits that some available target could run. */
+  #hasWaitingCandidate(tierRank: number): boolean {
     return lanesOfTier(this.#view.shard, tierRank).some((lane) =>
       [...lane.asks.values()].some((ask) =>
         this.#view.isHolderFresh(ask) &&
-        this.#view.rooms.some((room) => this.#view.isPossible(room, ask))
+        this.#view.capacities.some((capacity) =>
+          this.#view.isCandidate(capacity, ask)
+        )
       )
     );
   }
--- a/packages/core/src/placement_test.ts
+++ b/packages/core/src/placement_test.ts
@@ -7,7 +7,7 @@
   return fake.grants.map(({ requestId }) => requestId);
 }
 
-test("should place a lower tier only once no higher one waits for room", () => {
+test("should place a lower tier only once no higher one waits for capacity", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }], runsWork: true });
   fake.ask({ requestId: "first", tierRank: 1 });
   fake.ask({ requestId: "low", tierRank: 2 });
@@ -17,7 +17,7 @@
   assert.equal(grantedIds(fake), ["first", "high", "middle", "low"]);
 });
 
-test("should hold back lower tiers while a higher one waits for KV memory alone", () => {
+test("should hold back lower tiers while a higher one waits only for KV memory", () => {
   const fake = new FakeShard({ targets: [{ slots: 4 }], runsWork: true });
   fake.ask({ requestId: "running", promptTokens: 6000 });
   fake.ask({ requestId: "large", promptTokens: 6000 });
@@ -27,7 +27,7 @@
   assert.equal(grantedIds(fake), ["running", "large", "low"]);
 });
 
-test("should leave the headroom of a tier free from it", () => {
+test("should keep the headroom of a tier free of its asks", () => {
   const fake = new FakeShard({
     targets: [{ slots: 4 }],
     tiers: [{}, { headroomShare: 0.4 }],
@@ -39,18 +39,18 @@
   assert.equal(grantedIds(fake), ["low0", "low1", "high"]);
 });
 
-test("should let a workspace with one ask go before another's fifty", () => {
+test("should serve a workspace with one ask ahead of another's backlog of fifty", () => {
   const fake = new FakeShard({ targets: [{}], runsWork: true });
   for (let i = 0; i < 50; i++) {
     fake.ask({ requestId: `many${i}`, workspace: "many", timeLeftMs: 60_000 });
   }
   fake.ask({ requestId: "one", workspace: "one", timeLeftMs: 5000 });
   fake.advance(2500);
-  const place = grantedIds(fake).indexOf("one");
-  assert.ok(place >= 0 && place <= 3, `granted as number ${place}`);
+  const position = grantedIds(fake).indexOf("one");
+  assert.ok(position >= 0 && position <= 3, `granted as number ${position}`);
 });
 
-test("should share by weight between workspaces that both wait", () => {
+test("should divide grants by weight between workspaces that both wait", () => {
   const fake = new FakeShard({
     targets: [{}],
     weights: { heavy: 3 },
@@ -78,7 +78,7 @@
   );
 });
 
-test("should pass by a long ask that does not fit, but not starve it", () => {
+test("should skip a long ask that does not fit, but not starve it", () => {
   const fake = new FakeShard({
     targets: [{ slots: 4, kvTokens: 4000 }],
     runsWork: true,
@@ -99,7 +99,7 @@
   assert.ok(grantedIds(fake).includes("long"));
 });
 
-test("should choose the least predicted completion, and tell what it passed over", () => {
+test("should choose the earliest predicted completion, and list the targets passed over", () => {
   const fake = new FakeShard({
     targets: [{ decodeTokensPerSecond: 50 }, {}, { draining: true }],
   });
@@ -112,7 +112,7 @@
   ]);
 });
 
-test("should prefer a cached prefix, and ignore it when switched off", () => {
+test("should prefer a target with a cached prefix, unless affinity is disabled", () => {
   const blockHashes = Array.from({ length: 60 }, (_, i) => `b${i}`);
   const placeTwo = (affinity: boolean) => {
     const fake = new FakeShard({ targets: [{}, {}], affinity, runsWork: true });
@@ -126,7 +126,7 @@
   assert.equal(placeTwo(false), ["t0", "t1"]);
 });
 
-test("should let affinity yield to load", () => {
+test("should prefer an idle target over a loaded one with a cached prefix", () => {
   const blockHashes = Array.from({ length: 60 }, (_, i) => `b${i}`);
   const cached = { promptTokens: 4000, blockHashes };
   const fake = new FakeShard({ targets: [{}, {}], runsWork: true });
@@ -150,21 +150,21 @@
   fake.ask({ requestId: "a" });
   assert.is(fake.grants.length, 0);
   assert.is(fake.of(PeerMessageKind.AskQueued).length, 1);
-  fake.load("t0");
+  fake.reportLoad("t0");
   assert.is(fake.grants.length, 1);
   assert.is(fake.board.shards.byKey.get(`${POOL}@njiro-hall`), fake.shard);
 });
 
-test("should take a prompt as read when one that came after it was", () => {
+test("should count a prompt as read once a later one on its target was read", () => {
   const fake = new FakeShard({ targets: [{ slots: 8, kvTokens: 50_000 }] });
-  fake.ask({ requestId: "lost word", promptTokens: 9000 });
-  fake.use(fake.grants[0]);
+  fake.ask({ requestId: "lost message", promptTokens: 9000 });
+  fake.useGrant(fake.grants[0]);
   fake.advance(850);
   fake.ask({ requestId: "later", promptTokens: 200 });
   const later = fake.grants[1];
-  fake.use(later);
+  fake.useGrant(later);
   fake.advance(100);
-  fake.hear({
+  fake.receive({
     kind: PeerMessageKind.PromptRead,
     requestId: "later",
     grantId: later.grantId,
@@ -172,7 +172,7 @@
     failureDomain: DOMAIN,
   });
   fake.ask({ requestId: "next", promptTokens: 9000 });
-  assert.is(grantedIds(fake).at(-1), "next", "nothing is left to be read");
+  assert.is(grantedIds(fake).at(-1), "next", "no prompt is left to read");
 });
 
 test.run();
--- a/packages/core/src/preemption.ts
+++ b/packages/core/src/preemption.ts
@@ -1,84 +1,103 @@
-/** Plans room for asks that cannot wait any longer. */
+/**
+ * Planning of capacity, and of preemptions that free it, for asks that cannot
+ * wait any longer.
+ */
 
 import type { GrantAccount, WaitingAsk } from "./blackboard.ts";
-import { type Need, shortage, type TargetRoom } from "./capacity.ts";
+import {
+  type ResourceDemand,
+  shortage,
+  type TargetCapacity,
+} from "./capacity.ts";
 import { prefillQueueOf } from "./prefill_queue.ts";
 import type { ShardView } from "./shard_view.ts";
-import type { Usage } from "./target_usage.ts";
+import type { TargetUsage } from "./target_usage.ts";
 
 /** Running work to cancel so that an ask fits on one target. */
 export interface PreemptionPlan {
-  readonly room: TargetRoom;
+  /** Capacity of the target on which the work runs. */
+  readonly capacity: TargetCapacity;
+  /** Grants of the work to cancel. */
   readonly victims: readonly GrantAccount[];
 }
 
-/** Room of a shard as it will be, shared out among urgent asks. */
-export class RoomPlan {
+/**
+ * A forecast of the free capacity of a shard, allocated to the urgent asks of
+ * one event in turn, so that no two asks count on the same capacity.
+ */
+export class CapacityPlan {
   readonly #view: ShardView;
-  readonly #promised = new Map<string, Usage>();
+  readonly #allocated = new Map<string, TargetUsage>();
 
-  /** @param view The shard. */
+  /** @param view The shard whose capacity is allocated. */
   constructor(view: ShardView) {
     this.#view = view;
   }
 
   /**
-   * Promises an ask room that is free or will come free by itself.
+   * Allocates capacity to an ask that is free or will become free without
+   * further preemption, where the ask can still end in time there.
    *
-   * @param ask The ask.
-   * @param byMs Work expected to end until then counts as ended.
-   * @returns Whether there is such room.
+   * @param ask The urgent ask.
+   * @param endsByMs Local time; work expected to end by then counts as ended.
+   * @returns Whether capacity was allocated.
    */
-  promise(ask: WaitingAsk, byMs: number): boolean {
-    const need = this.#view.needOf(ask);
-    const room = this.#view.rooms.find((each) =>
-      this.#view.isPossible(each, ask) &&
-      this.#fitsWithout(each, ask, this.#endingBy(each, byMs))
+  tryAllocate(ask: WaitingAsk, endsByMs: number): boolean {
+    const demand = this.#view.demandOf(ask);
+    const capacity = this.#view.capacities.find((each) =>
+      this.#view.isCandidate(each, ask) &&
+      this.#fitsAfter(each, ask, this.#endingBy(each, endsByMs))
     );
-    if (room !== undefined) {
-      this.#addPromise(room, need);
+    if (capacity !== undefined) {
+      this.#allocate(capacity, demand);
     }
-    return room !== undefined;
+    return capacity !== undefined;
   }
 
   /**
-   * Finds the cheapest work to cancel for an ask, and promises it the room:
-   * the lowest tier first, then the fewest streams, then the least progressed.
+   * Chooses the work to cancel for an ask, and allocates its capacity to the
+   * ask. Work of the lowest tier is preferred, then the fewest streams, then
+   * the streams with the least progress.
    *
-   * @param ask The ask.
-   * @returns The plan; undefined where cancelling makes no room.
+   * @param ask The urgent ask.
+   * @returns The plan; undefined where no preemption would let the ask end in
+   * time.
    */
-  planVictims(ask: WaitingAsk): PreemptionPlan | undefined {
-    const plans = this.#view.rooms
-      .filter((room) => this.#view.isPossible(room, ask))
-      .flatMap((room) => {
-        const victims = this.#victimsOn(room, ask);
-        return victims === undefined ? [] : [{ room, victims }];
+  planPreemption(ask: WaitingAsk): PreemptionPlan | undefined {
+    const plans = this.#view.capacities
+      .filter((capacity) => this.#view.isCandidate(capacity, ask))
+      .flatMap((capacity) => {
+        const victims = this.#selectVictims(capacity, ask);
+        return victims === undefined ? [] : [{ capacity, victims }];
       })
       .sort((a, b) => this.#comparePlans(a, b));
     const [best] = plans;
     if (best !== undefined) {
-      this.#addPromise(best.room, this.#view.needOf(ask));
+      this.#allocate(best.capacity, this.#view.demandOf(ask));
     }
     return best;
   }
 
-  #victimsOn(room: TargetRoom, ask: WaitingAsk): GrantAccount[] | undefined {
-    const candidates = room.grants
+  #selectVictims(
+    capacity: TargetCapacity,
+    ask: WaitingAsk,
+  ): GrantAccount[] | undefined {
+    const candidates = capacity.grants
       .filter((grant) => isPreemptible(this.#view, grant, ask.detail.tierRank))
       .sort((a, b) =>
         b.work.tierRank - a.work.tierRank ||
-        progressOf(a, this.#view.nowMs) - progressOf(b, this.#view.nowMs)
+        progressShareOf(a, this.#view.nowMs) -
+          progressShareOf(b, this.#view.nowMs)
       );
-    const going = this.#endingBy(room, -Infinity);
+    const alreadyEnding = this.#endingBy(capacity, -Infinity);
     const victims: GrantAccount[] = [];
     for (const grant of candidates) {
       victims.push(grant);
-      const ending = [...going, ...victims];
-      const used = this.#usedWithout(room, ending);
-      if (shortage(room, this.#view.needOf(ask), used) === undefined) {
-        // More are not cancelled only to make the target faster.
-        return this.#endsInTime(room, ask, { ending, used })
+      const ending = [...alreadyEnding, ...victims];
+      const used = this.#usedAfter(capacity, ending);
+      if (shortage(capacity, this.#view.demandOf(ask), used) === undefined) {
+        // No more streams are cancelled only to speed up the target.
+        return this.#endsInTime(capacity, ask, { ending, used })
           ? victims
           : undefined;
       }
@@ -86,78 +105,88 @@
     return undefined;
   }
 
-  /** Grants on a target that are being cancelled, or end by a time. */
-  #endingBy(room: TargetRoom, byMs: number): GrantAccount[] {
-    return room.grants.filter((grant) =>
-      grant.preempted || grant.expectedEndMs <= byMs
+  /** Grants on a target that are being cancelled or should end by a time. */
+  #endingBy(capacity: TargetCapacity, endsByMs: number): GrantAccount[] {
+    return capacity.grants.filter((grant) =>
+      grant.preempted || grant.expectedEndMs <= endsByMs
     );
   }
 
-  #fitsWithout(
-    room: TargetRoom,
+  #fitsAfter(
+    capacity: TargetCapacity,
     ask: WaitingAsk,
     ending: readonly GrantAccount[],
   ): boolean {
-    const used = this.#usedWithout(room, ending);
-    return shortage(room, this.#view.needOf(ask), used) === undefined &&
-      this.#endsInTime(room, ask, { ending, used });
+    const used = this.#usedAfter(capacity, ending);
+    return shortage(capacity, this.#view.demandOf(ask), used) === undefined &&
+      this.#endsInTime(capacity, ask, { ending, used });
   }
 
-  #usedWithout(room: TargetRoom, ending: readonly GrantAccount[]): Usage {
-    const promised = this.#promised.get(room.targetId);
+  #usedAfter(
+    capacity: TargetCapacity,
+    ending: readonly GrantAccount[],
+  ): TargetUsage {
+    const allocated = this.#allocated.get(capacity.targetId);
     return {
-      slots: room.used.slots - ending.length + (promised?.slots ?? 0),
-      kvTokens: room.used.kvTokens + (promised?.kvTokens ?? 0) -
+      slots: capacity.used.slots - ending.length + (allocated?.slots ?? 0),
+      kvTokens: capacity.used.kvTokens + (allocated?.kvTokens ?? 0) -
         ending.reduce((sum, grant) => sum + grant.kvTokens, 0),
     };
   }
 
   #endsInTime(
-    room: TargetRoom,
+    capacity: TargetCapacity,
     ask: WaitingAsk,
-    then: { ending: readonly GrantAccount[]; used: Usage },
+    after: { ending: readonly GrantAccount[]; used: TargetUsage },
   ): boolean {
     const { nowMs } = this.#view;
-    const staying = room.grants.filter((grant) => !then.ending.includes(grant));
-    const { cautiousMs } = this.#view.predict(room, ask.detail, {
-      prefillQueueMs: prefillQueueOf(staying, {
-        nowMs,
-        lastReadAtMs: room.lastReadAtMs,
-      }).totalMs,
-      utilization: then.used.slots / Math.max(1, room.slotsTotal),
-    });
-    return nowMs + cautiousMs <= ask.deadlineAtMs;
+    const remaining = capacity.grants.filter((grant) =>
+      !after.ending.includes(grant)
+    );
+    const { conservativeMs } = this.#view.predict(
+      capacity,
+      ask.detail,
+      {
+        prefillQueueMs: prefillQueueOf(remaining, {
+          nowMs,
+          lastReadAtMs: capacity.lastReadAtMs,
+        }).totalMs,
+        utilization: after.used.slots / Math.max(1, capacity.slotsTotal),
+      },
+    );
+    return nowMs + conservativeMs <= ask.deadlineAtMs;
   }
 
-  #addPromise(room: TargetRoom, need: Need): void {
-    const promised = this.#promised.get(room.targetId) ??
+  #allocate(capacity: TargetCapacity, demand: ResourceDemand): void {
+    const allocated = this.#allocated.get(capacity.targetId) ??
       { slots: 0, kvTokens: 0 };
-    promised.slots += 1;
-    promised.kvTokens += need.kvTokens;
-    this.#promised.set(room.targetId, promised);
+    allocated.slots += 1;
+    allocated.kvTokens += demand.kvTokens;
+    this.#allocated.set(capacity.targetId, allocated);
   }
 
   #comparePlans(a: PreemptionPlan, b: PreemptionPlan): number {
-    return highestTierOf(b) - highestTierOf(a) ||
+    return highestPreemptedTier(b) - highestPreemptedTier(a) ||
       a.victims.length - b.victims.length ||
       this.#progressLost(a) - this.#progressLost(b);
   }
 
   #progressLost(plan: PreemptionPlan): number {
     return plan.victims.reduce(
-      (sum, grant) => sum + progressOf(grant, this.#view.nowMs),
+      (sum, grant) => sum + progressShareOf(grant, this.#view.nowMs),
       0,
     );
   }
 }
 
 /**
- * Tells whether running work may be cancelled for a tier.
+ * Checks whether running work may be cancelled in favour of a tier.
  *
- * @param view The shard.
- * @param grant The work's grant.
- * @param tierRank The tier that needs room.
- * @returns True for cancellable work of lower tiers whose policy allows it.
+ * @param view The shard in which the work runs.
+ * @param grant The grant of the work.
+ * @param tierRank Rank of the tier that needs capacity.
+ * @returns True for cancellable work of a lower tier whose policy permits
+ * preemption and that is not being cancelled yet.
  */
 export function isPreemptible(
   view: ShardView,
@@ -169,16 +198,16 @@
 }
 
 /**
- * Tells the highest tier that a plan cancels.
+ * Returns the highest tier whose work a plan cancels.
  *
- * @param plan The plan.
- * @returns Its rank.
+ * @param plan The preemption plan.
+ * @returns Rank of the tier.
  */
-export function highestTierOf(plan: PreemptionPlan): number {
+export function highestPreemptedTier(plan: PreemptionPlan): number {
   return Math.min(...plan.victims.map((grant) => grant.work.tierRank));
 }
 
-function progressOf(grant: GrantAccount, nowMs: number): number {
+function progressShareOf(grant: GrantAccount, nowMs: number): number {
   const expectedMs = Math.max(1, grant.expectedEndMs - grant.grantedAtMs);
   return (nowMs - grant.grantedAtMs) / expectedMs;
 }
--- a/packages/core/src/prefill_queue.ts
+++ b/packages/core/src/prefill_queue.ts
@@ -1,41 +1,46 @@
-/** Prompt work that a target has still to do for the grants it was given. */
+/** The prefill queue of a target: granted prompts that it has not read yet. */
 
 import type { GrantAccount } from "./blackboard.ts";
 
-/** Prompt work that waits on a target. */
+/** Time that a target needs for the prompts it has not read yet. */
 export interface PrefillQueue {
-  /** Until everything there has been read. */
+  /** Time until all granted prompts have been read. */
   readonly totalMs: number;
-  /** The part of it that has not been begun. */
-  readonly notBegunMs: number;
+  /** The part of it for prompts that the target has not started to read. */
+  readonly notStartedMs: number;
 }
 
 /**
- * Estimates how long an engine will go on reading the prompts it has. Engines
- * read one prompt after another; holders tell when each has been read.
+ * Estimates the time an engine needs to read the prompts it has. Engines read
+ * one prompt after another, and holders report when each has been read.
  *
- * @param grants Grants on the target.
- * @param since The local time, and when the last prompt was read there.
- * @returns Durations in milliseconds.
+ * @param grants All grants on the target.
+ * @param times The local time, and the time of the latest `PromptRead` message
+ * about the target.
+ * @returns The length of the prefill queue in milliseconds.
  */
 export function prefillQueueOf(
   grants: readonly GrantAccount[],
-  since: { nowMs: number; lastReadAtMs: number },
+  times: { nowMs: number; lastReadAtMs: number },
 ): PrefillQueue {
-  let workMs = 0;
-  let first: GrantAccount | undefined;
+  let unreadMs = 0;
+  let firstUnread: GrantAccount | undefined;
   for (const grant of grants) {
     if (!grant.promptRead) {
-      workMs += grant.prefillMs;
-      first = first === undefined || grant.grantedAtMs < first.grantedAtMs
-        ? grant
-        : first;
+      unreadMs += grant.prefillMs;
+      firstUnread =
+        firstUnread === undefined || grant.grantedAtMs < firstUnread.grantedAtMs
+          ? grant
+          : firstUnread;
     }
   }
-  if (first === undefined) {
-    return { totalMs: 0, notBegunMs: 0 };
+  if (firstUnread === undefined) {
+    return { totalMs: 0, notStartedMs: 0 };
   }
-  const begunAtMs = Math.max(first.grantedAtMs, since.lastReadAtMs);
-  const totalMs = Math.max(0, workMs - (since.nowMs - begunAtMs));
-  return { totalMs, notBegunMs: Math.min(totalMs, workMs - first.prefillMs) };
+  const startedAtMs = Math.max(firstUnread.grantedAtMs, times.lastReadAtMs);
+  const totalMs = Math.max(0, unreadMs - (times.nowMs - startedAtMs));
+  return {
+    totalMs,
+    notStartedMs: Math.min(totalMs, unreadMs - firstUnread.prefillMs),
+  };
 }
--- a/packages/core/src/request_controller.ts
+++ b/packages/core/src/request_controller.ts
@@ -3,11 +3,11 @@
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { ErrorKind, RunState, TargetKind } from "@chestnuthatch/wire/work";
 import {
-  type Admitted,
-  checkLimits,
+  type Admission,
   checkRequest,
+  consumeLimits,
   isRefusal,
-  runStateUnclaimed,
+  runStateWithoutClaim,
   scopeKey,
 } from "./admission.ts";
 import {
@@ -105,16 +105,16 @@
     return;
   }
   const scope = { key: scopeKey(spec), policy: admitted.policy };
-  const limited = checkLimits(turn, scope);
+  const limited = consumeLimits(turn, scope);
   if (limited !== undefined) {
-    const ran = runStateUnclaimed(spec, admitted.idempotent);
+    const ran = runStateWithoutClaim(spec, admitted.idempotent);
     refuseCall(turn, spec.requestId, { ...limited, ran });
     return;
   }
   begin(turn, hold(turn, spec, admitted));
 }
 
-function hold(turn: Turn, spec: RequestSpec, admitted: Admitted): HeldRequest {
+function hold(turn: Turn, spec: RequestSpec, admitted: Admission): HeldRequest {
   const { self, requests } = turn.board;
   const { policy, pool, idempotent, maxOutputTokens } = admitted;
   const streams = pool.kind === TargetKind.Engine;
--- a/packages/core/src/work_cost.ts
+++ b/packages/core/src/service_prediction.ts
@@ -1,18 +1,21 @@
-/** Predicts how long a target takes for a piece of work. */
+/** Predictions of the time that a target takes for a piece of work. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import type { LearnedRates } from "./blackboard.ts";
 
-/** By how much a full target stretches a decode, over an idle one. */
-const DECODE_STRETCH_WHEN_FULL = 0.3;
+/**
+ * Share by which a decode takes longer on a target with all slots in use than
+ * on an idle one.
+ */
+const FULL_LOAD_DECODE_OVERHEAD_SHARE = 0.3;
 
-/** By how much a decode may well take longer than expected. */
-const DECODE_CAUTION = 1.25;
+/** Safety factor on the expected decode time in conservative predictions. */
+const DECODE_SAFETY_RATIO = 1.25;
 
 const MS_PER_SECOND = 1000;
 
-/** What a prediction needs to know of the work. */
+/** The size of a piece of work, as predictions need it. */
 export interface WorkSize {
   readonly promptTokens: number;
   /** Leading tokens of the prompt expected in the target's cache. */
@@ -20,33 +23,38 @@
   readonly expectedOutputTokens: number;
 }
 
-/** What a prediction needs to know of the target. */
+/** The rates and the load of a target, as predictions need them. */
 export interface TargetSpeed {
   readonly kind: TargetKind;
   readonly rates: Readonly<LearnedRates>;
-  /** Prompt work granted there that must be done first. */
+  /** Time until the target has read the prompts granted before. */
   readonly prefillQueueMs: number;
   /** Share (0 to 1) of its slots in use. */
   readonly utilization: number;
 }
 
-/** A predicted service, in its parts. */
+/** A predicted service time and its parts. */
 export interface Prediction {
+  /** Time until the target has read the prompts granted before. */
   readonly prefillQueueMs: number;
+  /** Time to read the prompt, without its cached prefix. */
   readonly prefillMs: number;
+  /** Time to generate the expected output. */
   readonly decodeMs: number;
+  /** Ratio by which the target's load lengthens the decode. */
   readonly loadFactor: number;
+  /** Time from dispatch to the end of the answer. */
   readonly totalMs: number;
-  /** The total with a margin for longer answers and a busier target. */
-  readonly cautiousMs: number;
+  /** The total with a margin for a longer answer or a busier target. */
+  readonly conservativeMs: number;
 }
 
 /**
- * Predicts the service of a piece of work on a target.
+ * Predicts the service time of a piece of work on a target.
  *
- * @param work The work.
- * @param speed The target.
- * @returns The time from dispatch to the end of the answer, in its parts.
+ * @param work The size of the work.
+ * @param speed The rates and the load of the target.
+ * @returns The time from dispatch to the end of the answer, and its parts.
  */
 export function predictService(work: WorkSize, speed: TargetSpeed): Prediction {
   const { rates } = speed;
@@ -57,7 +65,7 @@
       decodeMs: 0,
       loadFactor: 1,
       totalMs: rates.callMs,
-      cautiousMs: rates.callMs,
+      conservativeMs: rates.callMs,
     };
   }
   const uncachedTokens = Math.max(0, work.promptTokens - work.cachedTokens);
@@ -71,16 +79,16 @@
     decodeMs,
     loadFactor,
     totalMs: speed.prefillQueueMs + prefillMs + decodeMs,
-    cautiousMs: speed.prefillQueueMs + prefillMs +
-      decodeMs * DECODE_CAUTION,
+    conservativeMs: speed.prefillQueueMs + prefillMs +
+      decodeMs * DECODE_SAFETY_RATIO,
   };
 }
 
 /**
- * Gives the rates assumed of a target until some have been learned.
+ * Returns the rates to assume of a target before any have been measured.
  *
- * @param settings The target as the operators describe it.
- * @returns Rates of an idle target.
+ * @param settings The target's settings, which state its speed.
+ * @returns The rates of the target while idle.
  */
 export function priorRates(settings: TargetSettings): LearnedRates {
   return {
@@ -94,7 +102,7 @@
 }
 
 function loadFactorAt(utilization: number): number {
-  return 1 + DECODE_STRETCH_WHEN_FULL * Math.min(1, utilization);
+  return 1 + FULL_LOAD_DECODE_OVERHEAD_SHARE * Math.min(1, utilization);
 }
 
 function msPerToken(tokensPerSecond: number): number {
--- a/packages/core/src/shard_queue.ts
+++ b/packages/core/src/shard_queue.ts
@@ -1,31 +1,37 @@
-/** The asks that wait at a coordinator, by tier and workspace. */
+/**
+ * The queue of a shard: one lane for each tier and workspace that waits, and
+ * the order of the asks in a lane.
+ */
 
 import { LRUCache } from "lru-cache";
 import type { Lane, Shard, WaitingAsk } from "./blackboard.ts";
 
-/** Closed asks and grants remembered against late messages. */
-const MAX_CLOSED = 8192;
+/** Closed asks and grants kept to recognize late messages. */
+const MAX_CLOSED_ENTRIES = 8192;
 
-/** Smallest share of an ask's slack that its urgency is counted by. */
-const MIN_SLACK_SHARE = 0.001;
+/** Lower bound of the slack left, which keeps the urgency of an ask finite. */
+const MIN_SLACK_LEFT_SHARE = 0.001;
 
-/** Work that waits: time on a slot, and KV memory times that time. */
+/** An amount of queued work, in the units by which waits are estimated. */
 export interface QueuedWork {
+  /** Time for which it occupies one slot. */
   readonly costMs: number;
+  /** KV memory times the time it is held, in token milliseconds. */
   readonly kvTokenMs: number;
-  /** Time for which one engine would read its prompts. */
+  /** Time in which one engine would read its prompts. */
   readonly prefillMs: number;
 }
 
 /**
- * Makes an empty shard.
+ * Creates a shard without asks and grants.
  *
  * @param pool Name of the pool.
- * @param failureDomain The domain whose targets it holds.
- * @param nowMs The local time.
- * @returns The shard.
+ * @param failureDomain Failure domain of the shard's targets.
+ * @param nowMs The local time in milliseconds, from which this instance counts
+ * as the shard's coordinator.
+ * @returns The new shard.
  */
-export function newShard(
+export function createShard(
   pool: string,
   failureDomain: string,
   nowMs: number,
@@ -45,7 +51,7 @@
     lanes: new Map(),
     ended: new Map(),
     holders: new Map(),
-    closed: new LRUCache({ max: MAX_CLOSED }),
+    closed: new LRUCache({ max: MAX_CLOSED_ENTRIES }),
     excessByTarget: new Map(),
     prefixes: new Map(),
     lastActiveMs: nowMs,
@@ -54,13 +60,13 @@
 }
 
 /**
- * Adds an ask to the queue, or puts it in the place of the request's older one.
+ * Adds an ask to the queue, or replaces an older ask of the same request.
  *
- * @param shard The shard.
- * @param ask The ask.
+ * @param shard The shard that was asked.
+ * @param ask The ask to add.
  */
-export function addWaiting(shard: Shard, ask: WaitingAsk): void {
-  removeWaiting(shard, ask.detail.requestId);
+export function enqueueAsk(shard: Shard, ask: WaitingAsk): void {
+  dequeueAsk(shard, ask.detail.requestId);
   const { requestId, tierRank, workspace } = ask.detail;
   const key = `${tierRank}/${workspace}`;
   const lane = shard.lanes.get(key) ?? {
@@ -81,13 +87,13 @@
 }
 
 /**
- * Takes an ask out of the queue.
+ * Removes the ask of a request from the queue.
  *
- * @param shard The shard.
- * @param requestId The request it is for.
- * @returns The ask, where one was waiting.
+ * @param shard The shard that was asked.
+ * @param requestId Id of the request.
+ * @returns The removed ask; undefined where the request has none waiting.
  */
-export function removeWaiting(
+export function dequeueAsk(
   shard: Shard,
   requestId: string,
 ): WaitingAsk | undefined {
@@ -110,11 +116,11 @@
 }
 
 /**
- * Gives the work that an ask adds to this shard's queue: its share of the
- * whole, since it waits in every domain that it was asked at.
+ * Returns the work that an ask adds to one shard's queue. A request that waits
+ * in several failure domains adds an equal share of its work to each of them.
  *
- * @param ask The ask.
- * @returns Time on a slot, and KV memory times that time.
+ * @param ask The waiting ask.
+ * @returns The ask's share of the work in this shard.
  */
 export function queuedWorkOf(ask: WaitingAsk): QueuedWork {
   const { spreadOver } = ask.detail;
@@ -127,10 +133,10 @@
 }
 
 /**
- * Lists the tiers that wait.
+ * Lists the tiers that have waiting asks.
  *
- * @param shard The shard.
- * @returns Ranks, the highest tier first.
+ * @param shard The shard whose queue is read.
+ * @returns Ranks of the tiers, the highest tier first.
  */
 export function waitingTiers(shard: Shard): number[] {
   const ranks = new Set([...shard.lanes.values()].map((lane) => lane.tierRank));
@@ -138,11 +144,11 @@
 }
 
 /**
- * Lists the lanes of a tier.
+ * Lists the lanes of a tier, one for each workspace that waits.
  *
- * @param shard The shard.
- * @param tierRank The tier.
- * @returns Its lanes, in an order that does not change.
+ * @param shard The shard whose queue is read.
+ * @param tierRank Rank of the tier.
+ * @returns The tier's lanes, sorted by workspace.
  */
 export function lanesOfTier(shard: Shard, tierRank: number): Lane[] {
   return [...shard.lanes.values()]
@@ -151,54 +157,59 @@
 }
 
 /**
- * Orders a lane by value for each millisecond of a target's time, raised as
- * the latest start comes nearer so that nothing starves.
+ * Sorts the asks of a lane by their value per millisecond of service, weighted
+ * by an urgency that rises towards the latest start, so that no ask starves.
  *
- * @param lane The lane.
- * @param nowMs The local time.
- * @returns Its asks, the one to serve first in front.
+ * @param lane The lane whose asks are sorted.
+ * @param nowMs The local time in milliseconds.
+ * @returns The asks, the one to serve first in front.
  */
-export function orderLane(lane: Lane, nowMs: number): WaitingAsk[] {
+export function rankLane(lane: Lane, nowMs: number): WaitingAsk[] {
   const ranked = [...lane.asks.values()].map((ask) => ({
     ask,
-    rank: worthOf(ask) * urgencyOf(ask, nowMs),
+    priority: valuePerMsOf(ask) * urgencyOf(ask, nowMs),
   }));
   ranked.sort((a, b) =>
-    b.rank - a.rank || a.ask.arrivedAtMs - b.ask.arrivedAtMs ||
+    b.priority - a.priority || a.ask.arrivedAtMs - b.ask.arrivedAtMs ||
     compareText(a.ask.detail.requestId, b.ask.detail.requestId)
   );
   return ranked.map(({ ask }) => ask);
 }
 
 /**
- * Tells how much of its slack an ask has waited away.
+ * Returns the share of its slack for which an ask has waited. The slack is the
+ * time from the arrival of the ask to its latest start.
  *
- * @param ask The ask.
- * @param nowMs The local time.
- * @returns 0 on arrival, 1 and more when its latest start has come.
+ * @param ask The waiting ask.
+ * @param nowMs The local time in milliseconds.
+ * @returns 0 on arrival, 1 or more from the latest start on.
  */
-export function slackSpentShare(ask: WaitingAsk, nowMs: number): number {
-  const slackMs = latestStartMs(ask) - ask.arrivedAtMs;
+export function slackUsedShare(ask: WaitingAsk, nowMs: number): number {
+  const slackMs = latestStartAtMs(ask) - ask.arrivedAtMs;
   return slackMs <= 0 ? 1 : (nowMs - ask.arrivedAtMs) / slackMs;
 }
 
 /**
- * Gives the time after which even an idle target would end too late.
+ * Returns the latest time at which an idle target could start an ask's work
+ * and still end it before the deadline.
  *
- * @param ask The ask.
+ * @param ask The waiting ask.
  * @returns A local time in milliseconds.
  */
-export function latestStartMs(ask: WaitingAsk): number {
+export function latestStartAtMs(ask: WaitingAsk): number {
   return ask.deadlineAtMs - ask.idleServiceMs;
 }
 
-function worthOf(ask: WaitingAsk): number {
+function valuePerMsOf(ask: WaitingAsk): number {
   return ask.detail.value / Math.max(1, ask.costMs);
 }
 
 function urgencyOf(ask: WaitingAsk, nowMs: number): number {
-  const left = Math.max(MIN_SLACK_SHARE, 1 - slackSpentShare(ask, nowMs));
-  return 1 / (left * left);
+  const slackLeftShare = Math.max(
+    MIN_SLACK_LEFT_SHARE,
+    1 - slackUsedShare(ask, nowMs),
+  );
+  return 1 / (slackLeftShare * slackLeftShare);
 }
 
 function compareText(a: string, b: string): number {
--- a/packages/core/src/shard_view.ts
+++ b/packages/core/src/shard_view.ts
@@ -1,4 +1,7 @@
-/** A shard with everything that decisions about it are read from. */
+/**
+ * A shard as one event finds it, with the settings, policies and predictions
+ * that decisions about it are based on.
+ */
 
 import type {
   SettingsInForce,
@@ -13,28 +16,38 @@
   shardKey,
   type WaitingAsk,
 } from "./blackboard.ts";
-import { type Need, TargetRoom } from "./capacity.ts";
+import { type ResourceDemand, TargetCapacity } from "./capacity.ts";
 import type { Turn } from "./controller.ts";
 import { policyOfRank, shardsOf } from "./settings_index.ts";
-import { type Prediction, predictService, priorRates } from "./work_cost.ts";
-
-/** Share of a grant's life within which its holder must have been heard. */
-const FRESH_BEAT_SHARE = 0.8;
-
-/** Time for holders' reports to come, beyond their interval. */
+import {
+  type Prediction,
+  predictService,
+  priorRates,
+} from "./service_prediction.ts";
+
+/**
+ * Share of a grant's lifetime after which a holder without a new heartbeat gets
+ * no grants, since a grant could lapse before the holder uses it.
+ */
+const MAX_HOLDER_SILENCE_SHARE = 0.8;
+
+/** Time allowed for holders' reports to arrive, beyond their interval. */
 const WARM_UP_MARGIN_MS = 200;
 
-/** The service an ask can expect of a shard. */
-export interface ServiceOutlook {
-  /** On the best target, were it idle. Infinity where none could hold it. */
+/** Predicted service times of an ask in a shard. */
+export interface ServiceEstimate {
+  /**
+   * Shortest service on an idle target; Infinity where no target could hold the
+   * work.
+   */
   readonly idleMs: number;
-  /** On the best target with all its slots taken. */
+  /** Shortest service on a target with all its slots in use. */
   readonly loadedMs: number;
-  /** The part of the loaded time that reading the prompt takes. */
+  /** The part of `loadedMs` that reading the prompt takes. */
   readonly prefillMs: number;
 }
 
-/** A shard during one event: its queue, its targets' rooms, its policies. */
+/** A shard during one event: its queue, target capacities and policies. */
 export class ShardView {
   readonly shard: Shard;
   readonly settings: SettingsInForce;
@@ -42,12 +55,12 @@
   readonly turn: Turn;
   readonly kind: TargetKind;
   readonly #region: string;
-  #rooms?: readonly TargetRoom[];
+  #capacities?: readonly TargetCapacity[];
 
   /**
-   * @param shard The shard.
+   * @param shard The shard to read.
    * @param settings The settings in force.
-   * @param turn The turn of the event.
+   * @param turn The turn of the current event.
    */
   constructor(shard: Shard, settings: SettingsInForce, turn: Turn) {
     this.shard = shard;
@@ -58,29 +71,34 @@
     this.#region = settings.regionOfDomain.get(shard.failureDomain) ?? "";
   }
 
-  /** Rooms of all targets that the settings name, by target id. */
-  get rooms(): readonly TargetRoom[] {
-    this.#rooms ??= readRooms(this, this.turn.board);
-    return this.#rooms;
+  /**
+   * Capacities of all targets that the settings name, sorted by target id. They
+   * are computed on first use and kept up to date as work is placed.
+   */
+  get capacities(): readonly TargetCapacity[] {
+    this.#capacities ??= readCapacities(this, this.turn.board);
+    return this.#capacities;
   }
 
   /**
-   * Whether this instance became the shard's coordinator so lately that some
-   * holders may not have reported yet what they run. Until then a load report
-   * shows such work, but not how much memory it will come to need.
+   * Whether this instance became the shard's coordinator so recently that some
+   * holders may not have reported their running work yet. Until they do, load
+   * reports show such work, but not how much memory it will need.
    */
   get isWarmingUp(): boolean {
     const warmUpMs = this.settings.timing.holderReportMs + WARM_UP_MARGIN_MS;
     return this.nowMs - this.shard.sinceMs < warmUpMs;
   }
 
-  /** @returns Rooms of the targets that may get work at all. */
-  get liveRooms(): TargetRoom[] {
-    return this.rooms.filter((room) => room.closedFor === undefined);
+  /** Capacities of the targets that may get work at all. */
+  get availableCapacities(): TargetCapacity[] {
+    return this.capacities.filter((capacity) =>
+      capacity.unavailableReason === undefined
+    );
   }
 
   /**
-   * Resolves the policy of a workspace's work.
+   * Resolves the policy that applies to a workspace's work in a tier.
    *
    * @param owner The workspace and the rank of the tier.
    * @returns The policy in the shard's region.
@@ -92,91 +110,96 @@
   }
 
   /**
-   * Tells what an ask takes of a target.
+   * Returns the resources that an ask occupies on a target.
    *
-   * @param ask The ask.
-   * @returns Its need.
+   * @param ask The waiting ask.
+   * @returns The KV memory it needs and the headroom that its tier leaves free.
    */
-  needOf(ask: WaitingAsk): Need {
+  demandOf(ask: WaitingAsk): ResourceDemand {
     const { requestId, tierRank } = ask.detail;
     const { headroomShare } = this.policyOf(ask.detail);
     return { requestId, tierRank, kvTokens: ask.kvTokens, headroomShare };
   }
 
   /**
-   * Tells whether a target may be chosen for an ask once it has room.
+   * Checks whether a target may be chosen for an ask, now or once it has enough
+   * free capacity.
    *
-   * @param room The target.
-   * @param work The ask's detail and its need of KV memory.
-   * @returns False for targets that are gone, excluded or too small.
+   * @param capacity Capacity of the target.
+   * @param work The ask, and the KV memory it needs in tokens.
+   * @returns False for targets that are unavailable, excluded or too small.
    */
-  isPossible(
-    room: TargetRoom,
+  isCandidate(
+    capacity: TargetCapacity,
     work: { detail: AskDetail; kvTokens: number },
   ): boolean {
-    return room.closedFor === undefined && room.couldHold(work.kvTokens) &&
-      !work.detail.excludedTargetIds.includes(room.targetId);
+    return capacity.unavailableReason === undefined &&
+      capacity.fitsWhenEmpty(work.kvTokens) &&
+      !work.detail.excludedTargetIds.includes(capacity.targetId);
   }
 
   /**
-   * Tells whether a grant could reach an ask's holder in time to be used.
+   * Checks whether the heartbeats of an ask's holder are recent enough for a
+   * grant to reach the holder and be used before it lapses.
    *
-   * @param ask The ask.
-   * @returns False while the holder has been silent for most of a grant's life.
+   * @param ask The waiting ask.
+   * @returns False while the holder has sent no heartbeat for most of a grant's
+   * lifetime.
    */
   isHolderFresh(ask: WaitingAsk): boolean {
     const lifetimeMs = this.settings.timing.grantLifetimeMs;
-    const seen = this.shard.holders.get(ask.holderId);
-    return seen !== undefined &&
-      this.nowMs - seen.beatHeardAtMs < lifetimeMs * FRESH_BEAT_SHARE;
+    const holder = this.shard.holders.get(ask.holderId);
+    return holder !== undefined &&
+      this.nowMs - holder.beatHeardAtMs < lifetimeMs * MAX_HOLDER_SILENCE_SHARE;
   }
 
   /**
-   * Predicts an ask's service on a target.
+   * Predicts the service time of an ask on a target.
    *
-   * @param room The target.
-   * @param detail The ask's detail.
-   * @param load The load to assume; what the target has now by default.
-   * @returns The prediction.
+   * @param capacity Capacity of the target.
+   * @param detail The ask, as its holder sent it.
+   * @param load Load to assume of the target: prefill queue in milliseconds and
+   * share (0 to 1) of slots in use. The current load by default.
+   * @returns The predicted service time in its parts.
    */
   predict(
-    room: TargetRoom,
+    capacity: TargetCapacity,
     detail: AskDetail,
     load: { prefillQueueMs: number; utilization: number } = {
-      prefillQueueMs: room.prefillQueueMs(this.nowMs),
-      utilization: room.utilization,
+      prefillQueueMs: capacity.prefillQueueMs(this.nowMs),
+      utilization: capacity.utilization,
     },
   ): Prediction {
     const { promptTokens, expectedOutputTokens, blockHashes } = detail;
-    const cachedTokens = this.shard.prefixes.get(room.targetId)
+    const cachedTokens = this.shard.prefixes.get(capacity.targetId)
       ?.cachedTokens(blockHashes, promptTokens) ?? 0;
     return predictService(
       { promptTokens, cachedTokens, expectedOutputTokens },
       {
         kind: this.kind,
-        rates: room.target?.rates ?? priorRates(room.settings),
+        rates: capacity.target?.rates ?? priorRates(capacity.settings),
         ...load,
       },
     );
   }
 
   /**
-   * Predicts the best service that an ask can have in this shard.
+   * Predicts the shortest service time of an ask over the targets of the shard.
    *
-   * @param detail The ask's detail.
-   * @returns The outlook on an idle and on a full target.
+   * @param detail The ask, as its holder sent it.
+   * @returns The service times on an idle and on a fully used target.
    */
-  outlook(detail: AskDetail): ServiceOutlook {
+  estimateService(detail: AskDetail): ServiceEstimate {
     let idleMs = Infinity;
     let loadedMs = Infinity;
     let prefillMs = 0;
     const kvTokens = this.kvTokensOf(detail);
-    for (const room of this.rooms) {
-      if (this.isPossible(room, { detail, kvTokens })) {
+    for (const capacity of this.capacities) {
+      if (this.isCandidate(capacity, { detail, kvTokens })) {
         const idle = { prefillQueueMs: 0, utilization: 0 };
         const full = { prefillQueueMs: 0, utilization: 1 };
-        idleMs = Math.min(idleMs, this.predict(room, detail, idle).totalMs);
-        const loaded = this.predict(room, detail, full);
+        idleMs = Math.min(idleMs, this.predict(capacity, detail, idle).totalMs);
+        const loaded = this.predict(capacity, detail, full);
         if (loaded.totalMs < loadedMs) {
           loadedMs = loaded.totalMs;
           prefillMs = loaded.prefillMs;
@@ -187,10 +210,10 @@
   }
 
   /**
-   * Gives the KV memory an ask may come to need.
+   * Returns the KV memory that an ask may need at most.
    *
-   * @param detail The ask's detail.
-   * @returns A number of tokens, 0 on services.
+   * @param detail The ask, as its holder sent it.
+   * @returns The number of tokens; 0 on services, which have no KV memory.
    */
   kvTokensOf(detail: AskDetail): number {
     return this.kind === TargetKind.Service
@@ -199,7 +222,7 @@
   }
 }
 
-function readRooms(view: ShardView, board: Blackboard): TargetRoom[] {
+function readCapacities(view: ShardView, board: Blackboard): TargetCapacity[] {
   const { shard, settings, kind } = view;
   const grantsByTarget = new Map<string, GrantAccount[]>();
   for (const grant of shard.grants.values()) {
@@ -214,7 +237,7 @@
   const key = shardKey(shard.pool, shard.failureDomain);
   const targets = shardsOf(settings).get(key)?.targets ?? [];
   return targets.map((target) =>
-    new TargetRoom({
+    new TargetCapacity({
       settings: target,
       kind,
       target: board.targets.byId.get(target.id),
--- a/packages/core/src/shedding.ts
+++ b/packages/core/src/shedding.ts
@@ -1,84 +1,87 @@
 /**
- * Sheds under overload, the lowest tier first.
+ * Load shedding, the lowest tier first.
  *
- * An ask is refused for overload only when nothing of a lower tier waits in
- * the shard and nothing of a lower tier that may be cancelled runs there.
+ * An ask is refused for overload only when no ask of a lower tier waits in the
+ * shard and no work of a lower tier that may be cancelled runs there.
  */
 
 import { ErrorKind } from "@chestnuthatch/wire/work";
 import type { WaitingAsk } from "./blackboard.ts";
-import { refuseAsk } from "./grant_account.ts";
+import { refuseAsk } from "./grant_lifecycle.ts";
 import { refuseOverloaded } from "./overload_refusal.ts";
 import { spreadRetryHint } from "./retry_hint.ts";
 import {
   lanesOfTier,
-  latestStartMs,
-  orderLane,
+  latestStartAtMs,
   queuedWorkOf,
+  rankLane,
   waitingTiers,
 } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
-import { serveUrgent } from "./urgent_asks.ts";
+import { serveUrgentAsks } from "./urgent_asks.ts";
 import { addWork, estimateWaitMs, NO_WORK } from "./wait_estimate.ts";
 
-/** How often the whole queue is looked through for hopeless asks. */
-const QUEUE_CHECK_MS = 200;
+/** Interval at which the lowest tier's queue is checked for excessive waits. */
+const QUEUE_CHECK_INTERVAL_MS = 200;
 
 /**
- * Share of its slack that an ask may be expected to wait. What waits longer is
- * refused while the refusal is early, and what is served is not served at the
- * last moment, when a slow answer would waste it.
+ * Share of the time left before its latest start that an ask may be expected to
+ * wait. Asks with a longer expected wait are refused early, and asks that are
+ * served do not start so late that a slow answer would miss the deadline.
  */
 const MAX_WAIT_SHARE = 0.8;
+/** Expected wait accepted beyond that share, even without any slack. */
 const WAIT_MARGIN_MS = 100;
 
 /**
- * Sheds what cannot be served, after everything was placed that could be.
+ * Refuses or preempts work that a shard cannot serve. It runs after placement,
+ * so that only asks that could not be placed are left.
  *
- * @param view The shard.
+ * @param view The shard, with the capacities left by placement.
  */
 export function shedOverload(view: ShardView): void {
-  refuseWhereNothingLives(view);
-  serveUrgent(view);
+  refuseWithoutCandidates(view);
+  serveUrgentAsks(view);
   if (view.nowMs >= view.shard.nextQueueCheckMs) {
-    view.shard.nextQueueCheckMs = view.nowMs + QUEUE_CHECK_MS;
-    refuseHopelessOfLowestTier(view);
+    view.shard.nextQueueCheckMs = view.nowMs + QUEUE_CHECK_INTERVAL_MS;
+    refuseExcessiveWaits(view);
   }
 }
 
 /**
- * Refuses an ask on arrival where that is truthful already.
+ * Refuses an ask on arrival if its expected wait is too long and its tier is
+ * the lowest active one in the shard.
  *
- * @param view The shard.
- * @param ask The ask, which waits in the shard.
- * @returns Whether it was refused.
+ * @param view The shard that was asked.
+ * @param ask The ask, already queued in the shard.
+ * @returns Whether the ask was refused.
  */
-export function refuseAtDoor(view: ShardView, ask: WaitingAsk): boolean {
+export function refuseOnArrival(view: ShardView, ask: WaitingAsk): boolean {
   const lane = lanesOfTier(view.shard, ask.detail.tierRank)
     .find((each) => each.workspace === ask.detail.workspace);
-  if (lane === undefined || !isLowestPresent(view, ask.detail.tierRank)) {
+  if (lane === undefined || !isLowestActiveTier(view, ask.detail.tierRank)) {
     return false;
   }
-  const own = queuedWorkOf(ask);
+  const ownWork = queuedWorkOf(ask);
   const waitMs = estimateWaitMs(view, ask, {
-    costMs: lane.costMs - own.costMs,
-    kvTokenMs: lane.kvTokenMs - own.kvTokenMs,
-    prefillMs: lane.prefillMs - own.prefillMs,
+    costMs: lane.costMs - ownWork.costMs,
+    kvTokenMs: lane.kvTokenMs - ownWork.kvTokenMs,
+    prefillMs: lane.prefillMs - ownWork.prefillMs,
   });
-  return refuseIfHopeless(view, ask, waitMs);
+  return refuseIfWaitTooLong(view, ask, waitMs);
 }
 
 /**
- * Refuses an ask that this shard could not serve even when idle.
+ * Refuses an ask that the shard could not serve even if it were idle.
  *
- * @param view The shard.
- * @param ask The ask; it need not wait yet.
- * @returns Whether it was refused.
+ * @param view The shard that was asked.
+ * @param ask The ask; it need not be queued yet.
+ * @returns Whether the ask was refused.
  */
 export function refuseUnservable(view: ShardView, ask: WaitingAsk): boolean {
   const { retryAfterMs } = view.policyOf(ask.detail);
   const hintMs = spreadRetryHint(view.turn, retryAfterMs);
-  if (!view.rooms.some((room) => view.isPossible(room, ask))) {
+  if (!view.capacities.some((capacity) => view.isCandidate(capacity, ask))) {
     refuseAsk(view, ask, {
       error: ErrorKind.NoTarget,
       retryAfterMs: hintMs,
@@ -87,7 +90,7 @@
     });
     return true;
   }
-  if (view.nowMs > latestStartMs(ask)) {
+  if (view.nowMs > latestStartAtMs(ask)) {
     refuseAsk(view, ask, {
       error: ErrorKind.DeadlineUnreachable,
       retryAfterMs: hintMs,
@@ -98,31 +101,31 @@
   return false;
 }
 
-function refuseWhereNothingLives(view: ShardView): void {
+function refuseWithoutCandidates(view: ShardView): void {
   for (const ask of [...view.shard.waiting.values()]) {
-    if (!view.rooms.some((room) => view.isPossible(room, ask))) {
+    if (!view.capacities.some((capacity) => view.isCandidate(capacity, ask))) {
       refuseUnservable(view, ask);
     }
   }
 }
 
-function refuseHopelessOfLowestTier(view: ShardView): void {
+function refuseExcessiveWaits(view: ShardView): void {
   const tierRank = waitingTiers(view.shard).at(-1);
-  if (tierRank === undefined || !isLowestPresent(view, tierRank)) {
+  if (tierRank === undefined || !isLowestActiveTier(view, tierRank)) {
     return;
   }
   for (const lane of lanesOfTier(view.shard, tierRank)) {
-    let ahead = NO_WORK;
-    for (const ask of orderLane(lane, view.nowMs)) {
-      const waitMs = estimateWaitMs(view, ask, ahead);
-      if (!refuseIfHopeless(view, ask, waitMs)) {
-        ahead = addWork(ahead, queuedWorkOf(ask));
+    let workAhead = NO_WORK;
+    for (const ask of rankLane(lane, view.nowMs)) {
+      const waitMs = estimateWaitMs(view, ask, workAhead);
+      if (!refuseIfWaitTooLong(view, ask, waitMs)) {
+        workAhead = addWork(workAhead, queuedWorkOf(ask));
       }
     }
   }
 }
 
-function refuseIfHopeless(
+function refuseIfWaitTooLong(
   view: ShardView,
   ask: WaitingAsk,
   waitMs: number,
@@ -131,13 +134,13 @@
   if (waitMs <= slackMs * MAX_WAIT_SHARE + WAIT_MARGIN_MS) {
     return false;
   }
-  const wait = Math.round(waitMs);
-  refuseOverloaded(view, ask, `a wait of ${wait} ms is expected`);
+  const roundedWaitMs = Math.round(waitMs);
+  refuseOverloaded(view, ask, `a wait of ${roundedWaitMs} ms is expected`);
   return true;
 }
 
-/** Whether nothing of a lower tier waits or runs in the shard. */
-function isLowestPresent(view: ShardView, tierRank: number): boolean {
+/** Whether no work of a lower tier waits or runs in the shard. */
+function isLowestActiveTier(view: ShardView, tierRank: number): boolean {
   return [...view.shard.lanes.values()].every((lane) =>
     lane.tierRank <= tierRank
   ) && [...view.shard.grants.values()].every((grant) =>
--- a/packages/core/src/shedding_test.ts
+++ b/packages/core/src/shedding_test.ts
@@ -8,7 +8,7 @@
 import * as assert from "uvu/assert";
 import { DOMAIN, FakeShard, POOL } from "./fake_shard.ts";
 
-const RUNS = 150;
+const SURGE_COUNT = 150;
 const TIERS = [{}, { preemptible: false }, {}, { headroomShare: 0.5 }];
 
 interface Arrival {
@@ -39,13 +39,13 @@
   cancelMs: fc.constantFrom(0, 50, 400),
 });
 
-/** Checks each message against the account as the event left it. */
-function check(fake: FakeShard, message: PeerMessage): void {
+/** Checks a message against the shard's state after the event that sent it. */
+function checkMessage(fake: FakeShard, message: PeerMessage): void {
   if (message.kind === PeerMessageKind.AskRefused) {
     if (message.error === ErrorKind.Overloaded) {
       checkRefusal(fake, tierOf(message.requestId));
     } else {
-      checkLoadPlaysNoPart(fake, message.requestId);
+      checkNeverQueued(fake, message.requestId);
     }
   } else if (message.kind === PeerMessageKind.Grant) {
     checkGrant(fake, tierOf(message.requestId));
@@ -54,15 +54,18 @@
   }
 }
 
-/** A cancelled stream counts as shed, so nothing below it may still wait. */
+/** A preempted stream counts as shed, so no ask of a lower tier may wait. */
 function checkPreemption(fake: FakeShard, tierRank: number): void {
   for (const { detail } of fake.shard.waiting.values()) {
-    assert.ok(detail.tierRank <= tierRank, `${detail.requestId} waits lower`);
+    assert.ok(
+      detail.tierRank <= tierRank,
+      `${detail.requestId} of a lower tier waits`,
+    );
   }
 }
 
-/** Other refusals may come on arrival only, before the ask was queued. */
-function checkLoadPlaysNoPart(fake: FakeShard, requestId: string): void {
+/** Refusals other than for overload may come on arrival only. */
+function checkNeverQueued(fake: FakeShard, requestId: string): void {
   const wasQueued = fake.of(PeerMessageKind.AskQueued)
     .some((queued) => queued.requestId === requestId);
   assert.not(wasQueued, `${requestId} was queued, then found unservable`);
@@ -70,14 +73,17 @@
 
 function checkRefusal(fake: FakeShard, tierRank: number): void {
   for (const { detail } of fake.shard.waiting.values()) {
-    assert.ok(detail.tierRank <= tierRank, `${detail.requestId} waits lower`);
+    assert.ok(
+      detail.tierRank <= tierRank,
+      `${detail.requestId} of a lower tier waits`,
+    );
   }
   for (const { work, preempted } of fake.shard.grants.values()) {
-    const mayGo = work.cancellable &&
+    const isPreemptible = work.cancellable &&
       TIERS[work.tierRank].preemptible !== false;
     assert.ok(
-      work.tierRank <= tierRank || preempted || !mayGo,
-      `${work.requestId} runs lower than a refused tier ${tierRank}`,
+      work.tierRank <= tierRank || preempted || !isPreemptible,
+      `${work.requestId} runs below the refused tier ${tierRank}`,
     );
   }
 }
@@ -104,7 +110,7 @@
   return Number(requestId.split("/")[1]);
 }
 
-test("should shed the lowest tier first and keep to the tiers and bounds in every surge", () => {
+test("should shed the lowest tier first and respect tier order and capacity in every surge", () => {
   let refused = 0;
   let preempted = 0;
   fc.assert(
@@ -115,30 +121,33 @@
         runsWork: true,
       });
       Object.assign(fake, lag);
-      fake.onSent = (message) => check(fake, message);
+      fake.onSent = (message) => checkMessage(fake, message);
       surge.forEach(({ afterMs, ...ask }, index) => {
         fake.advance(afterMs);
         fake.ask({ ...ask, requestId: `r${index}/${ask.tierRank}` });
       });
       fake.advance(12_000);
       assert.is(fake.shard.waiting.size, 0, "nothing is left waiting");
-      assert.is(fake.shard.grants.size, 0, "nothing is left in the account");
+      assert.is(fake.shard.grants.size, 0, "no grant is left");
       refused += fake.of(PeerMessageKind.AskRefused)
         .filter(({ error }) => error === ErrorKind.Overloaded).length;
       preempted += fake.of(PeerMessageKind.Preempt).length;
     }),
     {
       seed: 20_261,
-      numRuns: RUNS,
+      numRuns: SURGE_COUNT,
       endOnFailure: true,
       includeErrorInReport: true,
     },
   );
-  assert.ok(refused > RUNS, `the surges overload: ${refused} refused`);
-  assert.ok(preempted > RUNS / 10, `higher tiers preempt: ${preempted}`);
+  assert.ok(
+    refused > SURGE_COUNT,
+    `the surges cause overload: ${refused} refused`,
+  );
+  assert.ok(preempted > SURGE_COUNT / 10, `higher tiers preempt: ${preempted}`);
 });
 
-test("should refuse waiting tiers below the one it cancels, and of that cancel the least progressed", () => {
+test("should refuse waiting asks below the tier it preempts, and preempt the stream with the least progress", () => {
   const fake = new FakeShard({
     targets: [{}],
     tiers: [{}, {}, {}],
@@ -160,10 +169,13 @@
   );
   assert.equal(order, ["ask_refused lowest", "preempt young"]);
   assert.is(fake.grants.at(-1)?.requestId, "urgent");
-  assert.ok(fake.shard.waiting.has("same"), "its own tier goes on waiting");
+  assert.ok(
+    fake.shard.waiting.has("same"),
+    "asks of the preempted tier keep waiting",
+  );
 });
 
-test("should refuse at the door what waits beyond its slack, with a hint that grows", () => {
+test("should refuse asks on arrival whose wait exceeds their slack, with a hint that grows with the backlog", () => {
   const fake = new FakeShard({ targets: [{}], runsWork: true });
   for (let i = 0; i < 40; i++) {
     fake.ask({ requestId: `r${i}`, timeLeftMs: 6000 });
@@ -177,7 +189,7 @@
   assert.ok(refusals[0].retryAfterMs > 2000, "the backlog shows in the hint");
 });
 
-test("should tell a deadline that no idle target meets from a shard without targets", () => {
+test("should distinguish a deadline that no idle target meets from a shard without a suitable target", () => {
   const fake = new FakeShard({ targets: [{}] });
   fake.ask({ requestId: "late", timeLeftMs: 900 });
   fake.ask({ requestId: "huge", promptTokens: 50_000 });
@@ -189,10 +201,10 @@
   assert.is(fake.grants.length, 0);
 });
 
-test("should let a floor end though what it refuses is shed as well", () => {
+test("should not extend a floor by the refusals that it causes", () => {
   const fake = new FakeShard({ targets: [{}], tiers: [{}, {}, {}] });
   const shed = (tierRank: number) =>
-    fake.hear({
+    fake.receive({
       kind: PeerMessageKind.ShedBelow,
       pool: POOL,
       failureDomain: DOMAIN,
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -2,7 +2,7 @@
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type { GrantAccount, Target } from "./blackboard.ts";
-import { paceOf } from "./learned_rates.ts";
+import { ensurePace } from "./learned_rates.ts";
 
 /** A target this much slower than it should be is cut. */
 const CUT_ABOVE = 2;
@@ -95,7 +95,7 @@
   if (target.pace === undefined && slowdown <= CUT_ABOVE) {
     return false;
   }
-  const pace = paceOf(target, settings);
+  const pace = ensurePace(target, settings);
   const limit = pace.slotShare < 1 ? RECOVERED_BELOW : CUT_ABOVE;
   const share = slowdown <= limit ? 1 : Math.max(MIN_SLOT_SHARE, 1 / slowdown);
   const elapsedMs = Math.min(MS_PER_SECOND, nowMs - pace.lastRecoveryAtMs);
@@ -119,7 +119,7 @@
   settings: TargetSettings,
   nowMs: number,
 ): void {
-  const pace = paceOf(target, settings);
+  const pace = ensurePace(target, settings);
   pace.slotShare = Math.min(pace.slotShare, RETURN_SLOT_SHARE);
   pace.lastRecoveryAtMs = nowMs;
 }
--- a/packages/core/src/target_choice.ts
+++ b/packages/core/src/target_choice.ts
@@ -1,121 +1,144 @@
-/** Chooses the target of one ask: the least predicted completion. */
+/** Choice of the target for one ask, by earliest predicted completion. */
 
 import type { WaitingAsk } from "./blackboard.ts";
-import { type Need, PassedOver, type TargetRoom } from "./capacity.ts";
+import {
+  PassedOverReason,
+  type ResourceDemand,
+  type TargetCapacity,
+} from "./capacity.ts";
 import type { ShardView } from "./shard_view.ts";
-import type { Prediction } from "./work_cost.ts";
+import type { Prediction } from "./service_prediction.ts";
 
-/** Targets passed over that a grant tells of. */
-const MAX_PASSED_OVER = 4;
+/** Passed-over targets listed in a grant. */
+const MAX_PASSED_OVER_LISTED = 4;
 
 /**
- * An ask this new gets a target that is only just fast enough: its deadline is
- * its caller's choice, not the end of a long wait.
+ * Age up to which an ask counts as new. A new ask may get a target that is only
+ * just fast enough, since its deadline is tight by the caller's choice and not
+ * because of a long wait.
  */
-const NEW_ASK_MS = 100;
+const MAX_NEW_ASK_AGE_MS = 100;
 
-/** A new ask waits behind no more than this: other domains may be idle. */
-const IDLE_QUEUE_MS = 50;
+/**
+ * Longest prefill queue in front of a new ask that other failure domains may
+ * serve as well, since a target there may be idle.
+ */
+const MAX_NEW_ASK_QUEUE_MS = 50;
 
-/** A target that was not chosen, for `why`. */
+/** A target that was not chosen for an ask, as `why` prints it. */
 export interface PassedOverTarget {
   readonly targetId: string;
+  /** A text of {@link PassedOverReason}, which may end with a prediction. */
   readonly reason: string;
 }
 
 /** An ask with the target chosen for it. */
 export interface Placement {
   readonly ask: WaitingAsk;
-  readonly need: Need;
-  readonly room: TargetRoom;
+  /** Resources that the ask occupies on the target. */
+  readonly demand: ResourceDemand;
+  /** Capacity of the chosen target. */
+  readonly capacity: TargetCapacity;
+  /** Predicted service time on the chosen target. */
   readonly prediction: Prediction;
+  /** Some of the targets that were not chosen. */
   readonly passedOver: readonly PassedOverTarget[];
 }
 
 /**
- * Chooses the target with the least predicted completion.
+ * Chooses the target with the earliest predicted completion of an ask.
  *
- * @param view The shard.
- * @param ask The ask.
- * @returns The placement; undefined when no target can take it in time.
+ * @param view The shard that the ask waits in.
+ * @param ask The waiting ask.
+ * @returns The placement; undefined where no target can serve the ask in time.
  */
-export function choosePlace(
+export function chooseTarget(
   view: ShardView,
   ask: WaitingAsk,
 ): Placement | undefined {
-  const need = view.needOf(ask);
+  const demand = view.demandOf(ask);
   const passedOver: PassedOverTarget[] = [];
-  let best: { room: TargetRoom; prediction: Prediction } | undefined;
-  for (const room of view.rooms) {
-    const reason = reasonAgainst(view, ask, { room, need });
+  let best: { capacity: TargetCapacity; prediction: Prediction } | undefined;
+  for (const capacity of view.capacities) {
+    const reason = passedOverReasonOf(view, ask, { capacity, demand });
     if (reason !== undefined) {
-      passedOver.push({ targetId: room.targetId, reason });
+      passedOver.push({ targetId: capacity.targetId, reason });
       continue;
     }
-    const prediction = view.predict(room, ask.detail);
-    const isBetter = best === undefined ||
+    const prediction = view.predict(capacity, ask.detail);
+    const isSooner = best === undefined ||
       prediction.totalMs < best.prediction.totalMs;
-    const loser = isBetter ? best : { room, prediction };
-    if (loser !== undefined) {
-      passedOver.push(targetNotSooner(loser));
+    const slower = isSooner ? best : { capacity, prediction };
+    if (slower !== undefined) {
+      passedOver.push(notSoonerTarget(slower));
     }
-    best = isBetter ? { room, prediction } : best;
+    best = isSooner ? { capacity, prediction } : best;
   }
   return best && {
     ask,
-    need,
+    demand,
     ...best,
-    passedOver: passedOver.slice(0, MAX_PASSED_OVER),
+    passedOver: passedOver.slice(0, MAX_PASSED_OVER_LISTED),
   };
 }
 
-function reasonAgainst(
+function passedOverReasonOf(
   view: ShardView,
   ask: WaitingAsk,
-  on: { room: TargetRoom; need: Need },
-): PassedOver | undefined {
-  const { room, need } = on;
-  if (ask.detail.excludedTargetIds.includes(room.targetId)) {
-    return PassedOver.Excluded;
+  option: { capacity: TargetCapacity; demand: ResourceDemand },
+): PassedOverReason | undefined {
+  const { capacity, demand } = option;
+  if (ask.detail.excludedTargetIds.includes(capacity.targetId)) {
+    return PassedOverReason.Excluded;
   }
-  if (view.isWarmingUp && room.hasUnknownWork) {
-    return PassedOver.WorkUnknown;
+  if (view.isWarmingUp && capacity.hasUnaccountedWork) {
+    return PassedOverReason.WorkUnknown;
   }
-  const obstacle = room.obstacle(need);
-  const isFilledIn = obstacle === PassedOver.Kept &&
-    endsBeforeKeptRoom(view, ask, on);
-  if (obstacle !== undefined && !isFilledIn) {
-    return obstacle;
+  const rejection = capacity.rejectionOf(demand);
+  const isBackfill = rejection === PassedOverReason.Reserved &&
+    endsBeforeReservation(view, ask, option);
+  if (rejection !== undefined && !isBackfill) {
+    return rejection;
   }
-  const { totalMs, cautiousMs, prefillMs } = view.predict(room, ask.detail);
-  if (room.isPrefillBusy(view.nowMs, prefillMs)) {
-    return PassedOver.PrefillBusy;
+  const { totalMs, conservativeMs, prefillMs } = view.predict(
+    capacity,
+    ask.detail,
+  );
+  if (capacity.isPrefillBusy(view.nowMs, prefillMs)) {
+    return PassedOverReason.PrefillBusy;
   }
-  const hasWaited = view.nowMs - ask.arrivedAtMs > NEW_ASK_MS;
-  const mayGoElsewhere = !hasWaited && ask.detail.spreadOver > 1;
-  if (mayGoElsewhere && room.prefillQueueMs(view.nowMs) > IDLE_QUEUE_MS) {
-    return PassedOver.PrefillBusy;
+  const hasWaited = view.nowMs - ask.arrivedAtMs > MAX_NEW_ASK_AGE_MS;
+  const mayBeGrantedElsewhere = !hasWaited && ask.detail.spreadOver > 1;
+  if (
+    mayBeGrantedElsewhere &&
+    capacity.prefillQueueMs(view.nowMs) > MAX_NEW_ASK_QUEUE_MS
+  ) {
+    return PassedOverReason.PrefillBusy;
   }
-  const endMs = view.nowMs + (hasWaited ? cautiousMs : totalMs);
-  return endMs > ask.deadlineAtMs ? PassedOver.TooLate : undefined;
+  const endAtMs = view.nowMs + (hasWaited ? conservativeMs : totalMs);
+  return endAtMs > ask.deadlineAtMs ? PassedOverReason.TooLate : undefined;
 }
 
-function targetNotSooner(
-  loser: { room: TargetRoom; prediction: Prediction },
+function notSoonerTarget(
+  slower: { capacity: TargetCapacity; prediction: Prediction },
 ): PassedOverTarget {
-  const endMs = Math.round(loser.prediction.totalMs);
+  const totalMs = Math.round(slower.prediction.totalMs);
   return {
-    targetId: loser.room.targetId,
-    reason: `${PassedOver.NotSooner}: in ${endMs} ms`,
+    targetId: slower.capacity.targetId,
+    reason: `${PassedOverReason.NotSooner}: in ${totalMs} ms`,
   };
 }
 
-/** Short work may use kept room that is not expected to be ready before. */
-function endsBeforeKeptRoom(
+/**
+ * Whether the ask would end before the capacity reserved for others is expected
+ * to be free. Such short work may use reserved capacity (backfilling).
+ */
+function endsBeforeReservation(
   view: ShardView,
   ask: WaitingAsk,
-  on: { room: TargetRoom; need: Need },
+  option: { capacity: TargetCapacity; demand: ResourceDemand },
 ): boolean {
-  const endMs = view.nowMs + view.predict(on.room, ask.detail).totalMs;
-  return endMs <= on.room.keptRoomReadyAtMs(on.need);
+  const endAtMs = view.nowMs +
+    view.predict(option.capacity, ask.detail).totalMs;
+  return endAtMs <= option.capacity.reservedReadyAtMs(option.demand);
 }
--- a/packages/core/src/target_controller.ts
+++ b/packages/core/src/target_controller.ts
@@ -23,12 +23,12 @@
   DEFAULT_COORDINATOR_OPTIONS,
 } from "./coordinator_options.ts";
 import { EventKind, type EventOf } from "./events.ts";
-import { learnFrom } from "./learned_rates.ts";
+import { updateRates } from "./learned_rates.ts";
 import { watchPace } from "./pace_watch.ts";
 import { suspend, takeLoad } from "./target_health.ts";
 import { pollNewShard, pollTargets } from "./target_polls.ts";
 import { forwardSigns, heedList, heedSign, tellSigns } from "./target_signs.ts";
-import { priorRates } from "./work_cost.ts";
+import { priorRates } from "./service_prediction.ts";
 
 /** Polls that fail in a row before a target counts as unreachable. */
 const MAX_FAILED_POLLS = 3;
@@ -197,7 +197,7 @@
   const target = turn.board.targets.byId.get(message.targetId);
   const pool = settings && inForce?.pools.get(settings.pool);
   if (target !== undefined && pool !== undefined) {
-    learnFrom(target, message, {
+    updateRates(target, message, {
       settings: settings!,
       kind: pool.kind,
       grant: shardOf(turn, message)?.grants.get(message.grantId),
--- a/packages/core/src/target_controller_test.ts
+++ b/packages/core/src/target_controller_test.ts
@@ -29,7 +29,7 @@
 }
 
 function hearSign(fake: FakeShard, signNumber: number, leaving = true): void {
-  fake.hear({
+  fake.receive({
     kind: PeerMessageKind.TargetsHeard,
     signs: [{ targetId: "t0", leaving, signNumber }],
     loads: [],
@@ -53,7 +53,7 @@
 }
 
 const SIGNS_OF_LEAVING: Record<string, (fake: FakeShard) => void> = {
-  "its own report": (fake) => fake.load("t0", { leaving: true }),
+  "its own report": (fake) => fake.reportLoad("t0", { leaving: true }),
   "a peer": (fake) => hearSign(fake, 1),
   "the platform's list": (fake) => readList(fake, true),
 };
@@ -71,9 +71,9 @@
   const fake = new FakeShard({ targets: [{}] });
   connect(fake, [HOLDER, "entry-3", "entry-4"]);
   const heard = () => fake.of(PeerMessageKind.TargetsHeard).length;
-  fake.load("t0", { leaving: true });
+  fake.reportLoad("t0", { leaving: true });
   assert.is(heard(), 3);
-  fake.load("t0", { leaving: true });
+  fake.reportLoad("t0", { leaving: true });
   hearSign(fake, 1);
   assert.is(heard(), 3, "known signs are not passed on");
   hearSign(fake, 2, false);
@@ -83,8 +83,8 @@
 
 test("should take a target back when its own report takes the sign back", () => {
   const fake = new FakeShard({ targets: [{}] });
-  fake.load("t0", { leaving: true });
-  fake.load("t0");
+  fake.reportLoad("t0", { leaving: true });
+  fake.reportLoad("t0");
   assert.not(targetOf(fake).leaving);
   assert.is(targetOf(fake).signNumber, 2);
 });
@@ -108,7 +108,7 @@
   fake.ask({ requestId: "a" });
   const { grantId } = fake.grants[0];
   fake.nowMs += 10;
-  fake.hear({
+  fake.receive({
     kind: PeerMessageKind.GrantReturned,
     requestId: "a",
     grantId,
@@ -118,7 +118,7 @@
   });
   assert.is(targetOf(fake).health, TargetHealth.Unreachable);
   fake.nowMs += 20;
-  fake.load("t0", { ageMs: 20 });
+  fake.reportLoad("t0", { ageMs: 20 });
   assert.is(targetOf(fake).health, TargetHealth.Unreachable, "an old report");
   fake.nowMs += 20;
   fake.advance(250);
@@ -137,7 +137,7 @@
     fake.handle({ kind: EventKind.LoadReportFailed, targetId: "t0" });
   fail();
   fail();
-  fake.load("t0");
+  fake.reportLoad("t0");
   fail();
   fail();
   assert.is(targetOf(fake).health, TargetHealth.Healthy);
@@ -147,8 +147,8 @@
 
 test("should drop reports older than the present one", () => {
   const fake = new FakeShard({ targets: [{}] });
-  fake.load("t0", { slotsUsed: 1, ageMs: 0 });
-  fake.load("t0", { slotsUsed: 0, ageMs: 30 });
+  fake.reportLoad("t0", { slotsUsed: 1, ageMs: 0 });
+  fake.reportLoad("t0", { slotsUsed: 0, ageMs: 30 });
   assert.is(targetOf(fake).load!.slotsUsed, 1);
 });
 
@@ -169,7 +169,7 @@
   for (let i = 0; i < work.times; i++) {
     const requestId = `${work.targetId}/${fake.nowMs}/${i}`;
     fake.ask({ requestId, excludedTargetIds: others });
-    fake.done(fake.grants.at(-1)!.grantId, {
+    fake.endWork(fake.grants.at(-1)!.grantId, {
       outputTokens: 100,
       firstTokenMs: 10,
       decodeMs: work.decodeMsPerToken * 100,
@@ -207,10 +207,10 @@
   const fake = new FakeShard({ targets: [{ slots: 8 }, { slots: 8 }] });
   for (let i = 0; i < 4; i++) {
     fake.ask({ requestId: `r${i}`, excludedTargetIds: ["t1"] });
-    fake.use(fake.grants[i]);
+    fake.useGrant(fake.grants[i]);
   }
   for (const [id, each] of fake.running) {
-    fake.running.set(id, { ...each, endMs: Infinity });
+    fake.running.set(id, { ...each, endAtMs: Infinity });
   }
   fake.advance(3000);
   assert.is(targetOf(fake).pace, undefined);
--- a/packages/core/src/target_usage.ts
+++ b/packages/core/src/target_usage.ts
@@ -1,100 +1,111 @@
-/** What is in use on a target: own account against a stale report. */
+/**
+ * Usage of a target's slots and KV memory, reconciled from the coordinator's
+ * grants and the target's load report, which is stale.
+ */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type { TargetKind } from "@chestnuthatch/wire/work";
 import type { EndedWork, GrantAccount, Target } from "./blackboard.ts";
 
-/** Slots and KV memory. */
-export interface Usage {
+/** Slots and KV memory in use on a target. */
+export interface TargetUsage {
   slots: number;
   kvTokens: number;
 }
 
-/** What a room is read from. */
-export interface RoomSource {
+/** The data from which the capacity of one target is computed. */
+export interface CapacityInputs {
   readonly settings: TargetSettings;
   readonly kind: TargetKind;
+  /** State of the target; undefined until the instance knows it. */
   readonly target: Target | undefined;
   /** This coordinator's grants on the target. */
   readonly grants: readonly GrantAccount[];
+  /** Work that ended on the target and that its report may still show. */
   readonly ended: readonly EndedWork[];
-  /** When a prompt was last heard to have been read there. */
+  /** Local time of the latest `PromptRead` message about the target. */
   readonly lastReadAtMs: number;
 }
 
 /**
  * Uncertainty of when a report was made and when work was dispatched or ended:
- * the way of a message between two instances and a target, with room.
+ * the latency of messages between two instances and a target, with a margin.
  */
-const REPORT_MARGIN_MS = 10;
+const REPORT_TIME_MARGIN_MS = 10;
 
-/** Least growth assumed of an answer that is not in the account. */
-const MIN_GROWTH_TOKENS = 1024;
+/** Least output assumed for work that this coordinator has no grant for. */
+const MIN_ASSUMED_OUTPUT_TOKENS = 1024;
 
 /**
- * Weighs the own account against the target's stale report, the larger one
- * counting: the report is carried forward by what was granted and what ended
- * since the time it speaks of.
+ * Computes the usage of a target as the larger of two figures: the sum of the
+ * coordinator's grants, and the target's load report brought up to date with
+ * the work that was granted or ended since the report was made.
  *
- * @param source What is known of the target.
- * @returns What is in use there.
+ * @param inputs State, grants and ended work of the target.
+ * @returns Slots and KV memory in use.
  */
-export function reconciledUsage({ target, grants, ended }: RoomSource): Usage {
-  const own = { slots: grants.length, kvTokens: sumKvTokens(grants) };
+export function reconcileUsage(
+  { target, grants, ended }: CapacityInputs,
+): TargetUsage {
+  const recorded = { slots: grants.length, kvTokens: sumKvTokens(grants) };
   const load = target?.load;
   if (target === undefined || load === undefined) {
-    return own;
+    return recorded;
   }
-  const since = grants.filter((grant) => !isInReport(grant, target));
-  const gone = ended.filter((work) =>
+  const grantedSince = grants.filter((grant) => !isInReport(grant, target));
+  const endedSince = ended.filter((work) =>
     isInReport(work, target) &&
-    work.endedAtMs > target.loadAsOfMs + REPORT_MARGIN_MS
+    work.endedAtMs > target.loadAsOfMs + REPORT_TIME_MARGIN_MS
   );
   const reportedSlots = load.slotsUsed + load.waitingRequests;
-  const slots = Math.max(own.slots, reportedSlots + since.length - gone.length);
-  const unknown = unknownKvTokens(grants, {
-    unknownSlots: slots - own.slots,
-    kvTokens: load.kvUsedTokens - sumKvTokens(gone),
-    isKnown: (grant) => isInReport(grant, target),
+  const slots = Math.max(
+    recorded.slots,
+    reportedSlots + grantedSince.length - endedSince.length,
+  );
+  const unaccounted = unaccountedKvTokens(grants, {
+    unaccountedSlots: slots - recorded.slots,
+    kvTokens: load.kvUsedTokens - sumKvTokens(endedSince),
+    isReported: (grant) => isInReport(grant, target),
   });
   return {
     slots,
     kvTokens: Math.max(
-      own.kvTokens + unknown,
-      load.kvUsedTokens + sumKvTokens(since) - sumKvTokens(gone),
+      recorded.kvTokens + unaccounted,
+      load.kvUsedTokens + sumKvTokens(grantedSince) - sumKvTokens(endedSince),
     ),
   };
 }
 
 /**
- * Estimates the KV memory of work that is not in the account: what the report
- * shows beyond the account's prompts, and room for its answers to grow.
+ * Estimates the KV memory, in tokens, of work that this coordinator has no
+ * grant for: what the report shows beyond the prompts of the reported grants,
+ * plus the output that such work may still produce.
  */
-function unknownKvTokens(
+function unaccountedKvTokens(
   grants: readonly GrantAccount[],
   report: {
-    unknownSlots: number;
+    unaccountedSlots: number;
     kvTokens: number;
-    isKnown: (grant: GrantAccount) => boolean;
+    isReported: (grant: GrantAccount) => boolean;
   },
 ): number {
-  if (report.unknownSlots <= 0) {
+  if (report.unaccountedSlots <= 0) {
     return 0;
   }
   let promptTokens = 0;
-  let growthTokens = MIN_GROWTH_TOKENS;
+  let outputTokens = MIN_ASSUMED_OUTPUT_TOKENS;
   for (const grant of grants) {
-    promptTokens += report.isKnown(grant) ? grant.work.promptTokens : 0;
-    growthTokens = Math.max(growthTokens, grant.work.maxOutputTokens);
+    promptTokens += report.isReported(grant) ? grant.work.promptTokens : 0;
+    outputTokens = Math.max(outputTokens, grant.work.maxOutputTokens);
   }
   return Math.max(0, report.kvTokens - promptTokens) +
-    report.unknownSlots * growthTokens;
+    report.unaccountedSlots * outputTokens;
 }
 
 function isInReport(work: { usedAtMs: number }, target: Target): boolean {
-  return work.usedAtMs <= target.loadAsOfMs - REPORT_MARGIN_MS;
+  return work.usedAtMs <= target.loadAsOfMs - REPORT_TIME_MARGIN_MS;
 }
 
-function sumKvTokens(works: readonly { kvTokens: number }[]): number {
-  return works.reduce((sum, work) => sum + work.kvTokens, 0);
+function sumKvTokens(items: readonly { kvTokens: number }[]): number {
+  return items.reduce((sum, work) => sum + work.kvTokens, 0);
 }
