--- a/packages/core/src/urgent_asks.ts
+++ b/packages/core/src/urgent_asks.ts
@@ -1,54 +1,68 @@
 /**
- * Sees to asks that cannot wait any longer: room that comes free is promised
- * to them, then lower tiers give way, and only then are they refused.
+ * Scheduling of urgent asks, whose latest start is near. They are allocated
+ * capacity that is or becomes free; failing that, work of lower tiers is
+ * cancelled for them; only if neither helps are they refused.
  */
 
 import type { WaitingAsk } from "./blackboard.ts";
-import { preemptGrant } from "./grant_account.ts";
+import { preemptGrant } from "./grant_lifecycle.ts";
 import { refuseOverloaded } from "./overload_refusal.ts";
-import { cancelBelow, tellOtherShards } from "./shed_floor.ts";
-import { highestTierOf, isPreemptible, RoomPlan } from "./preemption.ts";
-import { lanesOfTier, latestStartMs, waitingTiers } from "./shard_queue.ts";
+import { notifyOtherShards, preemptBelow } from "./shed_floor.ts";
+import {
+  CapacityPlan,
+  highestPreemptedTier,
+  isPreemptible,
+} from "./preemption.ts";
+import { lanesOfTier, latestStartAtMs, waitingTiers } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
 
-/** How long before its latest start an ask becomes urgent, as a slack share. */
-const URGENT_SLACK_SHARE = 0.25;
-const MIN_URGENT_MS = 400;
-const MAX_URGENT_MS = 2000;
+/**
+ * Length of an ask's urgency window as a share of its slack. The window ends at
+ * the ask's latest start; within it, capacity is planned for the ask.
+ */
+const URGENCY_WINDOW_SHARE = 0.25;
+/** Bounds of the urgency window. */
+const MIN_URGENCY_WINDOW_MS = 400;
+const MAX_URGENCY_WINDOW_MS = 2000;
 
-/** Time that other domains have to grant a new ask. */
-const ELSEWHERE_MS = 500;
+/** Time in which other failure domains may grant a new ask first. */
+const OTHER_DOMAINS_GRACE_MS = 500;
 
-/** Within this time only room that is free or being freed counts. */
-const LAST_CALL_MS = 200;
+/**
+ * With less slack than this, work expected to end in time does not count as
+ * ended: only capacity that is free or being freed by preemption does.
+ */
+const MIN_FORECAST_SLACK_MS = 200;
 
 /**
- * How long an ask waits for the room of streams cancelled for it before others
- * are cancelled: a load report may still show them.
+ * Time for which an ask waits for the capacity of streams cancelled for it
+ * before others are cancelled: load reports may still show the first ones.
  */
-const PREEMPTION_PATIENCE_MS = 300;
+const PREEMPTION_TIMEOUT_MS = 300;
 
 /**
- * Finds room for the asks whose latest start is near, or refuses them when it
- * has passed, lower tiers first.
+ * Finds capacity for the asks whose latest start is near, and refuses those
+ * whose latest start has passed. Higher tiers are handled first.
  *
- * @param view The shard, after everything was placed that could be.
+ * @param view The shard, with the capacities left by placement.
  */
-export function serveUrgent(view: ShardView): void {
-  const plan = new RoomPlan(view);
-  const longestQueueMs = Math.max(
+export function serveUrgentAsks(view: ShardView): void {
+  const plan = new CapacityPlan(view);
+  const maxPrefillQueueMs = Math.max(
     0,
-    ...view.liveRooms.map((room) => room.prefillQueueMs(view.nowMs)),
+    ...view.availableCapacities.map((capacity) =>
+      capacity.prefillQueueMs(view.nowMs)
+    ),
   );
   for (const tierRank of waitingTiers(view.shard)) {
     const urgent = lanesOfTier(view.shard, tierRank)
       .flatMap((lane) => [...lane.asks.values()])
-      .filter((ask) => mayBeUrgent(view, ask, longestQueueMs))
-      .map((ask) => ({ ask, spareMs: spareMsOf(view, ask) }))
-      .filter(({ ask, spareMs }) => spareMs <= urgentMsOf(ask))
-      .sort((a, b) => a.spareMs - b.spareMs);
-    for (const { ask, spareMs } of urgent) {
-      serveUrgentAsk(view, ask, { spareMs, plan });
+      .filter((ask) => mayBeUrgent(view, ask, maxPrefillQueueMs))
+      .map((ask) => ({ ask, slackMs: remainingSlackMs(view, ask) }))
+      .filter(({ ask, slackMs }) => slackMs <= urgencyWindowMs(ask))
+      .sort((a, b) => a.slackMs - b.slackMs);
+    for (const { ask, slackMs } of urgent) {
+      serveUrgentAsk(view, ask, { slackMs, plan });
     }
   }
 }
@@ -56,53 +70,62 @@
 function serveUrgentAsk(
   view: ShardView,
   ask: WaitingAsk,
-  state: { spareMs: number; plan: RoomPlan },
+  state: { slackMs: number; plan: CapacityPlan },
 ): void {
-  const { spareMs, plan } = state;
+  const { slackMs, plan } = state;
   if (
     view.shard.waiting.get(ask.detail.requestId) !== ask ||
-    mayYetGoElsewhere(view, ask)
+    mayBeGrantedElsewhere(view, ask)
   ) {
     return;
   }
-  const byMs = spareMs > LAST_CALL_MS ? view.nowMs + spareMs : -Infinity;
-  if (plan.promise(ask, byMs) || awaitsCancelled(view, ask)) {
+  const endsByMs = slackMs > MIN_FORECAST_SLACK_MS
+    ? view.nowMs + slackMs
+    : -Infinity;
+  if (plan.tryAllocate(ask, endsByMs) || awaitsPreemptedStreams(view, ask)) {
     return;
   }
-  const mayCancel = spareMs <= cancelMsOf(ask);
-  const preemption = mayCancel ? plan.planVictims(ask) : undefined;
+  const mayPreempt = slackMs <= preemptionWindowMs(ask);
+  const preemption = mayPreempt ? plan.planPreemption(ask) : undefined;
   if (preemption !== undefined) {
-    shedBelowEverywhere(view, highestTierOf(preemption));
-    const forWhom = describeAsk(ask);
-    preemption.victims.forEach((grant) => preemptGrant(view, grant, forWhom));
+    shedBelowInAllDomains(view, highestPreemptedTier(preemption));
+    const beneficiary = describeAsk(ask);
+    preemption.victims.forEach((grant) =>
+      preemptGrant(view, grant, beneficiary)
+    );
     ask.preemptedForAtMs = view.nowMs;
     ask.reservation = {
-      targetId: preemption.room.targetId,
+      targetId: preemption.capacity.targetId,
       readyAtMs: view.nowMs,
     };
-  } else if (spareMs < 0) {
+  } else if (slackMs < 0) {
     refuseLate(view, ask);
   }
 }
 
-/** A domain whose targets are slow must not shed for what others can serve. */
-function mayYetGoElsewhere(view: ShardView, ask: WaitingAsk): boolean {
+/**
+ * Whether another failure domain may still grant the ask. A domain with slow
+ * targets must not shed work for an ask that other domains can serve.
+ */
+function mayBeGrantedElsewhere(view: ShardView, ask: WaitingAsk): boolean {
   return ask.detail.spreadOver > 1 &&
-    view.nowMs - ask.arrivedAtMs < ELSEWHERE_MS;
+    view.nowMs - ask.arrivedAtMs < OTHER_DOMAINS_GRACE_MS;
 }
 
 function describeAsk({ detail }: WaitingAsk): string {
   return `${detail.requestId} of tier ${detail.tierRank}`;
 }
 
-function awaitsCancelled(view: ShardView, ask: WaitingAsk): boolean {
+/** Whether the ask still waits for streams recently cancelled for it. */
+function awaitsPreemptedStreams(view: ShardView, ask: WaitingAsk): boolean {
   const sinceMs = view.nowMs - (ask.preemptedForAtMs ?? -Infinity);
-  return sinceMs < PREEMPTION_PATIENCE_MS;
+  return sinceMs < PREEMPTION_TIMEOUT_MS;
 }
 
 /**
- * Refuses an ask that can no longer end in time. Whatever is lower goes first,
- * so that no lower tier is served while this one is refused.
+ * Refuses an ask that can no longer end in time. Lower tiers are shed first, so
+ * that none of them is served while this ask is refused. For an ask that waits
+ * in several failure domains, its holder orders this once all have refused it.
  */
 function refuseLate(view: ShardView, ask: WaitingAsk): void {
   const { tierRank } = ask.detail;
@@ -112,31 +135,32 @@
   refuseOverloaded(view, ask, "it can no longer end before its deadline");
 }
 
-/** Before work of a tier is cancelled, whatever is lower in reach gives way. */
-function shedBelowEverywhere(view: ShardView, tierRank: number): void {
+/** Sheds all tiers below one in every shard of the pool. */
+function shedBelowInAllDomains(view: ShardView, tierRank: number): void {
   shedBelow(view, tierRank);
-  tellOtherShards(view, tierRank);
+  notifyOtherShards(view, tierRank);
 }
 
 /**
- * Cancels and refuses what is below a tier, in this shard.
+ * Cancels the running streams and refuses the waiting asks of all tiers below
+ * one, in one shard.
  *
- * @param view The shard.
- * @param tierRank The tier whose work is shed somewhere in reach.
+ * @param view The shard that sheds the work.
+ * @param tierRank Rank of the tier whose work is shed in any shard of the pool.
  */
 export function shedBelow(view: ShardView, tierRank: number): void {
-  cancelBelow(view, tierRank);
+  preemptBelow(view, tierRank);
   refuseLowerTiers(view, tierRank);
 }
 
 /**
- * Refuses waiting asks below a tier, the lowest first; a tier below which
- * streams that may be cancelled still run is left waiting.
+ * Refuses the waiting asks of all tiers below one, the lowest tier first. It
+ * stops at a tier below which streams that may be cancelled still run.
  */
 function refuseLowerTiers(view: ShardView, tierRank: number): void {
-  const lower = waitingTiers(view.shard).filter((rank) => rank > tierRank);
-  for (const rank of lower.reverse()) {
-    if (runsPreemptible(view, rank)) {
+  const lowerRanks = waitingTiers(view.shard).filter((rank) => rank > tierRank);
+  for (const rank of lowerRanks.reverse()) {
+    if (hasPreemptibleWorkBelow(view, rank)) {
       return;
     }
     for (const lane of lanesOfTier(view.shard, rank)) {
@@ -147,47 +171,57 @@
   }
 }
 
-function runsPreemptible(view: ShardView, tierRank: number): boolean {
+function hasPreemptibleWorkBelow(view: ShardView, tierRank: number): boolean {
   return [...view.shard.grants.values()].some((grant) =>
     isPreemptible(view, grant, tierRank)
   );
 }
 
-/** A cheap test that spares most asks the exact one. */
+/**
+ * Whether the ask's slack may be within its urgency window. This bound is cheap
+ * and excludes most asks from the exact computation.
+ */
 function mayBeUrgent(
   view: ShardView,
   ask: WaitingAsk,
-  longestQueueMs: number,
+  maxPrefillQueueMs: number,
 ): boolean {
-  const leastSpareMs = ask.deadlineAtMs - view.nowMs - ask.costMs -
-    longestQueueMs;
-  return leastSpareMs <= urgentMsOf(ask) && view.isHolderFresh(ask);
+  const minSlackMs = ask.deadlineAtMs - view.nowMs - ask.costMs -
+    maxPrefillQueueMs;
+  return minSlackMs <= urgencyWindowMs(ask) && view.isHolderFresh(ask);
 }
 
-/** Time until the ask could no longer end in time on a target as it is now. */
-function spareMsOf(view: ShardView, ask: WaitingAsk): number {
-  let bestMs = Infinity;
-  for (const room of view.rooms) {
-    if (view.isPossible(room, ask)) {
-      bestMs = Math.min(bestMs, view.predict(room, ask.detail).cautiousMs);
+/**
+ * Returns the time left until the ask could no longer end before its deadline
+ * on any target at the current load.
+ */
+function remainingSlackMs(view: ShardView, ask: WaitingAsk): number {
+  let minServiceMs = Infinity;
+  for (const capacity of view.capacities) {
+    if (view.isCandidate(capacity, ask)) {
+      minServiceMs = Math.min(
+        minServiceMs,
+        view.predict(capacity, ask.detail).conservativeMs,
+      );
     }
   }
-  return ask.deadlineAtMs - view.nowMs - bestMs;
+  return ask.deadlineAtMs - view.nowMs - minServiceMs;
 }
 
 /**
- * Time left at which streams are cancelled for an ask. An ask waits in several
- * domains; each begins after the nearer ones, lest all cancel for one ask.
+ * Returns the slack below which streams are cancelled for an ask. Of the
+ * domains in which an ask waits, each starts later than the nearer ones, so
+ * that not all of them cancel work for the same ask.
  */
-function cancelMsOf(ask: WaitingAsk): number {
+function preemptionWindowMs(ask: WaitingAsk): number {
   const { spreadIndex, spreadOver } = ask.detail;
-  return urgentMsOf(ask) * (1 - spreadIndex / spreadOver);
+  return urgencyWindowMs(ask) * (1 - spreadIndex / spreadOver);
 }
 
-function urgentMsOf(ask: WaitingAsk): number {
-  const slackMs = latestStartMs(ask) - ask.arrivedAtMs;
+function urgencyWindowMs(ask: WaitingAsk): number {
+  const slackMs = latestStartAtMs(ask) - ask.arrivedAtMs;
   return Math.min(
-    MAX_URGENT_MS,
-    Math.max(MIN_URGENT_MS, slackMs * URGENT_SLACK_SHARE),
+    MAX_URGENCY_WINDOW_MS,
+    Math.max(MIN_URGENCY_WINDOW_MS, slackMs * URGENCY_WINDOW_SHARE),
   );
 }
--- a/packages/core/src/wait_estimate.ts
+++ b/packages/core/src/wait_estimate.ts
@@ -1,11 +1,11 @@
-/** Estimates how long an ask will wait for a target. */
+/** Estimates of the time that an ask waits for a target. */
 
 import type { Lane, WaitingAsk } from "./blackboard.ts";
 import { shortage, slotsForTier } from "./capacity.ts";
 import type { QueuedWork } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
 
-/** No work at all. */
+/** An empty amount of queued work. */
 export const NO_WORK: QueuedWork = {
   costMs: 0,
   kvTokenMs: 0,
@@ -13,56 +13,63 @@
 };
 
 /**
- * Estimates an ask's wait: what higher tiers and its own fair turn put before
- * it, over the slots, the KV memory and the reading of prompts that serve it.
+ * Estimates an ask's wait: the work ahead of it, from higher tiers, from its
+ * own lane and from the fair share of other workspaces, divided by the slots,
+ * the KV memory and the prefill capacity of the targets that could serve it.
  *
- * @param view The shard.
- * @param ask The ask.
- * @param ownAhead Work of its own lane that goes before it.
- * @returns A duration in milliseconds; Infinity where nothing serves it.
+ * @param view The shard that the ask waits in.
+ * @param ask The waiting ask.
+ * @param ownAhead Work of the ask's own lane that goes before it.
+ * @returns The wait in milliseconds; Infinity where no target could serve it.
  */
 export function estimateWaitMs(
   view: ShardView,
   ask: WaitingAsk,
   ownAhead: QueuedWork,
 ): number {
-  const need = view.needOf(ask);
+  const demand = view.demandOf(ask);
   let slots = 0;
   let kvTokens = 0;
-  let targets = 0;
-  let firstFreeMs = Infinity;
-  let firstReadMs = Infinity;
-  for (const room of view.rooms) {
-    if (!view.isPossible(room, ask)) {
+  let targetCount = 0;
+  let untilFreeMs = Infinity;
+  let untilPrefillMs = Infinity;
+  for (const capacity of view.capacities) {
+    if (!view.isCandidate(capacity, ask)) {
       continue;
     }
-    slots += slotsForTier(room.slotsTotal, need.headroomShare);
-    kvTokens += room.kvTotalTokens;
-    const isFree = shortage(room, need, room.used) === undefined;
-    targets += 1;
-    firstFreeMs = Math.min(firstFreeMs, isFree ? 0 : nextEndMs(view, room));
-    firstReadMs = Math.min(firstReadMs, room.prefillQueueMs(view.nowMs));
+    slots += slotsForTier(capacity.slotsTotal, demand.headroomShare);
+    kvTokens += capacity.kvTotalTokens;
+    const isFree = shortage(capacity, demand, capacity.used) === undefined;
+    targetCount += 1;
+    untilFreeMs = Math.min(
+      untilFreeMs,
+      isFree ? 0 : timeToNextEndMs(view, capacity),
+    );
+    untilPrefillMs = Math.min(
+      untilPrefillMs,
+      capacity.prefillQueueMs(view.nowMs),
+    );
   }
   const ahead = workAhead(view, ask, ownAhead);
   const slotWaitMs = slots > 0 ? ahead.costMs / slots : Infinity;
   const kvWaitMs = kvTokens > 0 ? ahead.kvTokenMs / kvTokens : 0;
-  const readWaitMs = targets > 0 ? ahead.prefillMs / targets : 0;
+  const prefillWaitMs = targetCount > 0 ? ahead.prefillMs / targetCount : 0;
   return Math.max(
-    finite(firstFreeMs) + Math.max(slotWaitMs, kvWaitMs),
-    finite(firstReadMs) + readWaitMs,
+    finiteOrZero(untilFreeMs) + Math.max(slotWaitMs, kvWaitMs),
+    finiteOrZero(untilPrefillMs) + prefillWaitMs,
   );
 }
 
-function finite(ms: number): number {
+function finiteOrZero(ms: number): number {
   return Number.isFinite(ms) ? ms : 0;
 }
 
 /**
- * Adds up work.
+ * Adds two amounts of queued work.
  *
- * @param a Some work.
- * @param b Other work.
- * @returns Both together.
+ * @param a The first amount.
+ * @param b The second amount.
+ * @returns The sum of both.
  */
 export function addWork(a: QueuedWork, b: QueuedWork): QueuedWork {
   return {
@@ -83,14 +90,17 @@
     if (lane.tierRank < tierRank) {
       ahead = addWork(ahead, lane);
     } else if (lane.tierRank === tierRank && lane.workspace !== workspace) {
-      ahead = addWork(ahead, fairTurnOf(view, lane, { ask, ownAhead }));
+      ahead = addWork(ahead, fairShareOf(view, lane, { ask, ownAhead }));
     }
   }
   return ahead;
 }
 
-/** Of another workspace's work, only its fair share goes before the ask. */
-function fairTurnOf(
+/**
+ * Returns the part of another workspace's queued work that fair shares put
+ * before the ask.
+ */
+function fairShareOf(
   view: ShardView,
   lane: Lane,
   own: { ask: WaitingAsk; ownAhead: QueuedWork },
@@ -107,10 +117,11 @@
   };
 }
 
-function nextEndMs(
+/** Returns the time until the next work on a target is expected to end. */
+function timeToNextEndMs(
   view: ShardView,
-  room: ShardView["rooms"][number],
+  capacity: ShardView["capacities"][number],
 ): number {
-  const ends = room.grants.map((grant) => grant.expectedEndMs - view.nowMs);
+  const ends = capacity.grants.map((grant) => grant.expectedEndMs - view.nowMs);
   return Math.max(0, Math.min(...ends));
 }
