--- a/packages/core/src/ask_flow.ts
+++ b/packages/core/src/ask_flow.ts
@@ -15,7 +15,7 @@
   sendAsk,
   withdrawAsk,
 } from "./ask_messages.ts";
-import { refuseForAsks } from "./ask_refusals.ts";
+import { endWithAskRefusals } from "./ask_refusals.ts";
 import {
   AskState,
   type HeldRequest,
@@ -28,7 +28,7 @@
 import { CounterName } from "./effects.ts";
 import { recordStep } from "./refusals.ts";
 import { RequestState } from "./request.ts";
-import { FLOOR_MS } from "./shed_floor.ts";
+import { FLOOR_DURATION_MS } from "./shed_floor.ts";
 
 /** With a longer predicted wait, a request also asks all other domains. */
 const MAX_SINGLE_DOMAIN_PREDICTED_WAIT_MS = 20;
@@ -40,7 +40,7 @@
  * This is shorter than a domain's shed floor lasts, so that no domain can have
  * begun to serve lower tiers in the meantime.
  */
-const MAX_FRESH_REFUSAL_AGE_MS = FLOOR_MS * 0.75;
+const MAX_FRESH_REFUSAL_AGE_MS = FLOOR_DURATION_MS * 0.75;
 
 /**
  * Sends a request's first ask, to the first of its candidate domains.
@@ -53,7 +53,7 @@
   request.waitingSinceMs = turn.nowMs;
   const [first] = getCandidateDomains(turn, request);
   if (first === undefined) {
-    refuseForAsks(turn, request);
+    endWithAskRefusals(turn, request);
     return;
   }
   askDomain(turn, request, first);
@@ -250,7 +250,7 @@
     isStaleOverloadRefusal(turn, ask)
   );
   if (staleOverloads.length === 0 || request.deadlineAtMs <= turn.nowMs) {
-    refuseForAsks(turn, request);
+    endWithAskRefusals(turn, request);
     return;
   }
   for (const ask of staleOverloads) {
--- a/packages/core/src/request_controller.ts
+++ b/packages/core/src/request_controller.ts
@@ -6,11 +6,11 @@
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { ErrorKind, RunState, TargetKind } from "@chestnuthatch/wire/work";
 import {
-  type Admitted,
-  checkLimits,
+  type Admission,
   checkRequest,
+  consumeLimits,
   isRefusal,
-  runStateUnclaimed,
+  runStateWithoutClaim,
   scopeKey,
 } from "./admission.ts";
 import {
@@ -121,9 +121,9 @@
     return;
   }
   const scope = { key: scopeKey(spec), policy: admitted.policy };
-  const limitRefusal = checkLimits(turn, scope);
+  const limitRefusal = consumeLimits(turn, scope);
   if (limitRefusal !== undefined) {
-    const ran = runStateUnclaimed(spec, admitted.idempotent);
+    const ran = runStateWithoutClaim(spec, admitted.idempotent);
     refuseCall(turn, spec.requestId, { ...limitRefusal, ran });
     return;
   }
@@ -133,7 +133,7 @@
 function createHeldRequest(
   turn: Turn,
   spec: RequestSpec,
-  admitted: Admitted,
+  admitted: Admission,
 ): HeldRequest {
   const { self, requests } = turn.board;
   const { policy, pool, idempotent, maxOutputTokens } = admitted;
