--- a/packages/core/src/ask_intake.ts
+++ b/packages/core/src/ask_intake.ts
@@ -6,7 +6,7 @@
 } from "@chestnuthatch/wire/peer_messages";
 import type { GrantAccount, WaitingAsk } from "./blackboard.ts";
 import { cancelGrant, sendGrant } from "./grant_account.ts";
-import { hearHolder, type HolderWord } from "./holder_presence.ts";
+import { type HolderSender, recordHolder } from "./holder_presence.ts";
 import { placeWaiting } from "./placement.ts";
 import { addWaiting, lanesOfTier } from "./shard_queue.ts";
 import { ShardView } from "./shard_view.ts";
@@ -25,10 +25,10 @@
 export function onAsk(
   view: ShardView,
   detail: AskDetail,
-  from: HolderWord,
+  from: HolderSender,
 ): void {
   const { shard } = view;
-  if (hearHolder(shard, from, view.nowMs) === undefined) {
+  if (recordHolder(shard, from, view.nowMs) === undefined) {
     return;
   }
   const waiting = shard.waiting.get(detail.requestId);
@@ -80,14 +80,14 @@
 
 function enqueue(
   view: ShardView,
-  came: { detail: AskDetail; from: HolderWord; waiting?: WaitingAsk },
+  came: { detail: AskDetail; from: HolderSender; waiting?: WaitingAsk },
 ): void {
   const { detail, from, waiting } = came;
   const { idleMs, loadedMs, prefillMs } = view.outlook(detail);
   const ask: WaitingAsk = {
     holderId: from.holderId,
     holderIncarnation: from.incarnation,
-    holderBeat: from.beat ?? 0,
+    holderBeat: from.holderBeat ?? 0,
     detail,
     arrivedAtMs: waiting?.arrivedAtMs ?? view.nowMs,
     deadlineAtMs: view.nowMs + detail.timeLeftMs,
--- a/packages/core/src/ask_messages.ts
+++ b/packages/core/src/ask_messages.ts
@@ -3,7 +3,7 @@
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { AskState, type HeldRequest, type OutAsk } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
-import { beat } from "./holder_report.ts";
+import { incrementHolderBeat } from "./holder_report.ts";
 import { domainsToAsk } from "./shard_domains.ts";
 import { hash32 } from "./text_hash.ts";
 
@@ -61,7 +61,7 @@
  */
 export function sendAsk(turn: Turn, request: HeldRequest, ask: OutAsk): void {
   // An ask under an old beat would only bring grants that are too old.
-  beat(turn);
+  incrementHolderBeat(turn);
   const { spec, policy } = request;
   const domains = domainsOf(turn, request);
   turn.send(ask.coordinatorId, {
--- a/packages/core/src/coordinator_controller.ts
+++ b/packages/core/src/coordinator_controller.ts
@@ -26,7 +26,11 @@
   closeGrant,
   prefixIndexOf,
 } from "./grant_account.ts";
-import { dropGone, hearHolder, type HolderWord } from "./holder_presence.ts";
+import {
+  dropStaleHolderState,
+  type HolderSender,
+  recordHolder,
+} from "./holder_presence.ts";
 import { reconcileReport } from "./holder_reconcile.ts";
 import { reconcileOrphans } from "./orphaned_work.ts";
 import { placeWaiting } from "./placement.ts";
@@ -45,7 +49,7 @@
   readonly [K in PeerMessageKind]?: (
     view: ShardView,
     message: PeerMessageOf<K>,
-    from: HolderWord,
+    from: HolderSender,
   ) => void;
 };
 
@@ -70,7 +74,7 @@
   #onMessage(event: MessageEvent, turn: Turn): void {
     const { message } = event;
     const handler = MESSAGE_HANDLERS[message.kind] as
-      | ((view: ShardView, message: PeerMessage, from: HolderWord) => void)
+      | ((view: ShardView, message: PeerMessage, from: HolderSender) => void)
       | undefined;
     const place = placeOf(message);
     if (handler === undefined || place === undefined) {
@@ -119,7 +123,7 @@
       if (view === undefined) {
         continue;
       }
-      dropGone(view);
+      dropStaleHolderState(view);
       placeWaiting(view);
       shedOverload(this.#viewOf(shard, turn)!);
       pruneShares(shard);
@@ -161,7 +165,7 @@
 function onAskWithdrawn(
   view: ShardView,
   { requestId }: PeerMessageOf<PeerMessageKind.AskWithdrawn>,
-  from: HolderWord,
+  from: HolderSender,
 ): void {
   const ask = view.shard.waiting.get(requestId);
   if (ask?.holderId === from.holderId) {
@@ -239,20 +243,20 @@
   placeWaiting(new ShardView(shard, view.settings, view.turn));
 }
 
-function holderWordOf(event: MessageEvent): HolderWord {
+function holderWordOf(event: MessageEvent): HolderSender {
   const { message } = event;
   return {
     holderId: event.fromId,
     incarnation: event.fromIncarnation,
-    beat: "holderBeat" in message ? message.holderBeat : undefined,
+    holderBeat: "holderBeat" in message ? message.holderBeat : undefined,
   };
 }
 
 /** A beat heard about one shard makes grants of all the others fresher too. */
-function hearInAllShards(turn: Turn, word: HolderWord): void {
+function hearInAllShards(turn: Turn, word: HolderSender): void {
   for (const shard of turn.board.shards.byKey.values()) {
     if (shard.holders.has(word.holderId)) {
-      hearHolder(shard, word, turn.nowMs);
+      recordHolder(shard, word, turn.nowMs);
     }
   }
 }
--- a/packages/core/src/heartbeat_gossip.ts
+++ b/packages/core/src/heartbeat_gossip.ts
@@ -15,38 +15,36 @@
 export const HEARTBEAT_FANOUT = 3;
 
 /** How many of those get a digest; the others get this instance's word alone. */
-const DIGESTS_PER_BEAT = 1;
+const DIGESTS_PER_HEARTBEAT = 1;
 
 /** Most members that one heartbeat speaks of. */
-export const MAX_DIGEST = 24;
+export const MAX_DIGEST_MEMBERS = 24;
 
 /** Places in a digest for the members that advanced last. */
-const RECENT_IN_DIGEST = 12;
+const RECENT_DIGEST_MEMBERS = 12;
 
 /**
  * Raises this instance's heartbeat and tells it to a few random peers.
  *
  * @param turn The present turn.
  */
-export function beat(turn: Turn): void {
-  raiseHeartbeat(turn);
-  nextPeers(turn).forEach((peerId, position) => {
-    if (position < DIGESTS_PER_BEAT) {
-      sendHeartbeat(turn, peerId);
+export function gossipHeartbeat(turn: Turn): void {
+  incrementHeartbeat(turn);
+  takeNextPeerIds(turn).forEach((peerId, position) => {
+    if (position < DIGESTS_PER_HEARTBEAT) {
+      sendDigest(turn, peerId);
     } else {
-      sendOwnWord(turn, peerId);
+      sendOwnEntry(turn, peerId);
     }
   });
 }
 
 /** Goes through all connected peers in random order before any comes again. */
-function nextPeers(turn: Turn): string[] {
+function takeNextPeerIds(turn: Turn): string[] {
   const { members } = turn.board;
-  const connected = connectedIds(turn.board);
-  const stillConnected = new Set(connected);
-  const queue = (members.beatQueue ?? []).filter((id) =>
-    stillConnected.has(id)
-  );
+  const connected = connectedPeerIds(turn.board);
+  const connectedSet = new Set(connected);
+  const queue = (members.beatQueue ?? []).filter((id) => connectedSet.has(id));
   if (queue.length < HEARTBEAT_FANOUT) {
     const others = connected.filter((id) => !queue.includes(id));
     queue.push(...pickRandom(others, others.length, turn.random));
@@ -61,17 +59,17 @@
  *
  * @param turn The present turn.
  */
-export function beatToAll(turn: Turn): void {
-  raiseHeartbeat(turn);
-  for (const peerId of connectedIds(turn.board)) {
-    sendOwnWord(turn, peerId);
+export function broadcastHeartbeat(turn: Turn): void {
+  incrementHeartbeat(turn);
+  for (const peerId of connectedPeerIds(turn.board)) {
+    sendOwnEntry(turn, peerId);
   }
 }
 
-function sendOwnWord(turn: Turn, peerId: string): void {
+function sendOwnEntry(turn: Turn, peerId: string): void {
   turn.send(peerId, {
     kind: PeerMessageKind.Heartbeat,
-    members: [ownWord(turn.board)],
+    members: [createOwnEntry(turn.board)],
   });
 }
 
@@ -81,18 +79,18 @@
  * @param turn The present turn.
  * @param peerId The peer.
  */
-export function sendHeartbeat(turn: Turn, peerId: string): void {
+export function sendDigest(turn: Turn, peerId: string): void {
   turn.send(peerId, {
     kind: PeerMessageKind.Heartbeat,
-    members: makeDigest(turn),
+    members: buildDigest(turn),
   });
 }
 
-function raiseHeartbeat(turn: Turn): void {
+function incrementHeartbeat(turn: Turn): void {
   const { members } = turn.board;
   members.heartbeat += 1;
   members.lastHeartbeatAtMs = turn.nowMs;
-  refreshSelf(turn);
+  updateOwnMember(turn);
 }
 
 /**
@@ -100,7 +98,7 @@
  *
  * @param turn The present turn.
  */
-export function refreshSelf(turn: Turn): void {
+export function updateOwnMember(turn: Turn): void {
   const { self, members } = turn.board;
   const member = ensureMember(turn.board, {
     instanceId: self.instanceId,
@@ -108,7 +106,7 @@
     address: "",
   });
   if (member !== undefined) {
-    const { leaving, settingsVersion, heartbeat, incarnation } = ownWord(
+    const { leaving, settingsVersion, heartbeat, incarnation } = createOwnEntry(
       turn.board,
     );
     Object.assign(member, { leaving, settingsVersion, heartbeat, incarnation });
@@ -118,7 +116,7 @@
   }
 }
 
-function ownWord(board: Blackboard): MemberHeard {
+function createOwnEntry(board: Blackboard): MemberHeard {
   return {
     instanceId: board.self.instanceId,
     incarnation: board.self.incarnation,
@@ -129,7 +127,7 @@
 }
 
 /** Only live members are told of, so that rumours of the dead die out. */
-function makeDigest(turn: Turn): MemberHeard[] {
+function buildDigest(turn: Turn): MemberHeard[] {
   const { board, nowMs } = turn;
   const others = [...board.members.byId.values()]
     .filter((member) =>
@@ -140,16 +138,16 @@
       b.lastAdvancedMs - a.lastAdvancedMs ||
       (a.instanceId < b.instanceId ? -1 : 1)
     );
-  const recent = others.slice(0, RECENT_IN_DIGEST);
+  const recent = others.slice(0, RECENT_DIGEST_MEMBERS);
   const rest = pickRandom(
-    others.slice(RECENT_IN_DIGEST),
-    MAX_DIGEST - 1 - recent.length,
+    others.slice(RECENT_DIGEST_MEMBERS),
+    MAX_DIGEST_MEMBERS - 1 - recent.length,
     turn.random,
   );
-  return [ownWord(board), ...[...recent, ...rest].map(wordOf)];
+  return [createOwnEntry(board), ...[...recent, ...rest].map(toEntry)];
 }
 
-function wordOf(member: Member): MemberHeard {
+function toEntry(member: Member): MemberHeard {
   return {
     instanceId: member.instanceId,
     incarnation: member.incarnation,
@@ -159,7 +157,7 @@
   };
 }
 
-function connectedIds(board: Blackboard): string[] {
+function connectedPeerIds(board: Blackboard): string[] {
   return [...board.members.byId.values()]
     .filter((member) =>
       member.connected && member.instanceId !== board.self.instanceId
@@ -173,13 +171,13 @@
   count: number,
   random: Randomness,
 ): T[] {
-  const pool = [...items];
+  const remaining = [...items];
   const picked: T[] = [];
-  while (picked.length < count && pool.length > 0) {
-    const index = Math.floor(random.next() * pool.length);
-    picked.push(pool[index]);
-    pool[index] = pool[pool.length - 1];
-    pool.pop();
+  while (picked.length < count && remaining.length > 0) {
+    const index = Math.floor(random.next() * remaining.length);
+    picked.push(remaining[index]);
+    remaining[index] = remaining[remaining.length - 1];
+    remaining.pop();
   }
   return picked;
 }
@@ -188,60 +186,63 @@
  * Takes in what a heartbeat says of members.
  *
  * @param turn The present turn.
- * @param words One word for each member.
+ * @param entries One word for each member.
  */
-export function hearMembers(turn: Turn, words: readonly MemberHeard[]): void {
-  for (const word of words) {
-    if (word.instanceId === turn.board.self.instanceId) {
-      hearOfSelf(turn, word);
+export function mergeHeartbeat(
+  turn: Turn,
+  entries: readonly MemberHeard[],
+): void {
+  for (const entry of entries) {
+    if (entry.instanceId === turn.board.self.instanceId) {
+      detectReplacement(turn, entry);
     } else {
-      hearOfOther(turn, word);
+      mergePeerEntry(turn, entry);
     }
   }
 }
 
-function hearOfOther(turn: Turn, word: MemberHeard): void {
+function mergePeerEntry(turn: Turn, entry: MemberHeard): void {
   const member = ensureMember(turn.board, {
-    instanceId: word.instanceId,
+    instanceId: entry.instanceId,
     failureDomain: "",
     address: "",
   });
-  if (member === undefined || word.incarnation < member.incarnation) {
+  if (member === undefined || entry.incarnation < member.incarnation) {
     return;
   }
-  if (word.incarnation > member.incarnation) {
-    beginIncarnation(member, word.incarnation);
+  if (entry.incarnation > member.incarnation) {
+    startIncarnation(member, entry.incarnation);
   }
-  member.leaving ||= word.leaving;
+  member.leaving ||= entry.leaving;
   member.settingsVersion = Math.max(
     member.settingsVersion,
-    word.settingsVersion,
+    entry.settingsVersion,
   );
-  if (word.heartbeat > member.heartbeat) {
-    member.heartbeat = word.heartbeat;
+  if (entry.heartbeat > member.heartbeat) {
+    member.heartbeat = entry.heartbeat;
     member.lastAdvancedMs = turn.nowMs;
   }
 }
 
-function beginIncarnation(member: Member, incarnation: number): void {
+function startIncarnation(member: Member, incarnation: number): void {
   member.incarnation = incarnation;
   member.heartbeat = 0;
   member.leaving = false;
   member.settingsVersion = 0;
 }
 
-function hearOfSelf(turn: Turn, word: MemberHeard): void {
+function detectReplacement(turn: Turn, entry: MemberHeard): void {
   const { self, members } = turn.board;
-  const isLater = word.incarnation > self.incarnation ||
-    (word.incarnation === self.incarnation &&
-      word.heartbeat > members.heartbeat);
-  if (!isLater || members.replacementLogged) {
+  const isNewer = entry.incarnation > self.incarnation ||
+    (entry.incarnation === self.incarnation &&
+      entry.heartbeat > members.heartbeat);
+  if (!isNewer || members.replacementLogged) {
     return;
   }
   members.replacementLogged = true;
   turn.log(
     LogLevel.Error,
     LogPart.Members,
-    `Another process runs as ${self.instanceId}, incarnation ${word.incarnation}; this one is ${self.incarnation}.`,
+    `Another process runs as ${self.instanceId}, incarnation ${entry.incarnation}; this one is ${self.incarnation}.`,
   );
 }
--- a/packages/core/src/heartbeat_gossip_test.ts
+++ b/packages/core/src/heartbeat_gossip_test.ts
@@ -4,12 +4,21 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { EffectKind, LogLevel } from "./effects.ts";
-import { effectsOf, makeFakeCore, makeTurn, START_MS } from "./fake_core.ts";
-import { hearMembers, MAX_DIGEST, sendHeartbeat } from "./heartbeat_gossip.ts";
+import {
+  createTestCore,
+  createTurn,
+  effectsOf,
+  START_MS,
+} from "./test_core.ts";
+import {
+  MAX_DIGEST_MEMBERS,
+  mergeHeartbeat,
+  sendDigest,
+} from "./heartbeat_gossip.ts";
 
 const PROPERTY = { seed: 11, numRuns: 200 };
 
-function word(fields: Partial<MemberHeard>): MemberHeard {
+function createEntry(fields: Partial<MemberHeard>): MemberHeard {
   return {
     instanceId: "njiro-2",
     incarnation: 5,
@@ -21,12 +30,12 @@
 }
 
 test("should ignore an older incarnation and older heartbeats", () => {
-  const core = makeFakeCore(["njiro-2"]);
-  hearMembers(makeTurn(core), [word({})]);
-  const later = makeTurn(core, START_MS + 100);
-  hearMembers(later, [
-    word({ incarnation: 4, heartbeat: 99, leaving: true }),
-    word({ heartbeat: 9 }),
+  const core = createTestCore(["njiro-2"]);
+  mergeHeartbeat(createTurn(core), [createEntry({})]);
+  const later = createTurn(core, START_MS + 100);
+  mergeHeartbeat(later, [
+    createEntry({ incarnation: 4, heartbeat: 99, leaving: true }),
+    createEntry({ heartbeat: 9 }),
   ]);
   const member = core.board.members.byId.get("njiro-2")!;
   assert.is(member.incarnation, 5);
@@ -36,22 +45,22 @@
 });
 
 test("should reach the same state whatever the order of words", () => {
-  const words = fc.array(
+  const entryLists = fc.array(
     fc.record({
       incarnation: fc.integer({ min: 1, max: 3 }),
       heartbeat: fc.integer({ min: 1, max: 5 }),
       leaving: fc.boolean(),
       settingsVersion: fc.integer({ min: 0, max: 4 }),
-    }).map(word),
+    }).map(createEntry),
     { minLength: 1, maxLength: 8 },
   );
   fc.assert(
-    fc.property(words, (heard) => {
-      const core = makeFakeCore();
-      for (const one of heard) hearMembers(makeTurn(core), [one]);
+    fc.property(entryLists, (received) => {
+      const core = createTestCore();
+      for (const one of received) mergeHeartbeat(createTurn(core), [one]);
       const member = core.board.members.byId.get("njiro-2")!;
-      const incarnation = Math.max(...heard.map((one) => one.incarnation));
-      const latest = heard.filter((one) => one.incarnation === incarnation);
+      const incarnation = Math.max(...received.map((one) => one.incarnation));
+      const latest = received.filter((one) => one.incarnation === incarnation);
       assert.is(member.incarnation, incarnation);
       assert.is(
         member.heartbeat,
@@ -68,10 +77,10 @@
 });
 
 test("should log once that another process has its id", () => {
-  const core = makeFakeCore();
-  const turn = makeTurn(core);
-  const rumour = word({ instanceId: "njiro-1", incarnation: 4 });
-  hearMembers(turn, [rumour, rumour]);
+  const core = createTestCore();
+  const turn = createTurn(core);
+  const entry = createEntry({ instanceId: "njiro-1", incarnation: 4 });
+  mergeHeartbeat(turn, [entry, entry]);
   const errors = effectsOf(turn.effects, EffectKind.Log)
     .filter((effect) => effect.level === LogLevel.Error);
   assert.is(errors.length, 1);
@@ -79,22 +88,24 @@
 
 test("should bound a digest, with itself first and no dead members", () => {
   const ids = Array.from({ length: 60 }, (_, i) => `peer-${i}`);
-  const core = makeFakeCore(ids);
-  hearMembers(makeTurn(core, -100_000), [word({ instanceId: "peer-0" })]);
-  hearMembers(
-    makeTurn(core),
-    ids.slice(1).map((instanceId) => word({ instanceId })),
+  const core = createTestCore(ids);
+  mergeHeartbeat(createTurn(core, -100_000), [
+    createEntry({ instanceId: "peer-0" }),
+  ]);
+  mergeHeartbeat(
+    createTurn(core),
+    ids.slice(1).map((instanceId) => createEntry({ instanceId })),
   );
-  const turn = makeTurn(core);
-  sendHeartbeat(turn, "peer-1");
+  const turn = createTurn(core);
+  sendDigest(turn, "peer-1");
   const [{ message }] = effectsOf(turn.effects, EffectKind.SendPeer);
   assert.is(message.kind, PeerMessageKind.Heartbeat);
   if (message.kind === PeerMessageKind.Heartbeat) {
-    const told = message.members.map((one) => one.instanceId);
-    assert.is(told.length, MAX_DIGEST);
-    assert.is(told[0], "njiro-1");
-    assert.not(told.includes("peer-0"));
-    assert.is(new Set(told).size, MAX_DIGEST);
+    const digestIds = message.members.map((one) => one.instanceId);
+    assert.is(digestIds.length, MAX_DIGEST_MEMBERS);
+    assert.is(digestIds[0], "njiro-1");
+    assert.not(digestIds.includes("peer-0"));
+    assert.is(new Set(digestIds).size, MAX_DIGEST_MEMBERS);
   }
 });
 
--- a/packages/core/src/holder_presence.ts
+++ b/packages/core/src/holder_presence.ts
@@ -7,46 +7,46 @@
 import type { ShardView } from "./shard_view.ts";
 
 /** Who sent a message, and its beat where it carried one. */
-export interface HolderWord {
+export interface HolderSender {
   readonly holderId: string;
   readonly incarnation: number;
-  readonly beat?: number;
+  readonly holderBeat?: number;
 }
 
 /**
  * Notes that a holder was heard.
  *
  * @param shard The shard.
- * @param word Who was heard.
+ * @param sender Who was heard.
  * @param nowMs The local time.
  * @returns What is known of it; undefined where the word is of an incarnation
  * that has been replaced.
  */
-export function hearHolder(
+export function recordHolder(
   shard: Shard,
-  word: HolderWord,
+  sender: HolderSender,
   nowMs: number,
 ): HolderSeen | undefined {
-  const known = shard.holders.get(word.holderId);
-  if (known !== undefined && known.incarnation > word.incarnation) {
+  const existing = shard.holders.get(sender.holderId);
+  if (existing !== undefined && existing.incarnation > sender.incarnation) {
     return undefined;
   }
-  if (known === undefined || known.incarnation < word.incarnation) {
-    const seen = {
-      incarnation: word.incarnation,
-      beat: word.beat ?? 0,
+  if (existing === undefined || existing.incarnation < sender.incarnation) {
+    const created = {
+      incarnation: sender.incarnation,
+      beat: sender.holderBeat ?? 0,
       beatHeardAtMs: nowMs,
       reportBeat: -1,
     };
-    shard.holders.set(word.holderId, seen);
-    dropHolder(shard, { ...word, nowMs });
-    return seen;
+    shard.holders.set(sender.holderId, created);
+    dropEarlierIncarnations(shard, { ...sender, nowMs });
+    return created;
   }
-  if (word.beat !== undefined && word.beat > known.beat) {
-    known.beat = word.beat;
-    known.beatHeardAtMs = nowMs;
+  if (sender.holderBeat !== undefined && sender.holderBeat > existing.beat) {
+    existing.beat = sender.holderBeat;
+    existing.beatHeardAtMs = nowMs;
   }
-  return known;
+  return existing;
 }
 
 /**
@@ -54,14 +54,14 @@
  *
  * @param view The shard.
  */
-export function dropGone(view: ShardView): void {
+export function dropStaleHolderState(view: ShardView): void {
   const { shard, nowMs, turn, settings } = view;
-  for (const [holderId, seen] of [...shard.holders]) {
-    if (isGone(turn.board, { holderId, seen, nowMs })) {
+  for (const [holderId, holder] of [...shard.holders]) {
+    if (isGone(turn.board, { holderId, seen: holder, nowMs })) {
       shard.holders.delete(holderId);
-      dropHolder(shard, {
+      dropEarlierIncarnations(shard, {
         holderId,
-        incarnation: seen.incarnation + 1,
+        incarnation: holder.incarnation + 1,
         nowMs,
       });
     }
@@ -75,20 +75,20 @@
 }
 
 /** Forgets the asks of a holder's earlier incarnations, and orphans its work. */
-function dropHolder(
+function dropEarlierIncarnations(
   shard: Shard,
   holder: { holderId: string; incarnation: number; nowMs: number },
 ): void {
-  const isOld = (owner: { holderId: string; holderIncarnation: number }) =>
+  const isEarlier = (owner: { holderId: string; holderIncarnation: number }) =>
     owner.holderId === holder.holderId &&
     owner.holderIncarnation < holder.incarnation;
   for (const ask of [...shard.waiting.values()]) {
-    if (isOld(ask)) {
+    if (isEarlier(ask)) {
       removeWaiting(shard, ask.detail.requestId);
     }
   }
   for (const grant of shard.grants.values()) {
-    if (isOld(grant)) {
+    if (isEarlier(grant)) {
       grant.orphanedAtMs ??= holder.nowMs;
     }
   }
--- a/packages/core/src/holder_reconcile.ts
+++ b/packages/core/src/holder_reconcile.ts
@@ -7,12 +7,12 @@
 } from "@chestnuthatch/wire/peer_messages";
 import type { GrantAccount } from "./blackboard.ts";
 import { closeGrant, preemptGrant } from "./grant_account.ts";
-import { hearHolder, type HolderWord } from "./holder_presence.ts";
-import { HOLDER_BEAT_MS } from "./holder_report.ts";
+import { type HolderSender, recordHolder } from "./holder_presence.ts";
+import { HOLDER_BEAT_INTERVAL_MS } from "./holder_report.ts";
 import type { ShardView } from "./shard_view.ts";
 
 /** Beats beyond a grant's lifetime before an unlisted grant is taken back. */
-const MARGIN_BEATS = 2;
+const GRANT_MARGIN_BEATS = 2;
 
 /** How long closed work is left out of `AsksUnknown`: its answer is under way. */
 const CLOSED_GRACE_MS = 1000;
@@ -24,30 +24,30 @@
  *
  * @param view The shard.
  * @param report The report.
- * @param word Who sent it.
+ * @param sender Who sent it.
  */
 export function reconcileReport(
   view: ShardView,
   report: HolderReport,
-  word: HolderWord,
+  sender: HolderSender,
 ): void {
   const { shard, nowMs } = view;
-  const seen = hearHolder(shard, word, nowMs);
-  if (seen === undefined || report.holderBeat < seen.reportBeat) {
+  const holder = recordHolder(shard, sender, nowMs);
+  if (holder === undefined || report.holderBeat < holder.reportBeat) {
     return;
   }
-  seen.reportBeat = report.holderBeat;
-  renewAsks(view, report, word);
+  holder.reportBeat = report.holderBeat;
+  renewAsks(view, report, sender);
   for (const work of report.running) {
-    noteRunning(view, work, { ...word, beat: report.holderBeat });
+    recordRunningWork(view, work, { ...sender, holderBeat: report.holderBeat });
   }
-  freeUnlisted(view, report, word);
+  closeUnlistedGrants(view, report, sender);
 }
 
 function renewAsks(
   view: ShardView,
   report: HolderReport,
-  { holderId }: HolderWord,
+  { holderId }: HolderSender,
 ): void {
   const { shard, nowMs } = view;
   const granted = new Set(
@@ -59,7 +59,7 @@
     if (ask?.holderId === holderId) {
       ask.renewedAtMs = nowMs;
       ask.holderBeat = report.holderBeat;
-    } else if (!granted.has(requestId) && !closedLately(view, requestId)) {
+    } else if (!granted.has(requestId) && !wasClosedRecently(view, requestId)) {
       unknownIds.push(requestId);
     }
   }
@@ -73,23 +73,23 @@
   }
 }
 
-function closedLately(view: ShardView, id: string): boolean {
-  const closed = view.shard.closed.get(id);
+function wasClosedRecently(view: ShardView, requestId: string): boolean {
+  const closed = view.shard.closed.get(requestId);
   return closed !== undefined &&
     view.nowMs - closed.closedAtMs < CLOSED_GRACE_MS;
 }
 
-function noteRunning(
+function recordRunningWork(
   view: ShardView,
   work: RunningWork,
-  word: Required<HolderWord>,
+  sender: Required<HolderSender>,
 ): void {
   const { shard, nowMs } = view;
-  const grant = shard.grants.get(work.grantId) ?? adopt(view, work, word);
+  const grant = shard.grants.get(work.grantId) ?? adoptWork(view, work, sender);
   if (grant === undefined) {
     return;
   }
-  grant.listedBeat = word.beat;
+  grant.listedBeat = sender.holderBeat;
   grant.orphanedAtMs = undefined;
   grant.usedAtMs = Math.min(grant.usedAtMs, nowMs);
   grant.used = true;
@@ -100,24 +100,26 @@
 }
 
 /** Takes work into the account that another coordinator granted. */
-function adopt(
+function adoptWork(
   view: ShardView,
   work: RunningWork,
-  word: Required<HolderWord>,
+  sender: Required<HolderSender>,
 ): GrantAccount | undefined {
   const { shard, nowMs } = view;
   if (shard.closed.has(work.grantId)) {
     return undefined;
   }
-  const room = view.rooms.find((each) => each.targetId === work.targetId);
-  const detail = { ...ADOPTED_ASK, ...work };
+  const room = view.rooms.find((candidate) =>
+    candidate.targetId === work.targetId
+  );
+  const detail = { ...ADOPTED_ASK_DEFAULTS, ...work };
   const serviceMs = room === undefined ? 0 : view.predict(room, detail).totalMs;
   const grant: GrantAccount = {
     grantId: work.grantId,
     requestId: work.requestId,
-    holderId: word.holderId,
-    holderIncarnation: word.incarnation,
-    holderBeat: word.beat,
+    holderId: sender.holderId,
+    holderIncarnation: sender.incarnation,
+    holderBeat: sender.holderBeat,
     work,
     kvTokens: view.kvTokensOf(detail),
     grantedAtMs: nowMs,
@@ -125,7 +127,7 @@
     used: true,
     preempted: false,
     usedAtMs: nowMs,
-    listedBeat: word.beat,
+    listedBeat: sender.holderBeat,
     costMs: 0,
     prefillQueueMs: 0,
     prefillMs: 0,
@@ -138,7 +140,7 @@
 }
 
 /** What an adopted grant's ask cannot be known to have said. */
-const ADOPTED_ASK = {
+const ADOPTED_ASK_DEFAULTS = {
   askNumber: 0,
   value: 0,
   timeLeftMs: 0,
@@ -152,22 +154,22 @@
  * Takes back grants that their holder's report does not list: work it listed
  * before has ended, and a grant past its lifetime can no longer be used.
  */
-function freeUnlisted(
+function closeUnlistedGrants(
   view: ShardView,
   report: HolderReport,
-  { holderId }: HolderWord,
+  { holderId }: HolderSender,
 ): void {
   const { shard, settings, nowMs } = view;
-  const listed = new Set(report.running.map((work) => work.grantId));
-  const lifetimeBeats = MARGIN_BEATS +
-    Math.ceil(settings.timing.grantLifetimeMs / HOLDER_BEAT_MS);
+  const listedGrantIds = new Set(report.running.map((work) => work.grantId));
+  const lifetimeBeats = GRANT_MARGIN_BEATS +
+    Math.ceil(settings.timing.grantLifetimeMs / HOLDER_BEAT_INTERVAL_MS);
   for (const grant of [...shard.grants.values()]) {
     const { listedBeat, holderBeat } = grant;
     const hasEnded = listedBeat >= 0 && report.holderBeat > listedBeat;
-    const hasLapsed = report.holderBeat > holderBeat + lifetimeBeats;
+    const hasExpired = report.holderBeat > holderBeat + lifetimeBeats;
     if (
-      grant.holderId === holderId && !listed.has(grant.grantId) &&
-      (hasEnded || hasLapsed)
+      grant.holderId === holderId && !listedGrantIds.has(grant.grantId) &&
+      (hasEnded || hasExpired)
     ) {
       closeGrant(shard, grant, { nowMs, kvTokens: 0 });
     }
--- a/packages/core/src/holder_report.ts
+++ b/packages/core/src/holder_report.ts
@@ -10,11 +10,11 @@
 import { RequestState } from "./request.ts";
 
 /** How often the holder's beat rises. */
-export const HOLDER_BEAT_MS = 250;
+export const HOLDER_BEAT_INTERVAL_MS = 250;
 /** Beats remembered for judging the age of grants. */
-const MAX_BEATS = 64;
+const MAX_RECORDED_BEATS = 64;
 
-interface Report {
+interface PendingReport {
   readonly pool: string;
   readonly failureDomain: string;
   readonly coordinatorId: string;
@@ -27,15 +27,15 @@
  *
  * @param turn The turn of a tick.
  */
-export function beat(turn: Turn): void {
+export function incrementHolderBeat(turn: Turn): void {
   const { requests } = turn.board;
-  if (turn.nowMs - requests.lastBeatAtMs < HOLDER_BEAT_MS) {
+  if (turn.nowMs - requests.lastBeatAtMs < HOLDER_BEAT_INTERVAL_MS) {
     return;
   }
   requests.lastBeatAtMs = turn.nowMs;
   requests.holderBeat += 1;
   requests.beatBegunAtMs.set(requests.holderBeat, turn.nowMs);
-  requests.beatBegunAtMs.delete(requests.holderBeat - MAX_BEATS);
+  requests.beatBegunAtMs.delete(requests.holderBeat - MAX_RECORDED_BEATS);
 }
 
 /**
@@ -45,36 +45,39 @@
  */
 export function reportToCoordinators(turn: Turn): void {
   const { requests, settings } = turn.board;
-  const everyMs = settings.inForce!.timing.holderReportMs;
-  if (turn.nowMs - requests.lastReportAtMs < everyMs) {
+  const intervalMs = settings.inForce!.timing.holderReportMs;
+  if (turn.nowMs - requests.lastReportAtMs < intervalMs) {
     return;
   }
   requests.lastReportAtMs = turn.nowMs;
-  const reports = gatherReports(turn);
-  addClosingReports(turn, reports);
+  const reports = collectReports(turn);
+  addFinalReports(turn, reports);
   requests.reportedTo.clear();
   for (const report of reports.values()) {
     sendReport(turn, report);
-    rememberReport(turn, report);
+    recordRecipient(turn, report);
   }
 }
 
-function gatherReports(turn: Turn): Map<string, Report> {
-  const reports = new Map<string, Report>();
+function collectReports(turn: Turn): Map<string, PendingReport> {
+  const reports = new Map<string, PendingReport>();
   for (const request of turn.board.requests.unfinished.values()) {
     if (request.state === RequestState.Waiting) {
-      addWaiting(reports, request);
+      addWaitingRequest(reports, request);
     } else if (request.state === RequestState.Dispatched) {
-      addRunning(turn, reports, request);
+      addRunningRequest(turn, reports, request);
     }
   }
   return reports;
 }
 
-function addWaiting(reports: Map<string, Report>, request: HeldRequest): void {
+function addWaitingRequest(
+  reports: Map<string, PendingReport>,
+  request: HeldRequest,
+): void {
   for (const ask of request.asks.values()) {
     if (ask.state !== AskState.Refused) {
-      reportFor(reports, {
+      getOrCreateReport(reports, {
         pool: request.spec.pool,
         failureDomain: ask.failureDomain,
         coordinatorId: ask.coordinatorId,
@@ -83,23 +86,23 @@
   }
 }
 
-function addRunning(
+function addRunningRequest(
   turn: Turn,
-  reports: Map<string, Report>,
+  reports: Map<string, PendingReport>,
   request: HeldRequest,
 ): void {
   const { pool } = request.spec;
   const { failureDomain, coordinatorId } = request.attempt!;
   const work = runningWorkOf(request);
   const key = shardKey(pool, failureDomain);
-  const [rightful] = rankCoordinators(
+  const [currentCoordinator] = rankCoordinators(
     turn.board,
     { key, failureDomain },
     turn.nowMs,
   );
-  const rightfulId = rightful?.instanceId ?? coordinatorId;
-  for (const id of new Set([coordinatorId, rightfulId])) {
-    reportFor(reports, { pool, failureDomain, coordinatorId: id })
+  const currentCoordinatorId = currentCoordinator?.instanceId ?? coordinatorId;
+  for (const id of new Set([coordinatorId, currentCoordinatorId])) {
+    getOrCreateReport(reports, { pool, failureDomain, coordinatorId: id })
       .running.push(work);
   }
 }
@@ -120,11 +123,14 @@
   };
 }
 
-function addClosingReports(turn: Turn, reports: Map<string, Report>): void {
+function addFinalReports(
+  turn: Turn,
+  reports: Map<string, PendingReport>,
+): void {
   for (const [key, coordinatorIds] of turn.board.requests.reportedTo) {
     const separator = key.lastIndexOf("@");
     for (const coordinatorId of coordinatorIds) {
-      reportFor(reports, {
+      getOrCreateReport(reports, {
         pool: key.slice(0, separator),
         failureDomain: key.slice(separator + 1),
         coordinatorId,
@@ -133,10 +139,10 @@
   }
 }
 
-function reportFor(
-  reports: Map<string, Report>,
+function getOrCreateReport(
+  reports: Map<string, PendingReport>,
   of: { pool: string; failureDomain: string; coordinatorId: string },
-): Report {
+): PendingReport {
   const key = `${shardKey(of.pool, of.failureDomain)}/${of.coordinatorId}`;
   const report = reports.get(key) ??
     { ...of, waitingRequestIds: [], running: [] };
@@ -144,7 +150,7 @@
   return report;
 }
 
-function sendReport(turn: Turn, report: Report): void {
+function sendReport(turn: Turn, report: PendingReport): void {
   const { coordinatorId, ...body } = report;
   turn.send(coordinatorId, {
     kind: PeerMessageKind.HolderReport,
@@ -153,7 +159,7 @@
   });
 }
 
-function rememberReport(turn: Turn, report: Report): void {
+function recordRecipient(turn: Turn, report: PendingReport): void {
   if (report.waitingRequestIds.length + report.running.length === 0) {
     return;
   }
--- a/packages/core/src/member_table.ts
+++ b/packages/core/src/member_table.ts
@@ -11,10 +11,10 @@
 const MAX_MEMBERS = 4096;
 
 /** Member timeouts of silence after which an unlisted member is forgotten. */
-const FORGET_AFTER_TIMEOUTS = 12;
+const REMOVE_AFTER_TIMEOUTS = 12;
 
 /** What is known of a member before it was heard. */
-export interface MemberPlace {
+export interface MemberLocation {
   readonly instanceId: string;
   /** Empty while unknown. */
   readonly failureDomain: string;
@@ -26,26 +26,26 @@
  * Finds a member, or adds it.
  *
  * @param board The instance's state.
- * @param place What is known of it, used only when it is new.
+ * @param location What is known of it, used only when it is new.
  * @returns The member, or nothing when the table is full.
  */
 export function ensureMember(
   board: Blackboard,
-  place: MemberPlace,
+  location: MemberLocation,
 ): Member | undefined {
   const { byId } = board.members;
-  const known = byId.get(place.instanceId);
-  if (known !== undefined || byId.size >= MAX_MEMBERS) {
-    return known;
+  const existing = byId.get(location.instanceId);
+  if (existing !== undefined || byId.size >= MAX_MEMBERS) {
+    return existing;
   }
-  const member = newMember(place);
-  byId.set(place.instanceId, member);
+  const member = createMember(location);
+  byId.set(location.instanceId, member);
   return member;
 }
 
-function newMember(place: MemberPlace): Member {
+function createMember(location: MemberLocation): Member {
   return {
-    ...place,
+    ...location,
     incarnation: 0,
     heartbeat: 0,
     leaving: false,
@@ -66,16 +66,17 @@
 export function mergeInstanceList(turn: Turn, list: InstanceList): void {
   const { members } = turn.board;
   const asOfMs = turn.nowMs - list.lagMs;
-  const entries = list.instances.filter((one) =>
-    one.kind === ListedKind.Entry && one.id !== turn.board.self.instanceId
+  const entries = list.instances.filter((instance) =>
+    instance.kind === ListedKind.Entry &&
+    instance.id !== turn.board.self.instanceId
   );
-  const isOlder = asOfMs < (members.listAsOfMs ?? -Infinity);
+  const isStale = asOfMs < (members.listAsOfMs ?? -Infinity);
   for (const entry of entries) {
-    if (!isOlder || !members.byId.has(entry.id)) {
-      takeListed(turn.board, entry);
+    if (!isStale || !members.byId.has(entry.id)) {
+      applyListEntry(turn.board, entry);
     }
   }
-  if (isOlder) {
+  if (isStale) {
     return;
   }
   members.listAsOfMs = asOfMs;
@@ -86,10 +87,10 @@
       member.listedLeaving = false;
     }
   }
-  takeOwnListing(turn.board, list);
+  applyOwnListEntry(turn.board, list);
 }
 
-function takeListed(
+function applyListEntry(
   board: Blackboard,
   entry: InstanceList["instances"][number],
 ): void {
@@ -106,12 +107,14 @@
   }
 }
 
-function takeOwnListing(board: Blackboard, list: InstanceList): void {
-  const own = list.instances.find((one) => one.id === board.self.instanceId);
+function applyOwnListEntry(board: Blackboard, list: InstanceList): void {
+  const ownEntry = list.instances.find((instance) =>
+    instance.id === board.self.instanceId
+  );
   const self = board.members.byId.get(board.self.instanceId);
   if (self !== undefined) {
-    self.listed = own !== undefined;
-    self.listedLeaving = own?.leaving === true;
+    self.listed = ownEntry !== undefined;
+    self.listedLeaving = ownEntry?.leaving === true;
   }
 }
 
@@ -120,19 +123,19 @@
  *
  * @param turn The present turn.
  */
-export function forgetGoneMembers(turn: Turn): void {
+export function removeGoneMembers(turn: Turn): void {
   const { board, nowMs } = turn;
-  const forgetAfterMs = FORGET_AFTER_TIMEOUTS * timingOf(board).memberTimeoutMs;
+  const removeAfterMs = REMOVE_AFTER_TIMEOUTS * timingOf(board).memberTimeoutMs;
   for (const member of [...board.members.byId.values()]) {
     const isSelf = member.instanceId === board.self.instanceId;
-    const isSilent = nowMs - member.lastAdvancedMs > forgetAfterMs;
+    const isSilent = nowMs - member.lastAdvancedMs > removeAfterMs;
     if (!isSelf && !member.listed && !member.connected && isSilent) {
-      forget(turn, member);
+      removeMember(turn, member);
     }
   }
 }
 
-function forget(turn: Turn, member: Member): void {
+function removeMember(turn: Turn, member: Member): void {
   turn.board.members.byId.delete(member.instanceId);
   if (member.dialledAddress !== undefined) {
     turn.emit({ kind: EffectKind.ForgetPeer, peerId: member.instanceId });
--- a/packages/core/src/membership_controller.ts
+++ b/packages/core/src/membership_controller.ts
@@ -13,19 +13,19 @@
 import { EventKind, type EventOf } from "./events.ts";
 import { onEveryEvent } from "./every_event.ts";
 import {
-  beat,
-  hearMembers,
-  refreshSelf,
-  sendHeartbeat,
+  gossipHeartbeat,
+  mergeHeartbeat,
+  sendDigest,
+  updateOwnMember,
 } from "./heartbeat_gossip.ts";
 import {
   ensureMember,
-  forgetGoneMembers,
   mergeInstanceList,
+  removeGoneMembers,
 } from "./member_table.ts";
-import { notePause } from "./pause_watch.ts";
+import { detectPause } from "./pause_detection.ts";
 import { timingOf, withJitter } from "./timing.ts";
-import { keepConnections } from "./wanted_peers.ts";
+import { updateConnections } from "./peer_connections.ts";
 
 /** An instance named by the start settings. */
 export interface SeedPeer {
@@ -44,36 +44,39 @@
   /** @param seedPeers Instances named by the start settings. */
   constructor(seedPeers: readonly SeedPeer[]) {
     this.#seedPeers = seedPeers;
-    const own: Controller = { name: this.name, handlers: OWN_HANDLERS };
+    const ownController: Controller = {
+      name: this.name,
+      handlers: MEMBERSHIP_HANDLERS,
+    };
     this.handlers = onEveryEvent((event, turn) => {
-      this.#begin(turn);
-      notePause(turn);
-      runController(own, event, turn);
+      this.#initialize(turn);
+      detectPause(turn);
+      runController(ownController, event, turn);
     });
   }
 
-  #begin(turn: Turn): void {
+  #initialize(turn: Turn): void {
     const { members, self } = turn.board;
     if (members.byId.has(self.instanceId)) {
       return;
     }
-    refreshSelf(turn);
+    updateOwnMember(turn);
     for (const { instanceId, failureDomain, address } of this.#seedPeers) {
-      addSeed(turn.board, { instanceId, failureDomain, address });
+      addSeedMember(turn.board, { instanceId, failureDomain, address });
     }
   }
 }
 
-const OWN_HANDLERS: EventHandlers = {
+const MEMBERSHIP_HANDLERS: EventHandlers = {
   [EventKind.Tick]: (_event, turn) => onTick(turn),
-  [EventKind.PeerConnected]: onConnected,
+  [EventKind.PeerConnected]: onPeerConnected,
   [EventKind.PeerDisconnected]: ({ peerId }, turn) =>
-    onDisconnected(turn, peerId),
+    onPeerDisconnected(turn, peerId),
   [EventKind.PeerMessageReceived]: onMessage,
-  [EventKind.InstanceListRead]: onList,
+  [EventKind.InstanceListRead]: onInstanceList,
 };
 
-function addSeed(board: Blackboard, seed: SeedPeer): void {
+function addSeedMember(board: Blackboard, seed: SeedPeer): void {
   const member = ensureMember(board, seed);
   if (member !== undefined) {
     member.address = seed.address;
@@ -82,18 +85,18 @@
 }
 
 function onTick(turn: Turn): void {
-  refreshSelf(turn);
-  refreshView(turn);
-  pollList(turn);
+  updateOwnMember(turn);
+  updateView(turn);
+  pollInstanceList(turn);
   const { heartbeatMs } = timingOf(turn.board);
   if (turn.nowMs - turn.board.members.lastHeartbeatAtMs >= heartbeatMs) {
-    forgetGoneMembers(turn);
-    keepConnections(turn);
-    beat(turn);
+    removeGoneMembers(turn);
+    updateConnections(turn);
+    gossipHeartbeat(turn);
   }
 }
 
-function pollList(turn: Turn): void {
+function pollInstanceList(turn: Turn): void {
   const { members } = turn.board;
   if (turn.nowMs < (members.nextListPollAtMs ?? -Infinity)) {
     return;
@@ -104,7 +107,7 @@
   turn.emit({ kind: EffectKind.PollInstanceList });
 }
 
-function onConnected(
+function onPeerConnected(
   event: EventOf<EventKind.PeerConnected>,
   turn: Turn,
 ): void {
@@ -118,16 +121,16 @@
   if (member !== undefined) {
     member.connected = true;
     member.failureDomain ||= failureDomain;
-    sendHeartbeat(turn, peerId);
-    refreshView(turn);
+    sendDigest(turn, peerId);
+    updateView(turn);
   }
 }
 
-function onDisconnected(turn: Turn, peerId: string): void {
+function onPeerDisconnected(turn: Turn, peerId: string): void {
   const member = turn.board.members.byId.get(peerId);
   if (member !== undefined) {
     member.connected = false;
-    refreshView(turn);
+    updateView(turn);
   }
 }
 
@@ -136,47 +139,55 @@
   turn: Turn,
 ): void {
   if (event.message.kind === PeerMessageKind.Heartbeat) {
-    hearMembers(turn, event.message.members);
-    refreshView(turn);
+    mergeHeartbeat(turn, event.message.members);
+    updateView(turn);
   }
 }
 
-function onList(event: EventOf<EventKind.InstanceListRead>, turn: Turn): void {
+function onInstanceList(
+  event: EventOf<EventKind.InstanceListRead>,
+  turn: Turn,
+): void {
   mergeInstanceList(turn, event.list);
-  forgetGoneMembers(turn);
-  keepConnections(turn);
-  refreshView(turn);
+  removeGoneMembers(turn);
+  updateConnections(turn);
+  updateView(turn);
 }
 
 /** Raises the view number when the set of eligible members has changed. */
-function refreshView(turn: Turn): void {
+function updateView(turn: Turn): void {
   const { members } = turn.board;
-  const view = new Set(
+  const currentView = new Set(
     [...members.byId.values()]
       .filter((member) => isEligible(turn.board, member, turn.nowMs))
       .map((member) => `${member.instanceId}/${member.incarnation}`),
   );
-  const before = members.view ?? new Set<string>();
-  const joined = [...view].filter((one) => !before.has(one));
-  const left = [...before].filter((one) => !view.has(one));
+  const previousView = members.view ?? new Set<string>();
+  const joined = [...currentView].filter((memberKey) =>
+    !previousView.has(memberKey)
+  );
+  const left = [...previousView].filter((memberKey) =>
+    !currentView.has(memberKey)
+  );
   if (joined.length + left.length === 0) {
     return;
   }
-  members.view = view;
+  members.view = currentView;
   members.viewNumber += 1;
-  logView(turn, { joined, left });
+  logViewChange(turn, { joined, left });
 }
 
-function logView(
+function logViewChange(
   turn: Turn,
   change: { joined: readonly string[]; left: readonly string[] },
 ): void {
-  const list = (ids: readonly string[]) => ids.toSorted().join(", ") || "none";
+  const formatIds = (ids: readonly string[]) =>
+    ids.toSorted().join(", ") || "none";
   turn.log(
     LogLevel.Info,
     LogPart.Members,
     `View ${turn.board.members.viewNumber}: joined ${
-      list(change.joined)
-    }; left ${list(change.left)}.`,
+      formatIds(change.joined)
+    }; left ${formatIds(change.left)}.`,
   );
 }
--- a/packages/core/src/pause_watch.ts
+++ b/packages/core/src/pause_detection.ts
@@ -5,7 +5,7 @@
 import { timingOf } from "./timing.ts";
 
 /** Share of the member timeout that a gap between events must pass. */
-const PAUSE_SHARE = 0.5;
+const PAUSE_TIMEOUT_SHARE = 0.5;
 
 /**
  * Looks at the gap since the latest event, of which ticks alone make many a
@@ -15,12 +15,12 @@
  *
  * @param turn The present turn.
  */
-export function notePause(turn: Turn): void {
+export function detectPause(turn: Turn): void {
   const { members } = turn.board;
   const { memberTimeoutMs } = timingOf(turn.board);
   const gapMs = turn.nowMs - (members.lastEventAtMs ?? turn.nowMs);
   members.lastEventAtMs = turn.nowMs;
-  if (gapMs <= memberTimeoutMs * PAUSE_SHARE) {
+  if (gapMs <= memberTimeoutMs * PAUSE_TIMEOUT_SHARE) {
     return;
   }
   for (const member of members.byId.values()) {
--- a/packages/core/src/wanted_peers.ts
+++ b/packages/core/src/peer_connections.ts
@@ -11,13 +11,13 @@
 export const FULL_MESH_MEMBERS = 32;
 
 /** Most connections kept in a larger fleet. */
-export const MAX_WANTED_PEERS = 32;
+export const MAX_PEER_CONNECTIONS = 32;
 
 /** Peers kept for gossip alone in a larger fleet. */
 const GOSSIP_NEIGHBOURS = 8;
 
 /** Coordinators of each own shard that are kept: the present one and the next. */
-const COORDINATORS_KEPT = 2;
+const CONNECTED_COORDINATORS_PER_SHARD = 2;
 
 /**
  * Names the peers to keep connected: all in a small fleet; in a larger one a
@@ -27,26 +27,26 @@
  * @param nowMs The local time.
  * @returns Instance ids, a bounded number in a larger fleet.
  */
-export function wantedPeers(board: Blackboard, nowMs: number): Set<string> {
+export function selectPeerIds(board: Blackboard, nowMs: number): Set<string> {
   const others = [...board.members.byId.values()].filter((member) =>
     member.instanceId !== board.self.instanceId
   );
   if (board.members.byId.size <= FULL_MESH_MEMBERS) {
     return new Set(others.map((member) => member.instanceId));
   }
-  const wanted = new Set(gossipNeighbours(board, others, nowMs));
-  for (const peerId of dutyPeers(board, nowMs)) {
-    if (wanted.size >= MAX_WANTED_PEERS) {
+  const selected = new Set(gossipNeighbourIds(board, others, nowMs));
+  for (const peerId of counterpartIds(board, nowMs)) {
+    if (selected.size >= MAX_PEER_CONNECTIONS) {
       break;
     }
     if (peerId !== board.self.instanceId && board.members.byId.has(peerId)) {
-      wanted.add(peerId);
+      selected.add(peerId);
     }
   }
-  return wanted;
+  return selected;
 }
 
-function gossipNeighbours(
+function gossipNeighbourIds(
   board: Blackboard,
   others: readonly Member[],
   nowMs: number,
@@ -62,13 +62,15 @@
   return scored.slice(0, GOSSIP_NEIGHBOURS).map(({ id }) => id);
 }
 
-function* dutyPeers(board: Blackboard, nowMs: number): Generator<string> {
-  yield* ownShardCoordinators(board, nowMs);
-  for (const held of board.requests.byId.values()) {
-    if (held.attempt !== undefined && held.state === RequestState.Dispatched) {
-      yield held.attempt.coordinatorId;
+function* counterpartIds(board: Blackboard, nowMs: number): Generator<string> {
+  yield* localShardCoordinatorIds(board, nowMs);
+  for (const request of board.requests.byId.values()) {
+    if (
+      request.attempt !== undefined && request.state === RequestState.Dispatched
+    ) {
+      yield request.attempt.coordinatorId;
     }
-    for (const ask of held.asks.values()) {
+    for (const ask of request.asks.values()) {
       yield ask.coordinatorId;
     }
   }
@@ -83,7 +85,7 @@
 }
 
 /** Judged without regard to connections, or wanting one would end it. */
-function ownShardCoordinators(board: Blackboard, nowMs: number): string[] {
+function localShardCoordinatorIds(board: Blackboard, nowMs: number): string[] {
   const { failureDomain } = board.self;
   const alive = [...board.members.byId.values()].filter((member) =>
     isAlive(board, member, nowMs) && !member.leaving
@@ -95,7 +97,7 @@
   );
   return [...pools].flatMap((pool) =>
     rankMembers(alive, { key: shardKey(pool, failureDomain), failureDomain })
-      .slice(0, COORDINATORS_KEPT)
+      .slice(0, CONNECTED_COORDINATORS_PER_SHARD)
       .map((member) => member.instanceId)
   );
 }
@@ -106,17 +108,17 @@
  *
  * @param turn The present turn.
  */
-export function keepConnections(turn: Turn): void {
-  const wanted = wantedPeers(turn.board, turn.nowMs);
-  for (const peerId of wanted) {
+export function updateConnections(turn: Turn): void {
+  const selected = selectPeerIds(turn.board, turn.nowMs);
+  for (const peerId of selected) {
     dial(turn, turn.board.members.byId.get(peerId));
   }
   const dialled = [...turn.board.members.byId.values()].filter((member) =>
     member.dialledAddress !== undefined
   );
-  if (dialled.length > MAX_WANTED_PEERS) {
-    dialled.filter((member) => !wanted.has(member.instanceId))
-      .forEach((member) => endConnection(turn, member));
+  if (dialled.length > MAX_PEER_CONNECTIONS) {
+    dialled.filter((member) => !selected.has(member.instanceId))
+      .forEach((member) => closeConnection(turn, member));
   }
 }
 
@@ -135,7 +137,7 @@
   });
 }
 
-function endConnection(turn: Turn, member: Member): void {
+function closeConnection(turn: Turn, member: Member): void {
   member.dialledAddress = undefined;
   turn.emit({ kind: EffectKind.ForgetPeer, peerId: member.instanceId });
 }
--- a/packages/core/src/readiness.ts
+++ b/packages/core/src/readiness.ts
@@ -28,6 +28,6 @@
       "listed as leaving by the platform",
     ],
   ];
-  const reasons = checks.filter(([holds]) => holds).map(([, text]) => text);
+  const reasons = checks.filter(([applies]) => applies).map(([, text]) => text);
   return { ready: reasons.length === 0, reasons };
 }
--- a/packages/core/src/request_controller.ts
+++ b/packages/core/src/request_controller.ts
@@ -28,7 +28,7 @@
 import { onDispatchNotSent, onGrant, onPreempt } from "./dispatch_flow.ts";
 import { CounterName, EffectKind } from "./effects.ts";
 import { EventKind, type EventOf } from "./events.ts";
-import { beat, reportToCoordinators } from "./holder_report.ts";
+import { incrementHolderBeat, reportToCoordinators } from "./holder_report.ts";
 import { keyName } from "./claim_rows.ts";
 import { forgetOldRequests, isFinished } from "./held_requests.ts";
 import { answerCall, dropCaller, endRequest, runStateOf } from "./outcomes.ts";
@@ -258,7 +258,7 @@
   if (turn.board.settings.inForce === undefined) {
     return;
   }
-  beat(turn);
+  incrementHolderBeat(turn);
   for (const request of [...turn.board.requests.unfinished.values()]) {
     dropLateCallers(turn, request);
     TEND_BY_STATE[request.state]?.(turn, request);
--- a/packages/core/src/settings_controller.ts
+++ b/packages/core/src/settings_controller.ts
@@ -11,17 +11,17 @@
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
 import { EventKind, type EventOf } from "./events.ts";
 import {
-  askForSettings,
-  askNewerPeer,
-  forgetOffer,
-  noteOfferFrom,
+  clearOffer,
   offerSettings,
-  offerToOlderPeers,
+  offerToOutdatedPeers,
+  recordPeerVersion,
+  requestNewerSettings,
+  requestSettings,
 } from "./settings_offers.ts";
 import { timingOf, withJitter } from "./timing.ts";
 
 /** Most faults of refused settings that are written to the log. */
-const MAX_FAULTS_LOGGED = 3;
+const MAX_LOGGED_FAULTS = 3;
 
 /** A version of the settings as the store or a peer hands it over. */
 interface SettingsVersion {
@@ -35,11 +35,12 @@
   readonly name = "settings";
   readonly handlers: EventHandlers = {
     [EventKind.Tick]: (_event, turn) => pollStore(turn),
-    [EventKind.SettingsRead]: (event, turn) => takeSettings(turn, event),
+    [EventKind.SettingsRead]: (event, turn) => applySettings(turn, event),
     [EventKind.PeerMessageReceived]: onMessage,
-    [EventKind.PeerConnected]: ({ peerId }, turn) => onConnected(turn, peerId),
+    [EventKind.PeerConnected]: ({ peerId }, turn) =>
+      onPeerConnected(turn, peerId),
     [EventKind.PeerDisconnected]: ({ peerId }, turn) =>
-      forgetOffer(turn.board, peerId),
+      clearOffer(turn.board, peerId),
   };
 }
 
@@ -50,50 +51,53 @@
   const { message, fromId } = event;
   switch (message.kind) {
     case PeerMessageKind.SettingsOffer:
-      noteOfferFrom(turn, { peerId: fromId, version: message.version });
-      return takeSettings(turn, message);
+      recordPeerVersion(turn, { peerId: fromId, version: message.version });
+      return applySettings(turn, message);
     case PeerMessageKind.SettingsWanted:
-      return onWanted(turn, { message, fromId });
+      return onSettingsWanted(turn, { message, fromId });
     case PeerMessageKind.Heartbeat:
       return onHeartbeat(turn, { message, fromId });
   }
 }
 
-function onWanted(
+function onSettingsWanted(
   turn: Turn,
-  asked: {
+  received: {
     message: PeerMessageOf<PeerMessageKind.SettingsWanted>;
     fromId: string;
   },
 ): void {
   const version = turn.board.settings.inForce?.version ?? 0;
-  if (version > asked.message.haveVersion) {
-    offerSettings(turn, asked.fromId);
+  if (version > received.message.haveVersion) {
+    offerSettings(turn, received.fromId);
   }
 }
 
 /** Only the sender's own word counts here; what it passes on may be old. */
 function onHeartbeat(
   turn: Turn,
-  heard: { message: PeerMessageOf<PeerMessageKind.Heartbeat>; fromId: string },
+  received: {
+    message: PeerMessageOf<PeerMessageKind.Heartbeat>;
+    fromId: string;
+  },
 ): void {
-  const { message, fromId } = heard;
-  const word = message.members.find((one) => one.instanceId === fromId);
+  const { message, fromId } = received;
+  const senderEntry = message.members.find((one) => one.instanceId === fromId);
   const version = turn.board.settings.inForce?.version ?? 0;
-  if (word === undefined || fromId === turn.board.self.instanceId) {
+  if (senderEntry === undefined || fromId === turn.board.self.instanceId) {
     return;
   }
-  if (word.settingsVersion < version) {
+  if (senderEntry.settingsVersion < version) {
     offerSettings(turn, fromId);
-  } else if (word.settingsVersion > version) {
-    askNewerPeer(turn, fromId);
+  } else if (senderEntry.settingsVersion > version) {
+    requestNewerSettings(turn, fromId);
   }
 }
 
-function onConnected(turn: Turn, peerId: string): void {
-  forgetOffer(turn.board, peerId);
+function onPeerConnected(turn: Turn, peerId: string): void {
+  clearOffer(turn.board, peerId);
   if (turn.board.settings.inForce === undefined) {
-    askForSettings(turn, peerId);
+    requestSettings(turn, peerId);
   }
 }
 
@@ -111,38 +115,38 @@
   });
 }
 
-function takeSettings(turn: Turn, given: SettingsVersion): void {
+function applySettings(turn: Turn, candidate: SettingsVersion): void {
   const { settings } = turn.board;
   const version = settings.inForce?.version ?? 0;
-  if (given.version > version) {
-    takeHigherVersion(turn, given);
+  if (candidate.version > version) {
+    applyHigherVersion(turn, candidate);
   } else if (
-    given.version === version && given.changeId !== settings.changeId
+    candidate.version === version && candidate.changeId !== settings.changeId
   ) {
-    refuse(turn, given, `it is in force as ${settings.changeId}`);
+    rejectVersion(turn, candidate, `it is in force as ${settings.changeId}`);
   }
 }
 
-function takeHigherVersion(turn: Turn, given: SettingsVersion): void {
+function applyHigherVersion(turn: Turn, candidate: SettingsVersion): void {
   const { settings } = turn.board;
-  if (wasRefused(turn, given)) {
+  if (wasRejected(turn, candidate)) {
     return;
   }
-  const tree = readSettings(given.content);
+  const tree = readSettings(candidate.content);
   if (tree.isErr()) {
-    const faults = tree.error.slice(0, MAX_FAULTS_LOGGED)
+    const faults = tree.error.slice(0, MAX_LOGGED_FAULTS)
       .map(describeFault);
-    refuse(turn, given, faults.join("; "));
+    rejectVersion(turn, candidate, faults.join("; "));
     return;
   }
-  settings.inForce = buildSettings(tree.value, given.version);
-  settings.content = given.content;
-  settings.changeId = given.changeId;
+  settings.inForce = buildSettings(tree.value, candidate.version);
+  settings.content = candidate.content;
+  settings.changeId = candidate.changeId;
   settings.refused = undefined;
-  announce(turn);
+  announceVersion(turn);
 }
 
-function announce(turn: Turn): void {
+function announceVersion(turn: Turn): void {
   const { inForce, changeId } = turn.board.settings;
   const version = inForce?.version ?? 0;
   turn.emit({ kind: EffectKind.SettingsInForce, version });
@@ -151,24 +155,28 @@
     LogPart.Settings,
     `Version ${version} (${changeId}) is in force.`,
   );
-  offerToOlderPeers(turn);
+  offerToOutdatedPeers(turn);
 }
 
-function wasRefused(turn: Turn, given: SettingsVersion): boolean {
+function wasRejected(turn: Turn, candidate: SettingsVersion): boolean {
   const { refused } = turn.board.settings;
-  return refused?.version === given.version &&
-    refused.content === given.content;
+  return refused?.version === candidate.version &&
+    refused.content === candidate.content;
 }
 
-function refuse(turn: Turn, given: SettingsVersion, why: string): void {
-  if (wasRefused(turn, given)) {
+function rejectVersion(
+  turn: Turn,
+  candidate: SettingsVersion,
+  reason: string,
+): void {
+  if (wasRejected(turn, candidate)) {
     return;
   }
-  const { version, content, changeId } = given;
+  const { version, content, changeId } = candidate;
   turn.board.settings.refused = { version, content };
   turn.log(
     LogLevel.Error,
     LogPart.Settings,
-    `Refused version ${version} (${changeId}): ${why}.`,
+    `Refused version ${version} (${changeId}): ${reason}.`,
   );
 }
--- a/packages/core/src/settings_controller_test.ts
+++ b/packages/core/src/settings_controller_test.ts
@@ -5,36 +5,36 @@
 import { EffectKind, LogLevel } from "./effects.ts";
 import { EventKind } from "./events.ts";
 import {
+  createTestCore,
   effectsOf,
-  makeFakeCore,
   START_MS,
   TEST_SETTINGS,
-} from "./fake_core.ts";
+} from "./test_core.ts";
 import { readinessOf } from "./readiness.ts";
 import type { SchedulerCore } from "./scheduler_core.ts";
-import { OFFER_REPEAT_MS, OFFERS_AT_ONCE } from "./settings_offers.ts";
+import { MIN_OFFER_INTERVAL_MS, OFFER_FANOUT } from "./settings_offers.ts";
 
 const PROPERTY = { seed: 12, numRuns: 200 };
 const BAD_SETTINGS = "tiers: { fault-notes: { rank: high } }";
 
-interface Given {
+interface SettingsInput {
   readonly version: number;
   readonly content?: string;
   readonly changeId?: string;
   readonly nowMs?: number;
 }
 
-function read(core: SchedulerCore, given: Given) {
+function receiveFromStore(core: SchedulerCore, input: SettingsInput) {
   return core.handle({
     kind: EventKind.SettingsRead,
-    nowMs: given.nowMs ?? START_MS,
-    version: given.version,
-    content: given.content ?? TEST_SETTINGS,
-    changeId: given.changeId ?? `change-${given.version}`,
+    nowMs: input.nowMs ?? START_MS,
+    version: input.version,
+    content: input.content ?? TEST_SETTINGS,
+    changeId: input.changeId ?? `change-${input.version}`,
   });
 }
 
-function offer(core: SchedulerCore, given: Given) {
+function receiveOffer(core: SchedulerCore, input: SettingsInput) {
   return core.handle({
     kind: EventKind.PeerMessageReceived,
     nowMs: START_MS,
@@ -42,14 +42,18 @@
     fromIncarnation: 1,
     message: {
       kind: PeerMessageKind.SettingsOffer,
-      version: given.version,
-      content: given.content ?? TEST_SETTINGS,
-      changeId: given.changeId ?? `change-${given.version}`,
+      version: input.version,
+      content: input.content ?? TEST_SETTINGS,
+      changeId: input.changeId ?? `change-${input.version}`,
     },
   });
 }
 
-function beatOf(core: SchedulerCore, version: number, nowMs = START_MS) {
+function repliesToHeartbeat(
+  core: SchedulerCore,
+  version: number,
+  nowMs = START_MS,
+) {
   const effects = core.handle({
     kind: EventKind.PeerMessageReceived,
     nowMs,
@@ -70,7 +74,7 @@
     .map(({ message }) => message.kind);
 }
 
-function errorsIn(effects: ReturnType<typeof read>): number {
+function errorsIn(effects: ReturnType<typeof receiveFromStore>): number {
   return effectsOf(effects, EffectKind.Log)
     .filter((effect) => effect.level === LogLevel.Error).length;
 }
@@ -84,15 +88,15 @@
   });
   fc.assert(
     fc.property(fc.array(step, { maxLength: 12 }), (steps) => {
-      const core = makeFakeCore(["njiro-2"]);
+      const core = createTestCore(["njiro-2"]);
       const { settings } = core.board;
       let version = 0;
       let changeId = "";
-      for (const { offered, ...given } of steps) {
-        (offered ? offer : read)(core, given);
-        const isTaken = given.version > version &&
-          given.content === TEST_SETTINGS;
-        if (isTaken) ({ version, changeId } = given);
+      for (const { offered, ...input } of steps) {
+        (offered ? receiveOffer : receiveFromStore)(core, input);
+        const isApplied = input.version > version &&
+          input.content === TEST_SETTINGS;
+        if (isApplied) ({ version, changeId } = input);
         assert.is(settings.inForce?.version ?? 0, version);
         assert.is(settings.changeId, changeId);
       }
@@ -102,43 +106,61 @@
 });
 
 test("should log the same bad content once and take a good one after it", () => {
-  const core = makeFakeCore();
-  assert.is(errorsIn(read(core, { version: 2, content: BAD_SETTINGS })), 1);
-  assert.is(errorsIn(read(core, { version: 2, content: BAD_SETTINGS })), 0);
+  const core = createTestCore();
+  assert.is(
+    errorsIn(receiveFromStore(core, { version: 2, content: BAD_SETTINGS })),
+    1,
+  );
+  assert.is(
+    errorsIn(receiveFromStore(core, { version: 2, content: BAD_SETTINGS })),
+    0,
+  );
   assert.not(readinessOf(core.board).ready);
-  read(core, { version: 2 });
+  receiveFromStore(core, { version: 2 });
   assert.ok(readinessOf(core.board).ready);
 });
 
 test("should log a conflict and keep the change in force", () => {
-  const core = makeFakeCore();
-  read(core, { version: 2, changeId: "change-a" });
-  assert.is(errorsIn(read(core, { version: 2, changeId: "change-b" })), 1);
+  const core = createTestCore();
+  receiveFromStore(core, { version: 2, changeId: "change-a" });
+  assert.is(
+    errorsIn(receiveFromStore(core, { version: 2, changeId: "change-b" })),
+    1,
+  );
   assert.is(core.board.settings.changeId, "change-a");
 });
 
 test("should offer a new version to a bounded number of peers at once", () => {
   const ids = Array.from({ length: 9 }, (_, i) => `peer-${i}`);
-  const core = makeFakeCore(ids);
+  const core = createTestCore(ids);
   for (const peerId of ids) {
     core.handle({ kind: EventKind.PeerConnected, nowMs: START_MS, peerId });
   }
-  const sent = effectsOf(read(core, { version: 1 }), EffectKind.SendPeer);
-  assert.is(sent.length, OFFERS_AT_ONCE);
+  const sent = effectsOf(
+    receiveFromStore(core, { version: 1 }),
+    EffectKind.SendPeer,
+  );
+  assert.is(sent.length, OFFER_FANOUT);
 });
 
 test("should offer to an older peer at once but not again within seconds", () => {
-  const core = makeFakeCore(["njiro-2"]);
-  read(core, { version: 4 });
+  const core = createTestCore(["njiro-2"]);
+  receiveFromStore(core, { version: 4 });
   const offered = [PeerMessageKind.SettingsOffer];
-  assert.equal(beatOf(core, 3), offered);
-  assert.equal(beatOf(core, 3, START_MS + 500), []);
-  assert.equal(beatOf(core, 3, START_MS + OFFER_REPEAT_MS), offered);
-  assert.equal(beatOf(core, 4, START_MS + 2 * OFFER_REPEAT_MS), []);
+  assert.equal(repliesToHeartbeat(core, 3), offered);
+  assert.equal(repliesToHeartbeat(core, 3, START_MS + 500), []);
+  assert.equal(
+    repliesToHeartbeat(core, 3, START_MS + MIN_OFFER_INTERVAL_MS),
+    offered,
+  );
+  assert.equal(
+    repliesToHeartbeat(core, 4, START_MS + 2 * MIN_OFFER_INTERVAL_MS),
+    [],
+  );
 });
 
 test("should ask a newer peer, and every peer while it has no settings", () => {
-  const core = makeFakeCore(["njiro-2"]);
+  const core = createTestCore(["njiro-2"]);
   const effects = core.handle({
     kind: EventKind.PeerConnected,
     nowMs: START_MS,
@@ -147,9 +169,9 @@
   const kinds = effectsOf(effects, EffectKind.SendPeer)
     .map(({ message }) => message.kind);
   assert.ok(kinds.includes(PeerMessageKind.SettingsWanted));
-  read(core, { version: 4 });
-  assert.equal(beatOf(core, 5), [PeerMessageKind.SettingsWanted]);
-  assert.equal(beatOf(core, 5, START_MS + 100), []);
+  receiveFromStore(core, { version: 4 });
+  assert.equal(repliesToHeartbeat(core, 5), [PeerMessageKind.SettingsWanted]);
+  assert.equal(repliesToHeartbeat(core, 5, START_MS + 100), []);
 });
 
 test.run();
--- a/packages/core/src/settings_index.ts
+++ b/packages/core/src/settings_index.ts
@@ -62,8 +62,8 @@
   scope: { region: string; workspace: string; tierRank: number },
 ): TierPolicy {
   const { policies } = indexOf(settings);
-  const byWorkspace = getOrMake(policies, scope.region, () => new Map());
-  const byRank = getOrMake(byWorkspace, scope.workspace, () => {
+  const byWorkspace = getOrCreate(policies, scope.region, () => new Map());
+  const byRank = getOrCreate(byWorkspace, scope.workspace, () => {
     const { region, workspace } = scope;
     return settings.tiers.map((tier) =>
       settings.policyFor({ region, workspace, tier })
@@ -73,10 +73,10 @@
 }
 
 function indexOf(settings: SettingsInForce): SettingsIndex {
-  return getOrMake(indexes, settings, () => makeIndex(settings));
+  return getOrCreate(indexes, settings, () => buildIndex(settings));
 }
 
-function makeIndex(settings: SettingsInForce): SettingsIndex {
+function buildIndex(settings: SettingsInForce): SettingsIndex {
   const shards = new Map<
     string,
     ShardTargets & { targets: TargetSettings[] }
@@ -86,9 +86,9 @@
     const { pool, failureDomain } = target;
     const key = shardKey(pool, failureDomain);
     if (!shards.has(key)) {
-      getOrMake(domainsByPool, pool, () => []).push(failureDomain);
+      getOrCreate(domainsByPool, pool, () => []).push(failureDomain);
     }
-    getOrMake(shards, key, () => ({ key, pool, failureDomain, targets: [] }))
+    getOrCreate(shards, key, () => ({ key, pool, failureDomain, targets: [] }))
       .targets.push(target);
   }
   for (const { targets } of shards.values()) {
@@ -97,16 +97,16 @@
   return { shards, domainsByPool, policies: new Map() };
 }
 
-function getOrMake<K, V>(
+function getOrCreate<K, V>(
   map: { get(key: K): V | undefined; set(key: K, value: V): unknown },
   key: K,
-  make: () => V,
+  create: () => V,
 ): V {
-  const known = map.get(key);
-  if (known !== undefined) {
-    return known;
+  const existing = map.get(key);
+  if (existing !== undefined) {
+    return existing;
   }
-  const made = make();
-  map.set(key, made);
-  return made;
+  const created = create();
+  map.set(key, created);
+  return created;
 }
--- a/packages/core/src/settings_offers.ts
+++ b/packages/core/src/settings_offers.ts
@@ -5,27 +5,27 @@
 import type { Turn } from "./controller.ts";
 
 /** Peers that are offered a new version at once; gossip reaches the others. */
-export const OFFERS_AT_ONCE = 3;
+export const OFFER_FANOUT = 3;
 
 /** One peer is offered the same version at most this often. */
-export const OFFER_REPEAT_MS = 3000;
+export const MIN_OFFER_INTERVAL_MS = 3000;
 
 /** Peers are asked for a higher version at most this often. */
-const WANTED_REPEAT_MS = 1000;
+const MIN_WANTED_INTERVAL_MS = 1000;
 
 /**
  * Offers the version in force to a few connected peers that have an older one.
  *
  * @param turn The present turn.
  */
-export function offerToOlderPeers(turn: Turn): void {
+export function offerToOutdatedPeers(turn: Turn): void {
   const { board } = turn;
   const version = board.settings.inForce?.version ?? 0;
-  const older = [...board.members.byId.values()].filter((member) =>
+  const outdated = [...board.members.byId.values()].filter((member) =>
     member.instanceId !== board.self.instanceId && member.connected &&
     member.settingsVersion < version
   );
-  for (const member of older.slice(0, OFFERS_AT_ONCE)) {
+  for (const member of outdated.slice(0, OFFER_FANOUT)) {
     offerSettings(turn, member.instanceId);
   }
 }
@@ -41,10 +41,13 @@
   if (inForce === undefined) {
     return;
   }
-  const offers = offersOf(turn.board);
-  const last = offers.get(peerId);
+  const offers = lastOffersOf(turn.board);
+  const lastOffer = offers.get(peerId);
   const { version } = inForce;
-  if (last?.version === version && turn.nowMs - last.atMs < OFFER_REPEAT_MS) {
+  if (
+    lastOffer?.version === version &&
+    turn.nowMs - lastOffer.atMs < MIN_OFFER_INTERVAL_MS
+  ) {
     return;
   }
   offers.set(peerId, { version, atMs: turn.nowMs });
@@ -62,7 +65,7 @@
  * @param turn The present turn.
  * @param peerId The peer.
  */
-export function askForSettings(turn: Turn, peerId: string): void {
+export function requestSettings(turn: Turn, peerId: string): void {
   turn.send(peerId, {
     kind: PeerMessageKind.SettingsWanted,
     haveVersion: turn.board.settings.inForce?.version ?? 0,
@@ -75,11 +78,11 @@
  * @param turn The present turn.
  * @param peerId The peer.
  */
-export function askNewerPeer(turn: Turn, peerId: string): void {
+export function requestNewerSettings(turn: Turn, peerId: string): void {
   const { settings } = turn.board;
   if (turn.nowMs >= (settings.nextWantedAtMs ?? -Infinity)) {
-    settings.nextWantedAtMs = turn.nowMs + WANTED_REPEAT_MS;
-    askForSettings(turn, peerId);
+    settings.nextWantedAtMs = turn.nowMs + MIN_WANTED_INTERVAL_MS;
+    requestSettings(turn, peerId);
   }
 }
 
@@ -89,12 +92,12 @@
  * @param turn The present turn.
  * @param peer The peer and the version.
  */
-export function noteOfferFrom(
+export function recordPeerVersion(
   turn: Turn,
   peer: { peerId: string; version: number },
 ): void {
   const { peerId, version } = peer;
-  offersOf(turn.board).set(peerId, { version, atMs: turn.nowMs });
+  lastOffersOf(turn.board).set(peerId, { version, atMs: turn.nowMs });
 }
 
 /**
@@ -103,11 +106,11 @@
  * @param board The instance's state.
  * @param peerId The peer.
  */
-export function forgetOffer(board: Blackboard, peerId: string): void {
-  offersOf(board).delete(peerId);
+export function clearOffer(board: Blackboard, peerId: string): void {
+  lastOffersOf(board).delete(peerId);
 }
 
-function offersOf(
+function lastOffersOf(
   board: Blackboard,
 ): Map<string, { version: number; atMs: number }> {
   board.settings.offers ??= new Map();
--- a/packages/core/src/shutdown_controller.ts
+++ b/packages/core/src/shutdown_controller.ts
@@ -10,32 +10,35 @@
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
 import { EventKind } from "./events.ts";
 import { onEveryEvent } from "./every_event.ts";
-import { beatToAll } from "./heartbeat_gossip.ts";
+import { broadcastHeartbeat } from "./heartbeat_gossip.ts";
 import { isFinished } from "./held_requests.ts";
 
 /** Writes `leaving` of this instance. */
 export class ShutdownController implements Controller {
   readonly name = "shutdown";
   readonly handlers: EventHandlers;
-  #done = false;
+  #isComplete = false;
 
   /** Makes the controller of an instance that is not leaving. */
   constructor() {
-    const own: Controller = { name: this.name, handlers: OWN_HANDLERS };
+    const ownController: Controller = {
+      name: this.name,
+      handlers: SHUTDOWN_HANDLERS,
+    };
     this.handlers = onEveryEvent((event, turn) => {
-      runController(own, event, turn);
-      if (turn.board.self.leaving && !this.#done) {
-        this.#endIfIdle(turn, event.kind === EventKind.ShutdownForced);
+      runController(ownController, event, turn);
+      if (turn.board.self.leaving && !this.#isComplete) {
+        this.#completeIfIdle(turn, event.kind === EventKind.ShutdownForced);
       }
     });
   }
 
-  #endIfIdle(turn: Turn, forced: boolean): void {
+  #completeIfIdle(turn: Turn, isForced: boolean): void {
     const unfinished = countUnfinished(turn.board);
-    if (unfinished > 0 && !forced) {
+    if (unfinished > 0 && !isForced) {
       return;
     }
-    this.#done = true;
+    this.#isComplete = true;
     turn.log(
       unfinished > 0 ? LogLevel.Error : LogLevel.Info,
       LogPart.Shutdown,
@@ -45,12 +48,12 @@
   }
 }
 
-const OWN_HANDLERS: EventHandlers = {
-  [EventKind.ShutdownRequested]: (_event, turn) => leave(turn),
-  [EventKind.ShutdownForced]: (_event, turn) => leave(turn),
+const SHUTDOWN_HANDLERS: EventHandlers = {
+  [EventKind.ShutdownRequested]: (_event, turn) => startLeaving(turn),
+  [EventKind.ShutdownForced]: (_event, turn) => startLeaving(turn),
 };
 
-function leave(turn: Turn): void {
+function startLeaving(turn: Turn): void {
   if (turn.board.self.leaving) {
     return;
   }
@@ -60,13 +63,13 @@
     LogPart.Shutdown,
     `Leaving with ${countUnfinished(turn.board)} requests unfinished.`,
   );
-  beatToAll(turn);
+  broadcastHeartbeat(turn);
 }
 
 function countUnfinished(board: Blackboard): number {
   let count = 0;
-  for (const held of board.requests.byId.values()) {
-    count += isFinished(held) ? 0 : 1;
+  for (const request of board.requests.byId.values()) {
+    count += isFinished(request) ? 0 : 1;
   }
   return count;
 }
--- a/packages/core/src/shutdown_controller_test.ts
+++ b/packages/core/src/shutdown_controller_test.ts
@@ -3,18 +3,18 @@
 import { type Effect, EffectKind } from "./effects.ts";
 import { EventKind } from "./events.ts";
 import {
+  createTestCore,
   effectsOf,
-  makeFakeCore,
   START_MS,
   TEST_SETTINGS,
-} from "./fake_core.ts";
+} from "./test_core.ts";
 import { RequestState } from "./request.ts";
 import type { SchedulerCore } from "./scheduler_core.ts";
 import { statusOf } from "./status.ts";
 import { whyOf } from "./why.ts";
 
-function coreWithRequest(): SchedulerCore {
-  const core = makeFakeCore(["njiro-2"]);
+function createCoreWithRequest(): SchedulerCore {
+  const core = createTestCore(["njiro-2"]);
   core.handle({
     kind: EventKind.SettingsRead,
     nowMs: START_MS,
@@ -40,38 +40,43 @@
   return core;
 }
 
-function isDone(effects: readonly Effect[]): boolean {
+function isComplete(effects: readonly Effect[]): boolean {
   return effectsOf(effects, EffectKind.ShutdownDone).length > 0;
 }
 
 test("should end only when nothing it holds is unfinished, and once", () => {
-  const core = coreWithRequest();
-  const held = core.board.requests.byId.get("request-1")!;
-  const at = (kind: EventKind.Tick | EventKind.ShutdownRequested, ms: number) =>
-    core.handle({ kind, nowMs: START_MS + ms });
-  assert.not(isDone(at(EventKind.ShutdownRequested, 1)));
-  assert.not(isDone(at(EventKind.Tick, 50)));
-  held.state = RequestState.Answered;
-  assert.ok(isDone(at(EventKind.Tick, 100)));
-  assert.not(isDone(at(EventKind.Tick, 150)));
+  const core = createCoreWithRequest();
+  const request = core.board.requests.byId.get("request-1")!;
+  const handleAt = (
+    kind: EventKind.Tick | EventKind.ShutdownRequested,
+    ms: number,
+  ) => core.handle({ kind, nowMs: START_MS + ms });
+  assert.not(isComplete(handleAt(EventKind.ShutdownRequested, 1)));
+  assert.not(isComplete(handleAt(EventKind.Tick, 50)));
+  request.state = RequestState.Answered;
+  assert.ok(isComplete(handleAt(EventKind.Tick, 100)));
+  assert.not(isComplete(handleAt(EventKind.Tick, 150)));
 });
 
 test("should end at once when forced", () => {
-  const core = coreWithRequest();
+  const core = createCoreWithRequest();
   const forced = { kind: EventKind.ShutdownForced, nowMs: START_MS + 1 };
   const effects = core.handle(forced as never);
-  assert.ok(isDone(effects));
+  assert.ok(isComplete(effects));
   assert.is(effectsOf(effects, EffectKind.RefuseCaller).length, 1);
 });
 
 test("should tell its status and a request's story as plain JSON", () => {
-  const core = coreWithRequest();
+  const core = createCoreWithRequest();
   const status = statusOf(core.board, START_MS);
-  const story = whyOf(core.board, "request-1");
-  assert.ok(story.known);
-  const open = status.requestsByState;
-  assert.is(open.claiming + open.waiting + open.dispatched, 1);
-  assert.not.match(JSON.stringify([status, story]), /null/);
+  const explanation = whyOf(core.board, "request-1");
+  assert.ok(explanation.known);
+  const requestCounts = status.requestsByState;
+  assert.is(
+    requestCounts.claiming + requestCounts.waiting + requestCounts.dispatched,
+    1,
+  );
+  assert.not.match(JSON.stringify([status, explanation]), /null/);
   assert.not(whyOf(core.board, "request-2").known);
 });
 
--- a/packages/core/src/pace_watch.ts
+++ b/packages/core/src/slot_shares.ts
@@ -5,37 +5,47 @@
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
 import { shardsOf } from "./settings_index.ts";
-import { adjustSlots, overdueRatio, slowdownOf } from "./straggler.ts";
+import { adjustSlotShare, overdueRatio, slowdownOf } from "./straggler.ts";
 
 /**
  * Cuts and restores slots by how fast each target has become.
  *
  * @param turn The turn of a tick.
  */
-export function watchPace(turn: Turn): void {
+export function adjustSlotShares(turn: Turn): void {
   const settings = turn.board.settings.inForce;
   for (const [key, shard] of turn.board.shards.byKey) {
     const targets = settings && shardsOf(settings).get(key)?.targets;
-    for (const each of targets ?? []) {
-      watchTarget(turn, shard, each);
+    for (const targetSettings of targets ?? []) {
+      adjustTarget(turn, shard, targetSettings);
     }
   }
 }
 
-function watchTarget(turn: Turn, shard: Shard, each: TargetSettings): void {
-  const target = turn.board.targets.byId.get(each.id)!;
-  const overdue = overdueRatio(usedGrantsOn(shard, each.id), turn.nowMs);
+function adjustTarget(
+  turn: Turn,
+  shard: Shard,
+  targetSettings: TargetSettings,
+): void {
+  const target = turn.board.targets.byId.get(targetSettings.id)!;
+  const overdue = overdueRatio(
+    usedGrantsOn(shard, targetSettings.id),
+    turn.nowMs,
+  );
   if (target.pace === undefined && overdue === 1) {
     return;
   }
-  const slowdown = Math.max(overdue, slowdownOf(target, kindOf(turn, each)));
-  const seen = { slowdown, nowMs: turn.nowMs };
-  if (adjustSlots(target, each, seen)) {
+  const slowdown = Math.max(
+    overdue,
+    slowdownOf(target, comparableTargets(turn, targetSettings)),
+  );
+  const measured = { slowdown, nowMs: turn.nowMs };
+  if (adjustSlotShare(target, targetSettings, measured)) {
     const percent = Math.round(target.pace!.slotShare * 100);
     turn.log(
       LogLevel.Warn,
       LogPart.Targets,
-      `${each.id} is ${
+      `${targetSettings.id} is ${
         slowdown.toFixed(1)
       } times slower; its slots are cut to ${percent}%.`,
     );
@@ -49,7 +59,7 @@
 }
 
 /** Other targets of the same pool and hardware. */
-function kindOf(turn: Turn, settings: TargetSettings): Target[] {
+function comparableTargets(turn: Turn, settings: TargetSettings): Target[] {
   const { inForce } = turn.board.settings;
   return [...inForce!.targets.values()]
     .filter((other) =>
--- a/packages/core/src/status.ts
+++ b/packages/core/src/status.ts
@@ -127,7 +127,7 @@
 }
 
 /** JSON has no infinity: a time that never was gives no age. */
-function ageMs(atMs: number, nowMs: number): number | undefined {
+function ageSinceMs(atMs: number, nowMs: number): number | undefined {
   return Number.isFinite(atMs) ? nowMs - atMs : undefined;
 }
 
@@ -151,7 +151,7 @@
     settingsVersion: isSelf
       ? board.settings.inForce?.version ?? 0
       : member.settingsVersion,
-    silentMs: ageMs(member.lastAdvancedMs, nowMs),
+    silentMs: ageSinceMs(member.lastAdvancedMs, nowMs),
   };
 }
 
@@ -212,7 +212,9 @@
     slotsTotal: load?.slotsTotal,
     kvUsedTokens: load?.kvUsedTokens,
     kvTotalTokens: load?.kvTotalTokens,
-    loadAgeMs: load === undefined ? undefined : ageMs(target.loadAsOfMs, nowMs),
+    loadAgeMs: load === undefined
+      ? undefined
+      : ageSinceMs(target.loadAsOfMs, nowMs),
     failedPolls: target.failedPolls,
     prefillMsPerToken: rates.prefillMsPerToken,
     decodeMsPerToken: rates.decodeMsPerToken,
@@ -230,8 +232,8 @@
     [RequestState.Answered]: 0,
     [RequestState.Refused]: 0,
   };
-  for (const held of board.requests.byId.values()) {
-    counts[held.state] += 1;
+  for (const request of board.requests.byId.values()) {
+    counts[request.state] += 1;
   }
   return counts;
 }
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -5,19 +5,19 @@
 import { paceOf } from "./learned_rates.ts";
 
 /** A target this much slower than it should be is cut. */
-const CUT_ABOVE = 2;
+const CUT_SLOWDOWN_RATIO = 2;
 /** A target that is being cut is cut until it is less slow than this. */
-const RECOVERED_BELOW = 1.5;
+const RECOVERED_SLOWDOWN_RATIO = 1.5;
 /** A cut is told of when this share or less of the former slots is left. */
-const CLEAR_CUT_SHARE = 0.9;
+const SIGNIFICANT_CUT_SHARE = 0.9;
 /** Smallest share of its slots left; at least one slot is left as a probe. */
 const MIN_SLOT_SHARE = 0.05;
 /** Share of its slots that comes back in a second. */
-const RECOVERY_SHARE_PER_SECOND = 0.05;
+const RECOVERY_SHARE_PER_S = 0.05;
 /** Share of its slots that a target gets when it first answers again. */
-const RETURN_SLOT_SHARE = 0.25;
+const INITIAL_RETURN_SLOT_SHARE = 0.25;
 /** Work running this many times its predicted time counts against a target. */
-const OVERDUE_RATIO = 3;
+const MIN_OVERDUE_RATIO = 3;
 const MIN_OVERDUE_MS = 1000;
 
 /** Samples without which a target is not compared. */
@@ -29,28 +29,31 @@
  * Compares a target's recent rates with its own past and with its kind.
  *
  * @param target The target.
- * @param kind Other targets of the same pool and hardware.
+ * @param peers Other targets of the same pool and hardware.
  * @returns Its slowdown; 1 is normal, above 1 is slower.
  */
-export function slowdownOf(target: Target, kind: readonly Target[]): number {
+export function slowdownOf(target: Target, peers: readonly Target[]): number {
   if (target.rates.samples < MIN_SAMPLES) {
     return 1;
   }
-  const peers = kind.filter((peer) => peer.rates.samples >= MIN_SAMPLES);
-  const ownChange = changeOf(target);
-  if (peers.length === 0) {
-    return Math.max(1, ownChange);
+  const measuredPeers = peers.filter((peer) =>
+    peer.rates.samples >= MIN_SAMPLES
+  );
+  const ownRatio = longTermRatioOf(target);
+  if (measuredPeers.length === 0) {
+    return Math.max(1, ownRatio);
   }
   // A load that slows the whole kind makes nobody a straggler.
-  const kindChange = Math.max(1, medianOf(peers.map(changeOf)));
-  const ratios = (["prefillMsPerToken", "decodeMsPerToken", "callMs"] as const)
-    .map((name) =>
-      ratioOf(
-        target.rates[name],
-        medianOf(peers.map((peer) => peer.rates[name])),
-      )
-    );
-  return Math.max(1, ownChange / kindChange, ...ratios);
+  const peerRatio = Math.max(1, medianOf(measuredPeers.map(longTermRatioOf)));
+  const rateRatios =
+    (["prefillMsPerToken", "decodeMsPerToken", "callMs"] as const)
+      .map((name) =>
+        ratioOf(
+          target.rates[name],
+          medianOf(measuredPeers.map((peer) => peer.rates[name])),
+        )
+      );
+  return Math.max(1, ownRatio / peerRatio, ...rateRatios);
 }
 
 /**
@@ -73,8 +76,8 @@
       Math.max(1, grant.expectedEndMs - grant.grantedAtMs)
     )
     .sort((a, b) => b - a);
-  const telling = grants.length > 1 ? ratios[1] : ratios[0];
-  return telling !== undefined && telling >= OVERDUE_RATIO ? telling : 1;
+  const ratio = grants.length > 1 ? ratios[1] : ratios[0];
+  return ratio !== undefined && ratio >= MIN_OVERDUE_RATIO ? ratio : 1;
 }
 
 /**
@@ -82,29 +85,36 @@
  *
  * @param target The target.
  * @param settings Its settings.
- * @param seen Its slowdown now, and the local time.
+ * @param measured Its slowdown now, and the local time.
  * @returns Whether its slots were clearly cut now.
  */
-export function adjustSlots(
+export function adjustSlotShare(
   target: Target,
   settings: TargetSettings,
-  seen: { slowdown: number; nowMs: number },
+  measured: { slowdown: number; nowMs: number },
 ): boolean {
-  const { slowdown, nowMs } = seen;
+  const { slowdown, nowMs } = measured;
   target.rates.slowdown = slowdown;
-  if (target.pace === undefined && slowdown <= CUT_ABOVE) {
+  if (target.pace === undefined && slowdown <= CUT_SLOWDOWN_RATIO) {
     return false;
   }
   const pace = paceOf(target, settings);
-  const limit = pace.slotShare < 1 ? RECOVERED_BELOW : CUT_ABOVE;
-  const share = slowdown <= limit ? 1 : Math.max(MIN_SLOT_SHARE, 1 / slowdown);
+  const thresholdRatio = pace.slotShare < 1
+    ? RECOVERED_SLOWDOWN_RATIO
+    : CUT_SLOWDOWN_RATIO;
+  const allowedShare = slowdown <= thresholdRatio
+    ? 1
+    : Math.max(MIN_SLOT_SHARE, 1 / slowdown);
   const elapsedMs = Math.min(MS_PER_SECOND, nowMs - pace.lastRecoveryAtMs);
   pace.lastRecoveryAtMs = nowMs;
-  const isCut = share < pace.slotShare;
-  const regained = RECOVERY_SHARE_PER_SECOND * elapsedMs / MS_PER_SECOND;
-  const isClearCut = share < pace.slotShare * CLEAR_CUT_SHARE;
-  pace.slotShare = isCut ? share : Math.min(share, pace.slotShare + regained);
-  return isClearCut;
+  const isCut = allowedShare < pace.slotShare;
+  const regainedShare = RECOVERY_SHARE_PER_S * elapsedMs / MS_PER_SECOND;
+  const isSignificantCut =
+    allowedShare < pace.slotShare * SIGNIFICANT_CUT_SHARE;
+  pace.slotShare = isCut
+    ? allowedShare
+    : Math.min(allowedShare, pace.slotShare + regainedShare);
+  return isSignificantCut;
 }
 
 /**
@@ -114,17 +124,17 @@
  * @param settings Its settings.
  * @param nowMs The local time.
  */
-export function beginReturn(
+export function limitReturnedTarget(
   target: Target,
   settings: TargetSettings,
   nowMs: number,
 ): void {
   const pace = paceOf(target, settings);
-  pace.slotShare = Math.min(pace.slotShare, RETURN_SLOT_SHARE);
+  pace.slotShare = Math.min(pace.slotShare, INITIAL_RETURN_SLOT_SHARE);
   pace.lastRecoveryAtMs = nowMs;
 }
 
-function changeOf({ rates, pace }: Target): number {
+function longTermRatioOf({ rates, pace }: Target): number {
   if (pace === undefined) {
     return 1;
   }
--- a/packages/core/src/target_controller.ts
+++ b/packages/core/src/target_controller.ts
@@ -24,10 +24,15 @@
 } from "./coordinator_options.ts";
 import { EventKind, type EventOf } from "./events.ts";
 import { learnFrom } from "./learned_rates.ts";
-import { watchPace } from "./pace_watch.ts";
-import { suspend, takeLoad } from "./target_health.ts";
+import { adjustSlotShares } from "./slot_shares.ts";
+import { applyLoad, markUnreachable } from "./target_health.ts";
 import { pollNewShard, pollTargets } from "./target_polls.ts";
-import { forwardSigns, heedList, heedSign, tellSigns } from "./target_signs.ts";
+import {
+  applyListedLeaving,
+  applySign,
+  forwardSigns,
+  sendAllSigns,
+} from "./target_signs.ts";
 import { priorRates } from "./work_cost.ts";
 
 /** Polls that fail in a row before a target counts as unreachable. */
@@ -48,14 +53,15 @@
     [EventKind.Tick]: (_event, turn) => this.#onTick(turn),
     [EventKind.PeerMessageReceived]: (event, turn) =>
       this.#onMessage(event, turn),
-    [EventKind.PeerConnected]: ({ peerId }, turn) => tellSigns(turn, peerId),
+    [EventKind.PeerConnected]: ({ peerId }, turn) => sendAllSigns(turn, peerId),
     [EventKind.LoadReported]: ({ load }, turn) => this.#onLoad(load, turn),
     [EventKind.LoadReportFailed]: onLoadFailed,
     [EventKind.CacheEventsRead]: onCacheEvents,
-    [EventKind.InstanceListRead]: (event, turn) => this.#onList(event, turn),
+    [EventKind.InstanceListRead]: (event, turn) =>
+      this.#onInstanceList(event, turn),
   };
   readonly #options: CoordinatorOptions;
-  #knownSettings: SettingsInForce | undefined;
+  #syncedSettings: SettingsInForce | undefined;
 
   /** @param options Switches for measurements. */
   constructor(options: CoordinatorOptions = DEFAULT_COORDINATOR_OPTIONS) {
@@ -63,8 +69,8 @@
   }
 
   #onTick(turn: Turn): void {
-    this.#takeSettings(turn);
-    watchPace(turn);
+    this.#syncTargets(turn);
+    adjustSlotShares(turn);
     pollTargets(turn, this.#options.affinity);
   }
 
@@ -72,7 +78,7 @@
     { message, fromId }: EventOf<EventKind.PeerMessageReceived>,
     turn: Turn,
   ): void {
-    this.#takeSettings(turn);
+    this.#syncTargets(turn);
     const handler = MESSAGE_HANDLERS[message.kind] as
       | ((message: PeerMessage, turn: Turn, fromId: string) => void)
       | undefined;
@@ -80,41 +86,44 @@
   }
 
   #onLoad(load: TargetLoad, turn: Turn): void {
-    this.#takeSettings(turn);
+    this.#syncTargets(turn);
     const target = turn.board.targets.byId.get(load.targetId);
     if (target !== undefined) {
       target.pollPending = false;
       target.failedPolls = 0;
-      takeLoad(turn, target, load);
+      applyLoad(turn, target, load);
     }
   }
 
-  #onList({ list }: EventOf<EventKind.InstanceListRead>, turn: Turn): void {
-    this.#takeSettings(turn);
+  #onInstanceList(
+    { list }: EventOf<EventKind.InstanceListRead>,
+    turn: Turn,
+  ): void {
+    this.#syncTargets(turn);
     for (const { id, kind, leaving } of list.instances) {
       const target = turn.board.targets.byId.get(id);
       if (kind === ListedKind.Target && target !== undefined) {
-        heedList(turn, target, leaving);
+        applyListedLeaving(turn, target, leaving);
       }
     }
   }
 
   /** Makes entries for the targets that the settings name, and no others. */
-  #takeSettings(turn: Turn): void {
+  #syncTargets(turn: Turn): void {
     const { settings, targets } = turn.board;
     const { inForce } = settings;
-    if (inForce === undefined || inForce === this.#knownSettings) {
+    if (inForce === undefined || inForce === this.#syncedSettings) {
       return;
     }
-    this.#knownSettings = inForce;
+    this.#syncedSettings = inForce;
     for (const targetId of [...targets.byId.keys()]) {
       if (!inForce.targets.has(targetId)) {
         targets.byId.delete(targetId);
       }
     }
-    for (const each of inForce.targets.values()) {
-      if (!targets.byId.has(each.id)) {
-        targets.byId.set(each.id, newTarget(each));
+    for (const targetSettings of inForce.targets.values()) {
+      if (!targets.byId.has(targetSettings.id)) {
+        targets.byId.set(targetSettings.id, createTarget(targetSettings));
       }
     }
   }
@@ -126,7 +135,7 @@
  * @param settings The target as the operators describe it.
  * @returns The entry.
  */
-export function newTarget(settings: TargetSettings): Target {
+export function createTarget(settings: TargetSettings): Target {
   return {
     targetId: settings.id,
     health: TargetHealth.Healthy,
@@ -163,7 +172,11 @@
   target.pollPending = false;
   target.failedPolls += 1;
   if (target.failedPolls >= MAX_FAILED_POLLS) {
-    suspend(turn, target, `${target.failedPolls} polls failed in a row`);
+    markUnreachable(
+      turn,
+      target,
+      `${target.failedPolls} polls failed in a row`,
+    );
   }
 }
 
@@ -184,7 +197,7 @@
   const grant = shardOf(turn, message)?.grants.get(message.grantId);
   const target = grant && turn.board.targets.byId.get(grant.work.targetId);
   if (message.targetUnreachable && target !== undefined) {
-    suspend(turn, target, "it refused a connection");
+    markUnreachable(turn, target, "it refused a connection");
   }
 }
 
@@ -213,17 +226,17 @@
   fromId: string,
 ): void {
   const { byId } = turn.board.targets;
-  const news = message.signs.filter((sign) => {
+  const newSigns = message.signs.filter((sign) => {
     const target = byId.get(sign.targetId);
-    return target !== undefined && heedSign(turn, target, sign);
+    return target !== undefined && applySign(turn, target, sign);
   });
-  if (news.length > 0) {
-    forwardSigns(turn, news, fromId);
+  if (newSigns.length > 0) {
+    forwardSigns(turn, newSigns, fromId);
   }
   for (const load of message.loads) {
     const target = byId.get(load.targetId);
     if (target !== undefined) {
-      takeLoad(turn, target, load);
+      applyLoad(turn, target, load);
     }
   }
 }
--- a/packages/core/src/target_controller_test.ts
+++ b/packages/core/src/target_controller_test.ts
@@ -11,7 +11,7 @@
   return fake.board.targets.byId.get(targetId)!;
 }
 
-function connect(fake: FakeShard, ids: readonly string[]): void {
+function connectPeers(fake: FakeShard, ids: readonly string[]): void {
   for (const instanceId of ids) {
     fake.board.members.byId.set(instanceId, {
       instanceId,
@@ -28,7 +28,11 @@
   }
 }
 
-function hearSign(fake: FakeShard, signNumber: number, leaving = true): void {
+function receiveSign(
+  fake: FakeShard,
+  signNumber: number,
+  leaving = true,
+): void {
   fake.hear({
     kind: PeerMessageKind.TargetsHeard,
     signs: [{ targetId: "t0", leaving, signNumber }],
@@ -36,7 +40,7 @@
   });
 }
 
-function readList(fake: FakeShard, leaving: boolean): void {
+function receiveInstanceList(fake: FakeShard, leaving: boolean): void {
   fake.handle({
     kind: EventKind.InstanceListRead,
     list: {
@@ -54,14 +58,14 @@
 
 const SIGNS_OF_LEAVING: Record<string, (fake: FakeShard) => void> = {
   "its own report": (fake) => fake.load("t0", { leaving: true }),
-  "a peer": (fake) => hearSign(fake, 1),
-  "the platform's list": (fake) => readList(fake, true),
+  "a peer": (fake) => receiveSign(fake, 1),
+  "the platform's list": (fake) => receiveInstanceList(fake, true),
 };
 
-for (const [source, give] of Object.entries(SIGNS_OF_LEAVING)) {
+for (const [source, receive] of Object.entries(SIGNS_OF_LEAVING)) {
   test(`should grant a target nothing after the first sign from ${source}`, () => {
     const fake = new FakeShard({ targets: [{}] });
-    give(fake);
+    receive(fake);
     fake.ask({ requestId: "a" });
     assert.is(fake.grants.length, 0);
   });
@@ -69,15 +73,15 @@
 
 test("should pass a sign on at once, and an old one not again", () => {
   const fake = new FakeShard({ targets: [{}] });
-  connect(fake, [HOLDER, "entry-3", "entry-4"]);
-  const heard = () => fake.of(PeerMessageKind.TargetsHeard).length;
+  connectPeers(fake, [HOLDER, "entry-3", "entry-4"]);
+  const sentSigns = () => fake.of(PeerMessageKind.TargetsHeard).length;
   fake.load("t0", { leaving: true });
-  assert.is(heard(), 3);
+  assert.is(sentSigns(), 3);
   fake.load("t0", { leaving: true });
-  hearSign(fake, 1);
-  assert.is(heard(), 3, "known signs are not passed on");
-  hearSign(fake, 2, false);
-  assert.is(heard(), 5, "news goes to others than its sender");
+  receiveSign(fake, 1);
+  assert.is(sentSigns(), 3, "known signs are not passed on");
+  receiveSign(fake, 2, false);
+  assert.is(sentSigns(), 5, "news goes to others than its sender");
   assert.not(targetOf(fake).leaving);
 });
 
@@ -91,12 +95,12 @@
 
 test("should hold to the list and to fresh signs against the target's report", () => {
   const fake = new FakeShard({ targets: [{}] });
-  readList(fake, true);
+  receiveInstanceList(fake, true);
   fake.advance(10_000);
   assert.ok(targetOf(fake).leaving, "the list still says so");
-  readList(fake, false);
+  receiveInstanceList(fake, false);
   assert.not(targetOf(fake).leaving);
-  hearSign(fake, 9);
+  receiveSign(fake, 9);
   fake.advance(1000);
   assert.ok(targetOf(fake).leaving, "the sign may be ahead of the target");
   fake.advance(5000);
@@ -193,14 +197,17 @@
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 10 });
   assert.is(targetOf(fake, "t1").pace!.slotShare, 1);
   runWork(fake, { targetId: "t1", decodeMsPerToken: 100, times: 10 });
-  const cut = targetOf(fake, "t1");
-  assert.ok(cut.pace!.slotShare < 0.2, `share ${cut.pace!.slotShare}`);
+  const straggler = targetOf(fake, "t1");
+  assert.ok(
+    straggler.pace!.slotShare < 0.2,
+    `share ${straggler.pace!.slotShare}`,
+  );
   assert.is(targetOf(fake, "t0").pace!.slotShare, 1);
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 15 });
-  assert.ok(cut.pace!.slotShare < 0.5, "recovery is slow");
+  assert.ok(straggler.pace!.slotShare < 0.5, "recovery is slow");
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 10 });
   fake.advance(20_000);
-  assert.is(cut.pace!.slotShare, 1);
+  assert.is(straggler.pace!.slotShare, 1);
 });
 
 test("should cut a target on which everything stands still", () => {
@@ -209,8 +216,8 @@
     fake.ask({ requestId: `r${i}`, excludedTargetIds: ["t1"] });
     fake.use(fake.grants[i]);
   }
-  for (const [id, each] of fake.running) {
-    fake.running.set(id, { ...each, endMs: Infinity });
+  for (const [id, work] of fake.running) {
+    fake.running.set(id, { ...work, endMs: Infinity });
   }
   fake.advance(3000);
   assert.is(targetOf(fake).pace, undefined);
--- a/packages/core/src/target_health.ts
+++ b/packages/core/src/target_health.ts
@@ -4,8 +4,8 @@
 import { type Target, TargetHealth } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
-import { beginReturn } from "./straggler.ts";
-import { heedReport } from "./target_signs.ts";
+import { limitReturnedTarget } from "./straggler.ts";
+import { applyReportedLeaving } from "./target_signs.ts";
 
 /**
  * Takes a load report, unless a newer one is known.
@@ -14,12 +14,12 @@
  * @param target The target.
  * @param load The report.
  */
-export function takeLoad(turn: Turn, target: Target, load: TargetLoad): void {
+export function applyLoad(turn: Turn, target: Target, load: TargetLoad): void {
   const asOfMs = turn.nowMs - load.ageMs;
   if (asOfMs < target.loadAsOfMs) {
     return;
   }
-  const before = target.load;
+  const previous = target.load;
   target.load = load;
   target.loadAsOfMs = asOfMs;
   if (
@@ -28,14 +28,14 @@
   ) {
     target.health = TargetHealth.Healthy;
     const settings = turn.board.settings.inForce!.targets.get(target.targetId)!;
-    beginReturn(target, settings, turn.nowMs);
+    limitReturnedTarget(target, settings, turn.nowMs);
     turn.log(
       LogLevel.Info,
       LogPart.Targets,
       `${target.targetId} answers again.`,
     );
   }
-  heedReport(turn, target, { before, load, asOfMs });
+  applyReportedLeaving(turn, target, { previous, load, asOfMs });
 }
 
 /**
@@ -45,7 +45,11 @@
  * @param target The target.
  * @param reason Why, for the log.
  */
-export function suspend(turn: Turn, target: Target, reason: string): void {
+export function markUnreachable(
+  turn: Turn,
+  target: Target,
+  reason: string,
+): void {
   if (target.health === TargetHealth.Unreachable) {
     return;
   }
--- a/packages/core/src/target_polls.ts
+++ b/packages/core/src/target_polls.ts
@@ -12,10 +12,10 @@
 import { shardsOf } from "./settings_index.ts";
 
 /** How often the cache events of an engine are read. */
-const CACHE_POLL_MS = 3000;
+const CACHE_POLL_INTERVAL_MS = 3000;
 
 /** A poll not answered for this many intervals counts as lost. */
-const LOST_AFTER_INTERVALS = 4;
+const LOST_POLL_INTERVALS = 4;
 
 /**
  * Polls the targets whose turn it is, of all shards served here.
@@ -28,12 +28,12 @@
   if (settings === undefined) {
     return;
   }
-  for (const key of servedShards(turn, settings)) {
+  for (const key of servedShardKeys(turn, settings)) {
     const shard = shardsOf(settings).get(key);
     const kind = settings.pools.get(shard?.pool ?? "")?.kind;
-    const wantsCache = affinity && kind === TargetKind.Engine;
+    const pollsCacheEvents = affinity && kind === TargetKind.Engine;
     for (const targetSettings of shard?.targets ?? []) {
-      pollWhenDue(turn, targetSettings, wantsCache);
+      pollWhenDue(turn, targetSettings, pollsCacheEvents);
     }
   }
 }
@@ -41,15 +41,15 @@
 function pollWhenDue(
   turn: Turn,
   settings: TargetSettings,
-  wantsCache: boolean,
+  pollsCacheEvents: boolean,
 ): void {
   const target = turn.board.targets.byId.get(settings.id);
   if (target === undefined) {
     return;
   }
   pollLoadWhenDue(turn, target, settings);
-  if (wantsCache) {
-    pollCacheWhenDue(turn, target, settings);
+  if (pollsCacheEvents) {
+    pollCacheEventsWhenDue(turn, target, settings);
   }
 }
 
@@ -80,9 +80,9 @@
   settings: TargetSettings,
 ): void {
   const { loadPollMs } = turn.board.settings.inForce!.timing;
-  const sinceMs = turn.nowMs - target.lastPollAtMs;
-  const isLost = sinceMs >= loadPollMs * LOST_AFTER_INTERVALS;
-  if (sinceMs >= loadPollMs && (!target.pollPending || isLost)) {
+  const elapsedMs = turn.nowMs - target.lastPollAtMs;
+  const isLost = elapsedMs >= loadPollMs * LOST_POLL_INTERVALS;
+  if (elapsedMs >= loadPollMs && (!target.pollPending || isLost)) {
     pollLoad(turn, target, settings);
   }
 }
@@ -97,12 +97,15 @@
   });
 }
 
-function pollCacheWhenDue(
+function pollCacheEventsWhenDue(
   turn: Turn,
   target: Target,
   settings: TargetSettings,
 ): void {
-  if (turn.nowMs - (target.lastCachePollAtMs ?? -Infinity) < CACHE_POLL_MS) {
+  if (
+    turn.nowMs - (target.lastCachePollAtMs ?? -Infinity) <
+      CACHE_POLL_INTERVAL_MS
+  ) {
     return;
   }
   target.lastCachePollAtMs = turn.nowMs;
@@ -115,15 +118,15 @@
 }
 
 /** Shards that this instance coordinates, or was asked to serve. */
-function servedShards(turn: Turn, settings: SettingsInForce): Set<string> {
+function servedShardKeys(turn: Turn, settings: SettingsInForce): Set<string> {
   return new Set([
     ...turn.board.shards.byKey.keys(),
-    ...coordinatedShards(turn, settings),
+    ...coordinatedShardKeys(turn, settings),
   ]);
 }
 
 /** Ranked anew only when the members or the settings have changed. */
-function coordinatedShards(
+function coordinatedShardKeys(
   turn: Turn,
   settings: SettingsInForce,
 ): readonly string[] {
--- a/packages/core/src/target_signs.ts
+++ b/packages/core/src/target_signs.ts
@@ -15,7 +15,7 @@
  * How long a target's own "not leaving" must have stood against a sign from
  * elsewhere: the sign may be ahead of the target.
  */
-const SETTLE_MS = 5000;
+const MIN_LEAVING_HOLD_MS = 5000;
 
 /** Peers that a heard sign is passed on to, where links are cut. */
 const FORWARD_FANOUT = 3;
@@ -26,21 +26,21 @@
  *
  * @param turn The turn.
  * @param target The target.
- * @param by Its load report before this one, this one, and what it speaks of.
+ * @param report Its load report before this one, this one, and what it speaks of.
  */
-export function heedReport(
+export function applyReportedLeaving(
   turn: Turn,
   target: Target,
-  by: { before?: TargetLoad; load: TargetLoad; asOfMs: number },
+  report: { previous?: TargetLoad; load: TargetLoad; asOfMs: number },
 ): void {
-  if (by.load.leaving) {
-    setLeaving(turn, target, true);
+  if (report.load.leaving) {
+    changeLeaving(turn, target, true);
     return;
   }
-  const takesBack = by.before?.leaving === true ||
-    by.asOfMs > (target.leavingSinceMs ?? 0) + SETTLE_MS;
-  if (target.leaving && takesBack && target.listedLeaving !== true) {
-    setLeaving(turn, target, false);
+  const isRevoked = report.previous?.leaving === true ||
+    report.asOfMs > (target.leavingSinceMs ?? 0) + MIN_LEAVING_HOLD_MS;
+  if (target.leaving && isRevoked && target.listedLeaving !== true) {
+    changeLeaving(turn, target, false);
   }
 }
 
@@ -51,13 +51,17 @@
  * @param target The target.
  * @param leaving What the list says.
  */
-export function heedList(turn: Turn, target: Target, leaving: boolean): void {
-  const before = target.listedLeaving ?? false;
+export function applyListedLeaving(
+  turn: Turn,
+  target: Target,
+  leaving: boolean,
+): void {
+  const wasListed = target.listedLeaving ?? false;
   target.listedLeaving = leaving;
   if (leaving) {
-    setLeaving(turn, target, true);
-  } else if (before && target.load?.leaving !== true) {
-    setLeaving(turn, target, false);
+    changeLeaving(turn, target, true);
+  } else if (wasListed && target.load?.leaving !== true) {
+    changeLeaving(turn, target, false);
   }
 }
 
@@ -70,18 +74,18 @@
  * @param sign The sign.
  * @returns Whether it was news.
  */
-export function heedSign(
+export function applySign(
   turn: Turn,
   target: Target,
   sign: TargetSign,
 ): boolean {
-  const isNews = sign.signNumber > target.signNumber ||
+  const isNew = sign.signNumber > target.signNumber ||
     (sign.signNumber === target.signNumber && sign.leaving && !target.leaving);
-  if (isNews) {
+  if (isNew) {
     target.signNumber = sign.signNumber;
-    noteLeaving(turn, target, sign.leaving);
+    recordLeaving(turn, target, sign.leaving);
   }
-  return isNews;
+  return isNew;
 }
 
 /**
@@ -97,11 +101,11 @@
   fromId: string,
 ): void {
   const { self } = turn.board;
-  const nearness = ({ instanceId }: Member) =>
+  const forwardRank = ({ instanceId }: Member) =>
     hash32(`${self.instanceId}/${signs[0]?.signNumber}/${instanceId}`);
   const chosen = connectedMembers(turn)
     .filter((member) => member.instanceId !== fromId)
-    .sort((a, b) => nearness(a) - nearness(b))
+    .sort((a, b) => forwardRank(a) - forwardRank(b))
     .slice(0, FORWARD_FANOUT);
   for (const member of chosen) {
     sendSigns(turn, member.instanceId, signs);
@@ -114,28 +118,28 @@
  * @param turn The turn.
  * @param peerId The peer.
  */
-export function tellSigns(turn: Turn, peerId: string): void {
+export function sendAllSigns(turn: Turn, peerId: string): void {
   const signs = [...turn.board.targets.byId.values()]
     .filter((target) => target.signNumber > 0)
-    .map(signOf);
+    .map(toSign);
   sendSigns(turn, peerId, signs);
 }
 
-function setLeaving(turn: Turn, target: Target, leaving: boolean): void {
+function changeLeaving(turn: Turn, target: Target, leaving: boolean): void {
   if (target.leaving === leaving) {
     return;
   }
   target.signNumber += 1;
-  noteLeaving(turn, target, leaving);
+  recordLeaving(turn, target, leaving);
   for (const member of connectedMembers(turn)) {
-    sendSigns(turn, member.instanceId, [signOf(target)]);
+    sendSigns(turn, member.instanceId, [toSign(target)]);
   }
 }
 
-function noteLeaving(turn: Turn, target: Target, leaving: boolean): void {
+function recordLeaving(turn: Turn, target: Target, leaving: boolean): void {
   if (target.leaving !== leaving) {
-    const text = leaving ? "is leaving" : "stays after all";
-    turn.log(LogLevel.Info, LogPart.Targets, `${target.targetId} ${text}.`);
+    const change = leaving ? "is leaving" : "stays after all";
+    turn.log(LogLevel.Info, LogPart.Targets, `${target.targetId} ${change}.`);
   }
   target.leaving = leaving;
   target.leavingSinceMs = leaving ? turn.nowMs : undefined;
@@ -155,7 +159,7 @@
   }
 }
 
-function signOf({ targetId, leaving, signNumber }: Target): TargetSign {
+function toSign({ targetId, leaving, signNumber }: Target): TargetSign {
   return { targetId, leaving, signNumber };
 }
 
--- a/packages/core/src/fake_core.ts
+++ b/packages/core/src/test_core.ts
@@ -36,7 +36,7 @@
  * @param peerIds Instances of the same domain.
  * @returns The core, after its first tick.
  */
-export function makeFakeCore(peerIds: readonly string[] = []): SchedulerCore {
+export function createTestCore(peerIds: readonly string[] = []): SchedulerCore {
   const core = new SchedulerCore({
     instanceId: "njiro-1",
     incarnation: TEST_INCARNATION,
@@ -60,7 +60,7 @@
  * @param nowMs The local time.
  * @returns The turn.
  */
-export function makeTurn(core: SchedulerCore, nowMs = START_MS): Turn {
+export function createTurn(core: SchedulerCore, nowMs = START_MS): Turn {
   const random = seededRandomness(TEST_SEED);
   return new Turn(core.board, { nowMs, random });
 }
