--- a/packages/core/src/heartbeat_gossip.ts
+++ b/packages/core/src/heartbeat_gossip.ts
@@ -1,4 +1,4 @@
-/** Heartbeats: what is told to whom, and what is learned from them. */
+/** Heartbeat gossip: builds, sends and merges digests of member entries. */
 
 import {
   type MemberHeard,
@@ -11,22 +11,27 @@
 import { ensureMember } from "./member_table.ts";
 import type { Randomness } from "./randomness.ts";
 
-/** Peers that one heartbeat is sent to. */
+/** Number of peers that each heartbeat is sent to. */
 export const HEARTBEAT_FANOUT = 3;
 
-/** How many of those get a digest; the others get this instance's word alone. */
+/**
+ * Number of those peers that get a digest; the others get only this instance's
+ * own entry.
+ */
 const DIGESTS_PER_HEARTBEAT = 1;
 
-/** Most members that one heartbeat speaks of. */
+/** Upper bound on entries in a digest, this instance's own included. */
 export const MAX_DIGEST_MEMBERS = 24;
 
-/** Places in a digest for the members that advanced last. */
+/** Digest entries reserved for the members whose heartbeat advanced last. */
 const RECENT_DIGEST_MEMBERS = 12;
 
 /**
- * Raises this instance's heartbeat and tells it to a few random peers.
+ * Increments this instance's heartbeat and sends it to
+ * {@link HEARTBEAT_FANOUT} random peers, one of which gets it in a digest of
+ * the members.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
 export function gossipHeartbeat(turn: Turn): void {
   incrementHeartbeat(turn);
@@ -39,7 +44,7 @@
   });
 }
 
-/** Goes through all connected peers in random order before any comes again. */
+/** Cycles through all connected peers in random order before any repeats. */
 function takeNextPeerIds(turn: Turn): string[] {
   const { members } = turn.board;
   const connected = connectedPeerIds(turn.board);
@@ -54,10 +59,10 @@
 }
 
 /**
- * Raises this instance's heartbeat and tells every connected peer its own word,
- * for news that must not wait, such as leaving.
+ * Increments this instance's heartbeat and sends its own entry to every
+ * connected peer, for changes that must not wait for gossip, such as leaving.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
 export function broadcastHeartbeat(turn: Turn): void {
   incrementHeartbeat(turn);
@@ -74,9 +79,9 @@
 }
 
 /**
- * Sends one peer a heartbeat without raising it.
+ * Sends one peer a digest without incrementing this instance's heartbeat.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
 export function sendDigest(turn: Turn, peerId: string): void {
@@ -94,9 +99,9 @@
 }
 
 /**
- * Writes this instance's own entry in the table of members.
+ * Updates this instance's own row in the member table.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
 export function updateOwnMember(turn: Turn): void {
   const { self, members } = turn.board;
@@ -126,7 +131,7 @@
   };
 }
 
-/** Only live members are told of, so that rumours of the dead die out. */
+/** Includes live members only, so that entries of dead ones expire. */
 function buildDigest(turn: Turn): MemberHeard[] {
   const { board, nowMs } = turn;
   const others = [...board.members.byId.values()]
@@ -183,10 +188,12 @@
 }
 
 /**
- * Takes in what a heartbeat says of members.
+ * Merges a received heartbeat into the member table. The higher incarnation
+ * wins; within one, the highest heartbeat, the highest settings version and any
+ * leaving flag win, so the order in which heartbeats arrive does not matter.
  *
- * @param turn The present turn.
- * @param entries One word for each member.
+ * @param turn The current turn.
+ * @param entries One entry for each member of the heartbeat.
  */
 export function mergeHeartbeat(
   turn: Turn,
--- a/packages/core/src/heartbeat_gossip_test.ts
+++ b/packages/core/src/heartbeat_gossip_test.ts
@@ -44,7 +44,7 @@
   assert.is(member.lastAdvancedMs, START_MS);
 });
 
-test("should reach the same state whatever the order of words", () => {
+test("should reach the same state whatever the order of entries", () => {
   const entryLists = fc.array(
     fc.record({
       incarnation: fc.integer({ min: 1, max: 3 }),
@@ -57,19 +57,23 @@
   fc.assert(
     fc.property(entryLists, (received) => {
       const core = createTestCore();
-      for (const one of received) mergeHeartbeat(createTurn(core), [one]);
+      for (const entry of received) mergeHeartbeat(createTurn(core), [entry]);
       const member = core.board.members.byId.get("njiro-2")!;
-      const incarnation = Math.max(...received.map((one) => one.incarnation));
-      const latest = received.filter((one) => one.incarnation === incarnation);
+      const incarnation = Math.max(
+        ...received.map((entry) => entry.incarnation),
+      );
+      const latest = received.filter((entry) =>
+        entry.incarnation === incarnation
+      );
       assert.is(member.incarnation, incarnation);
       assert.is(
         member.heartbeat,
-        Math.max(...latest.map((one) => one.heartbeat)),
+        Math.max(...latest.map((entry) => entry.heartbeat)),
       );
-      assert.is(member.leaving, latest.some((one) => one.leaving));
+      assert.is(member.leaving, latest.some((entry) => entry.leaving));
       assert.is(
         member.settingsVersion,
-        Math.max(...latest.map((one) => one.settingsVersion)),
+        Math.max(...latest.map((entry) => entry.settingsVersion)),
       );
     }),
     PROPERTY,
@@ -101,7 +105,7 @@
   const [{ message }] = effectsOf(turn.effects, EffectKind.SendPeer);
   assert.is(message.kind, PeerMessageKind.Heartbeat);
   if (message.kind === PeerMessageKind.Heartbeat) {
-    const digestIds = message.members.map((one) => one.instanceId);
+    const digestIds = message.members.map((entry) => entry.instanceId);
     assert.is(digestIds.length, MAX_DIGEST_MEMBERS);
     assert.is(digestIds[0], "njiro-1");
     assert.not(digestIds.includes("peer-0"));
--- a/packages/core/src/holder_presence.ts
+++ b/packages/core/src/holder_presence.ts
@@ -1,4 +1,4 @@
-/** Which holders a coordinator hears, and what goes when one is gone. */
+/** Tracks the holders of a shard, and drops the state of those gone. */
 
 import type { Blackboard, HolderSeen, Shard } from "./blackboard.ts";
 import { isAlive } from "./coordinators.ts";
@@ -6,7 +6,7 @@
 import { removeWaiting } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
 
-/** Who sent a message, and its beat where it carried one. */
+/** The holder that sent a message, with its beat where the message has one. */
 export interface HolderSender {
   readonly holderId: string;
   readonly incarnation: number;
@@ -14,13 +14,14 @@
 }
 
 /**
- * Notes that a holder was heard.
+ * Records a message from a holder. A new incarnation replaces the earlier ones:
+ * their asks are dropped and their grants orphaned.
  *
  * @param shard The shard.
- * @param sender Who was heard.
- * @param nowMs The local time.
- * @returns What is known of it; undefined where the word is of an incarnation
- * that has been replaced.
+ * @param sender The holder that sent the message.
+ * @param nowMs The local time in milliseconds.
+ * @returns The holder's record; undefined where the message is from an
+ * incarnation that has been replaced.
  */
 export function recordHolder(
   shard: Shard,
@@ -50,18 +51,19 @@
 }
 
 /**
- * Drops the asks of holders that are gone, and asks not renewed for long.
+ * Drops the asks of holders that are gone and orphans their grants, drops asks
+ * that expired without renewal, and closes overdue orphaned grants.
  *
  * @param view The shard.
  */
 export function dropStaleHolderState(view: ShardView): void {
   const { shard, nowMs, turn, settings } = view;
-  for (const [holderId, holder] of [...shard.holders]) {
-    if (isGone(turn.board, { holderId, seen: holder, nowMs })) {
+  for (const [holderId, record] of [...shard.holders]) {
+    if (isGone(turn.board, { holderId, record, nowMs })) {
       shard.holders.delete(holderId);
       dropEarlierIncarnations(shard, {
         holderId,
-        incarnation: holder.incarnation + 1,
+        incarnation: record.incarnation + 1,
         nowMs,
       });
     }
@@ -74,7 +76,7 @@
   dropOverdueOrphans(view);
 }
 
-/** Forgets the asks of a holder's earlier incarnations, and orphans its work. */
+/** Drops the asks of a holder's earlier incarnations, orphans their grants. */
 function dropEarlierIncarnations(
   shard: Shard,
   holder: { holderId: string; incarnation: number; nowMs: number },
@@ -96,14 +98,14 @@
 
 function isGone(
   board: Blackboard,
-  holder: { holderId: string; seen: HolderSeen; nowMs: number },
+  holder: { holderId: string; record: HolderSeen; nowMs: number },
 ): boolean {
-  const { holderId, seen, nowMs } = holder;
+  const { holderId, record, nowMs } = holder;
   const member = board.members.byId.get(holderId);
-  if (member !== undefined && member.incarnation > seen.incarnation) {
+  if (member !== undefined && member.incarnation > record.incarnation) {
     return true;
   }
   const timeoutMs = board.settings.inForce?.timing.memberTimeoutMs ?? Infinity;
-  const isSilent = nowMs - seen.beatHeardAtMs > timeoutMs;
+  const isSilent = nowMs - record.beatHeardAtMs > timeoutMs;
   return isSilent && (member === undefined || !isAlive(board, member, nowMs));
 }
--- a/packages/core/src/holder_reconcile.ts
+++ b/packages/core/src/holder_reconcile.ts
@@ -1,4 +1,4 @@
-/** Keeps a coordinator's account in step with what holders report. */
+/** Reconciles a coordinator's asks and grants with the reports of holders. */
 
 import {
   PeerMessageKind,
@@ -11,20 +11,25 @@
 import { HOLDER_BEAT_INTERVAL_MS } from "./holder_report.ts";
 import type { ShardView } from "./shard_view.ts";
 
-/** Beats beyond a grant's lifetime before an unlisted grant is taken back. */
+/** Beats past a grant's lifetime after which an unlisted grant is closed. */
 const GRANT_MARGIN_BEATS = 2;
 
-/** How long closed work is left out of `AsksUnknown`: its answer is under way. */
+/**
+ * Time during which a closed ask is left out of `AsksUnknown`: its answer may
+ * still be in flight.
+ */
 const CLOSED_GRACE_MS = 1000;
 
 type HolderReport = PeerMessageOf<PeerMessageKind.HolderReport>;
 
 /**
- * Handles a holder's full report.
+ * Reconciles a shard with a holder's full report: renews its asks, records its
+ * running work, and closes grants that it no longer lists. Reports older than
+ * the last one are ignored.
  *
  * @param view The shard.
  * @param report The report.
- * @param sender Who sent it.
+ * @param sender The holder that sent it.
  */
 export function reconcileReport(
   view: ShardView,
@@ -94,12 +99,12 @@
   grant.usedAtMs = Math.min(grant.usedAtMs, nowMs);
   grant.used = true;
   if (grant.preempted) {
-    // The first order may have been lost; a second does no harm.
+    // The first preempt message may have been lost; a repeat does no harm.
     preemptGrant(view, grant, "a higher tier, ordered again");
   }
 }
 
-/** Takes work into the account that another coordinator granted. */
+/** Opens a grant for running work that another coordinator granted. */
 function adoptWork(
   view: ShardView,
   work: RunningWork,
@@ -139,7 +144,7 @@
   return grant;
 }
 
-/** What an adopted grant's ask cannot be known to have said. */
+/** Placeholders for the fields of an ask that running work does not carry. */
 const ADOPTED_ASK_DEFAULTS = {
   askNumber: 0,
   value: 0,
@@ -151,7 +156,7 @@
 };
 
 /**
- * Takes back grants that their holder's report does not list: work it listed
+ * Closes grants that their holder's report does not list: work it listed
  * before has ended, and a grant past its lifetime can no longer be used.
  */
 function closeUnlistedGrants(
--- a/packages/core/src/holder_reconcile_test.ts
+++ b/packages/core/src/holder_reconcile_test.ts
@@ -19,7 +19,7 @@
   cancellable: true,
 };
 
-test("should take a lost grant back by a report after its lifetime, not before", () => {
+test("should close a lost grant on a report after its lifetime, not before", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
   fake.ask({ requestId: "lost" });
   fake.ask({ requestId: "next" });
@@ -29,17 +29,17 @@
   assert.is(fake.grants.at(-1)?.requestId, "next");
 });
 
-test("should free listed work as soon as a later report leaves it out", () => {
+test("should close listed work as soon as a later report omits it", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
   fake.report({ holderBeat: 3, running: [RUNNING] });
   assert.is(fake.shard.grants.size, 1);
   fake.report({ holderBeat: 2, running: [] });
-  assert.is(fake.shard.grants.size, 1, "an older report tells nothing");
+  assert.is(fake.shard.grants.size, 1, "an older report is ignored");
   fake.report({ holderBeat: 4, running: [] });
   assert.is(fake.shard.grants.size, 0);
 });
 
-test("should adopt running work it did not grant, and keep its room", () => {
+test("should adopt running work it did not grant, and keep its capacity", () => {
   const fake = new FakeShard({ targets: [{}] });
   fake.report({ running: [RUNNING] });
   fake.ask({ requestId: "large", promptTokens: 5000 });
@@ -52,7 +52,7 @@
   assert.is(fake.shard.grants.size, 1, "ended work is not adopted again");
 });
 
-test("should name the asks of a report that it does not know", () => {
+test("should name the unknown asks of a report", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
   fake.ask({ requestId: "granted" });
   fake.ask({ requestId: "waiting" });
@@ -83,7 +83,7 @@
   assert.not(fake.shard.waiting.has("a"), "a copy after the end is ignored");
 });
 
-test("should void a grant when the holder asks anew without its target", () => {
+test("should cancel a grant when the holder asks again without its target", () => {
   const fake = new FakeShard({ targets: [{}, {}] });
   fake.ask({ requestId: "a" });
   fake.ask({ requestId: "a", askNumber: 2, excludedTargetIds: ["t0"] });
@@ -108,7 +108,7 @@
   assert.is(fake.shard.waiting.size, 0);
 });
 
-test("should drop a gone holder's asks, and its work once two reports lack it", () => {
+test("should drop a gone holder's asks, and its work once two load reports lack it", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
   fake.ask({
     requestId: "runs",
@@ -128,7 +128,7 @@
   assert.is(fake.shard.grants.size, 0);
 });
 
-test("should drop asks of an earlier incarnation, and ignore its words", () => {
+test("should drop asks of an earlier incarnation, and ignore its reports", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
   fake.ask({ requestId: "runs" });
   fake.ask({ requestId: "waits" });
@@ -146,7 +146,7 @@
   assert.not(fake.shard.grants.has(RUNNING.grantId));
 });
 
-test("should grant nothing to a holder that was silent for most of a grant's life", () => {
+test("should grant nothing to a holder silent for most of a grant's lifetime", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }], runsWork: true });
   fake.ask({ requestId: "runs", expectedOutputTokens: 150 });
   fake.ask({ requestId: "waits" });
--- a/packages/core/src/holder_report.ts
+++ b/packages/core/src/holder_report.ts
@@ -1,4 +1,4 @@
-/** The holder's beats, and its reports to the coordinators it deals with. */
+/** The holder's beat counter, and its reports to coordinators. */
 
 import {
   PeerMessageKind,
@@ -9,11 +9,12 @@
 import { rankCoordinators } from "./coordinators.ts";
 import { RequestState } from "./request.ts";
 
-/** How often the holder's beat rises. */
+/** Interval at which the holder's beat is incremented. */
 export const HOLDER_BEAT_INTERVAL_MS = 250;
-/** Beats remembered for judging the age of grants. */
+/** Beats whose start times are kept, to compute the age of grants. */
 const MAX_RECORDED_BEATS = 64;
 
+/** A report under construction, for one coordinator of one shard. */
 interface PendingReport {
   readonly pool: string;
   readonly failureDomain: string;
@@ -23,9 +24,11 @@
 }
 
 /**
- * Raises the holder's beat when it is due.
+ * Increments the holder's beat when its interval has passed. The beat is the
+ * holder's logical clock: coordinators echo it in grants, whose lifetime counts
+ * from the start of that beat.
  *
- * @param turn The turn of a tick.
+ * @param turn The turn of a tick event.
  */
 export function incrementHolderBeat(turn: Turn): void {
   const { requests } = turn.board;
@@ -39,9 +42,11 @@
 }
 
 /**
- * Reports waiting and running requests to their coordinators when it is due.
+ * Reports waiting and running requests to their coordinators when the report
+ * interval has passed. A coordinator that got the previous report but has no
+ * request of this holder now gets one empty report, so that it closes the rest.
  *
- * @param turn The turn of a tick.
+ * @param turn The turn of a tick event.
  */
 export function reportToCoordinators(turn: Turn): void {
   const { requests, settings } = turn.board;
--- a/packages/core/src/member_table.ts
+++ b/packages/core/src/member_table.ts
@@ -1,4 +1,4 @@
-/** Adds to and takes from the table of members. */
+/** The member table: adds, updates and removes members. */
 
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
 import type { InstanceList } from "@chestnuthatch/wire/platform_protocol";
@@ -7,13 +7,13 @@
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
 import { timingOf } from "./timing.ts";
 
-/** Most members kept, whatever rumours say. */
+/** Upper bound on members kept, however many ids gossip reports. */
 const MAX_MEMBERS = 4096;
 
-/** Member timeouts of silence after which an unlisted member is forgotten. */
+/** Silence, in member timeouts, after which an unlisted member is removed. */
 const REMOVE_AFTER_TIMEOUTS = 12;
 
-/** What is known of a member before it was heard. */
+/** Where a member is, as known before its first heartbeat is received. */
 export interface MemberLocation {
   readonly instanceId: string;
   /** Empty while unknown. */
@@ -23,11 +23,12 @@
 }
 
 /**
- * Finds a member, or adds it.
+ * Returns a member, adding it if the table has none with that id.
  *
  * @param board The instance's state.
- * @param location What is known of it, used only when it is new.
- * @returns The member, or nothing when the table is full.
+ * @param location Its id, failure domain and address; the latter two are used
+ * only for a new member.
+ * @returns The member, or undefined when it is new and the table is full.
  */
 export function ensureMember(
   board: Blackboard,
@@ -57,11 +58,12 @@
 }
 
 /**
- * Takes in the platform's list. A list that speaks of an earlier time than the
- * known one may add members but changes and removes none.
+ * Merges the platform's instance list into the member table. A list whose
+ * snapshot is older than the last one applied may add members but neither
+ * changes nor unlists any.
  *
- * @param turn The turn the list was read in.
- * @param list The list.
+ * @param turn The turn in which the list was read.
+ * @param list The list, with the age of its snapshot.
  */
 export function mergeInstanceList(turn: Turn, list: InstanceList): void {
   const { members } = turn.board;
@@ -119,9 +121,10 @@
 }
 
 /**
- * Drops members that are neither listed nor connected and long silent.
+ * Removes members that are neither listed nor connected and whose heartbeat
+ * has not advanced for {@link REMOVE_AFTER_TIMEOUTS} member timeouts.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
 export function removeGoneMembers(turn: Turn): void {
   const { board, nowMs } = turn;
@@ -143,6 +146,6 @@
   turn.log(
     LogLevel.Info,
     LogPart.Members,
-    `Forgot ${member.instanceId}, which is gone and not listed.`,
+    `Removed ${member.instanceId}, which is silent and not listed.`,
   );
 }
--- a/packages/core/src/membership_controller.ts
+++ b/packages/core/src/membership_controller.ts
@@ -1,4 +1,4 @@
-/** Keeps the table of members: who may exist, who is alive, who is reachable. */
+/** Membership controller: maintains the member table and the member view. */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import type { Blackboard } from "./blackboard.ts";
@@ -24,10 +24,10 @@
   removeGoneMembers,
 } from "./member_table.ts";
 import { detectPause } from "./pause_detection.ts";
-import { timingOf, withJitter } from "./timing.ts";
 import { updateConnections } from "./peer_connections.ts";
+import { timingOf, withJitter } from "./timing.ts";
 
-/** An instance named by the start settings. */
+/** A seed: an instance that the start settings name as a first contact. */
 export interface SeedPeer {
   readonly instanceId: string;
   readonly failureDomain: string;
@@ -35,13 +35,16 @@
   readonly address: string;
 }
 
-/** Writes the members section. */
+/**
+ * Maintains the members section of the blackboard from heartbeats, peer
+ * connections and the platform's instance list.
+ */
 export class MembershipController implements Controller {
   readonly name = "membership";
   readonly handlers: EventHandlers;
   readonly #seedPeers: readonly SeedPeer[];
 
-  /** @param seedPeers Instances named by the start settings. */
+  /** @param seedPeers Instances that the start settings name as first contacts. */
   constructor(seedPeers: readonly SeedPeer[]) {
     this.#seedPeers = seedPeers;
     const ownController: Controller = {
@@ -154,7 +157,7 @@
   updateView(turn);
 }
 
-/** Raises the view number when the set of eligible members has changed. */
+/** Increments the view number when the set of eligible members has changed. */
 function updateView(turn: Turn): void {
   const { members } = turn.board;
   const currentView = new Set(
--- a/packages/core/src/membership_controller_test.ts
+++ b/packages/core/src/membership_controller_test.ts
@@ -70,7 +70,7 @@
   return member !== undefined && isEligible(core.board, member, nowMs);
 }
 
-test("should give a member no duties once its connection is lost", () => {
+test("should make a member ineligible once its connection is lost", () => {
   const core = createTestCore(["njiro-2"]);
   connectPeer(core, "njiro-2");
   assert.ok(isPeerEligible(core, "njiro-2", START_MS));
@@ -84,7 +84,7 @@
   assert.is(core.board.members.viewNumber, viewNumber + 1);
 });
 
-test("should give a member known by rumour no duties until it is listed", () => {
+test("should keep a member known only by gossip ineligible until it is listed", () => {
   const core = createTestCore();
   connectPeer(core, "njiro-9");
   assert.not(isPeerEligible(core, "njiro-9", START_MS));
@@ -92,7 +92,7 @@
   assert.ok(isPeerEligible(core, "njiro-9", START_MS + 1));
 });
 
-test("should neither remove nor change members by an older list", () => {
+test("should neither remove nor change members on an older list", () => {
   const core = createTestCore();
   receiveInstanceList(core, ["njiro-2"], { nowMs: START_MS });
   const older = { nowMs: START_MS + 10, lagMs: 5000, leaving: true };
@@ -104,7 +104,7 @@
   assert.ok(byId.has("njiro-3"));
 });
 
-test("should give a member no duties while it is listed as leaving", () => {
+test("should make a member ineligible while it is listed as leaving", () => {
   const core = createTestCore(["njiro-2"]);
   connectPeer(core, "njiro-2");
   receiveInstanceList(core, ["njiro-2"], {
@@ -114,7 +114,7 @@
   assert.not(isPeerEligible(core, "njiro-2", START_MS + 1));
 });
 
-test("should forget a member that is unlisted and long silent", () => {
+test("should remove a member that is unlisted and long silent", () => {
   const core = createTestCore(["njiro-2"]);
   connectPeer(core, "njiro-2");
   core.handle({
@@ -126,14 +126,16 @@
   for (let nowMs = START_MS; nowMs < START_MS + 40_000; nowMs += 500) {
     const effects = receiveInstanceList(core, [], { nowMs });
     forgotten.push(
-      ...effectsOf(effects, EffectKind.ForgetPeer).map((one) => one.peerId),
+      ...effectsOf(effects, EffectKind.ForgetPeer).map((effect) =>
+        effect.peerId
+      ),
     );
     if (nowMs < START_MS + 30_000) assert.equal(forgotten, []);
   }
   assert.equal(forgotten, ["njiro-2"]);
 });
 
-test("should keep the others' time over a pause and rejoin before duties", () => {
+test("should not count a pause as silence, and rejoin before taking duties", () => {
   const core = createTestCore(["njiro-2", "njiro-3"]);
   connectPeer(core, "njiro-2");
   connectPeer(core, "njiro-3");
@@ -150,14 +152,14 @@
   assert.not(isPeerEligible(core, "njiro-3", laterMs));
 });
 
-test("should serve its own requests when nobody is eligible", () => {
+test("should coordinate its own requests when no instance is eligible", () => {
   const core = createTestCore(["njiro-2"]);
   core.board.self.leaving = true;
   const ranked = rankCoordinators(core.board, SHARD, START_MS);
   assert.equal(ranked.map((member) => member.instanceId), ["njiro-1"]);
 });
 
-test("should want all peers of a small fleet and a stable few of a large one", () => {
+test("should select all peers of a small fleet and a stable few of a large one", () => {
   const ids = Array.from({ length: 400 }, (_, i) => `peer-${i}`);
   const small = createTestCore(ids.slice(0, FULL_MESH_MEMBERS - 1));
   assert.is(selectPeerIds(small.board, START_MS).size, FULL_MESH_MEMBERS - 1);
@@ -170,7 +172,7 @@
   assert.ok(kept.length >= selected.size - 1);
 });
 
-test("should judge by heartbeats alone a member it keeps no connection to", () => {
+test("should need only heartbeats from a member not selected for a connection", () => {
   const ids = Array.from({ length: 60 }, (_, i) => `peer-${i}`);
   const core = createTestCore(ids);
   const selected = selectPeerIds(core.board, START_MS);
--- a/packages/core/src/pause_detection.ts
+++ b/packages/core/src/pause_detection.ts
@@ -1,19 +1,20 @@
-/** Notices that this instance was paused, so that it acts on nothing old. */
+/** Detects that this process was paused, so that it acts on no stale state. */
 
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
 import { timingOf } from "./timing.ts";
 
-/** Share of the member timeout that a gap between events must pass. */
+/** Share of the member timeout above which a gap between events is a pause. */
 const PAUSE_TIMEOUT_SHARE = 0.5;
 
 /**
- * Looks at the gap since the latest event, of which ticks alone make many a
- * second. Silence is counted only while this instance could listen: members
- * keep the time they had left. After a gap as long as the member timeout others
- * hold this instance's duties, so that it goes without them for a moment.
+ * Checks the gap since the latest event; ticks alone fire many times a second.
+ * The gap does not count as silence of the members, since this instance could
+ * not receive their heartbeats: each keeps the time it had left. After a gap
+ * as long as the member timeout, other instances coordinate this instance's
+ * shards, so it stays ineligible for one heartbeat interval.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
 export function detectPause(turn: Turn): void {
   const { members } = turn.board;
@@ -32,6 +33,6 @@
   turn.log(
     LogLevel.Warn,
     LogPart.Members,
-    `Woke from a pause of ${Math.round(gapMs)} ms.`,
+    `Resumed after a pause of ${Math.round(gapMs)} ms.`,
   );
 }
--- a/packages/core/src/peer_connections.ts
+++ b/packages/core/src/peer_connections.ts
@@ -1,4 +1,4 @@
-/** Which peers this instance keeps a connection to. */
+/** Selects the peers that this instance keeps connections to. */
 
 import { type Blackboard, type Member, shardKey } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
@@ -7,25 +7,27 @@
 import { EffectKind } from "./effects.ts";
 import { RequestState } from "./request.ts";
 
-/** Up to this many members, everyone is connected to everyone. */
+/** Up to this many members, every instance connects to every other. */
 export const FULL_MESH_MEMBERS = 32;
 
-/** Most connections kept in a larger fleet. */
+/** Upper bound on connections kept in a larger fleet. */
 export const MAX_PEER_CONNECTIONS = 32;
 
-/** Peers kept for gossip alone in a larger fleet. */
+/** Peers connected only for gossip in a larger fleet. */
 const GOSSIP_NEIGHBOURS = 8;
 
-/** Coordinators of each own shard that are kept: the present one and the next. */
+/** Connected per shard of this domain: its coordinator and the next in rank. */
 const CONNECTED_COORDINATORS_PER_SHARD = 2;
 
 /**
- * Names the peers to keep connected: all in a small fleet; in a larger one a
- * stable random set for gossip and those that this instance has duties with.
+ * Selects the peers to keep connected: all of them in a small fleet; in a
+ * larger one a stable pseudo-random set for gossip, plus the coordinators and
+ * holders of work that this instance takes part in.
  *
  * @param board The instance's state.
- * @param nowMs The local time.
- * @returns Instance ids, a bounded number in a larger fleet.
+ * @param nowMs The local time in milliseconds.
+ * @returns Instance ids; in a fleet of more than {@link FULL_MESH_MEMBERS}, at
+ * most {@link MAX_PEER_CONNECTIONS}.
  */
 export function selectPeerIds(board: Blackboard, nowMs: number): Set<string> {
   const others = [...board.members.byId.values()].filter((member) =>
@@ -62,6 +64,7 @@
   return scored.slice(0, GOSSIP_NEIGHBOURS).map(({ id }) => id);
 }
 
+/** Coordinators and holders of the asks and grants kept on this instance. */
 function* counterpartIds(board: Blackboard, nowMs: number): Generator<string> {
   yield* localShardCoordinatorIds(board, nowMs);
   for (const request of board.requests.byId.values()) {
@@ -84,7 +87,10 @@
   }
 }
 
-/** Judged without regard to connections, or wanting one would end it. */
+/**
+ * Ranks by liveness instead of eligibility: a dialled peer is eligible only
+ * while connected, so it would be deselected before its connection is up.
+ */
 function localShardCoordinatorIds(board: Blackboard, nowMs: number): string[] {
   const { failureDomain } = board.self;
   const alive = [...board.members.byId.values()].filter((member) =>
@@ -103,10 +109,10 @@
 }
 
 /**
- * Orders connections to wanted peers, and ends those that are no longer wanted
- * once there are too many.
+ * Opens connections to the selected peers, and closes those to other peers
+ * once there are more than {@link MAX_PEER_CONNECTIONS}.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
 export function updateConnections(turn: Turn): void {
   const selected = selectPeerIds(turn.board, turn.nowMs);
--- a/packages/core/src/readiness.ts
+++ b/packages/core/src/readiness.ts
@@ -1,18 +1,18 @@
-/** Whether the balancer may send this instance callers. */
+/** Readiness: whether the load balancer may route callers to this instance. */
 
 import type { Blackboard } from "./blackboard.ts";
 
-/** An instance's readiness, with what stands against it. */
+/** Whether an instance is ready for callers, with the reasons against it. */
 export interface Readiness {
   readonly ready: boolean;
   readonly reasons: string[];
 }
 
 /**
- * Tells whether the instance is ready for callers.
+ * Determines whether the instance is ready for callers.
  *
  * @param board The instance's state.
- * @returns Ready, or the reasons why it is not.
+ * @returns The readiness; `reasons` is empty when `ready` is true.
  */
 export function readinessOf(board: Blackboard): Readiness {
   const { self, settings, members } = board;
--- a/packages/core/src/settings_controller.ts
+++ b/packages/core/src/settings_controller.ts
@@ -1,4 +1,4 @@
-/** Keeps the settings in force: read, checked, passed on, never going back. */
+/** Settings controller: validates, applies and propagates settings versions. */
 
 import {
   PeerMessageKind,
@@ -20,17 +20,20 @@
 } from "./settings_offers.ts";
 import { timingOf, withJitter } from "./timing.ts";
 
-/** Most faults of refused settings that are written to the log. */
+/** Upper bound on faults logged for one rejected version. */
 const MAX_LOGGED_FAULTS = 3;
 
-/** A version of the settings as the store or a peer hands it over. */
+/** A version of the settings as read from the store or offered by a peer. */
 interface SettingsVersion {
   readonly version: number;
   readonly content: string;
   readonly changeId: string;
 }
 
-/** Writes the settings section. */
+/**
+ * Maintains the settings section of the blackboard: polls the store, exchanges
+ * versions with peers, and applies valid ones in rising order only.
+ */
 export class SettingsController implements Controller {
   readonly name = "settings";
   readonly handlers: EventHandlers = {
@@ -73,7 +76,7 @@
   }
 }
 
-/** Only the sender's own word counts here; what it passes on may be old. */
+/** Uses only the sender's own entry; entries it relays may be outdated. */
 function onHeartbeat(
   turn: Turn,
   received: {
@@ -82,7 +85,9 @@
   },
 ): void {
   const { message, fromId } = received;
-  const senderEntry = message.members.find((one) => one.instanceId === fromId);
+  const senderEntry = message.members.find((entry) =>
+    entry.instanceId === fromId
+  );
   const version = turn.board.settings.inForce?.version ?? 0;
   if (senderEntry === undefined || fromId === turn.board.self.instanceId) {
     return;
@@ -123,7 +128,11 @@
   } else if (
     candidate.version === version && candidate.changeId !== settings.changeId
   ) {
-    rejectVersion(turn, candidate, `it is in force as ${settings.changeId}`);
+    rejectVersion(
+      turn,
+      candidate,
+      `this version is already in force as ${settings.changeId}`,
+    );
   }
 }
 
--- a/packages/core/src/settings_controller_test.ts
+++ b/packages/core/src/settings_controller_test.ts
@@ -79,7 +79,7 @@
     .filter((effect) => effect.level === LogLevel.Error).length;
 }
 
-test("should never go down in version, nor take bad content", () => {
+test("should never apply a lower version or invalid content", () => {
   const step = fc.record({
     version: fc.integer({ min: 0, max: 8 }),
     content: fc.constantFrom(TEST_SETTINGS, BAD_SETTINGS, "", "a: ["),
@@ -105,7 +105,7 @@
   );
 });
 
-test("should log the same bad content once and take a good one after it", () => {
+test("should log the same invalid content once and apply a valid one after it", () => {
   const core = createTestCore();
   assert.is(
     errorsIn(receiveFromStore(core, { version: 2, content: BAD_SETTINGS })),
@@ -143,7 +143,7 @@
   assert.is(sent.length, OFFER_FANOUT);
 });
 
-test("should offer to an older peer at once but not again within seconds", () => {
+test("should offer to an outdated peer at once but not again within seconds", () => {
   const core = createTestCore(["njiro-2"]);
   receiveFromStore(core, { version: 4 });
   const offered = [PeerMessageKind.SettingsOffer];
@@ -159,7 +159,7 @@
   );
 });
 
-test("should ask a newer peer, and every peer while it has no settings", () => {
+test("should request settings of a newer peer, and of any peer while it has none", () => {
   const core = createTestCore(["njiro-2"]);
   const effects = core.handle({
     kind: EventKind.PeerConnected,
--- a/packages/core/src/settings_index.ts
+++ b/packages/core/src/settings_index.ts
@@ -1,4 +1,4 @@
-/** What is looked up in the settings all the time, indexed once a version. */
+/** Lookup indexes over the settings, built once per version. */
 
 import type {
   SettingsInForce,
@@ -7,28 +7,30 @@
 } from "@chestnuthatch/settings/policy";
 import { shardKey } from "./blackboard.ts";
 
-/** One pool's targets in one failure domain, as the settings have them. */
+/** A shard as the settings define it: a pool's targets in a failure domain. */
 export interface ShardTargets {
   readonly key: string;
   readonly pool: string;
   readonly failureDomain: string;
-  /** By target id. */
+  /** Sorted by target id. */
   readonly targets: readonly TargetSettings[];
 }
 
 interface SettingsIndex {
   readonly shards: ReadonlyMap<string, ShardTargets>;
   readonly domainsByPool: ReadonlyMap<string, readonly string[]>;
+  /** By region, workspace and tier rank; filled on use. */
   readonly policies: Map<string, Map<string, TierPolicy[]>>;
 }
 
 const indexes = new WeakMap<SettingsInForce, SettingsIndex>();
 
 /**
- * Lists all shards.
+ * Lists the shards that the settings define, one for each pool and failure
+ * domain with targets.
  *
  * @param settings The settings in force.
- * @returns Shards by key.
+ * @returns Shards by their key, `pool@failureDomain`.
  */
 export function shardsOf(
   settings: SettingsInForce,
@@ -41,7 +43,7 @@
  *
  * @param settings The settings in force.
  * @param pool Name of the pool.
- * @returns Names, each once, in the order of the settings.
+ * @returns Names of failure domains, each once, in the order of the settings.
  */
 export function domainsOfPool(
   settings: SettingsInForce,
@@ -51,11 +53,12 @@
 }
 
 /**
- * Resolves a policy by the rank of its tier.
+ * Resolves the policy of a tier, given by its rank, in a region and workspace.
  *
  * @param settings The settings in force.
- * @param scope Where; a rank below the lowest tier counts as the lowest.
- * @returns The policy.
+ * @param scope The region, workspace and tier rank (0 is the highest tier). A
+ * rank beyond the lowest tier counts as the lowest tier.
+ * @returns The policy that applies in that scope.
  */
 export function policyOfRank(
   settings: SettingsInForce,
--- a/packages/core/src/settings_offers.ts
+++ b/packages/core/src/settings_offers.ts
@@ -1,22 +1,23 @@
-/** Passes settings from instance to instance, a bounded number at a time. */
+/** Propagates settings between instances, to a bounded number at a time. */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import type { Blackboard } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 
-/** Peers that are offered a new version at once; gossip reaches the others. */
+/** Peers offered a new version immediately; gossip reaches the others. */
 export const OFFER_FANOUT = 3;
 
-/** One peer is offered the same version at most this often. */
+/** Minimum interval between offers of the same version to one peer. */
 export const MIN_OFFER_INTERVAL_MS = 3000;
 
-/** Peers are asked for a higher version at most this often. */
+/** Minimum interval between requests to peers for a higher version. */
 const MIN_WANTED_INTERVAL_MS = 1000;
 
 /**
- * Offers the version in force to a few connected peers that have an older one.
+ * Offers the version in force to at most {@link OFFER_FANOUT} connected peers
+ * that have an older one.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
 export function offerToOutdatedPeers(turn: Turn): void {
   const { board } = turn;
@@ -31,9 +32,10 @@
 }
 
 /**
- * Offers one peer the version in force, unless it was just offered.
+ * Offers the version in force to one peer, unless that version was offered
+ * to or by it within the last {@link MIN_OFFER_INTERVAL_MS}.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
 export function offerSettings(turn: Turn, peerId: string): void {
@@ -60,9 +62,9 @@
 }
 
 /**
- * Asks one peer for a version above the one in force.
+ * Requests from one peer a version above the one in force.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
 export function requestSettings(turn: Turn, peerId: string): void {
@@ -73,9 +75,10 @@
 }
 
 /**
- * Asks a peer that has a higher version, unless one was just asked.
+ * Requests the settings of a peer that has a higher version, at most once
+ * in {@link MIN_WANTED_INTERVAL_MS} over all peers.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
 export function requestNewerSettings(turn: Turn, peerId: string): void {
@@ -87,10 +90,11 @@
 }
 
 /**
- * Notes that a peer has a version, since it offered it.
+ * Records that a peer has a version because it offered it, so that the same
+ * version is not offered back at once.
  *
- * @param turn The present turn.
- * @param peer The peer and the version.
+ * @param turn The current turn.
+ * @param peer The peer's id and the version that it offered.
  */
 export function recordPeerVersion(
   turn: Turn,
@@ -101,7 +105,8 @@
 }
 
 /**
- * Drops what was noted of a peer, whose connection or process is another now.
+ * Clears the last offer recorded for a peer that connected or disconnected: it
+ * may be another process now, without that version.
  *
  * @param board The instance's state.
  * @param peerId The peer.
--- a/packages/core/src/shutdown_controller.ts
+++ b/packages/core/src/shutdown_controller.ts
@@ -1,4 +1,4 @@
-/** Ends the instance once nothing it holds is unfinished. */
+/** Shutdown controller: drains the instance's requests, then ends it. */
 
 import type { Blackboard } from "./blackboard.ts";
 import {
@@ -13,13 +13,16 @@
 import { broadcastHeartbeat } from "./heartbeat_gossip.ts";
 import { isFinished } from "./held_requests.ts";
 
-/** Writes `leaving` of this instance. */
+/**
+ * Marks this instance as leaving, and emits `ShutdownDone` once none of its
+ * requests is unfinished, or at once when the shutdown is forced.
+ */
 export class ShutdownController implements Controller {
   readonly name = "shutdown";
   readonly handlers: EventHandlers;
   #isComplete = false;
 
-  /** Makes the controller of an instance that is not leaving. */
+  /** Creates the controller of an instance that is not leaving. */
   constructor() {
     const ownController: Controller = {
       name: this.name,
@@ -42,7 +45,7 @@
     turn.log(
       unfinished > 0 ? LogLevel.Error : LogLevel.Info,
       LogPart.Shutdown,
-      `Done with ${unfinished} requests unfinished.`,
+      `Shutdown complete with ${unfinished} requests unfinished.`,
     );
     turn.emit({ kind: EffectKind.ShutdownDone });
   }
--- a/packages/core/src/shutdown_controller_test.ts
+++ b/packages/core/src/shutdown_controller_test.ts
@@ -44,7 +44,7 @@
   return effectsOf(effects, EffectKind.ShutdownDone).length > 0;
 }
 
-test("should end only when nothing it holds is unfinished, and once", () => {
+test("should complete the shutdown once, when no request is unfinished", () => {
   const core = createCoreWithRequest();
   const request = core.board.requests.byId.get("request-1")!;
   const handleAt = (
@@ -58,7 +58,7 @@
   assert.not(isComplete(handleAt(EventKind.Tick, 150)));
 });
 
-test("should end at once when forced", () => {
+test("should complete the shutdown at once when forced", () => {
   const core = createCoreWithRequest();
   const forced = { kind: EventKind.ShutdownForced, nowMs: START_MS + 1 };
   const effects = core.handle(forced as never);
@@ -66,7 +66,7 @@
   assert.is(effectsOf(effects, EffectKind.RefuseCaller).length, 1);
 });
 
-test("should tell its status and a request's story as plain JSON", () => {
+test("should give its status and the explanation of a request as plain JSON", () => {
   const core = createCoreWithRequest();
   const status = statusOf(core.board, START_MS);
   const explanation = whyOf(core.board, "request-1");
--- a/packages/core/src/slot_shares.ts
+++ b/packages/core/src/slot_shares.ts
@@ -1,4 +1,4 @@
-/** Watches how fast each target works, and adjusts its slots. */
+/** Adjusts the slot share of each target to its measured slowdown. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type { GrantAccount, Shard, Target } from "./blackboard.ts";
@@ -8,9 +8,10 @@
 import { adjustSlotShare, overdueRatio, slowdownOf } from "./straggler.ts";
 
 /**
- * Cuts and restores slots by how fast each target has become.
+ * Cuts and restores the slot shares of the targets of all shards served by this
+ * instance.
  *
- * @param turn The turn of a tick.
+ * @param turn The turn of a tick event.
  */
 export function adjustSlotShares(turn: Turn): void {
   const settings = turn.board.settings.inForce;
@@ -28,15 +29,15 @@
   targetSettings: TargetSettings,
 ): void {
   const target = turn.board.targets.byId.get(targetSettings.id)!;
-  const overdue = overdueRatio(
+  const overdueSlowdown = overdueRatio(
     usedGrantsOn(shard, targetSettings.id),
     turn.nowMs,
   );
-  if (target.pace === undefined && overdue === 1) {
+  if (target.pace === undefined && overdueSlowdown === 1) {
     return;
   }
   const slowdown = Math.max(
-    overdue,
+    overdueSlowdown,
     slowdownOf(target, comparableTargets(turn, targetSettings)),
   );
   const measured = { slowdown, nowMs: turn.nowMs };
--- a/packages/core/src/status.ts
+++ b/packages/core/src/status.ts
@@ -1,4 +1,4 @@
-/** What one instance knows of itself and the fleet, for people and tools. */
+/** The status of one instance: itself and the fleet as it sees them. */
 
 import type {
   Blackboard,
@@ -12,19 +12,19 @@
 import { type Readiness, readinessOf } from "./readiness.ts";
 import { RequestState } from "./request.ts";
 
-/** Whether a member is up, as this instance sees it. */
+/** Liveness of a member as this instance sees it. */
 export enum MemberLiveness {
-  /** Alive and open to duties. */
+  /** Alive, and may coordinate shards. */
   Eligible = "eligible",
-  /** Alive, without duties: leaving, or not reachable from here. */
+  /** Alive but not eligible, such as when leaving or not connected. */
   Alive = "alive",
   /** Its heartbeat has stopped. */
   Silent = "silent",
-  /** Known by name only. */
+  /** No heartbeat of it was ever received. */
   NeverHeard = "never_heard",
 }
 
-/** One member. */
+/** Status of one member. */
 export interface MemberStatus {
   readonly instanceId: string;
   readonly failureDomain: string;
@@ -36,11 +36,11 @@
   readonly connected: boolean;
   readonly listed: boolean;
   readonly settingsVersion: number;
-  /** Time since its heartbeat advanced; absent where it was never heard. */
+  /** Time since its heartbeat last advanced; absent if it never did. */
   readonly silentMs?: number;
 }
 
-/** One shard that this instance coordinates. */
+/** Status of one shard that this instance coordinates. */
 export interface ShardStatus {
   readonly pool: string;
   readonly failureDomain: string;
@@ -51,7 +51,7 @@
   readonly grantsInUse: number;
 }
 
-/** One target. */
+/** Status of one target. */
 export interface TargetStatus {
   readonly targetId: string;
   readonly health: TargetHealth;
@@ -68,10 +68,11 @@
   readonly decodeMsPerToken: number;
   readonly callMs: number;
   readonly samples: number;
+  /** Ratio of recent to normal time; 1 is normal, above 1 is slower. */
   readonly slowdown: number;
 }
 
-/** The status of one instance. */
+/** Status of one instance. */
 export interface InstanceStatus {
   readonly instanceId: string;
   readonly incarnation: number;
@@ -90,10 +91,10 @@
 }
 
 /**
- * Describes an instance.
+ * Builds the status of an instance.
  *
  * @param board The instance's state.
- * @param nowMs The local time.
+ * @param nowMs The local time in milliseconds.
  * @returns Its status, ready for JSON.
  */
 export function statusOf(board: Blackboard, nowMs: number): InstanceStatus {
@@ -126,7 +127,7 @@
     .map(([, value]) => value);
 }
 
-/** JSON has no infinity: a time that never was gives no age. */
+/** JSON has no infinity: a time that was never set gives no age. */
 function ageSinceMs(atMs: number, nowMs: number): number | undefined {
   return Number.isFinite(atMs) ? nowMs - atMs : undefined;
 }
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -1,36 +1,38 @@
-/** Finds targets that have become slow, cuts their slots, lets them recover. */
+/** Straggler detection: measures slowdowns and adjusts slot shares by them. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type { GrantAccount, Target } from "./blackboard.ts";
 import { paceOf } from "./learned_rates.ts";
 
-/** A target this much slower than it should be is cut. */
+/** Slowdown above which a target's slot share is cut. */
 const CUT_SLOWDOWN_RATIO = 2;
-/** A target that is being cut is cut until it is less slow than this. */
+/** Slowdown to which a cut target must fall to regain all its slots. */
 const RECOVERED_SLOWDOWN_RATIO = 1.5;
-/** A cut is told of when this share or less of the former slots is left. */
+/** A cut is logged when less than this share of the previous slots is left. */
 const SIGNIFICANT_CUT_SHARE = 0.9;
-/** Smallest share of its slots left; at least one slot is left as a probe. */
+/** Lower bound on the slot share; at least one slot is left as a probe. */
 const MIN_SLOT_SHARE = 0.05;
-/** Share of its slots that comes back in a second. */
+/** Share of its slots that a recovering target regains per second. */
 const RECOVERY_SHARE_PER_S = 0.05;
-/** Share of its slots that a target gets when it first answers again. */
+/** Slot share of a target that has just become reachable again. */
 const INITIAL_RETURN_SLOT_SHARE = 0.25;
-/** Work running this many times its predicted time counts against a target. */
+/** Work running this many times its predicted time counts as a slowdown. */
 const MIN_OVERDUE_RATIO = 3;
+/** Time past its predicted end after which work counts as overdue. */
 const MIN_OVERDUE_MS = 1000;
 
-/** Samples without which a target is not compared. */
+/** Samples that a target needs before its rates are compared. */
 const MIN_SAMPLES = 5;
 
 const MS_PER_SECOND = 1000;
 
 /**
- * Compares a target's recent rates with its own past and with its kind.
+ * Compares a target's recent rates with its own long-term rates and with the
+ * recent rates of comparable targets.
  *
  * @param target The target.
- * @param peers Other targets of the same pool and hardware.
- * @returns Its slowdown; 1 is normal, above 1 is slower.
+ * @param peers Comparable targets: the others of the same pool and hardware.
+ * @returns Its slowdown as a ratio of times: 1 is normal, above 1 is slower.
  */
 export function slowdownOf(target: Target, peers: readonly Target[]): number {
   if (target.rates.samples < MIN_SAMPLES) {
@@ -43,7 +45,7 @@
   if (measuredPeers.length === 0) {
     return Math.max(1, ownRatio);
   }
-  // A load that slows the whole kind makes nobody a straggler.
+  // A load that slows all comparable targets makes none of them a straggler.
   const peerRatio = Math.max(1, medianOf(measuredPeers.map(longTermRatioOf)));
   const rateRatios =
     (["prefillMsPerToken", "decodeMsPerToken", "callMs"] as const)
@@ -57,13 +59,14 @@
 }
 
 /**
- * Tells how far running work is beyond its predicted time: what a target that
- * stands still shows first.
+ * Measures how far running work is past its predicted time, which is the first
+ * sign of a stalled target.
  *
  * @param grants Used grants on one target.
- * @param nowMs The local time.
- * @returns The second largest ratio where several run, else the only one; 1
- * while it is within bounds.
+ * @param nowMs The local time in milliseconds.
+ * @returns Time running over time predicted: the second largest ratio of
+ * several grants, or that of the only one; 1 while it is below
+ * {@link MIN_OVERDUE_RATIO}.
  */
 export function overdueRatio(
   grants: readonly GrantAccount[],
@@ -81,12 +84,14 @@
 }
 
 /**
- * Cuts a slow target's slots at once, or lets them come back slowly.
+ * Cuts a slow target's slot share at once, or restores it gradually.
  *
  * @param target The target.
  * @param settings Its settings.
- * @param measured Its slowdown now, and the local time.
- * @returns Whether its slots were clearly cut now.
+ * @param measured Its current slowdown as a ratio, and the local time in
+ * milliseconds.
+ * @returns Whether this call cut its slots to less than
+ * {@link SIGNIFICANT_CUT_SHARE} of their previous share.
  */
 export function adjustSlotShare(
   target: Target,
@@ -118,11 +123,12 @@
 }
 
 /**
- * Lets a target that was unreachable begin with a part of its slots.
+ * Limits a target that has become reachable again to
+ * {@link INITIAL_RETURN_SLOT_SHARE} of its slots, from which it recovers.
  *
  * @param target The target.
  * @param settings Its settings.
- * @param nowMs The local time.
+ * @param nowMs The local time in milliseconds.
  */
 export function limitReturnedTarget(
   target: Target,
--- a/packages/core/src/target_controller.ts
+++ b/packages/core/src/target_controller.ts
@@ -1,4 +1,4 @@
-/** Keeps what this instance knows of targets: load, health, leaving, speed. */
+/** Target controller: maintains the load, health and speed of each target. */
 
 import type {
   SettingsInForce,
@@ -35,7 +35,7 @@
 } from "./target_signs.ts";
 import { priorRates } from "./work_cost.ts";
 
-/** Polls that fail in a row before a target counts as unreachable. */
+/** Consecutive failed polls after which a target counts as unreachable. */
 const MAX_FAILED_POLLS = 3;
 
 type MessageHandlers = {
@@ -46,7 +46,10 @@
   ) => void;
 };
 
-/** Writes the targets section. */
+/**
+ * Maintains the targets section of the blackboard from load reports, peer
+ * messages and the platform's instance list.
+ */
 export class TargetController implements Controller {
   readonly name = "target";
   readonly handlers: EventHandlers = {
@@ -63,7 +66,7 @@
   readonly #options: CoordinatorOptions;
   #syncedSettings: SettingsInForce | undefined;
 
-  /** @param options Switches for measurements. */
+  /** @param options Placement features that measurements can switch off. */
   constructor(options: CoordinatorOptions = DEFAULT_COORDINATOR_OPTIONS) {
     this.#options = options;
   }
@@ -108,7 +111,7 @@
     }
   }
 
-  /** Makes entries for the targets that the settings name, and no others. */
+  /** Adds and removes entries to match the targets of the settings in force. */
   #syncTargets(turn: Turn): void {
     const { settings, targets } = turn.board;
     const { inForce } = settings;
@@ -130,10 +133,10 @@
 }
 
 /**
- * Makes the entry of a target of which nothing was heard yet.
+ * Creates the entry of a target that has not reported its load yet.
  *
- * @param settings The target as the operators describe it.
- * @returns The entry.
+ * @param settings The target's settings.
+ * @returns The entry: healthy, with rates estimated from its settings.
  */
 export function createTarget(settings: TargetSettings): Target {
   return {
--- a/packages/core/src/target_controller_test.ts
+++ b/packages/core/src/target_controller_test.ts
@@ -56,14 +56,14 @@
   });
 }
 
-const SIGNS_OF_LEAVING: Record<string, (fake: FakeShard) => void> = {
+const LEAVING_SIGN_SOURCES: Record<string, (fake: FakeShard) => void> = {
   "its own report": (fake) => fake.load("t0", { leaving: true }),
   "a peer": (fake) => receiveSign(fake, 1),
   "the platform's list": (fake) => receiveInstanceList(fake, true),
 };
 
-for (const [source, receive] of Object.entries(SIGNS_OF_LEAVING)) {
-  test(`should grant a target nothing after the first sign from ${source}`, () => {
+for (const [source, receive] of Object.entries(LEAVING_SIGN_SOURCES)) {
+  test(`should grant nothing on a target after the first sign from ${source}`, () => {
     const fake = new FakeShard({ targets: [{}] });
     receive(fake);
     fake.ask({ requestId: "a" });
@@ -71,7 +71,7 @@
   });
 }
 
-test("should pass a sign on at once, and an old one not again", () => {
+test("should forward a new sign at once, and a known one not again", () => {
   const fake = new FakeShard({ targets: [{}] });
   connectPeers(fake, [HOLDER, "entry-3", "entry-4"]);
   const sentSigns = () => fake.of(PeerMessageKind.TargetsHeard).length;
@@ -79,13 +79,13 @@
   assert.is(sentSigns(), 3);
   fake.load("t0", { leaving: true });
   receiveSign(fake, 1);
-  assert.is(sentSigns(), 3, "known signs are not passed on");
+  assert.is(sentSigns(), 3, "known signs are not forwarded");
   receiveSign(fake, 2, false);
-  assert.is(sentSigns(), 5, "news goes to others than its sender");
+  assert.is(sentSigns(), 5, "a new sign is not sent back to its sender");
   assert.not(targetOf(fake).leaving);
 });
 
-test("should take a target back when its own report takes the sign back", () => {
+test("should clear the leaving flag when the target's own report revokes it", () => {
   const fake = new FakeShard({ targets: [{}] });
   fake.load("t0", { leaving: true });
   fake.load("t0");
@@ -93,7 +93,7 @@
   assert.is(targetOf(fake).signNumber, 2);
 });
 
-test("should hold to the list and to fresh signs against the target's report", () => {
+test("should prefer the list and fresh signs to the target's own report", () => {
   const fake = new FakeShard({ targets: [{}] });
   receiveInstanceList(fake, true);
   fake.advance(10_000);
@@ -107,7 +107,7 @@
   assert.not(targetOf(fake).leaving);
 });
 
-test("should suspend a target that refuses a connection, and let it back slowly", () => {
+test("should mark a target that refuses a connection unreachable, and restore it slowly", () => {
   const fake = new FakeShard({ targets: [{ slots: 8 }] });
   fake.ask({ requestId: "a" });
   const { grantId } = fake.grants[0];
@@ -149,7 +149,7 @@
   assert.is(targetOf(fake).health, TargetHealth.Unreachable);
 });
 
-test("should drop reports older than the present one", () => {
+test("should drop reports older than the current one", () => {
   const fake = new FakeShard({ targets: [{}] });
   fake.load("t0", { slotsUsed: 1, ageMs: 0 });
   fake.load("t0", { slotsUsed: 0, ageMs: 30 });
@@ -163,7 +163,7 @@
   assert.is(effects[0].kind, EffectKind.PollLoad);
 });
 
-/** Runs work one by one on a target, each token taking so long. */
+/** Runs work items one after another on a target at a given decode rate. */
 function runWork(
   fake: FakeShard,
   work: { targetId: string; decodeMsPerToken: number; times: number },
@@ -188,7 +188,10 @@
   const { decodeMsPerToken, samples, slowdown } = targetOf(fake).rates;
   assert.is(samples, 20);
   assert.ok(Math.abs(decodeMsPerToken - 30) < 1);
-  assert.ok(slowdown < 1.5, "settings that guessed wrong make no straggler");
+  assert.ok(
+    slowdown < 1.5,
+    "a wrong estimate in the settings makes no straggler",
+  );
 });
 
 test("should cut a straggler's slots, keep one as a probe, and let it recover slowly", () => {
@@ -210,7 +213,7 @@
   assert.is(straggler.pace!.slotShare, 1);
 });
 
-test("should cut a target on which everything stands still", () => {
+test("should cut the slots of a target on which all work has stalled", () => {
   const fake = new FakeShard({ targets: [{ slots: 8 }, { slots: 8 }] });
   for (let i = 0; i < 4; i++) {
     fake.ask({ requestId: `r${i}`, excludedTargetIds: ["t1"] });
--- a/packages/core/src/target_health.ts
+++ b/packages/core/src/target_health.ts
@@ -1,4 +1,4 @@
-/** Takes load reports, and tells whether targets can be reached. */
+/** Applies load reports, and marks targets reachable or unreachable. */
 
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 import { type Target, TargetHealth } from "./blackboard.ts";
@@ -8,11 +8,12 @@
 import { applyReportedLeaving } from "./target_signs.ts";
 
 /**
- * Takes a load report, unless a newer one is known.
+ * Applies a load report unless a newer one is known. A report made after the
+ * target became unreachable makes it healthy again, with part of its slots.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
- * @param load The report.
+ * @param load The report, with its age.
  */
 export function applyLoad(turn: Turn, target: Target, load: TargetLoad): void {
   const asOfMs = turn.nowMs - load.ageMs;
@@ -32,18 +33,18 @@
     turn.log(
       LogLevel.Info,
       LogPart.Targets,
-      `${target.targetId} answers again.`,
+      `${target.targetId} is reachable again.`,
     );
   }
   applyReportedLeaving(turn, target, { previous, load, asOfMs });
 }
 
 /**
- * Gives a target no more work until it answers again.
+ * Marks a target unreachable, so that it gets no work until it reports again.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
- * @param reason Why, for the log.
+ * @param reason Why it is unreachable, for the log line.
  */
 export function markUnreachable(
   turn: Turn,
--- a/packages/core/src/target_polls.ts
+++ b/packages/core/src/target_polls.ts
@@ -1,4 +1,4 @@
-/** Which targets this instance polls, and when. */
+/** Schedules polls of load reports and cache events from targets. */
 
 import type {
   SettingsInForce,
@@ -11,17 +11,18 @@
 import { EffectKind } from "./effects.ts";
 import { shardsOf } from "./settings_index.ts";
 
-/** How often the cache events of an engine are read. */
+/** Interval between reads of an engine's cache events. */
 const CACHE_POLL_INTERVAL_MS = 3000;
 
-/** A poll not answered for this many intervals counts as lost. */
+/** Load poll intervals after which an unanswered poll counts as lost. */
 const LOST_POLL_INTERVALS = 4;
 
 /**
- * Polls the targets whose turn it is, of all shards served here.
+ * Polls the targets that are due, in all shards that this instance serves.
  *
- * @param turn The turn of a tick.
- * @param affinity Whether cache events are wanted too.
+ * @param turn The turn of a tick event.
+ * @param affinity Whether placement uses prefix caches, so that the cache
+ * events of engines are polled too.
  */
 export function pollTargets(turn: Turn, affinity: boolean): void {
   const settings = turn.board.settings.inForce;
@@ -54,9 +55,9 @@
 }
 
 /**
- * Polls at once the targets of a shard that were never polled.
+ * Polls immediately those targets of a shard that were never polled.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param shard The shard's pool and failure domain.
  */
 export function pollNewShard(
@@ -117,7 +118,7 @@
   });
 }
 
-/** Shards that this instance coordinates, or was asked to serve. */
+/** Shards that this instance coordinates, or holds asks or grants of. */
 function servedShardKeys(turn: Turn, settings: SettingsInForce): Set<string> {
   return new Set([
     ...turn.board.shards.byKey.keys(),
@@ -125,7 +126,7 @@
   ]);
 }
 
-/** Ranked anew only when the members or the settings have changed. */
+/** Cached until the member view or the settings version changes. */
 function coordinatedShardKeys(
   turn: Turn,
   settings: SettingsInForce,
--- a/packages/core/src/target_signs.ts
+++ b/packages/core/src/target_signs.ts
@@ -1,4 +1,8 @@
-/** Signs that a target is leaving: taken from anywhere, passed on at once. */
+/**
+ * Target signs: numbered notices that a target is leaving or no longer leaving.
+ * They come from its own report, the platform's list or a peer, and are sent to
+ * connected peers at once.
+ */
 
 import {
   PeerMessageKind,
@@ -12,21 +16,24 @@
 import { LogLevel, LogPart } from "./effects.ts";
 
 /**
- * How long a target's own "not leaving" must have stood against a sign from
- * elsewhere: the sign may be ahead of the target.
+ * Minimum time that a target stays marked as leaving while its own reports say
+ * otherwise: a sign from elsewhere may be ahead of the target.
  */
 const MIN_LEAVING_HOLD_MS = 5000;
 
-/** Peers that a heard sign is passed on to, where links are cut. */
+/** Peers that a received sign is forwarded to, to get around cut links. */
 const FORWARD_FANOUT = 3;
 
 /**
- * Takes a leaving flag from the target's own report. What the newest list
- * says goes before a report that says the contrary.
+ * Applies the leaving flag of the target's own load report. A report that says
+ * "not leaving" clears the flag if the previous report said "leaving" or the
+ * flag has stood for {@link MIN_LEAVING_HOLD_MS}, but never while the newest
+ * instance list says "leaving".
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
- * @param report Its load report before this one, this one, and what it speaks of.
+ * @param report The previous load report, the new one, and the local time that
+ * the new one describes.
  */
 export function applyReportedLeaving(
   turn: Turn,
@@ -45,34 +52,34 @@
 }
 
 /**
- * Takes a leaving flag from the platform's list.
+ * Applies the leaving flag of the platform's instance list.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
- * @param leaving What the list says.
+ * @param leaving Whether the list marks the target as leaving.
  */
 export function applyListedLeaving(
   turn: Turn,
   target: Target,
   leaving: boolean,
 ): void {
-  const wasListed = target.listedLeaving ?? false;
+  const wasListedLeaving = target.listedLeaving ?? false;
   target.listedLeaving = leaving;
   if (leaving) {
     changeLeaving(turn, target, true);
-  } else if (wasListed && target.load?.leaving !== true) {
+  } else if (wasListedLeaving && target.load?.leaving !== true) {
     changeLeaving(turn, target, false);
   }
 }
 
 /**
- * Takes a sign from a peer. The higher number counts; of equal numbers the
- * one that says "leaving".
+ * Applies a sign from a peer. The higher sign number wins; between equal
+ * numbers, "leaving" wins.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
  * @param sign The sign.
- * @returns Whether it was news.
+ * @returns Whether the sign was new to this instance.
  */
 export function applySign(
   turn: Turn,
@@ -89,11 +96,12 @@
 }
 
 /**
- * Passes heard signs on to a few peers, for those the sender cannot reach.
+ * Forwards received signs to {@link FORWARD_FANOUT} peers, for instances that
+ * the sender cannot reach.
  *
- * @param turn The turn.
- * @param signs Signs that were news here.
- * @param fromId Who sent them.
+ * @param turn The current turn.
+ * @param signs Signs that were new to this instance.
+ * @param fromId The peer that sent them, which gets none of them back.
  */
 export function forwardSigns(
   turn: Turn,
@@ -101,11 +109,11 @@
   fromId: string,
 ): void {
   const { self } = turn.board;
-  const forwardRank = ({ instanceId }: Member) =>
+  const forwardScore = ({ instanceId }: Member) =>
     hash32(`${self.instanceId}/${signs[0]?.signNumber}/${instanceId}`);
   const chosen = connectedMembers(turn)
     .filter((member) => member.instanceId !== fromId)
-    .sort((a, b) => forwardRank(a) - forwardRank(b))
+    .sort((a, b) => forwardScore(a) - forwardScore(b))
     .slice(0, FORWARD_FANOUT);
   for (const member of chosen) {
     sendSigns(turn, member.instanceId, signs);
@@ -113,9 +121,9 @@
 }
 
 /**
- * Tells a peer of every target that has ever changed.
+ * Sends a peer the signs of all targets whose leaving flag has ever changed.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
 export function sendAllSigns(turn: Turn, peerId: string): void {
@@ -138,7 +146,7 @@
 
 function recordLeaving(turn: Turn, target: Target, leaving: boolean): void {
   if (target.leaving !== leaving) {
-    const change = leaving ? "is leaving" : "stays after all";
+    const change = leaving ? "is leaving" : "is no longer leaving";
     turn.log(LogLevel.Info, LogPart.Targets, `${target.targetId} ${change}.`);
   }
   target.leaving = leaving;
--- a/packages/core/src/test_core.ts
+++ b/packages/core/src/test_core.ts
@@ -1,4 +1,4 @@
-/** A core with small settings, for tests of its controllers. */
+/** Test support: a scheduler core with few settings and a manual clock. */
 
 import { Turn } from "./controller.ts";
 import { type Effect, type EffectKind, type EffectOf } from "./effects.ts";
@@ -6,7 +6,7 @@
 import { seededRandomness } from "./randomness.ts";
 import { SchedulerCore } from "./scheduler_core.ts";
 
-/** Settings of one domain without targets, as operators write them. */
+/** Settings of one region with one target, as operators write them. */
 export const TEST_SETTINGS = `
 regions:
   arusha: { failureDomains: [njiro-hall, sakina-hall] }
@@ -24,16 +24,16 @@
     slots: 8
 `;
 
-/** Local time of the first event of a fake core. */
+/** Local time in milliseconds of a test core's first event. */
 export const START_MS = 10_000;
 
 const TEST_INCARNATION = 3;
 const TEST_SEED = 7;
 
 /**
- * Makes the core of instance `njiro-1` that knows the given peers.
+ * Creates the core of instance `njiro-1` with the given seed peers.
  *
- * @param peerIds Instances of the same domain.
+ * @param peerIds Ids of seed peers, all in the core's own failure domain.
  * @returns The core, after its first tick.
  */
 export function createTestCore(peerIds: readonly string[] = []): SchedulerCore {
@@ -54,10 +54,10 @@
 }
 
 /**
- * Makes a turn on a core's blackboard, for functions that take one.
+ * Creates a turn on a core's blackboard, for functions that need one.
  *
  * @param core The core.
- * @param nowMs The local time.
+ * @param nowMs The local time in milliseconds, by default {@link START_MS}.
  * @returns The turn.
  */
 export function createTurn(core: SchedulerCore, nowMs = START_MS): Turn {
@@ -66,11 +66,11 @@
 }
 
 /**
- * Picks the effects of one kind.
+ * Filters effects by kind.
  *
  * @param effects Effects of any kind.
  * @param kind The kind wanted.
- * @returns Those of that kind, in order.
+ * @returns The effects of that kind, in order.
  */
 export function effectsOf<K extends EffectKind>(
   effects: readonly Effect[],
