--- a/packages/core/src/membership_controller.ts
+++ b/packages/core/src/membership_controller.ts
@@ -44,7 +44,7 @@
   readonly handlers: EventHandlers;
   readonly #seedPeers: readonly SeedPeer[];
 
-  /** @param seedPeers Instances that the start settings name as first contacts. */
+  /** @param seedPeers The seeds that the start settings name. */
   constructor(seedPeers: readonly SeedPeer[]) {
     this.#seedPeers = seedPeers;
     const ownController: Controller = {
