--- a/packages/core/src/ask_intake.ts
+++ b/packages/core/src/ask_intake.ts
@@ -6,7 +6,7 @@
 } from "@chestnuthatch/wire/peer_messages";
 import type { GrantRecord, WaitingAsk } from "./blackboard.ts";
 import { cancelGrant, sendGrant } from "./grant_lifecycle.ts";
-import { hearHolder, type HolderWord } from "./holder_presence.ts";
+import { type HolderSender, recordHolder } from "./holder_presence.ts";
 import { placeWaiting } from "./placement.ts";
 import { enqueueAsk, lanesOfTier } from "./shard_queue.ts";
 import { ShardView } from "./shard_view.ts";
@@ -27,10 +27,10 @@
 export function handleAsk(
   view: ShardView,
   detail: AskDetail,
-  sender: HolderWord,
+  sender: HolderSender,
 ): void {
   const { shard } = view;
-  if (hearHolder(shard, sender, view.nowMs) === undefined) {
+  if (recordHolder(shard, sender, view.nowMs) === undefined) {
     return;
   }
   const waiting = shard.waiting.get(detail.requestId);
@@ -84,14 +84,14 @@
 /** Refuses an ask, or queues it and places what can be placed. */
 function admitAsk(
   view: ShardView,
-  received: { detail: AskDetail; sender: HolderWord; waiting?: WaitingAsk },
+  received: { detail: AskDetail; sender: HolderSender; waiting?: WaitingAsk },
 ): void {
   const { detail, sender, waiting } = received;
   const { idleMs, loadedMs, prefillMs } = view.estimateService(detail);
   const ask: WaitingAsk = {
     holderId: sender.holderId,
     holderIncarnation: sender.incarnation,
-    holderBeat: sender.beat ?? 0,
+    holderBeat: sender.holderBeat ?? 0,
     detail,
     arrivedAtMs: waiting?.arrivedAtMs ?? view.nowMs,
     deadlineAtMs: view.nowMs + detail.timeLeftMs,
--- a/packages/core/src/ask_messages.ts
+++ b/packages/core/src/ask_messages.ts
@@ -6,7 +6,7 @@
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { AskState, type HeldRequest, type OutgoingAsk } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
-import { beat } from "./holder_report.ts";
+import { incrementHolderBeat } from "./holder_report.ts";
 import { domainsToAsk } from "./shard_domains.ts";
 import { hash32 } from "./text_hash.ts";
 
@@ -68,7 +68,7 @@
   ask: OutgoingAsk,
 ): void {
   // A grant carries the beat of its ask; an old beat would make it stale.
-  beat(turn);
+  incrementHolderBeat(turn);
   const { spec, policy } = request;
   const domains = getCandidateDomains(turn, request);
   turn.send(ask.coordinatorId, {
--- a/packages/core/src/coordinator_controller.ts
+++ b/packages/core/src/coordinator_controller.ts
@@ -27,7 +27,11 @@
   closeGrant,
   ensurePrefixIndex,
 } from "./grant_lifecycle.ts";
-import { dropGone, hearHolder, type HolderWord } from "./holder_presence.ts";
+import {
+  dropStaleHolderState,
+  type HolderSender,
+  recordHolder,
+} from "./holder_presence.ts";
 import { reconcileReport } from "./holder_reconcile.ts";
 import { reconcileOrphans } from "./orphaned_work.ts";
 import { placeWaiting } from "./placement.ts";
@@ -49,7 +53,7 @@
   readonly [K in PeerMessageKind]?: (
     view: ShardView,
     message: PeerMessageOf<K>,
-    sender: HolderWord,
+    sender: HolderSender,
   ) => void;
 };
 
@@ -82,7 +86,7 @@
   #handleMessage(event: PeerMessageEvent, turn: Turn): void {
     const { message } = event;
     const handler = MESSAGE_HANDLERS[message.kind] as
-      | ((view: ShardView, message: PeerMessage, sender: HolderWord) => void)
+      | ((view: ShardView, message: PeerMessage, sender: HolderSender) => void)
       | undefined;
     const shardId = shardIdOf(message);
     if (handler === undefined || shardId === undefined) {
@@ -131,7 +135,7 @@
       if (view === undefined) {
         continue;
       }
-      dropGone(view);
+      dropStaleHolderState(view);
       placeWaiting(view);
       shedOverload(this.#viewOf(shard, turn)!);
       pruneShares(shard);
@@ -175,11 +179,11 @@
 function handleAskWithdrawn(
   view: ShardView,
   { requestId }: PeerMessageOf<PeerMessageKind.AskWithdrawn>,
-  sender: HolderWord,
+  sender: HolderSender,
 ): void {
   const ask = view.shard.waiting.get(requestId);
   if (ask?.holderId === sender.holderId) {
-    closeAsk(view, ask);
+    closeAsk(view, handleAsk);
   }
 }
 
@@ -254,12 +258,12 @@
   placeWaiting(new ShardView(shard, view.settings, view.turn));
 }
 
-function senderOf(event: PeerMessageEvent): HolderWord {
+function senderOf(event: PeerMessageEvent): HolderSender {
   const { message } = event;
   return {
     holderId: event.fromId,
     incarnation: event.fromIncarnation,
-    beat: "holderBeat" in message ? message.holderBeat : undefined,
+    holderBeat: "holderBeat" in message ? message.holderBeat : undefined,
   };
 }
 
@@ -267,10 +271,10 @@
  * Records the sender's heartbeat in every shard that knows it as a holder, so
  * that a message about one shard keeps its asks in all the others fresh.
  */
-function recordSenderInAllShards(turn: Turn, sender: HolderWord): void {
+function recordSenderInAllShards(turn: Turn, sender: HolderSender): void {
   for (const shard of turn.board.shards.byKey.values()) {
     if (shard.holders.has(sender.holderId)) {
-      hearHolder(shard, sender, turn.nowMs);
+      recordHolder(shard, sender, turn.nowMs);
     }
   }
 }
--- a/packages/core/src/holder_presence.ts
+++ b/packages/core/src/holder_presence.ts
@@ -1,4 +1,4 @@
-/** Which holders a coordinator hears, and what goes when one is gone. */
+/** Tracks the holders of a shard, and drops the state of those gone. */
 
 import type { Blackboard, HolderRecord, Shard } from "./blackboard.ts";
 import { isAlive } from "./coordinators.ts";
@@ -6,62 +6,64 @@
 import { dequeueAsk } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
 
-/** Who sent a message, and its beat where it carried one. */
-export interface HolderWord {
+/** The holder that sent a message, with its beat where the message has one. */
+export interface HolderSender {
   readonly holderId: string;
   readonly incarnation: number;
-  readonly beat?: number;
+  readonly holderBeat?: number;
 }
 
 /**
- * Notes that a holder was heard.
+ * Records a message from a holder. A new incarnation replaces the earlier ones:
+ * their asks are dropped and their grants orphaned.
  *
  * @param shard The shard.
- * @param word Who was heard.
- * @param nowMs The local time.
- * @returns What is known of it; undefined where the word is of an incarnation
- * that has been replaced.
+ * @param sender The holder that sent the message.
+ * @param nowMs The local time in milliseconds.
+ * @returns The holder's record; undefined where the message is from an
+ * incarnation that has been replaced.
  */
-export function hearHolder(
+export function recordHolder(
   shard: Shard,
-  word: HolderWord,
+  sender: HolderSender,
   nowMs: number,
 ): HolderRecord | undefined {
-  const known = shard.holders.get(word.holderId);
-  if (known !== undefined && known.incarnation > word.incarnation) {
+  const existing = shard.holders.get(sender.holderId);
+  if (existing !== undefined && existing.incarnation > sender.incarnation) {
     return undefined;
   }
-  if (known === undefined || known.incarnation < word.incarnation) {
-    const seen = {
-      incarnation: word.incarnation,
-      beat: word.beat ?? 0,
+  if (existing === undefined || existing.incarnation < sender.incarnation) {
+    const created = {
+      incarnation: sender.incarnation,
+      beat: sender.holderBeat ?? 0,
       beatAdvancedAtMs: nowMs,
       lastReportBeat: -1,
     };
-    shard.holders.set(word.holderId, seen);
-    dropHolder(shard, { ...word, nowMs });
-    return seen;
+    shard.holders.set(sender.holderId, created);
+    dropEarlierIncarnations(shard, { ...sender, nowMs });
+    return created;
   }
-  if (word.beat !== undefined && word.beat > known.beat) {
-    known.beat = word.beat;
-    known.beatAdvancedAtMs = nowMs;
+  if (sender.holderBeat !== undefined && sender.holderBeat > existing.beat) {
+    existing.beat = sender.holderBeat;
+    existing.beatAdvancedAtMs = nowMs;
   }
-  return known;
+  return existing;
 }
 
 /**
- * Drops the asks of holders that are gone, and asks not renewed for long.
+ * Drops the asks of holders that are gone and orphans their grants, drops asks
+ * that expired without renewal, and closes overdue orphaned grants.
  *
  * @param view The shard.
  */
-export function dropGone(view: ShardView): void {
+export function dropStaleHolderState(view: ShardView): void {
   const { shard, nowMs, turn, settings } = view;
-  for (const [holderId, seen] of [...shard.holders]) {
-    if (isGone(turn.board, { holderId, seen, nowMs })) {
+  for (const [holderId, record] of [...shard.holders]) {
+    if (isGone(turn.board, { holderId, record, nowMs })) {
       shard.holders.delete(holderId);
-      dropHolder(shard, {
+      dropEarlierIncarnations(shard, {
         holderId,
-        incarnation: seen.incarnation + 1,
+        incarnation: record.incarnation + 1,
         nowMs,
       });
     }
@@ -74,21 +76,21 @@
   dropOverdueOrphans(view);
 }
 
-/** Forgets the asks of a holder's earlier incarnations, and orphans its work. */
-function dropHolder(
+/** Drops the asks of a holder's earlier incarnations, orphans their grants. */
+function dropEarlierIncarnations(
   shard: Shard,
   holder: { holderId: string; incarnation: number; nowMs: number },
 ): void {
-  const isOld = (owner: { holderId: string; holderIncarnation: number }) =>
+  const isEarlier = (owner: { holderId: string; holderIncarnation: number }) =>
     owner.holderId === holder.holderId &&
     owner.holderIncarnation < holder.incarnation;
   for (const ask of [...shard.waiting.values()]) {
-    if (isOld(ask)) {
+    if (isEarlier(ask)) {
       dequeueAsk(shard, ask.detail.requestId);
     }
   }
   for (const grant of shard.grants.values()) {
-    if (isOld(grant)) {
+    if (isEarlier(grant)) {
       grant.orphanedAtMs ??= holder.nowMs;
     }
   }
@@ -96,14 +98,14 @@
 
 function isGone(
   board: Blackboard,
-  holder: { holderId: string; seen: HolderRecord; nowMs: number },
+  holder: { holderId: string; record: HolderRecord; nowMs: number },
 ): boolean {
-  const { holderId, seen, nowMs } = holder;
+  const { holderId, record, nowMs } = holder;
   const member = board.members.byId.get(holderId);
-  if (member !== undefined && member.incarnation > seen.incarnation) {
+  if (member !== undefined && member.incarnation > record.incarnation) {
     return true;
   }
   const timeoutMs = board.settings.inForce?.timing.memberTimeoutMs ?? Infinity;
-  const isSilent = nowMs - seen.beatAdvancedAtMs > timeoutMs;
+  const isSilent = nowMs - record.beatAdvancedAtMs > timeoutMs;
   return isSilent && (member === undefined || !isAlive(board, member, nowMs));
 }
--- a/packages/core/src/holder_reconcile.ts
+++ b/packages/core/src/holder_reconcile.ts
@@ -1,4 +1,4 @@
-/** Keeps a coordinator's account in step with what holders report. */
+/** Reconciles a coordinator's asks and grants with the reports of holders. */
 
 import {
   PeerMessageKind,
@@ -7,47 +7,52 @@
 } from "@chestnuthatch/wire/peer_messages";
 import type { GrantRecord } from "./blackboard.ts";
 import { closeGrant, preemptGrant } from "./grant_lifecycle.ts";
-import { hearHolder, type HolderWord } from "./holder_presence.ts";
-import { HOLDER_BEAT_MS } from "./holder_report.ts";
+import { type HolderSender, recordHolder } from "./holder_presence.ts";
+import { HOLDER_BEAT_INTERVAL_MS } from "./holder_report.ts";
 import type { ShardView } from "./shard_view.ts";
 
-/** Beats beyond a grant's lifetime before an unlisted grant is taken back. */
-const MARGIN_BEATS = 2;
+/** Beats past a grant's lifetime after which an unlisted grant is closed. */
+const GRANT_MARGIN_BEATS = 2;
 
-/** How long closed work is left out of `AsksUnknown`: its answer is under way. */
+/**
+ * Time during which a closed ask is left out of `AsksUnknown`: its answer may
+ * still be in flight.
+ */
 const CLOSED_GRACE_MS = 1000;
 
 type HolderReport = PeerMessageOf<PeerMessageKind.HolderReport>;
 
 /**
- * Handles a holder's full report.
+ * Reconciles a shard with a holder's full report: renews its asks, records its
+ * running work, and closes grants that it no longer lists. Reports older than
+ * the last one are ignored.
  *
  * @param view The shard.
  * @param report The report.
- * @param word Who sent it.
+ * @param sender The holder that sent it.
  */
 export function reconcileReport(
   view: ShardView,
   report: HolderReport,
-  word: HolderWord,
+  sender: HolderSender,
 ): void {
   const { shard, nowMs } = view;
-  const seen = hearHolder(shard, word, nowMs);
-  if (seen === undefined || report.holderBeat < seen.lastReportBeat) {
+  const holder = recordHolder(shard, sender, nowMs);
+  if (holder === undefined || report.holderBeat < holder.lastReportBeat) {
     return;
   }
-  seen.lastReportBeat = report.holderBeat;
-  renewAsks(view, report, word);
+  holder.lastReportBeat = report.holderBeat;
+  renewAsks(view, report, sender);
   for (const work of report.running) {
-    noteRunning(view, work, { ...word, beat: report.holderBeat });
+    recordRunningWork(view, work, { ...sender, holderBeat: report.holderBeat });
   }
-  freeUnlisted(view, report, word);
+  closeUnlistedGrants(view, report, sender);
 }
 
 function renewAsks(
   view: ShardView,
   report: HolderReport,
-  { holderId }: HolderWord,
+  { holderId }: HolderSender,
 ): void {
   const { shard, nowMs } = view;
   const granted = new Set(
@@ -59,7 +64,7 @@
     if (ask?.holderId === holderId) {
       ask.renewedAtMs = nowMs;
       ask.holderBeat = report.holderBeat;
-    } else if (!granted.has(requestId) && !closedLately(view, requestId)) {
+    } else if (!granted.has(requestId) && !wasClosedRecently(view, requestId)) {
       unknownIds.push(requestId);
     }
   }
@@ -73,51 +78,53 @@
   }
 }
 
-function closedLately(view: ShardView, id: string): boolean {
-  const closed = view.shard.tombstones.get(id);
+function wasClosedRecently(view: ShardView, requestId: string): boolean {
+  const closed = view.shard.tombstones.get(requestId);
   return closed !== undefined &&
     view.nowMs - closed.closedAtMs < CLOSED_GRACE_MS;
 }
 
-function noteRunning(
+function recordRunningWork(
   view: ShardView,
   work: RunningWork,
-  word: Required<HolderWord>,
+  sender: Required<HolderSender>,
 ): void {
   const { shard, nowMs } = view;
-  const grant = shard.grants.get(work.grantId) ?? adopt(view, work, word);
+  const grant = shard.grants.get(work.grantId) ?? adoptWork(view, work, sender);
   if (grant === undefined) {
     return;
   }
-  grant.lastReportedBeat = word.beat;
+  grant.lastReportedBeat = sender.holderBeat;
   grant.orphanedAtMs = undefined;
   grant.usedAtMs = Math.min(grant.usedAtMs, nowMs);
   grant.used = true;
   if (grant.preempted) {
-    // The first order may have been lost; a second does no harm.
+    // The first preempt message may have been lost; a repeat does no harm.
     preemptGrant(view, grant, "a higher tier, ordered again");
   }
 }
 
-/** Takes work into the account that another coordinator granted. */
-function adopt(
+/** Opens a grant for running work that another coordinator granted. */
+function adoptWork(
   view: ShardView,
   work: RunningWork,
-  word: Required<HolderWord>,
+  sender: Required<HolderSender>,
 ): GrantRecord | undefined {
   const { shard, nowMs } = view;
   if (shard.tombstones.has(work.grantId)) {
     return undefined;
   }
-  const room = view.capacities.find((each) => each.targetId === work.targetId);
-  const detail = { ...ADOPTED_ASK, ...work };
+  const room = view.capacities.find((candidate) =>
+    candidate.targetId === work.targetId
+  );
+  const detail = { ...ADOPTED_ASK_DEFAULTS, ...work };
   const serviceMs = room === undefined ? 0 : view.predict(room, detail).totalMs;
   const grant: GrantRecord = {
     grantId: work.grantId,
     requestId: work.requestId,
-    holderId: word.holderId,
-    holderIncarnation: word.incarnation,
-    holderBeat: word.beat,
+    holderId: sender.holderId,
+    holderIncarnation: sender.incarnation,
+    holderBeat: sender.holderBeat,
     work,
     kvTokens: view.kvTokensOf(detail),
     grantedAtMs: nowMs,
@@ -125,7 +132,7 @@
     used: true,
     preempted: false,
     usedAtMs: nowMs,
-    lastReportedBeat: word.beat,
+    lastReportedBeat: sender.holderBeat,
     costMs: 0,
     prefillQueueMs: 0,
     prefillMs: 0,
@@ -137,8 +144,8 @@
   return grant;
 }
 
-/** What an adopted grant's ask cannot be known to have said. */
-const ADOPTED_ASK = {
+/** Placeholders for the fields of an ask that running work does not carry. */
+const ADOPTED_ASK_DEFAULTS = {
   askNumber: 0,
   value: 0,
   timeLeftMs: 0,
@@ -149,25 +156,25 @@
 };
 
 /**
- * Takes back grants that their holder's report does not list: work it listed
+ * Closes grants that their holder's report does not list: work it listed
  * before has ended, and a grant past its lifetime can no longer be used.
  */
-function freeUnlisted(
+function closeUnlistedGrants(
   view: ShardView,
   report: HolderReport,
-  { holderId }: HolderWord,
+  { holderId }: HolderSender,
 ): void {
   const { shard, settings, nowMs } = view;
-  const listed = new Set(report.running.map((work) => work.grantId));
-  const lifetimeBeats = MARGIN_BEATS +
-    Math.ceil(settings.timing.grantLifetimeMs / HOLDER_BEAT_MS);
+  const listedGrantIds = new Set(report.running.map((work) => work.grantId));
+  const lifetimeBeats = GRANT_MARGIN_BEATS +
+    Math.ceil(settings.timing.grantLifetimeMs / HOLDER_BEAT_INTERVAL_MS);
   for (const grant of [...shard.grants.values()]) {
     const { lastReportedBeat: listedBeat, holderBeat } = grant;
     const hasEnded = listedBeat >= 0 && report.holderBeat > listedBeat;
-    const hasLapsed = report.holderBeat > holderBeat + lifetimeBeats;
+    const hasExpired = report.holderBeat > holderBeat + lifetimeBeats;
     if (
-      grant.holderId === holderId && !listed.has(grant.grantId) &&
-      (hasEnded || hasLapsed)
+      grant.holderId === holderId && !listedGrantIds.has(grant.grantId) &&
+      (hasEnded || hasExpired)
     ) {
       closeGrant(shard, grant, { nowMs, kvTokens: 0 });
     }
--- a/packages/core/src/member_table.ts
+++ b/packages/core/src/member_table.ts
@@ -1,4 +1,4 @@
-/** Adds to and takes from the table of members. */
+/** The member table: adds, updates and removes members. */
 
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
 import type { InstanceList } from "@chestnuthatch/wire/platform_protocol";
@@ -7,14 +7,14 @@
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
 import { timingInForce } from "./timing.ts";
 
-/** Most members kept, whatever rumours say. */
+/** Upper bound on members kept, however many ids gossip reports. */
 const MAX_MEMBERS = 4096;
 
-/** Member timeouts of silence after which an unlisted member is forgotten. */
-const FORGET_AFTER_TIMEOUTS = 12;
+/** Silence, in member timeouts, after which an unlisted member is removed. */
+const REMOVE_AFTER_TIMEOUTS = 12;
 
-/** What is known of a member before it was heard. */
-export interface MemberPlace {
+/** Where a member is, as known before its first heartbeat is received. */
+export interface MemberLocation {
   readonly instanceId: string;
   /** Empty while unknown. */
   readonly failureDomain: string;
@@ -23,29 +23,30 @@
 }
 
 /**
- * Finds a member, or adds it.
+ * Returns a member, adding it if the table has none with that id.
  *
  * @param board The instance's state.
- * @param place What is known of it, used only when it is new.
- * @returns The member, or nothing when the table is full.
+ * @param location Its id, failure domain and address; the latter two are used
+ * only for a new member.
+ * @returns The member, or undefined when it is new and the table is full.
  */
 export function ensureMember(
   board: Blackboard,
-  place: MemberPlace,
+  location: MemberLocation,
 ): Member | undefined {
   const { byId } = board.members;
-  const known = byId.get(place.instanceId);
-  if (known !== undefined || byId.size >= MAX_MEMBERS) {
-    return known;
+  const existing = byId.get(location.instanceId);
+  if (existing !== undefined || byId.size >= MAX_MEMBERS) {
+    return existing;
   }
-  const member = newMember(place);
-  byId.set(place.instanceId, member);
+  const member = createMember(location);
+  byId.set(location.instanceId, member);
   return member;
 }
 
-function newMember(place: MemberPlace): Member {
+function createMember(location: MemberLocation): Member {
   return {
-    ...place,
+    ...location,
     incarnation: 0,
     heartbeat: 0,
     leaving: false,
@@ -57,25 +58,27 @@
 }
 
 /**
- * Takes in the platform's list. A list that speaks of an earlier time than the
- * known one may add members but changes and removes none.
+ * Merges the platform's instance list into the member table. A list whose
+ * snapshot is older than the last one applied may add members but neither
+ * changes nor unlists any.
  *
- * @param turn The turn the list was read in.
- * @param list The list.
+ * @param turn The turn in which the list was read.
+ * @param list The list, with the age of its snapshot.
  */
 export function mergeInstanceList(turn: Turn, list: InstanceList): void {
   const { members } = turn.board;
   const asOfMs = turn.nowMs - list.lagMs;
-  const entries = list.instances.filter((one) =>
-    one.kind === ListedKind.Entry && one.id !== turn.board.self.instanceId
+  const entries = list.instances.filter((instance) =>
+    instance.kind === ListedKind.Entry &&
+    instance.id !== turn.board.self.instanceId
   );
-  const isOlder = asOfMs < (members.listAsOfMs ?? -Infinity);
+  const isStale = asOfMs < (members.listAsOfMs ?? -Infinity);
   for (const entry of entries) {
-    if (!isOlder || !members.byId.has(entry.id)) {
-      takeListed(turn.board, entry);
+    if (!isStale || !members.byId.has(entry.id)) {
+      applyListEntry(turn.board, entry);
     }
   }
-  if (isOlder) {
+  if (isStale) {
     return;
   }
   members.listAsOfMs = asOfMs;
@@ -86,10 +89,10 @@
       member.listedLeaving = false;
     }
   }
-  takeOwnListing(turn.board, list);
+  applyOwnListEntry(turn.board, list);
 }
 
-function takeListed(
+function applyListEntry(
   board: Blackboard,
   entry: InstanceList["instances"][number],
 ): void {
@@ -106,34 +109,37 @@
   }
 }
 
-function takeOwnListing(board: Blackboard, list: InstanceList): void {
-  const own = list.instances.find((one) => one.id === board.self.instanceId);
+function applyOwnListEntry(board: Blackboard, list: InstanceList): void {
+  const ownEntry = list.instances.find((instance) =>
+    instance.id === board.self.instanceId
+  );
   const self = board.members.byId.get(board.self.instanceId);
   if (self !== undefined) {
-    self.listed = own !== undefined;
-    self.listedLeaving = own?.leaving === true;
+    self.listed = ownEntry !== undefined;
+    self.listedLeaving = ownEntry?.leaving === true;
   }
 }
 
 /**
- * Drops members that are neither listed nor connected and long silent.
+ * Removes members that are neither listed nor connected and whose heartbeat
+ * has not advanced for {@link REMOVE_AFTER_TIMEOUTS} member timeouts.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
-export function forgetGoneMembers(turn: Turn): void {
+export function removeGoneMembers(turn: Turn): void {
   const { board, nowMs } = turn;
-  const forgetAfterMs = FORGET_AFTER_TIMEOUTS *
+  const removeAfterMs = REMOVE_AFTER_TIMEOUTS *
     timingInForce(board).memberTimeoutMs;
   for (const member of [...board.members.byId.values()]) {
     const isSelf = member.instanceId === board.self.instanceId;
-    const isSilent = nowMs - member.heartbeatAdvancedAtMs > forgetAfterMs;
+    const isSilent = nowMs - member.heartbeatAdvancedAtMs > removeAfterMs;
     if (!isSelf && !member.listed && !member.connected && isSilent) {
-      forget(turn, member);
+      removeMember(turn, member);
     }
   }
 }
 
-function forget(turn: Turn, member: Member): void {
+function removeMember(turn: Turn, member: Member): void {
   turn.board.members.byId.delete(member.instanceId);
   if (member.dialledAddress !== undefined) {
     turn.emit({ kind: EffectKind.ForgetPeer, peerId: member.instanceId });
@@ -141,6 +147,6 @@
   turn.log(
     LogLevel.Info,
     LogPart.Members,
-    `Forgot ${member.instanceId}, which is gone and not listed.`,
+    `Removed ${member.instanceId}, which is silent and not listed.`,
   );
 }
--- a/packages/core/src/wanted_peers.ts
+++ b/packages/core/src/peer_connections.ts
@@ -1,4 +1,4 @@
-/** Which peers this instance keeps a connection to. */
+/** Selects the peers that this instance keeps connections to. */
 
 import { type Blackboard, type Member, shardKey } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
@@ -7,46 +7,48 @@
 import { EffectKind } from "./effects.ts";
 import { RequestState } from "./request.ts";
 
-/** Up to this many members, everyone is connected to everyone. */
+/** Up to this many members, every instance connects to every other. */
 export const FULL_MESH_MEMBERS = 32;
 
-/** Most connections kept in a larger fleet. */
-export const MAX_WANTED_PEERS = 32;
+/** Upper bound on connections kept in a larger fleet. */
+export const MAX_PEER_CONNECTIONS = 32;
 
-/** Peers kept for gossip alone in a larger fleet. */
+/** Peers connected only for gossip in a larger fleet. */
 const GOSSIP_NEIGHBOURS = 8;
 
-/** Coordinators of each own shard that are kept: the present one and the next. */
-const COORDINATORS_KEPT = 2;
+/** Connected per shard of this domain: its coordinator and the next in rank. */
+const CONNECTED_COORDINATORS_PER_SHARD = 2;
 
 /**
- * Names the peers to keep connected: all in a small fleet; in a larger one a
- * stable random set for gossip and those that this instance has duties with.
+ * Selects the peers to keep connected: all of them in a small fleet; in a
+ * larger one a stable pseudo-random set for gossip, plus the coordinators and
+ * holders of work that this instance takes part in.
  *
  * @param board The instance's state.
- * @param nowMs The local time.
- * @returns Instance ids, a bounded number in a larger fleet.
+ * @param nowMs The local time in milliseconds.
+ * @returns Instance ids; in a fleet of more than {@link FULL_MESH_MEMBERS}, at
+ * most {@link MAX_PEER_CONNECTIONS}.
  */
-export function wantedPeers(board: Blackboard, nowMs: number): Set<string> {
+export function selectPeerIds(board: Blackboard, nowMs: number): Set<string> {
   const others = [...board.members.byId.values()].filter((member) =>
     member.instanceId !== board.self.instanceId
   );
   if (board.members.byId.size <= FULL_MESH_MEMBERS) {
     return new Set(others.map((member) => member.instanceId));
   }
-  const wanted = new Set(gossipNeighbours(board, others, nowMs));
-  for (const peerId of dutyPeers(board, nowMs)) {
-    if (wanted.size >= MAX_WANTED_PEERS) {
+  const selected = new Set(gossipNeighbourIds(board, others, nowMs));
+  for (const peerId of counterpartIds(board, nowMs)) {
+    if (selected.size >= MAX_PEER_CONNECTIONS) {
       break;
     }
     if (peerId !== board.self.instanceId && board.members.byId.has(peerId)) {
-      wanted.add(peerId);
+      selected.add(peerId);
     }
   }
-  return wanted;
+  return selected;
 }
 
-function gossipNeighbours(
+function gossipNeighbourIds(
   board: Blackboard,
   others: readonly Member[],
   nowMs: number,
@@ -62,13 +64,16 @@
   return scored.slice(0, GOSSIP_NEIGHBOURS).map(({ id }) => id);
 }
 
-function* dutyPeers(board: Blackboard, nowMs: number): Generator<string> {
-  yield* ownShardCoordinators(board, nowMs);
-  for (const held of board.requests.byId.values()) {
-    if (held.attempt !== undefined && held.state === RequestState.Dispatched) {
-      yield held.attempt.coordinatorId;
+/** Coordinators and holders of the asks and grants kept on this instance. */
+function* counterpartIds(board: Blackboard, nowMs: number): Generator<string> {
+  yield* localShardCoordinatorIds(board, nowMs);
+  for (const request of board.requests.byId.values()) {
+    if (
+      request.attempt !== undefined && request.state === RequestState.Dispatched
+    ) {
+      yield request.attempt.coordinatorId;
     }
-    for (const ask of held.asks.values()) {
+    for (const ask of request.asks.values()) {
       yield ask.coordinatorId;
     }
   }
@@ -82,8 +87,11 @@
   }
 }
 
-/** Judged without regard to connections, or wanting one would end it. */
-function ownShardCoordinators(board: Blackboard, nowMs: number): string[] {
+/**
+ * Ranks by liveness instead of eligibility: a dialled peer is eligible only
+ * while connected, so it would be deselected before its connection is up.
+ */
+function localShardCoordinatorIds(board: Blackboard, nowMs: number): string[] {
   const { failureDomain } = board.self;
   const alive = [...board.members.byId.values()].filter((member) =>
     isAlive(board, member, nowMs) && !member.leaving
@@ -95,28 +103,28 @@
   );
   return [...pools].flatMap((pool) =>
     rankMembers(alive, { key: shardKey(pool, failureDomain), failureDomain })
-      .slice(0, COORDINATORS_KEPT)
+      .slice(0, CONNECTED_COORDINATORS_PER_SHARD)
       .map((member) => member.instanceId)
   );
 }
 
 /**
- * Orders connections to wanted peers, and ends those that are no longer wanted
- * once there are too many.
+ * Opens connections to the selected peers, and closes those to other peers
+ * once there are more than {@link MAX_PEER_CONNECTIONS}.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
-export function keepConnections(turn: Turn): void {
-  const wanted = wantedPeers(turn.board, turn.nowMs);
-  for (const peerId of wanted) {
+export function updateConnections(turn: Turn): void {
+  const selected = selectPeerIds(turn.board, turn.nowMs);
+  for (const peerId of selected) {
     dial(turn, turn.board.members.byId.get(peerId));
   }
   const dialled = [...turn.board.members.byId.values()].filter((member) =>
     member.dialledAddress !== undefined
   );
-  if (dialled.length > MAX_WANTED_PEERS) {
-    dialled.filter((member) => !wanted.has(member.instanceId))
-      .forEach((member) => endConnection(turn, member));
+  if (dialled.length > MAX_PEER_CONNECTIONS) {
+    dialled.filter((member) => !selected.has(member.instanceId))
+      .forEach((member) => closeConnection(turn, member));
   }
 }
 
@@ -135,7 +143,7 @@
   });
 }
 
-function endConnection(turn: Turn, member: Member): void {
+function closeConnection(turn: Turn, member: Member): void {
   member.dialledAddress = undefined;
   turn.emit({ kind: EffectKind.ForgetPeer, peerId: member.instanceId });
 }
--- a/packages/core/src/request_controller.ts
+++ b/packages/core/src/request_controller.ts
@@ -31,7 +31,7 @@
 import { onDispatchNotSent, onGrant, onPreempt } from "./dispatch_flow.ts";
 import { CounterName, EffectKind } from "./effects.ts";
 import { EventKind, type EventOf } from "./events.ts";
-import { beat, reportToCoordinators } from "./holder_report.ts";
+import { incrementHolderBeat, reportToCoordinators } from "./holder_report.ts";
 import { scopedKey } from "./claim_rows.ts";
 import { evictFinishedRequests, isFinished } from "./held_requests.ts";
 import {
@@ -291,7 +291,7 @@
   if (turn.board.settings.inForce === undefined) {
     return;
   }
-  beat(turn);
+  incrementHolderBeat(turn);
   for (const request of [...turn.board.requests.unfinished.values()]) {
     removeExpiredCallers(turn, request);
     TICK_HANDLER_BY_STATE[request.state]?.(turn, request);
--- a/packages/core/src/settings_offers.ts
+++ b/packages/core/src/settings_offers.ts
@@ -1,39 +1,41 @@
-/** Passes settings from instance to instance, a bounded number at a time. */
+/** Propagates settings between instances, to a bounded number at a time. */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import type { Blackboard } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 
-/** Peers that are offered a new version at once; gossip reaches the others. */
-export const OFFERS_AT_ONCE = 3;
+/** Peers offered a new version immediately; gossip reaches the others. */
+export const OFFER_FANOUT = 3;
 
-/** One peer is offered the same version at most this often. */
-export const OFFER_REPEAT_MS = 3000;
+/** Minimum interval between offers of the same version to one peer. */
+export const MIN_OFFER_INTERVAL_MS = 3000;
 
-/** Peers are asked for a higher version at most this often. */
-const WANTED_REPEAT_MS = 1000;
+/** Minimum interval between requests to peers for a higher version. */
+const MIN_WANTED_INTERVAL_MS = 1000;
 
 /**
- * Offers the version in force to a few connected peers that have an older one.
+ * Offers the version in force to at most {@link OFFER_FANOUT} connected peers
+ * that have an older one.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  */
-export function offerToOlderPeers(turn: Turn): void {
+export function offerToOutdatedPeers(turn: Turn): void {
   const { board } = turn;
   const version = board.settings.inForce?.version ?? 0;
-  const older = [...board.members.byId.values()].filter((member) =>
+  const outdated = [...board.members.byId.values()].filter((member) =>
     member.instanceId !== board.self.instanceId && member.connected &&
     member.settingsVersion < version
   );
-  for (const member of older.slice(0, OFFERS_AT_ONCE)) {
+  for (const member of outdated.slice(0, OFFER_FANOUT)) {
     offerSettings(turn, member.instanceId);
   }
 }
 
 /**
- * Offers one peer the version in force, unless it was just offered.
+ * Offers the version in force to one peer, unless that version was offered
+ * to or by it within the last {@link MIN_OFFER_INTERVAL_MS}.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
 export function offerSettings(turn: Turn, peerId: string): void {
@@ -41,10 +43,13 @@
   if (inForce === undefined) {
     return;
   }
-  const offers = offersOf(turn.board);
-  const last = offers.get(peerId);
+  const offers = lastOffersOf(turn.board);
+  const lastOffer = offers.get(peerId);
   const { version } = inForce;
-  if (last?.version === version && turn.nowMs - last.atMs < OFFER_REPEAT_MS) {
+  if (
+    lastOffer?.version === version &&
+    turn.nowMs - lastOffer.atMs < MIN_OFFER_INTERVAL_MS
+  ) {
     return;
   }
   offers.set(peerId, { version, atMs: turn.nowMs });
@@ -57,12 +62,12 @@
 }
 
 /**
- * Asks one peer for a version above the one in force.
+ * Requests from one peer a version above the one in force.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
-export function askForSettings(turn: Turn, peerId: string): void {
+export function requestSettings(turn: Turn, peerId: string): void {
   turn.send(peerId, {
     kind: PeerMessageKind.SettingsWanted,
     haveVersion: turn.board.settings.inForce?.version ?? 0,
@@ -70,44 +75,47 @@
 }
 
 /**
- * Asks a peer that has a higher version, unless one was just asked.
+ * Requests the settings of a peer that has a higher version, at most once
+ * in {@link MIN_WANTED_INTERVAL_MS} over all peers.
  *
- * @param turn The present turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
-export function askNewerPeer(turn: Turn, peerId: string): void {
+export function requestNewerSettings(turn: Turn, peerId: string): void {
   const { settings } = turn.board;
   if (turn.nowMs >= (settings.nextPeerRequestAtMs ?? -Infinity)) {
-    settings.nextPeerRequestAtMs = turn.nowMs + WANTED_REPEAT_MS;
-    askForSettings(turn, peerId);
+    settings.nextPeerRequestAtMs = turn.nowMs + MIN_WANTED_INTERVAL_MS;
+    requestSettings(turn, peerId);
   }
 }
 
 /**
- * Notes that a peer has a version, since it offered it.
+ * Records that a peer has a version because it offered it, so that the same
+ * version is not offered back at once.
  *
- * @param turn The present turn.
- * @param peer The peer and the version.
+ * @param turn The current turn.
+ * @param peer The peer's id and the version that it offered.
  */
-export function noteOfferFrom(
+export function recordPeerVersion(
   turn: Turn,
   peer: { peerId: string; version: number },
 ): void {
   const { peerId, version } = peer;
-  offersOf(turn.board).set(peerId, { version, atMs: turn.nowMs });
+  lastOffersOf(turn.board).set(peerId, { version, atMs: turn.nowMs });
 }
 
 /**
- * Drops what was noted of a peer, whose connection or process is another now.
+ * Clears the last offer recorded for a peer that connected or disconnected: it
+ * may be another process now, without that version.
  *
  * @param board The instance's state.
  * @param peerId The peer.
  */
-export function forgetOffer(board: Blackboard, peerId: string): void {
-  offersOf(board).delete(peerId);
+export function clearOffer(board: Blackboard, peerId: string): void {
+  lastOffersOf(board).delete(peerId);
 }
 
-function offersOf(
+function lastOffersOf(
   board: Blackboard,
 ): Map<string, { version: number; atMs: number }> {
   board.settings.lastOfferByPeer ??= new Map();
--- a/packages/core/src/pace_watch.ts
+++ b/packages/core/src/slot_shares.ts
@@ -1,41 +1,52 @@
-/** Watches how fast each target works, and adjusts its slots. */
+/** Adjusts the slot share of each target to its measured slowdown. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type { GrantRecord, Shard, Target } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
 import { shardsOf } from "./settings_index.ts";
-import { adjustSlots, overdueRatio, slowdownOf } from "./straggler.ts";
+import { adjustSlotShare, overdueRatio, slowdownOf } from "./straggler.ts";
 
 /**
- * Cuts and restores slots by how fast each target has become.
+ * Cuts and restores the slot shares of the targets of all shards served by this
+ * instance.
  *
- * @param turn The turn of a tick.
+ * @param turn The turn of a tick event.
  */
-export function watchPace(turn: Turn): void {
+export function adjustSlotShares(turn: Turn): void {
   const settings = turn.board.settings.inForce;
   for (const [key, shard] of turn.board.shards.byKey) {
     const targets = settings && shardsOf(settings).get(key)?.targets;
-    for (const each of targets ?? []) {
-      watchTarget(turn, shard, each);
+    for (const targetSettings of targets ?? []) {
+      adjustTarget(turn, shard, targetSettings);
     }
   }
 }
 
-function watchTarget(turn: Turn, shard: Shard, each: TargetSettings): void {
-  const target = turn.board.targets.byId.get(each.id)!;
-  const overdue = overdueRatio(usedGrantsOn(shard, each.id), turn.nowMs);
-  if (target.stragglerState === undefined && overdue === 1) {
+function adjustTarget(
+  turn: Turn,
+  shard: Shard,
+  targetSettings: TargetSettings,
+): void {
+  const target = turn.board.targets.byId.get(targetSettings.id)!;
+  const overdueSlowdown = overdueRatio(
+    usedGrantsOn(shard, targetSettings.id),
+    turn.nowMs,
+  );
+  if (target.stragglerState === undefined && overdueSlowdown === 1) {
     return;
   }
-  const slowdown = Math.max(overdue, slowdownOf(target, kindOf(turn, each)));
-  const seen = { slowdown, nowMs: turn.nowMs };
-  if (adjustSlots(target, each, seen)) {
+  const slowdown = Math.max(
+    overdueSlowdown,
+    slowdownOf(target, comparableTargets(turn, targetSettings)),
+  );
+  const measured = { slowdown, nowMs: turn.nowMs };
+  if (adjustSlotShare(target, targetSettings, measured)) {
     const percent = Math.round(target.stragglerState!.slotShare * 100);
     turn.log(
       LogLevel.Warn,
       LogPart.Targets,
-      `${each.id} is ${
+      `${targetSettings.id} is ${
         slowdown.toFixed(1)
       } times slower; its slots are cut to ${percent}%.`,
     );
@@ -49,7 +60,7 @@
 }
 
 /** Other targets of the same pool and hardware. */
-function kindOf(turn: Turn, settings: TargetSettings): Target[] {
+function comparableTargets(turn: Turn, settings: TargetSettings): Target[] {
   const { inForce } = turn.board.settings;
   return [...inForce!.targets.values()]
     .filter((other) =>
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -1,66 +1,72 @@
-/** Finds targets that have become slow, cuts their slots, lets them recover. */
+/** Straggler detection: measures slowdowns and adjusts slot shares by them. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type { GrantRecord, Target } from "./blackboard.ts";
 import { ensurePace } from "./learned_rates.ts";
 
-/** A target this much slower than it should be is cut. */
-const CUT_ABOVE = 2;
-/** A target that is being cut is cut until it is less slow than this. */
-const RECOVERED_BELOW = 1.5;
-/** A cut is told of when this share or less of the former slots is left. */
-const CLEAR_CUT_SHARE = 0.9;
-/** Smallest share of its slots left; at least one slot is left as a probe. */
+/** Slowdown above which a target's slot share is cut. */
+const CUT_SLOWDOWN_RATIO = 2;
+/** Slowdown to which a cut target must fall to regain all its slots. */
+const RECOVERED_SLOWDOWN_RATIO = 1.5;
+/** A cut is logged when less than this share of the previous slots is left. */
+const SIGNIFICANT_CUT_SHARE = 0.9;
+/** Lower bound on the slot share; at least one slot is left as a probe. */
 const MIN_SLOT_SHARE = 0.05;
-/** Share of its slots that comes back in a second. */
-const RECOVERY_SHARE_PER_SECOND = 0.05;
-/** Share of its slots that a target gets when it first answers again. */
-const RETURN_SLOT_SHARE = 0.25;
-/** Work running this many times its predicted time counts against a target. */
-const OVERDUE_RATIO = 3;
+/** Share of its slots that a recovering target regains per second. */
+const RECOVERY_SHARE_PER_S = 0.05;
+/** Slot share of a target that has just become reachable again. */
+const INITIAL_RETURN_SLOT_SHARE = 0.25;
+/** Work running this many times its predicted time counts as a slowdown. */
+const MIN_OVERDUE_RATIO = 3;
+/** Time past its predicted end after which work counts as overdue. */
 const MIN_OVERDUE_MS = 1000;
 
-/** Samples without which a target is not compared. */
+/** Samples that a target needs before its rates are compared. */
 const MIN_SAMPLES = 5;
 
 const MS_PER_SECOND = 1000;
 
 /**
- * Compares a target's recent rates with its own past and with its kind.
+ * Compares a target's recent rates with its own long-term rates and with the
+ * recent rates of comparable targets.
  *
  * @param target The target.
- * @param kind Other targets of the same pool and hardware.
- * @returns Its slowdown; 1 is normal, above 1 is slower.
+ * @param peers Comparable targets: the others of the same pool and hardware.
+ * @returns Its slowdown as a ratio of times: 1 is normal, above 1 is slower.
  */
-export function slowdownOf(target: Target, kind: readonly Target[]): number {
+export function slowdownOf(target: Target, peers: readonly Target[]): number {
   if (target.rates.samples < MIN_SAMPLES) {
     return 1;
   }
-  const peers = kind.filter((peer) => peer.rates.samples >= MIN_SAMPLES);
-  const ownChange = changeOf(target);
-  if (peers.length === 0) {
-    return Math.max(1, ownChange);
+  const measuredPeers = peers.filter((peer) =>
+    peer.rates.samples >= MIN_SAMPLES
+  );
+  const ownRatio = longTermRatioOf(target);
+  if (measuredPeers.length === 0) {
+    return Math.max(1, ownRatio);
   }
-  // A load that slows the whole kind makes nobody a straggler.
-  const kindChange = Math.max(1, medianOf(peers.map(changeOf)));
-  const ratios = (["prefillMsPerToken", "decodeMsPerToken", "callMs"] as const)
-    .map((name) =>
-      ratioOf(
-        target.rates[name],
-        medianOf(peers.map((peer) => peer.rates[name])),
-      )
-    );
-  return Math.max(1, ownChange / kindChange, ...ratios);
+  // A load that slows all comparable targets makes none of them a straggler.
+  const peerRatio = Math.max(1, medianOf(measuredPeers.map(longTermRatioOf)));
+  const rateRatios =
+    (["prefillMsPerToken", "decodeMsPerToken", "callMs"] as const)
+      .map((name) =>
+        ratioOf(
+          target.rates[name],
+          medianOf(measuredPeers.map((peer) => peer.rates[name])),
+        )
+      );
+  return Math.max(1, ownRatio / peerRatio, ...rateRatios);
 }
 
 /**
- * Tells how far running work is beyond its predicted time: what a target that
- * stands still shows first.
+ * Measures how far running work is past its predicted time, which is the first
+ * sign of a stalled target.
  *
  * @param grants Used grants on one target.
- * @param nowMs The local time.
- * @returns The second largest ratio where several run, else the only one; 1
- * while it is within bounds.
+ * @param nowMs The local time in milliseconds.
+ * @returns Time running over time predicted: the second largest ratio of
+ * several grants, or that of the only one; 1 while it is below
+ * {@link MIN_OVERDUE_RATIO}.
  */
 export function overdueRatio(
   grants: readonly GrantRecord[],
@@ -73,65 +79,75 @@
       Math.max(1, grant.expectedEndMs - grant.grantedAtMs)
     )
     .sort((a, b) => b - a);
-  const telling = grants.length > 1 ? ratios[1] : ratios[0];
-  return telling !== undefined && telling >= OVERDUE_RATIO ? telling : 1;
+  const ratio = grants.length > 1 ? ratios[1] : ratios[0];
+  return ratio !== undefined && ratio >= MIN_OVERDUE_RATIO ? ratio : 1;
 }
 
 /**
- * Cuts a slow target's slots at once, or lets them come back slowly.
+ * Cuts a slow target's slot share at once, or restores it gradually.
  *
  * @param target The target.
  * @param settings Its settings.
- * @param seen Its slowdown now, and the local time.
- * @returns Whether its slots were clearly cut now.
+ * @param measured Its current slowdown as a ratio, and the local time in
+ * milliseconds.
+ * @returns Whether this call cut its slots to less than
+ * {@link SIGNIFICANT_CUT_SHARE} of their previous share.
  */
-export function adjustSlots(
+export function adjustSlotShare(
   target: Target,
   settings: TargetSettings,
-  seen: { slowdown: number; nowMs: number },
+  measured: { slowdown: number; nowMs: number },
 ): boolean {
-  const { slowdown, nowMs } = seen;
+  const { slowdown, nowMs } = measured;
   target.rates.slowdown = slowdown;
-  if (target.stragglerState === undefined && slowdown <= CUT_ABOVE) {
+  if (target.stragglerState === undefined && slowdown <= CUT_SLOWDOWN_RATIO) {
     return false;
   }
   const pace = ensurePace(target, settings);
-  const limit = pace.slotShare < 1 ? RECOVERED_BELOW : CUT_ABOVE;
-  const share = slowdown <= limit ? 1 : Math.max(MIN_SLOT_SHARE, 1 / slowdown);
+  const thresholdRatio = pace.slotShare < 1
+    ? RECOVERED_SLOWDOWN_RATIO
+    : CUT_SLOWDOWN_RATIO;
+  const allowedShare = slowdown <= thresholdRatio
+    ? 1
+    : Math.max(MIN_SLOT_SHARE, 1 / slowdown);
   const elapsedMs = Math.min(MS_PER_SECOND, nowMs - pace.lastRecoveryAtMs);
   pace.lastRecoveryAtMs = nowMs;
-  const isCut = share < pace.slotShare;
-  const regained = RECOVERY_SHARE_PER_SECOND * elapsedMs / MS_PER_SECOND;
-  const isClearCut = share < pace.slotShare * CLEAR_CUT_SHARE;
-  pace.slotShare = isCut ? share : Math.min(share, pace.slotShare + regained);
-  return isClearCut;
+  const isCut = allowedShare < pace.slotShare;
+  const regainedShare = RECOVERY_SHARE_PER_S * elapsedMs / MS_PER_SECOND;
+  const isSignificantCut =
+    allowedShare < pace.slotShare * SIGNIFICANT_CUT_SHARE;
+  pace.slotShare = isCut
+    ? allowedShare
+    : Math.min(allowedShare, pace.slotShare + regainedShare);
+  return isSignificantCut;
 }
 
 /**
- * Lets a target that was unreachable begin with a part of its slots.
+ * Limits a target that has become reachable again to
+ * {@link INITIAL_RETURN_SLOT_SHARE} of its slots, from which it recovers.
  *
  * @param target The target.
  * @param settings Its settings.
- * @param nowMs The local time.
+ * @param nowMs The local time in milliseconds.
  */
-export function beginReturn(
+export function limitReturnedTarget(
   target: Target,
   settings: TargetSettings,
   nowMs: number,
 ): void {
   const pace = ensurePace(target, settings);
-  pace.slotShare = Math.min(pace.slotShare, RETURN_SLOT_SHARE);
+  pace.slotShare = Math.min(pace.slotShare, INITIAL_RETURN_SLOT_SHARE);
   pace.lastRecoveryAtMs = nowMs;
 }
 
-function changeOf({ rates, stragglerState: pace }: Target): number {
-  if (pace === undefined) {
+function longTermRatioOf({ rates, stragglerState }: Target): number {
+  if (stragglerState === undefined) {
     return 1;
   }
   return Math.max(
-    ratioOf(rates.prefillMsPerToken, pace.longTerm.prefillMsPerToken),
-    ratioOf(rates.decodeMsPerToken, pace.longTerm.decodeMsPerToken),
-    ratioOf(rates.callMs, pace.longTerm.callMs),
+    ratioOf(rates.prefillMsPerToken, stragglerState.longTerm.prefillMsPerToken),
+    ratioOf(rates.decodeMsPerToken, stragglerState.longTerm.decodeMsPerToken),
+    ratioOf(rates.callMs, stragglerState.longTerm.callMs),
   );
 }
 
--- a/packages/core/src/target_controller_test.ts
+++ b/packages/core/src/target_controller_test.ts
@@ -11,7 +11,7 @@
   return fake.board.targets.byId.get(targetId)!;
 }
 
-function connect(fake: FakeShard, ids: readonly string[]): void {
+function connectPeers(fake: FakeShard, ids: readonly string[]): void {
   for (const instanceId of ids) {
     fake.board.members.byId.set(instanceId, {
       instanceId,
@@ -28,7 +28,11 @@
   }
 }
 
-function hearSign(fake: FakeShard, signNumber: number, leaving = true): void {
+function receiveSign(
+  fake: FakeShard,
+  signNumber: number,
+  leaving = true,
+): void {
   fake.receive({
     kind: PeerMessageKind.TargetsHeard,
     signs: [{ targetId: "t0", leaving, signNumber }],
@@ -36,7 +40,7 @@
   });
 }
 
-function readList(fake: FakeShard, leaving: boolean): void {
+function receiveInstanceList(fake: FakeShard, leaving: boolean): void {
   fake.handle({
     kind: EventKind.InstanceListRead,
     list: {
@@ -52,36 +56,36 @@
   });
 }
 
-const SIGNS_OF_LEAVING: Record<string, (fake: FakeShard) => void> = {
+const LEAVING_SIGN_SOURCES: Record<string, (fake: FakeShard) => void> = {
   "its own report": (fake) => fake.reportLoad("t0", { leaving: true }),
-  "a peer": (fake) => hearSign(fake, 1),
-  "the platform's list": (fake) => readList(fake, true),
+  "a peer": (fake) => receiveSign(fake, 1),
+  "the platform's list": (fake) => receiveInstanceList(fake, true),
 };
 
-for (const [source, give] of Object.entries(SIGNS_OF_LEAVING)) {
-  test(`should grant a target nothing after the first sign from ${source}`, () => {
+for (const [source, receive] of Object.entries(LEAVING_SIGN_SOURCES)) {
+  test(`should grant nothing on a target after the first sign from ${source}`, () => {
     const fake = new FakeShard({ targets: [{}] });
-    give(fake);
+    receive(fake);
     fake.ask({ requestId: "a" });
     assert.is(fake.grants.length, 0);
   });
 }
 
-test("should pass a sign on at once, and an old one not again", () => {
+test("should forward a new sign at once, and a known one not again", () => {
   const fake = new FakeShard({ targets: [{}] });
-  connect(fake, [HOLDER, "entry-3", "entry-4"]);
-  const heard = () => fake.of(PeerMessageKind.TargetsHeard).length;
+  connectPeers(fake, [HOLDER, "entry-3", "entry-4"]);
+  const sentSigns = () => fake.of(PeerMessageKind.TargetsHeard).length;
   fake.reportLoad("t0", { leaving: true });
-  assert.is(heard(), 3);
+  assert.is(sentSigns(), 3);
   fake.reportLoad("t0", { leaving: true });
-  hearSign(fake, 1);
-  assert.is(heard(), 3, "known signs are not passed on");
-  hearSign(fake, 2, false);
-  assert.is(heard(), 5, "news goes to others than its sender");
+  receiveSign(fake, 1);
+  assert.is(sentSigns(), 3, "known signs are not forwarded");
+  receiveSign(fake, 2, false);
+  assert.is(sentSigns(), 5, "a new sign is not sent back to its sender");
   assert.not(targetOf(fake).leaving);
 });
 
-test("should take a target back when its own report takes the sign back", () => {
+test("should clear the leaving flag when the target's own report revokes it", () => {
   const fake = new FakeShard({ targets: [{}] });
   fake.reportLoad("t0", { leaving: true });
   fake.reportLoad("t0");
@@ -89,21 +93,21 @@
   assert.is(targetOf(fake).signNumber, 2);
 });
 
-test("should hold to the list and to fresh signs against the target's report", () => {
+test("should prefer the list and fresh signs to the target's own report", () => {
   const fake = new FakeShard({ targets: [{}] });
-  readList(fake, true);
+  receiveInstanceList(fake, true);
   fake.advance(10_000);
   assert.ok(targetOf(fake).leaving, "the list still says so");
-  readList(fake, false);
+  receiveInstanceList(fake, false);
   assert.not(targetOf(fake).leaving);
-  hearSign(fake, 9);
+  receiveSign(fake, 9);
   fake.advance(1000);
   assert.ok(targetOf(fake).leaving, "the sign may be ahead of the target");
   fake.advance(5000);
   assert.not(targetOf(fake).leaving);
 });
 
-test("should suspend a target that refuses a connection, and let it back slowly", () => {
+test("should mark a target that refuses a connection unreachable, and restore it slowly", () => {
   const fake = new FakeShard({ targets: [{ slots: 8 }] });
   fake.ask({ requestId: "a" });
   const { grantId } = fake.grants[0];
@@ -145,7 +149,7 @@
   assert.is(targetOf(fake).health, TargetHealth.Unreachable);
 });
 
-test("should drop reports older than the present one", () => {
+test("should drop reports older than the current one", () => {
   const fake = new FakeShard({ targets: [{}] });
   fake.reportLoad("t0", { slotsUsed: 1, ageMs: 0 });
   fake.reportLoad("t0", { slotsUsed: 0, ageMs: 30 });
@@ -159,7 +163,7 @@
   assert.is(effects[0].kind, EffectKind.PollLoad);
 });
 
-/** Runs work one by one on a target, each token taking so long. */
+/** Runs work items one after another on a target at a given decode rate. */
 function runWork(
   fake: FakeShard,
   work: { targetId: string; decodeMsPerToken: number; times: number },
@@ -184,7 +188,10 @@
   const { decodeMsPerToken, samples, slowdown } = targetOf(fake).rates;
   assert.is(samples, 20);
   assert.ok(Math.abs(decodeMsPerToken - 30) < 1);
-  assert.ok(slowdown < 1.5, "settings that guessed wrong make no straggler");
+  assert.ok(
+    slowdown < 1.5,
+    "a wrong estimate in the settings makes no straggler",
+  );
 });
 
 test("should cut a straggler's slots, keep one as a probe, and let it recover slowly", () => {
@@ -193,27 +200,27 @@
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 10 });
   assert.is(targetOf(fake, "t1").stragglerState!.slotShare, 1);
   runWork(fake, { targetId: "t1", decodeMsPerToken: 100, times: 10 });
-  const cut = targetOf(fake, "t1");
+  const straggler = targetOf(fake, "t1");
   assert.ok(
-    cut.stragglerState!.slotShare < 0.2,
-    `share ${cut.stragglerState!.slotShare}`,
+    straggler.stragglerState!.slotShare < 0.2,
+    `share ${straggler.stragglerState!.slotShare}`,
   );
   assert.is(targetOf(fake, "t0").stragglerState!.slotShare, 1);
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 15 });
-  assert.ok(cut.stragglerState!.slotShare < 0.5, "recovery is slow");
+  assert.ok(straggler.stragglerState!.slotShare < 0.5, "recovery is slow");
   runWork(fake, { targetId: "t1", decodeMsPerToken: 10, times: 10 });
   fake.advance(20_000);
-  assert.is(cut.stragglerState!.slotShare, 1);
+  assert.is(straggler.stragglerState!.slotShare, 1);
 });
 
-test("should cut a target on which everything stands still", () => {
+test("should cut the slots of a target on which all work has stalled", () => {
   const fake = new FakeShard({ targets: [{ slots: 8 }, { slots: 8 }] });
   for (let i = 0; i < 4; i++) {
     fake.ask({ requestId: `r${i}`, excludedTargetIds: ["t1"] });
     fake.useGrant(fake.grants[i]);
   }
-  for (const [id, each] of fake.running) {
-    fake.running.set(id, { ...each, endAtMs: Infinity });
+  for (const [id, work] of fake.running) {
+    fake.running.set(id, { ...work, endAtMs: Infinity });
   }
   fake.advance(3000);
   assert.is(targetOf(fake).stragglerState, undefined);
--- a/packages/core/src/target_health.ts
+++ b/packages/core/src/target_health.ts
@@ -1,25 +1,26 @@
-/** Takes load reports, and tells whether targets can be reached. */
+/** Applies load reports, and marks targets reachable or unreachable. */
 
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 import { type Target, TargetHealth } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
-import { beginReturn } from "./straggler.ts";
-import { heedReport } from "./target_signs.ts";
+import { limitReturnedTarget } from "./straggler.ts";
+import { applyReportedLeaving } from "./target_signs.ts";
 
 /**
- * Takes a load report, unless a newer one is known.
+ * Applies a load report unless a newer one is known. A report made after the
+ * target became unreachable makes it healthy again, with part of its slots.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
- * @param load The report.
+ * @param load The report, with its age.
  */
-export function takeLoad(turn: Turn, target: Target, load: TargetLoad): void {
+export function applyLoad(turn: Turn, target: Target, load: TargetLoad): void {
   const asOfMs = turn.nowMs - load.ageMs;
   if (asOfMs < target.loadAsOfMs) {
     return;
   }
-  const before = target.load;
+  const previous = target.load;
   target.load = load;
   target.loadAsOfMs = asOfMs;
   if (
@@ -28,24 +29,28 @@
   ) {
     target.health = TargetHealth.Healthy;
     const settings = turn.board.settings.inForce!.targets.get(target.targetId)!;
-    beginReturn(target, settings, turn.nowMs);
+    limitReturnedTarget(target, settings, turn.nowMs);
     turn.log(
       LogLevel.Info,
       LogPart.Targets,
-      `${target.targetId} answers again.`,
+      `${target.targetId} is reachable again.`,
     );
   }
-  heedReport(turn, target, { before, load, asOfMs });
+  applyReportedLeaving(turn, target, { previous, load, asOfMs });
 }
 
 /**
- * Gives a target no more work until it answers again.
+ * Marks a target unreachable, so that it gets no work until it reports again.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
- * @param reason Why, for the log.
+ * @param reason Why it is unreachable, for the log line.
  */
-export function suspend(turn: Turn, target: Target, reason: string): void {
+export function markUnreachable(
+  turn: Turn,
+  target: Target,
+  reason: string,
+): void {
   if (target.health === TargetHealth.Unreachable) {
     return;
   }
--- a/packages/core/src/target_polls.ts
+++ b/packages/core/src/target_polls.ts
@@ -1,4 +1,4 @@
-/** Which targets this instance polls, and when. */
+/** Schedules polls of load reports and cache events from targets. */
 
 import type {
   SettingsInForce,
@@ -11,29 +11,30 @@
 import { EffectKind } from "./effects.ts";
 import { shardsOf } from "./settings_index.ts";
 
-/** How often the cache events of an engine are read. */
-const CACHE_POLL_MS = 3000;
+/** Interval between reads of an engine's cache events. */
+const CACHE_POLL_INTERVAL_MS = 3000;
 
-/** A poll not answered for this many intervals counts as lost. */
-const LOST_AFTER_INTERVALS = 4;
+/** Load poll intervals after which an unanswered poll counts as lost. */
+const LOST_POLL_INTERVALS = 4;
 
 /**
- * Polls the targets whose turn it is, of all shards served here.
+ * Polls the targets that are due, in all shards that this instance serves.
  *
- * @param turn The turn of a tick.
- * @param affinity Whether cache events are wanted too.
+ * @param turn The turn of a tick event.
+ * @param affinity Whether placement uses prefix caches, so that the cache
+ * events of engines are polled too.
  */
 export function pollTargets(turn: Turn, affinity: boolean): void {
   const settings = turn.board.settings.inForce;
   if (settings === undefined) {
     return;
   }
-  for (const key of servedShards(turn, settings)) {
+  for (const key of servedShardKeys(turn, settings)) {
     const shard = shardsOf(settings).get(key);
     const kind = settings.pools.get(shard?.pool ?? "")?.kind;
-    const wantsCache = affinity && kind === TargetKind.Engine;
+    const pollsCacheEvents = affinity && kind === TargetKind.Engine;
     for (const targetSettings of shard?.targets ?? []) {
-      pollWhenDue(turn, targetSettings, wantsCache);
+      pollWhenDue(turn, targetSettings, pollsCacheEvents);
     }
   }
 }
@@ -41,22 +42,22 @@
 function pollWhenDue(
   turn: Turn,
   settings: TargetSettings,
-  wantsCache: boolean,
+  pollsCacheEvents: boolean,
 ): void {
   const target = turn.board.targets.byId.get(settings.id);
   if (target === undefined) {
     return;
   }
   pollLoadWhenDue(turn, target, settings);
-  if (wantsCache) {
-    pollCacheWhenDue(turn, target, settings);
+  if (pollsCacheEvents) {
+    pollCacheEventsWhenDue(turn, target, settings);
   }
 }
 
 /**
- * Polls at once the targets of a shard that were never polled.
+ * Polls immediately those targets of a shard that were never polled.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param shard The shard's pool and failure domain.
  */
 export function pollNewShard(
@@ -80,9 +81,9 @@
   settings: TargetSettings,
 ): void {
   const { loadPollMs } = turn.board.settings.inForce!.timing;
-  const sinceMs = turn.nowMs - target.lastPollAtMs;
-  const isLost = sinceMs >= loadPollMs * LOST_AFTER_INTERVALS;
-  if (sinceMs >= loadPollMs && (!target.isPollInFlight || isLost)) {
+  const elapsedMs = turn.nowMs - target.lastPollAtMs;
+  const isLost = elapsedMs >= loadPollMs * LOST_POLL_INTERVALS;
+  if (elapsedMs >= loadPollMs && (!target.isPollInFlight || isLost)) {
     pollLoad(turn, target, settings);
   }
 }
@@ -97,12 +98,15 @@
   });
 }
 
-function pollCacheWhenDue(
+function pollCacheEventsWhenDue(
   turn: Turn,
   target: Target,
   settings: TargetSettings,
 ): void {
-  if (turn.nowMs - (target.lastCachePollAtMs ?? -Infinity) < CACHE_POLL_MS) {
+  if (
+    turn.nowMs - (target.lastCachePollAtMs ?? -Infinity) <
+      CACHE_POLL_INTERVAL_MS
+  ) {
     return;
   }
   target.lastCachePollAtMs = turn.nowMs;
@@ -114,16 +118,16 @@
   });
 }
 
-/** Shards that this instance coordinates, or was asked to serve. */
-function servedShards(turn: Turn, settings: SettingsInForce): Set<string> {
+/** Shards that this instance coordinates, or holds asks or grants of. */
+function servedShardKeys(turn: Turn, settings: SettingsInForce): Set<string> {
   return new Set([
     ...turn.board.shards.byKey.keys(),
-    ...coordinatedShards(turn, settings),
+    ...coordinatedShardKeys(turn, settings),
   ]);
 }
 
-/** Ranked anew only when the members or the settings have changed. */
-function coordinatedShards(
+/** Cached until the member view or the settings version changes. */
+function coordinatedShardKeys(
   turn: Turn,
   settings: SettingsInForce,
 ): readonly string[] {
--- a/packages/core/src/target_signs.ts
+++ b/packages/core/src/target_signs.ts
@@ -1,4 +1,8 @@
-/** Signs that a target is leaving: taken from anywhere, passed on at once. */
+/**
+ * Target signs: numbered notices that a target is leaving or no longer leaving.
+ * They come from its own report, the platform's list or a peer, and are sent to
+ * connected peers at once.
+ */
 
 import {
   PeerMessageKind,
@@ -12,84 +16,92 @@
 import { LogLevel, LogPart } from "./effects.ts";
 
 /**
- * How long a target's own "not leaving" must have stood against a sign from
- * elsewhere: the sign may be ahead of the target.
+ * Minimum time that a target stays marked as leaving while its own reports say
+ * otherwise: a sign from elsewhere may be ahead of the target.
  */
-const SETTLE_MS = 5000;
+const MIN_LEAVING_HOLD_MS = 5000;
 
-/** Peers that a heard sign is passed on to, where links are cut. */
+/** Peers that a received sign is forwarded to, to get around cut links. */
 const FORWARD_FANOUT = 3;
 
 /**
- * Takes a leaving flag from the target's own report. What the newest list
- * says goes before a report that says the contrary.
+ * Applies the leaving flag of the target's own load report. A report that says
+ * "not leaving" clears the flag if the previous report said "leaving" or the
+ * flag has stood for {@link MIN_LEAVING_HOLD_MS}, but never while the newest
+ * instance list says "leaving".
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
- * @param by Its load report before this one, this one, and what it speaks of.
+ * @param report The previous load report, the new one, and the local time that
+ * the new one describes.
  */
-export function heedReport(
+export function applyReportedLeaving(
   turn: Turn,
   target: Target,
-  by: { before?: TargetLoad; load: TargetLoad; asOfMs: number },
+  report: { previous?: TargetLoad; load: TargetLoad; asOfMs: number },
 ): void {
-  if (by.load.leaving) {
-    setLeaving(turn, target, true);
+  if (report.load.leaving) {
+    changeLeaving(turn, target, true);
     return;
   }
-  const takesBack = by.before?.leaving === true ||
-    by.asOfMs > (target.leavingSinceMs ?? 0) + SETTLE_MS;
-  if (target.leaving && takesBack && target.listedLeaving !== true) {
-    setLeaving(turn, target, false);
+  const isRevoked = report.previous?.leaving === true ||
+    report.asOfMs > (target.leavingSinceMs ?? 0) + MIN_LEAVING_HOLD_MS;
+  if (target.leaving && isRevoked && target.listedLeaving !== true) {
+    changeLeaving(turn, target, false);
   }
 }
 
 /**
- * Takes a leaving flag from the platform's list.
+ * Applies the leaving flag of the platform's instance list.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
- * @param leaving What the list says.
+ * @param leaving Whether the list marks the target as leaving.
  */
-export function heedList(turn: Turn, target: Target, leaving: boolean): void {
-  const before = target.listedLeaving ?? false;
+export function applyListedLeaving(
+  turn: Turn,
+  target: Target,
+  leaving: boolean,
+): void {
+  const wasListedLeaving = target.listedLeaving ?? false;
   target.listedLeaving = leaving;
   if (leaving) {
-    setLeaving(turn, target, true);
-  } else if (before && target.load?.leaving !== true) {
-    setLeaving(turn, target, false);
+    changeLeaving(turn, target, true);
+  } else if (wasListedLeaving && target.load?.leaving !== true) {
+    changeLeaving(turn, target, false);
   }
 }
 
 /**
- * Takes a sign from a peer. The higher number counts; of equal numbers the
- * one that says "leaving".
+ * Applies a sign from a peer. The higher sign number wins; between equal
+ * numbers, "leaving" wins.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param target The target.
  * @param sign The sign.
- * @returns Whether it was news.
+ * @returns Whether the sign was new to this instance.
  */
-export function heedSign(
+export function applySign(
   turn: Turn,
   target: Target,
   sign: TargetSign,
 ): boolean {
-  const isNews = sign.signNumber > target.signNumber ||
+  const isNew = sign.signNumber > target.signNumber ||
     (sign.signNumber === target.signNumber && sign.leaving && !target.leaving);
-  if (isNews) {
+  if (isNew) {
     target.signNumber = sign.signNumber;
-    noteLeaving(turn, target, sign.leaving);
+    recordLeaving(turn, target, sign.leaving);
   }
-  return isNews;
+  return isNew;
 }
 
 /**
- * Passes heard signs on to a few peers, for those the sender cannot reach.
+ * Forwards received signs to {@link FORWARD_FANOUT} peers, for instances that
+ * the sender cannot reach.
  *
- * @param turn The turn.
- * @param signs Signs that were news here.
- * @param fromId Who sent them.
+ * @param turn The current turn.
+ * @param signs Signs that were new to this instance.
+ * @param fromId The peer that sent them, which gets none of them back.
  */
 export function forwardSigns(
   turn: Turn,
@@ -97,11 +109,11 @@
   fromId: string,
 ): void {
   const { self } = turn.board;
-  const nearness = ({ instanceId }: Member) =>
+  const forwardScore = ({ instanceId }: Member) =>
     hash32(`${self.instanceId}/${signs[0]?.signNumber}/${instanceId}`);
   const chosen = connectedMembers(turn)
     .filter((member) => member.instanceId !== fromId)
-    .sort((a, b) => nearness(a) - nearness(b))
+    .sort((a, b) => forwardScore(a) - forwardScore(b))
     .slice(0, FORWARD_FANOUT);
   for (const member of chosen) {
     sendSigns(turn, member.instanceId, signs);
@@ -109,33 +121,33 @@
 }
 
 /**
- * Tells a peer of every target that has ever changed.
+ * Sends a peer the signs of all targets whose leaving flag has ever changed.
  *
- * @param turn The turn.
+ * @param turn The current turn.
  * @param peerId The peer.
  */
-export function tellSigns(turn: Turn, peerId: string): void {
+export function sendAllSigns(turn: Turn, peerId: string): void {
   const signs = [...turn.board.targets.byId.values()]
     .filter((target) => target.signNumber > 0)
-    .map(signOf);
+    .map(toSign);
   sendSigns(turn, peerId, signs);
 }
 
-function setLeaving(turn: Turn, target: Target, leaving: boolean): void {
+function changeLeaving(turn: Turn, target: Target, leaving: boolean): void {
   if (target.leaving === leaving) {
     return;
   }
   target.signNumber += 1;
-  noteLeaving(turn, target, leaving);
+  recordLeaving(turn, target, leaving);
   for (const member of connectedMembers(turn)) {
-    sendSigns(turn, member.instanceId, [signOf(target)]);
+    sendSigns(turn, member.instanceId, [toSign(target)]);
   }
 }
 
-function noteLeaving(turn: Turn, target: Target, leaving: boolean): void {
+function recordLeaving(turn: Turn, target: Target, leaving: boolean): void {
   if (target.leaving !== leaving) {
-    const text = leaving ? "is leaving" : "stays after all";
-    turn.log(LogLevel.Info, LogPart.Targets, `${target.targetId} ${text}.`);
+    const change = leaving ? "is leaving" : "is no longer leaving";
+    turn.log(LogLevel.Info, LogPart.Targets, `${target.targetId} ${change}.`);
   }
   target.leaving = leaving;
   target.leavingSinceMs = leaving ? turn.nowMs : undefined;
@@ -155,7 +167,7 @@
   }
 }
 
-function signOf({ targetId, leaving, signNumber }: Target): TargetSign {
+function toSign({ targetId, leaving, signNumber }: Target): TargetSign {
   return { targetId, leaving, signNumber };
 }
 
