--- a/packages/cli/src/order_command.ts
+++ b/packages/cli/src/order_command.ts
@@ -2,10 +2,10 @@
 
 import {
   type EngineOrder,
-  OrderDesk,
+  OrderIssuer,
   type OrderOutcome,
   OrderOutcomeKind,
-} from "@chestnuthatch/daemon/order_desk";
+} from "@chestnuthatch/daemon/order_issuer";
 import type { PlatformHttp } from "@chestnuthatch/daemon/platform_http";
 import { nearestName } from "@chestnuthatch/settings/nearest_name";
 import type { SettingsTree } from "@chestnuthatch/settings/tree_schema";
@@ -213,7 +213,7 @@
   order: EngineOrder,
   of: { readonly services: CommandServices; readonly options: OrderOptions },
 ): Promise<OrderOutcome> {
-  const desk = new OrderDesk({
+  const desk = new OrderIssuer({
     platform,
     holder: of.options.author,
     clock: PROCESS_CLOCK,
@@ -222,7 +222,7 @@
     maxOrderDelayMs: of.options.maxOrderDelayMs,
   });
   try {
-    return await desk.give(order);
+    return await desk.issue(order);
   } finally {
     await desk.stop();
   }
--- a/packages/daemon/src/backoff.ts
+++ b/packages/daemon/src/backoff.ts
@@ -1,36 +1,43 @@
 /** Exponential backoff with jitter. */
 
-const JITTERED_SHARE = 0.5;
-const GROWTH = 2;
+/** Share of a delay that is random. */
+const JITTER_SHARE = 0.5;
+const GROWTH_FACTOR = 2;
 
-/** Bounds of a backoff, and where its jitter comes from. */
+/** Bounds and source of jitter of a {@link Backoff}. */
 export interface BackoffOptions {
+  /** Upper bound of the first delay. */
   readonly baseMs: number;
+  /** Upper bound of every delay. */
   readonly maxMs: number;
-  /** Gives a number from 0 up to, not including, 1. */
+  /** Returns a random number in [0, 1). */
   readonly random: () => number;
 }
 
-/** Delays between attempts, doubling up to a bound. */
+/** Computes the delays between attempts, doubling up to a maximum. */
 export class Backoff {
   readonly #options: BackoffOptions;
   #ceilingMs: number;
 
-  /** @param options Bounds and jitter. */
+  /** @param options Bounds and source of jitter. */
   constructor(options: BackoffOptions) {
     this.#options = options;
     this.#ceilingMs = options.baseMs;
   }
 
-  /** @returns How long to wait before the next attempt. */
+  /**
+   * Computes the next delay and doubles the following one.
+   *
+   * @returns Delay before the next attempt, in milliseconds.
+   */
   nextDelayMs(): number {
     const { maxMs, random } = this.#options;
     const ceilingMs = Math.min(this.#ceilingMs, maxMs);
-    this.#ceilingMs = Math.min(ceilingMs * GROWTH, maxMs);
-    return ceilingMs * (1 - JITTERED_SHARE * random());
+    this.#ceilingMs = Math.min(ceilingMs * GROWTH_FACTOR, maxMs);
+    return ceilingMs * (1 - JITTER_SHARE * random());
   }
 
-  /** Starts over from the base after a success. */
+  /** Resets the delay to its base, after a success. */
   reset(): void {
     this.#ceilingMs = this.#options.baseMs;
   }
--- a/packages/daemon/src/body_reader.ts
+++ b/packages/daemon/src/body_reader.ts
@@ -61,7 +61,7 @@
   constructor(request: IncomingMessage, options: BodyReadingOptions) {
     this.#request = request;
     this.#options = options;
-    this.#cancelTimer = options.timers.after(
+    this.#cancelTimer = options.timers.schedule(
       options.limits.bodyTimeoutMs,
       () => this.#fail(ErrorKind.SlowCaller),
     );
@@ -75,7 +75,7 @@
       this.#fail(ErrorKind.BodyTooLarge);
       return;
     }
-    if (!this.#options.budget.take(chunk.length)) {
+    if (!this.#options.budget.tryReserve(chunk.length)) {
       this.#fail(ErrorKind.TooManyOpenRequests);
       return;
     }
@@ -93,7 +93,7 @@
   #fail(fault: BodyFault): void {
     this.#stop();
     this.#request.pause();
-    this.#options.budget.giveBack(this.#bytes);
+    this.#options.budget.release(this.#bytes);
     this.#options.done(err(fault));
   }
 
--- a/packages/daemon/src/byte_budget.ts
+++ b/packages/daemon/src/byte_budget.ts
@@ -1,32 +1,40 @@
-/** A bound on bytes kept by many at a time. */
+/** A byte limit shared by many holders of buffers. */
+
+/** Counts reserved bytes and refuses reservations above a maximum. */
 export class ByteBudget {
   readonly #maxBytes: number;
-  #takenBytes = 0;
+  #reservedBytes = 0;
 
-  /** @param maxBytes Most bytes taken at a time. */
+  /** @param maxBytes Maximum of bytes reserved at a time. */
   constructor(maxBytes: number) {
     this.#maxBytes = maxBytes;
   }
 
-  /** Bytes taken now. */
-  get takenBytes(): number {
-    return this.#takenBytes;
+  /** Bytes that are currently reserved. */
+  get reservedBytes(): number {
+    return this.#reservedBytes;
   }
 
   /**
-   * @param bytes How many are wanted.
-   * @returns Whether they were there to take.
+   * Reserves bytes if the maximum allows it.
+   *
+   * @param bytes Number of bytes to reserve.
+   * @returns Whether the bytes were reserved.
    */
-  take(bytes: number): boolean {
-    if (this.#takenBytes + bytes > this.#maxBytes) {
+  tryReserve(bytes: number): boolean {
+    if (this.#reservedBytes + bytes > this.#maxBytes) {
       return false;
     }
-    this.#takenBytes += bytes;
+    this.#reservedBytes += bytes;
     return true;
   }
 
-  /** @param bytes How many are given back. */
-  giveBack(bytes: number): void {
-    this.#takenBytes -= bytes;
+  /**
+   * Releases bytes that were reserved.
+   *
+   * @param bytes Number of bytes to release.
+   */
+  release(bytes: number): void {
+    this.#reservedBytes -= bytes;
   }
 }
--- a/packages/daemon/src/caller_front.ts
+++ b/packages/daemon/src/caller_front.ts
@@ -279,7 +279,7 @@
   }
 
   #giveBackBody(call: OpenCall): void {
-    this.#bodyBudget.giveBack(call.bodyBytes);
+    this.#bodyBudget.release(call.bodyBytes);
     call.bodyBytes = 0;
   }
 
--- a/packages/daemon/src/caller_server.ts
+++ b/packages/daemon/src/caller_server.ts
@@ -122,7 +122,7 @@
   /** @param response A response that is cut off unless it is over in time. */
   boundDelivery(response: ServerResponse): void {
     const { timers, limits } = this.#options;
-    const cancel = timers.after(
+    const cancel = timers.schedule(
       limits.deliverTimeoutMs,
       () => response.destroy(),
     );
--- a/packages/daemon/src/claim_rows.ts
+++ b/packages/daemon/src/claim_rows.ts
@@ -1,4 +1,4 @@
-/** What a claim row of the platform's table holds, and whose it is. */
+/** Parsing of the claim rows in the platform's table, and their holder. */
 
 import { ClaimOutcome, type ClaimRow } from "@chestnuthatch/core/events";
 import type { Row } from "@chestnuthatch/wire/platform_protocol";
@@ -13,17 +13,18 @@
   contentHash: z.string(),
 });
 
-/** How a claim stands; {@link found} is the row of another holder. */
-export interface ClaimStanding {
+/** Outcome of writing or reading back a claim. */
+export interface ClaimStatus {
   readonly outcome: ClaimOutcome;
+  /** Row of the other holder; absent if the claim is held or it is corrupt. */
   readonly found?: ClaimRow;
 }
 
 /**
- * Reads a claim row.
+ * Parses a claim row.
  *
- * @param row The row as the table gave it.
- * @returns The claim, or nothing when the row is corrupt.
+ * @param row Row read from the table.
+ * @returns The claim, or undefined if the row is corrupt.
  */
 export function readClaimRow(row: Row): ClaimRow | undefined {
   const json = parseJson(row.value).unwrapOr(undefined);
@@ -31,14 +32,14 @@
 }
 
 /**
- * Judges a claim by the row found under its key. A corrupt row was not written
- * by this claim, so it counts as another's.
+ * Determines the status of a claim from the row found under its key. A corrupt
+ * row was not written for this claim, so it counts as held elsewhere.
  *
- * @param claim The claim as written.
- * @param row The row found.
- * @returns Held, or HeldElsewhere with the row where it can be read.
+ * @param claim Claim as it was written.
+ * @param row Row found under the key of the claim.
+ * @returns Held, or HeldElsewhere with the row found if it is valid.
  */
-export function standingOf(claim: ClaimRow, row: Row): ClaimStanding {
+export function claimStatus(claim: ClaimRow, row: Row): ClaimStatus {
   const found = readClaimRow(row);
   return found?.nonce === claim.nonce
     ? { outcome: ClaimOutcome.Held }
--- a/packages/daemon/src/claim_voider.ts
+++ b/packages/daemon/src/claim_voider.ts
@@ -1,11 +1,12 @@
 /**
- * Deletes claim rows of requests that were refused as not run.
+ * Deletes the claim rows of requests that were refused as not run.
  *
  * A write whose answer was lost may take effect after a read found the row
- * absent. Such claims are looked for several more times, in growing intervals.
- * Should the write come later still, or the instance end first, the row stays.
- * That is safe: nothing was dispatched under it, and later calls with the key
- * are told "may have run" instead of being run a second time.
+ * absent. The row of such a claim is read several more times, at increasing
+ * intervals. If the write takes effect even later, or the instance ends first,
+ * the row remains. That is safe: nothing was dispatched under the claim, and
+ * later calls with the same key are answered "may have run" instead of being
+ * run a second time.
  */
 
 import { LogLevel, LogPart } from "@chestnuthatch/core/effects";
@@ -17,132 +18,151 @@
 import type { LogSink } from "./ports.ts";
 import type { Sleep } from "./sleep.ts";
 
-/** What a voider is handed. */
+/** Platform client, claim writer and log of a {@link ClaimVoider}. */
 export interface ClaimVoiderOptions {
   readonly http: PlatformHttp;
   readonly writer: ClaimWriter;
   readonly sleep: Sleep;
   readonly log: LogSink;
-  /** Claims kept for voiding at a time. */
+  /** Claims that may be waiting to be voided at a time. */
   readonly maxPending?: number;
 }
 
-/** What one step towards a void row found. */
-enum VoidStep {
-  /** The row is not there. */
+/** Result of one attempt to void a claim. */
+enum VoidAttemptResult {
+  /** The row does not exist. */
   Absent = "absent",
-  /** Another claim holds the key: nothing of this one is there. */
-  NotOurs = "not_ours",
+  /** Another claim holds the key, so this claim has no row. */
+  HeldByOther = "not_ours",
+  /** The row of this claim was deleted. */
   Deleted = "deleted",
-  /** The table did not answer, or the row changed meanwhile. */
+  /** The table did not answer, or the row changed since it was read. */
   TryAgain = "try_again",
 }
 
 const DEFAULT_MAX_PENDING = 4096;
-const CONCURRENT_STEPS = 2;
-const MAX_STEPS = 500;
-const FIRST_PAUSE_MS = 200;
-const MAX_PAUSE_MS = 30_000;
-/** Reads that must find the row absent while a write of it is in doubt. */
-const ABSENT_READS_IN_DOUBT = 6;
+const MAX_CONCURRENT_ATTEMPTS = 2;
+const MAX_ATTEMPTS = 500;
+const INITIAL_RETRY_DELAY_MS = 200;
+const MAX_RETRY_DELAY_MS = 30_000;
+/**
+ * Consecutive reads that must find the row absent while a write of it may still
+ * take effect.
+ */
+const MIN_ABSENT_READS_IN_DOUBT = 6;
 
-/** Voids claims in the background until each is certainly gone. */
+/** Voids claims in the background, retrying until each row is surely absent. */
 export class ClaimVoider {
   readonly #options: ClaimVoiderOptions;
-  readonly #pending = new Set<string>();
-  readonly #steps = new PQueue({ concurrency: CONCURRENT_STEPS });
+  readonly #pendingNonces = new Set<string>();
+  readonly #attemptQueue = new PQueue({ concurrency: MAX_CONCURRENT_ATTEMPTS });
   #stopped = false;
 
-  /** @param options The table and the time. */
+  /** @param options Platform client, claim writer, sleep function and log. */
   constructor(options: ClaimVoiderOptions) {
     this.#options = options;
   }
 
-  /** @returns Claims that are still to be voided. */
-  get pending(): number {
-    return this.#pending.size;
+  /** Number of claims that are still to be voided. */
+  get pendingCount(): number {
+    return this.#pendingNonces.size;
   }
 
   /**
-   * Voids a claim.
+   * Voids a claim, cancelling a write of it that is in progress.
    *
-   * @param effect The claim.
-   * @returns Settles when it is void, or has been given up.
+   * @param effect Claim to void.
+   * @returns A promise that resolves once the claim is void or abandoned.
    */
   async void(effect: ClaimEffect): Promise<void> {
     const { nonce } = effect.row;
     const maxPending = this.#options.maxPending ?? DEFAULT_MAX_PENDING;
-    if (this.#pending.has(nonce)) {
+    if (this.#pendingNonces.has(nonce)) {
       return;
     }
-    if (this.#pending.size >= maxPending) {
-      this.#warn(`Too many claims to void; the row ${effect.key} may stay.`);
+    if (this.#pendingNonces.size >= maxPending) {
+      this.#warn(`Too many claims to void; the row ${effect.key} may remain.`);
       return;
     }
-    this.#pending.add(nonce);
-    await this.#options.writer.abandon(nonce);
-    await this.#repeat(effect);
-    this.#pending.delete(nonce);
+    this.#pendingNonces.add(nonce);
+    await this.#options.writer.cancel(nonce);
+    await this.#voidWithRetries(effect);
+    this.#pendingNonces.delete(nonce);
   }
 
-  /** Gives up what is left; the rows stay and say "may have run". */
+  /**
+   * Abandons all pending claims. Their rows remain, so later calls with the
+   * same key are answered "may have run".
+   */
   stop(): void {
     this.#stopped = true;
-    if (this.#pending.size > 0) {
-      this.#warn(`Stopped with ${this.#pending.size} claims not yet voided.`);
+    if (this.#pendingNonces.size > 0) {
+      this.#warn(
+        `Stopped with ${this.#pendingNonces.size} claims not voided.`,
+      );
     }
   }
 
-  async #repeat(effect: ClaimEffect): Promise<void> {
+  async #voidWithRetries(effect: ClaimEffect): Promise<void> {
     const { nonce } = effect.row;
     let absentReads = 0;
-    let pauseMs = FIRST_PAUSE_MS;
-    for (let steps = 0; steps < MAX_STEPS && !this.#stopped; steps++) {
-      const step = await this.#steps.add(() => this.#step(effect));
-      const gone = step === VoidStep.Absent || step === VoidStep.Deleted;
-      const readsNeeded = this.#options.writer.isInDoubt(nonce)
-        ? ABSENT_READS_IN_DOUBT
+    let retryDelayMs = INITIAL_RETRY_DELAY_MS;
+    for (
+      let attempts = 0;
+      attempts < MAX_ATTEMPTS && !this.#stopped;
+      attempts++
+    ) {
+      const result = await this.#attemptQueue.add(() => this.#attempt(effect));
+      const isAbsent = result === VoidAttemptResult.Absent ||
+        result === VoidAttemptResult.Deleted;
+      const requiredAbsentReads = this.#options.writer.isInDoubt(nonce)
+        ? MIN_ABSENT_READS_IN_DOUBT
         : 1;
-      absentReads = gone ? absentReads + 1 : 0;
-      if (step === VoidStep.NotOurs || absentReads >= readsNeeded) {
-        this.#options.writer.forget(nonce);
+      absentReads = isAbsent ? absentReads + 1 : 0;
+      if (
+        result === VoidAttemptResult.HeldByOther ||
+        absentReads >= requiredAbsentReads
+      ) {
+        this.#options.writer.clearInDoubt(nonce);
         return;
       }
-      await this.#options.sleep(pauseMs);
-      pauseMs = Math.min(pauseMs * 2, MAX_PAUSE_MS);
+      await this.#options.sleep(retryDelayMs);
+      retryDelayMs = Math.min(retryDelayMs * 2, MAX_RETRY_DELAY_MS);
     }
     if (!this.#stopped) {
-      this.#warn(`The claim row ${effect.key} could not be voided; it stays.`);
+      this.#warn(
+        `The claim row ${effect.key} could not be voided; it remains.`,
+      );
     }
   }
 
-  async #step(effect: ClaimEffect): Promise<VoidStep> {
+  async #attempt(effect: ClaimEffect): Promise<VoidAttemptResult> {
     if (this.#stopped) {
-      return VoidStep.TryAgain;
+      return VoidAttemptResult.TryAgain;
     }
     const answer = await this.#options.http.read([effect.key]);
     if (answer.isErr()) {
-      return VoidStep.TryAgain;
+      return VoidAttemptResult.TryAgain;
     }
     const row = answer.value.rows.find(({ key }) => key === effect.key);
     if (row === undefined) {
-      return VoidStep.Absent;
+      return VoidAttemptResult.Absent;
     }
     return readClaimRow(row)?.nonce === effect.row.nonce
       ? await this.#delete(row)
-      : VoidStep.NotOurs;
+      : VoidAttemptResult.HeldByOther;
   }
 
-  /** The row's own version is the condition, so a late delete hits no other. */
-  async #delete(row: Row): Promise<VoidStep> {
+  /** Deletes only the version read, so that a late delete hits no other row. */
+  async #delete(row: Row): Promise<VoidAttemptResult> {
     const answer = await this.#options.http.transact({
       conditions: [{ key: row.key, version: row.version }],
       puts: [],
       deletes: [row.key],
     });
     return answer.isOk() && answer.value.committed
-      ? VoidStep.Deleted
-      : VoidStep.TryAgain;
+      ? VoidAttemptResult.Deleted
+      : VoidAttemptResult.TryAgain;
   }
 
   #warn(text: string): void {
--- a/packages/daemon/src/claim_writer.ts
+++ b/packages/daemon/src/claim_writer.ts
@@ -1,125 +1,133 @@
-/** Writes claims to the platform's table and settles lost answers. */
+/** Writes claim rows to the platform's table and resolves lost answers. */
 
 import { ClaimOutcome } from "@chestnuthatch/core/events";
 import type { Effect, EffectKind } from "@chestnuthatch/core/effects";
 import { ABSENT_ROW_VERSION } from "@chestnuthatch/wire/platform_protocol";
-import { type ClaimStanding, standingOf } from "./claim_rows.ts";
+import { type ClaimStatus, claimStatus } from "./claim_rows.ts";
 import { PlatformFault, type PlatformHttp } from "./platform_http.ts";
 import type { Clock } from "./ports.ts";
 import type { Sleep } from "./sleep.ts";
 
-/** A claim to be written or voided. */
+/** Effect that asks for a claim to be written or voided. */
 export type ClaimEffect = Extract<
   Effect,
   { kind: EffectKind.WriteClaim | EffectKind.VoidClaim }
 >;
 
-/** What a writer is handed. */
+/** Platform client, clock and sleep function of a {@link ClaimWriter}. */
 export interface ClaimWriterOptions {
   readonly http: PlatformHttp;
   readonly clock: Clock;
   readonly sleep: Sleep;
 }
 
-interface Writing {
-  readonly done: Promise<ClaimStanding>;
-  abandoned: boolean;
+interface PendingWrite {
+  readonly result: Promise<ClaimStatus>;
+  /** Set to stop before the next attempt. */
+  isCancelled: boolean;
 }
 
-const MAX_TRIES = 12;
-const FIRST_PAUSE_MS = 50;
-const MAX_PAUSE_MS = 1000;
-const MAX_DOUBTS = 10_000;
-const UNKNOWN: ClaimStanding = { outcome: ClaimOutcome.Unknown };
+const MAX_ATTEMPTS = 12;
+const INITIAL_RETRY_DELAY_MS = 50;
+const MAX_RETRY_DELAY_MS = 1000;
+const MAX_IN_DOUBT_NONCES = 10_000;
+const UNKNOWN_STATUS: ClaimStatus = { outcome: ClaimOutcome.Unknown };
 
 /**
- * Inserts claim rows. A write whose answer is lost is settled by reading the
- * row back: a row with this claim's nonce is this claim, written by whichever
- * try; while the row is absent, the same insert may be tried again.
+ * Inserts claim rows. A write whose answer is lost is resolved by reading the
+ * row back: a row with this claim's nonce was written by one of its attempts;
+ * while the row is absent, the same insert may be retried.
  */
 export class ClaimWriter {
   readonly #options: ClaimWriterOptions;
   /** Writes in progress, by nonce. */
-  readonly #writing = new Map<string, Writing>();
-  /** Nonces of which some write may still take effect, oldest first. */
-  readonly #doubts = new Set<string>();
-  #doubtsDropped = false;
+  readonly #pendingWrites = new Map<string, PendingWrite>();
+  /** Nonces of claims with a write that may still take effect, oldest first. */
+  readonly #inDoubtNonces = new Set<string>();
+  /** Whether a nonce was evicted; then every nonce counts as in doubt. */
+  #hasEvictedInDoubt = false;
 
-  /** @param options The table and the time. */
+  /** @param options Platform client, clock and sleep function. */
   constructor(options: ClaimWriterOptions) {
     this.#options = options;
   }
 
   /**
-   * Writes a claim.
+   * Writes a claim, retrying until the outcome is known or the time is over.
    *
-   * @param effect The claim.
-   * @param waitMs How long to try.
-   * @returns How it stands.
+   * @param effect Claim to write.
+   * @param timeoutMs Time limit of all attempts together, in milliseconds.
+   * @returns Whether the claim is held; unknown once the time or the attempts
+   * are exhausted, or the write is cancelled.
    */
-  async write(effect: ClaimEffect, waitMs: number): Promise<ClaimStanding> {
+  async write(effect: ClaimEffect, timeoutMs: number): Promise<ClaimStatus> {
     const { nonce } = effect.row;
-    const deadlineAtMs = this.#options.clock.nowMs() + waitMs;
-    const done = this.#tryUntil(effect, deadlineAtMs);
-    this.#writing.set(nonce, { done, abandoned: false });
-    const standing = await done;
-    this.#writing.delete(nonce);
-    return standing;
+    const deadlineAtMs = this.#options.clock.nowMs() + timeoutMs;
+    const result = this.#writeUntil(effect, deadlineAtMs);
+    this.#pendingWrites.set(nonce, { result, isCancelled: false });
+    const status = await result;
+    this.#pendingWrites.delete(nonce);
+    return status;
   }
 
   /**
-   * Stops a write that is in progress, and waits for its last call.
+   * Cancels the write of a claim if it is in progress, and waits until its last
+   * call has ended.
    *
-   * @param nonce The claim's nonce.
+   * @param nonce Nonce of the claim.
    */
-  async abandon(nonce: string): Promise<void> {
-    const writing = this.#writing.get(nonce);
-    if (writing !== undefined) {
-      writing.abandoned = true;
-      await writing.done;
+  async cancel(nonce: string): Promise<void> {
+    const pendingWrite = this.#pendingWrites.get(nonce);
+    if (pendingWrite !== undefined) {
+      pendingWrite.isCancelled = true;
+      await pendingWrite.result;
     }
   }
 
   /**
-   * Tells whether a write of a claim may take effect later than now.
+   * Tells whether a write of a claim may still take effect.
    *
-   * @param nonce The claim's nonce.
-   * @returns False only when every write of it was answered.
+   * @param nonce Nonce of the claim.
+   * @returns False only if every write of the claim was answered.
    */
   isInDoubt(nonce: string): boolean {
-    return this.#doubtsDropped || this.#doubts.has(nonce);
+    return this.#hasEvictedInDoubt || this.#inDoubtNonces.has(nonce);
   }
 
-  /** @param nonce A claim that is void for good. */
-  forget(nonce: string): void {
-    this.#doubts.delete(nonce);
+  /**
+   * Removes a claim from those in doubt, once it is certainly void.
+   *
+   * @param nonce Nonce of the claim.
+   */
+  clearInDoubt(nonce: string): void {
+    this.#inDoubtNonces.delete(nonce);
   }
 
-  async #tryUntil(
+  async #writeUntil(
     effect: ClaimEffect,
     deadlineAtMs: number,
-  ): Promise<ClaimStanding> {
-    let pauseMs = FIRST_PAUSE_MS;
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      const leftMs = deadlineAtMs - this.#options.clock.nowMs();
-      if (leftMs <= 0 || this.#isAbandoned(effect)) {
-        return UNKNOWN;
+  ): Promise<ClaimStatus> {
+    let retryDelayMs = INITIAL_RETRY_DELAY_MS;
+    for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
+      const remainingMs = deadlineAtMs - this.#options.clock.nowMs();
+      if (remainingMs <= 0 || this.#isCancelled(effect)) {
+        return UNKNOWN_STATUS;
       }
-      const standing = await this.#insert(effect, leftMs) ??
+      const status = await this.#insert(effect, remainingMs) ??
         await this.#readBack(effect, deadlineAtMs);
-      if (standing !== undefined) {
-        return standing;
+      if (status !== undefined) {
+        return status;
       }
-      await this.#options.sleep(pauseMs);
-      pauseMs = Math.min(pauseMs * 2, MAX_PAUSE_MS);
+      await this.#options.sleep(retryDelayMs);
+      retryDelayMs = Math.min(retryDelayMs * 2, MAX_RETRY_DELAY_MS);
     }
-    return UNKNOWN;
+    return UNKNOWN_STATUS;
   }
 
   async #insert(
     effect: ClaimEffect,
     timeoutMs: number,
-  ): Promise<ClaimStanding | undefined> {
+  ): Promise<ClaimStatus | undefined> {
     const { key, row } = effect;
     const answer = await this.#options.http.transact({
       conditions: [{ key, version: ABSENT_ROW_VERSION }],
@@ -128,7 +136,7 @@
     }, { timeoutMs });
     if (answer.isErr()) {
       if (answer.error !== PlatformFault.RateLimited) {
-        this.#noteDoubt(row.nonce);
+        this.#recordInDoubt(row.nonce);
       }
       return undefined;
     }
@@ -136,13 +144,13 @@
       return { outcome: ClaimOutcome.Held };
     }
     const found = answer.value.conflicts.find((other) => other.key === key);
-    return found && standingOf(row, found);
+    return found && claimStatus(row, found);
   }
 
   async #readBack(
     effect: ClaimEffect,
     deadlineAtMs: number,
-  ): Promise<ClaimStanding | undefined> {
+  ): Promise<ClaimStatus | undefined> {
     const timeoutMs = deadlineAtMs - this.#options.clock.nowMs();
     if (timeoutMs <= 0) {
       return undefined;
@@ -151,19 +159,19 @@
     const found = answer.isOk()
       ? answer.value.rows.find((row) => row.key === effect.key)
       : undefined;
-    return found && standingOf(effect.row, found);
+    return found && claimStatus(effect.row, found);
   }
 
-  #isAbandoned(effect: ClaimEffect): boolean {
-    return this.#writing.get(effect.row.nonce)?.abandoned ?? false;
+  #isCancelled(effect: ClaimEffect): boolean {
+    return this.#pendingWrites.get(effect.row.nonce)?.isCancelled ?? false;
   }
 
-  #noteDoubt(nonce: string): void {
-    this.#doubts.add(nonce);
-    if (this.#doubts.size > MAX_DOUBTS) {
-      const [oldest] = this.#doubts;
-      this.#doubts.delete(oldest);
-      this.#doubtsDropped = true;
+  #recordInDoubt(nonce: string): void {
+    this.#inDoubtNonces.add(nonce);
+    if (this.#inDoubtNonces.size > MAX_IN_DOUBT_NONCES) {
+      const [oldest] = this.#inDoubtNonces;
+      this.#inDoubtNonces.delete(oldest);
+      this.#hasEvictedInDoubt = true;
     }
   }
 }
--- a/packages/daemon/src/close_reason.ts
+++ b/packages/daemon/src/close_reason.ts
@@ -1,69 +1,89 @@
-/** Why connections between instances close, and how that is reported. */
+/** Reasons why connections between instances close, and how each is logged. */
 
 import { LogLevel } from "@chestnuthatch/core/effects";
 
-/** Why a connection closed. The list is closed. */
+/** Reason why a connection closed; the values are metric labels. */
 export enum CloseReason {
+  /** The socket closed without an error. */
   Ended = "ended",
   SocketError = "socket_error",
   HandshakeTimeout = "handshake_timeout",
-  /** The other side closed before it had proved itself. */
+  /** The peer closed before it sent a valid proof. */
   HandshakeAborted = "handshake_aborted",
+  /** The peer has another protocol version. */
   ProtocolMismatch = "protocol_mismatch",
+  /** The peer's proof of the shared secret is invalid. */
   ProofRejected = "proof_rejected",
-  /** The peer carries this instance's own id. */
+  /** The peer states this instance's own id. */
   OwnId = "own_id",
-  /** Another instance answered at the address. */
+  /** Another instance than the one dialled answered at the address. */
   UnexpectedPeer = "unexpected_peer",
+  /** A newer incarnation of the peer has already connected. */
   OlderIncarnation = "older_incarnation",
-  /** The peer has come back as a newer incarnation. */
+  /** A newer incarnation of the peer connected. */
   Superseded = "superseded",
   TooManyConnections = "too_many_connections",
+  /** The peer sent an invalid frame. */
   BadFrame = "bad_frame",
+  /** The queue was full and a frame could not be dropped. */
   QueueOverflow = "queue_overflow",
+  /** Nothing was received for too many keep-alive intervals. */
   Silent = "silent",
+  /** Queued frames were not sent within the drain timeout. */
   DrainTimeout = "drain_timeout",
+  /** The peer is no longer to be connected. */
   Forgotten = "forgotten",
+  /** This instance is shutting down. */
   Stopped = "stopped",
 }
 
-/** How one reason is reported. */
+/** Level and text with which a close reason is logged. */
 export interface CloseReport {
   readonly level: LogLevel;
   readonly text: string;
-  /** True when this instance turned the peer away. */
-  readonly refused: boolean;
+  /** Whether this instance refused the peer; such closes are counted. */
+  readonly isRefusal: boolean;
 }
 
-function quiet(text: string): CloseReport {
-  return { level: LogLevel.Debug, text, refused: false };
+function debugReport(text: string): CloseReport {
+  return { level: LogLevel.Debug, text, isRefusal: false };
 }
 
-function fault(text: string): CloseReport {
-  return { level: LogLevel.Warn, text, refused: false };
+function faultReport(text: string): CloseReport {
+  return { level: LogLevel.Warn, text, isRefusal: false };
 }
 
-function refusal(text: string): CloseReport {
-  return { level: LogLevel.Warn, text, refused: true };
+function refusalReport(text: string): CloseReport {
+  return { level: LogLevel.Warn, text, isRefusal: true };
 }
 
-/** From reason to report. */
+/** Log report of each close reason. */
 export const CLOSE_REPORTS: Readonly<Record<CloseReason, CloseReport>> = {
-  [CloseReason.Ended]: quiet("it ended"),
-  [CloseReason.SocketError]: quiet("the socket failed"),
-  [CloseReason.HandshakeTimeout]: fault("the handshake took too long"),
-  [CloseReason.HandshakeAborted]: fault("the peer broke off the handshake"),
-  [CloseReason.ProtocolMismatch]: refusal("its protocol version differs"),
-  [CloseReason.ProofRejected]: refusal("its proof of the secret is wrong"),
-  [CloseReason.OwnId]: refusal("it carries this instance's own id"),
-  [CloseReason.UnexpectedPeer]: refusal("another instance answered"),
-  [CloseReason.OlderIncarnation]: refusal("its incarnation is outdated"),
-  [CloseReason.Superseded]: quiet("a newer incarnation connected"),
-  [CloseReason.TooManyConnections]: refusal("too many connections are open"),
-  [CloseReason.BadFrame]: fault("it sent a bad frame"),
-  [CloseReason.QueueOverflow]: fault("it reads too slowly"),
-  [CloseReason.Silent]: fault("nothing was heard from it"),
-  [CloseReason.DrainTimeout]: fault("it did not drain in time"),
-  [CloseReason.Forgotten]: quiet("the peer was forgotten"),
-  [CloseReason.Stopped]: quiet("this instance is stopping"),
+  [CloseReason.Ended]: debugReport("the socket closed"),
+  [CloseReason.SocketError]: debugReport("the socket failed"),
+  [CloseReason.HandshakeTimeout]: faultReport("the handshake timed out"),
+  [CloseReason.HandshakeAborted]: faultReport(
+    "the peer closed it during the handshake",
+  ),
+  [CloseReason.ProtocolMismatch]: refusalReport("its protocol version differs"),
+  [CloseReason.ProofRejected]: refusalReport(
+    "its proof of the secret is invalid",
+  ),
+  [CloseReason.OwnId]: refusalReport("it has this instance's own id"),
+  [CloseReason.UnexpectedPeer]: refusalReport(
+    "another instance answered at its address",
+  ),
+  [CloseReason.OlderIncarnation]: refusalReport("its incarnation is outdated"),
+  [CloseReason.Superseded]: debugReport("a newer incarnation connected"),
+  [CloseReason.TooManyConnections]: refusalReport(
+    "too many connections are open",
+  ),
+  [CloseReason.BadFrame]: faultReport("it sent an invalid frame"),
+  [CloseReason.QueueOverflow]: faultReport("its send queue overflowed"),
+  [CloseReason.Silent]: faultReport("nothing was received from it in time"),
+  [CloseReason.DrainTimeout]: faultReport(
+    "queued frames were not sent in time",
+  ),
+  [CloseReason.Forgotten]: debugReport("the peer was removed"),
+  [CloseReason.Stopped]: debugReport("this instance is stopping"),
 };
--- a/packages/daemon/src/entry_instance.ts
+++ b/packages/daemon/src/entry_instance.ts
@@ -182,7 +182,7 @@
     clearInterval(this.#tickTimer);
     clearTimeout(this.#graceTimer);
     await callers.stop();
-    await platform.settle(MAX_SETTLE_MS);
+    await platform.drain(MAX_SETTLE_MS);
     await peers.stop();
     await targets.stop();
     platform.stop();
@@ -201,7 +201,7 @@
       },
       [EffectKind.ConnectPeer]: ({ peerId, address }) =>
         peers.connect(peerId, address),
-      [EffectKind.ForgetPeer]: ({ peerId }) => peers.forget(peerId),
+      [EffectKind.ForgetPeer]: ({ peerId }) => peers.disconnect(peerId),
       [EffectKind.Dispatch]: (effect) => targets.dispatch(effect),
       [EffectKind.ResumeStream]: (effect) => targets.resumeStream(effect),
       [EffectKind.CancelStream]: (effect) => targets.cancelStream(effect),
--- a/packages/daemon/src/http_exchange.ts
+++ b/packages/daemon/src/http_exchange.ts
@@ -80,7 +80,7 @@
     this.#handlers = handlers;
     this.#times = times;
     const leftMs = times.deadlineAtMs - times.clock.nowMs();
-    this.#cancelTimer = (times.timers ?? NODE_TIMERS).after(
+    this.#cancelTimer = (times.timers ?? NODE_TIMERS).schedule(
       Math.min(Math.max(leftMs, 0), MAX_TIMER_MS),
       () => this.abort(REASON_TIMED_OUT),
     );
--- a/packages/daemon/src/instance_edges.ts
+++ b/packages/daemon/src/instance_edges.ts
@@ -156,7 +156,7 @@
   const { settings, core } = options.parts;
   const bodyOf = (callId: string) => callers.bodyOf(callId);
   return new TargetClient(context, {
-    limits: { concurrentSends: settings.limits.maxDispatchesPerPool },
+    limits: { maxConcurrentSends: settings.limits.maxDispatchesPerPool },
     dispatchInput: (requestId) =>
       dispatchInputOf(core.board, requestId, bodyOf),
     traceHeaders: (requestId): Readonly<Record<string, string>> => {
--- a/packages/daemon/src/log_rate_limit.ts
+++ b/packages/daemon/src/log_rate_limit.ts
@@ -1,101 +1,101 @@
-/** A bound on how often lines that are alike may be written. */
+/** A rate limit for similar log lines. */
 
-/** What the rate limit allows. */
+/** Bounds of a {@link LogRateLimit}. */
 export interface LogRate {
-  /** Lines of one pattern let through in one window. */
+  /** Lines of one pattern that are written in one window. */
   readonly maxLines: number;
   readonly windowMs: number;
-  /** Patterns told apart at a time. */
+  /** Patterns tracked at a time; lines of further ones are not written. */
   readonly maxPatterns: number;
 }
 
-/** A rate that keeps a log readable. */
+/** Rate limit of the logger where its options give none. */
 export const DEFAULT_LOG_RATE: LogRate = {
   maxLines: 5,
   windowMs: 10_000,
   maxPatterns: 500,
 };
 
-/** Lines that were held back. */
-export interface Suppressed {
-  /** What the lines have in common. */
+/** Number of suppressed lines of one pattern. */
+export interface SuppressedLines {
+  /** Text that the lines have in common. */
   readonly pattern: string;
-  readonly lines: number;
+  readonly lineCount: number;
 }
 
 interface PatternWindow {
   readonly startedAtMs: number;
-  lines: number;
+  lineCount: number;
 }
 
-/** Counts lines by pattern within windows of time. */
+/** Limits the lines of each pattern in fixed time windows. */
 export class LogRateLimit {
   readonly #rate: LogRate;
   readonly #windows = new Map<string, PatternWindow>();
 
-  /** @param rate What is allowed. */
+  /** @param rate Bounds of the rate limit. */
   constructor(rate: LogRate = DEFAULT_LOG_RATE) {
     this.#rate = rate;
   }
 
   /**
-   * Counts a line.
+   * Counts a line and decides whether it may be written.
    *
-   * @param pattern What it has in common with its like.
-   * @param nowMs The time.
-   * @returns Whether it may be written.
+   * @param pattern Text that the line has in common with similar lines.
+   * @param nowMs Current time, in milliseconds.
+   * @returns Whether the line may be written.
    */
   allow(pattern: string, nowMs: number): boolean {
     const window = this.#windows.get(pattern);
     if (window !== undefined) {
-      window.lines++;
-      return window.lines <= this.#rate.maxLines;
+      window.lineCount++;
+      return window.lineCount <= this.#rate.maxLines;
     }
     if (this.#windows.size >= this.#rate.maxPatterns) {
       return false;
     }
-    this.#windows.set(pattern, { startedAtMs: nowMs, lines: 1 });
+    this.#windows.set(pattern, { startedAtMs: nowMs, lineCount: 1 });
     return true;
   }
 
   /**
-   * Closes windows that are over.
+   * Closes the windows that have expired.
    *
-   * @param nowMs The time.
-   * @returns What they held back.
+   * @param nowMs Current time, in milliseconds.
+   * @returns Lines that were suppressed in them, by pattern.
    */
-  closeWindows(nowMs: number): Suppressed[] {
-    const suppressed: Suppressed[] = [];
+  closeExpiredWindows(nowMs: number): SuppressedLines[] {
+    const suppressed: SuppressedLines[] = [];
     for (const [pattern, window] of this.#windows) {
-      if (!this.#isOver(window, nowMs)) {
-        // Windows are kept in the order in which they began.
+      if (!this.#isExpired(window, nowMs)) {
+        // The map holds the windows in the order in which they started.
         break;
       }
-      const lines = this.closeWindow(pattern, nowMs);
-      if (lines > 0) {
-        suppressed.push({ pattern, lines });
+      const lineCount = this.closeExpiredWindow(pattern, nowMs);
+      if (lineCount > 0) {
+        suppressed.push({ pattern, lineCount });
       }
     }
     return suppressed;
   }
 
   /**
-   * Closes one pattern's window, if it is over.
+   * Closes the window of a pattern if it has expired.
    *
-   * @param pattern The pattern.
-   * @param nowMs The time.
-   * @returns How many lines it held back.
+   * @param pattern Pattern of the window.
+   * @param nowMs Current time, in milliseconds.
+   * @returns Number of lines that were suppressed in the window.
    */
-  closeWindow(pattern: string, nowMs: number): number {
+  closeExpiredWindow(pattern: string, nowMs: number): number {
     const window = this.#windows.get(pattern);
-    if (window === undefined || !this.#isOver(window, nowMs)) {
+    if (window === undefined || !this.#isExpired(window, nowMs)) {
       return 0;
     }
     this.#windows.delete(pattern);
-    return Math.max(0, window.lines - this.#rate.maxLines);
+    return Math.max(0, window.lineCount - this.#rate.maxLines);
   }
 
-  #isOver(window: PatternWindow, nowMs: number): boolean {
+  #isExpired(window: PatternWindow, nowMs: number): boolean {
     return nowMs - window.startedAtMs >= this.#rate.windowMs;
   }
 }
--- a/packages/daemon/src/logger.ts
+++ b/packages/daemon/src/logger.ts
@@ -1,4 +1,4 @@
-/** The log: short sentences with a prefix for each part. */
+/** The log of an instance, with a prefix for each part of the system. */
 
 import process from "node:process";
 import { LogLevel, type LogPart } from "@chestnuthatch/core/effects";
@@ -6,22 +6,23 @@
 import { type LogRate, LogRateLimit } from "./log_rate_limit.ts";
 import type { Clock } from "./ports.ts";
 
-/** How log lines are written. */
+/** Output format of log lines. */
 export enum LogFormat {
   Text = "text",
   Json = "json",
 }
 
-/** What the log is made of. */
+/** Clock, format, level and output of a {@link Logger}. */
 export interface LoggerOptions {
   readonly clock: Clock;
   readonly format: LogFormat;
-  /** Least grave level that is written. */
+  /** Lowest level that is written. */
   readonly level: LogLevel;
-  /** Told apart in a fleet's collected log. */
+  /** Added to JSON lines, to tell instances apart in a collected log. */
   readonly instanceId: string;
-  /** The process's standard error where absent. */
+  /** Stream to write to; standard error where absent. */
   readonly output?: NodeJS.WritableStream;
+  /** Rate limit of similar lines; `DEFAULT_LOG_RATE` where absent. */
   readonly rate?: LogRate;
 }
 
@@ -40,13 +41,13 @@
 
 const WORD_WITH_DIGIT = /[\w-]*\d[\w-]*/g;
 
-/** Writes log lines, at a bounded rate for each pattern of text. */
+/** Writes log lines, with a rate limit for each pattern of text. */
 export class Logger {
   readonly #clock: Clock;
   readonly #winston: winston.Logger;
   readonly #rateLimit: LogRateLimit;
 
-  /** @param options Where and how to write. */
+  /** @param options Clock, format, level and output. */
   constructor(options: LoggerOptions) {
     this.#clock = options.clock;
     this.#rateLimit = new LogRateLimit(options.rate);
@@ -64,11 +65,11 @@
   }
 
   /**
-   * Writes a line, unless its like has been written too often lately. It may
-   * be passed on as a {@link LogSink} by itself.
+   * Writes a line unless its pattern has exceeded the rate limit. Bound to the
+   * logger, so it can be passed on as a {@link LogSink}.
    *
-   * @param level How grave it is.
-   * @param part The part it comes from.
+   * @param level Severity of the line.
+   * @param part Part of the system that the line comes from.
    * @param text A short sentence.
    */
   readonly write = (level: LogLevel, part: LogPart, text: string): void => {
@@ -82,30 +83,32 @@
     }
   };
 
-  /** Tells how many lines were held back in windows that are over. */
+  /** Logs how many lines were suppressed in windows that have expired. */
   reportSuppressed(): void {
     this.#report(this.#clock.nowMs());
   }
 
-  /** Tells what is still held back and closes the log. */
+  /** Logs how many lines were suppressed in all windows, and closes the log. */
   close(): void {
     this.#report(Infinity);
     this.#winston.end();
   }
 
   #report(nowMs: number): void {
-    for (const { lines, pattern } of this.#rateLimit.closeWindows(nowMs)) {
+    for (
+      const { lineCount, pattern } of this.#rateLimit.closeExpiredWindows(nowMs)
+    ) {
       const [prefix, ...words] = pattern.split(" ");
       this.#winston.log(
         LogLevel.Warn,
-        `Suppressed ${lines} more lines like: ${words.join(" ")}`,
+        `Suppressed ${lineCount} more lines like: ${words.join(" ")}`,
         { part: prefix.slice(1, -1) },
       );
     }
   }
 }
 
-/** What lines about different ids and figures have in common. */
+/** Masks words with digits, so that lines with other ids share a pattern. */
 function patternOf(line: string): string {
   return line.replace(WORD_WITH_DIGIT, "#");
 }
--- a/packages/daemon/src/logger_test.ts
+++ b/packages/daemon/src/logger_test.ts
@@ -27,7 +27,7 @@
   return { logger, lines, clock };
 }
 
-test("should write a line with its part's prefix from its level up", () => {
+test("should write lines from its level up, with the part as prefix", () => {
   const { logger, lines } = makeLog(LogFormat.Text);
   logger.write(LogLevel.Debug, LogPart.Peers, "Too fine");
   logger.write(LogLevel.Warn, LogPart.Peers, "Lost usa-river");
@@ -47,7 +47,7 @@
   });
 });
 
-test("should hold back a flood of one pattern and tell how many", () => {
+test("should suppress lines of one pattern and report how many", () => {
   const { logger, lines, clock } = makeLog(LogFormat.Text);
   for (let id = 0; id < 10; id++) {
     logger.write(LogLevel.Warn, LogPart.Targets, `Lost msaidizi-${id}`);
@@ -60,7 +60,7 @@
   assert.match(lines[4], /Lost msaidizi-1$/);
 });
 
-test("should tell what is held back when closed", () => {
+test("should report suppressed lines when closed", () => {
   const { logger, lines } = makeLog(LogFormat.Text);
   for (let id = 0; id < 3; id++) {
     logger.write(LogLevel.Warn, LogPart.Targets, "Lost it");
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -1,35 +1,35 @@
-/** Metrics of one instance, for a scraper. */
+/** Prometheus metrics of an instance. */
 
 import { CounterName } from "@chestnuthatch/core/effects";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
-import { LabelBound } from "./label_bound.ts";
+import { LabelValueLimiter } from "./label_value_limiter.ts";
 import { type CountSink, EdgeCounterName } from "./ports.ts";
 import type { MetricsPage } from "./read_routes.ts";
 
-/** What is read at each scrape. */
+/** Gauges, read at each scrape. */
 export enum GaugeName {
   OpenRequests = "open_requests",
   LiveMembers = "live_members",
   SettingsVersion = "settings_version",
 }
 
-/** What metrics are made of. */
+/** Source of the gauges and label limit of {@link Metrics}. */
 export interface MetricsOptions {
-  /** Gives a gauge's present value. */
+  /** Returns the current value of a gauge. */
   readonly readGauge: (name: GaugeName) => number;
-  /** Most values of one label. */
+  /** Maximum number of distinct values per label. */
   readonly maxLabelValues?: number;
 }
 
-/** Times of one answered request. */
+/** Durations of an answered request. */
 export interface AnswerTimes {
-  /** From its arrival to its dispatch. */
+  /** Time from the arrival of the request to its dispatch. */
   readonly waitedMs: number;
-  /** From its arrival to its answer. */
+  /** Time from the arrival of the request to its answer. */
   readonly totalMs: number;
 }
 
-/** Labels that counters may carry. */
+/** Labels that counters may have; others are left out. */
 const COUNTER_LABELS = [
   "workspace",
   "tier",
@@ -77,17 +77,17 @@
   [GaugeName.SettingsVersion]: "Settings version in force.",
 };
 
-/** Counters, histograms and gauges in a registry of their own. */
+/** Counters, histograms and gauges in a separate registry. */
 export class Metrics {
   readonly #registry = new Registry();
-  readonly #labels: LabelBound;
+  readonly #labelLimiter: LabelValueLimiter;
   readonly #counters = new Map<AnyCounterName, Counter>();
   readonly #waitSeconds: Histogram;
   readonly #totalSeconds: Histogram;
 
-  /** @param options Where gauges are read from. */
+  /** @param options Source of the gauges and label limit. */
   constructor(options: MetricsOptions) {
-    this.#labels = new LabelBound(options.maxLabelValues);
+    this.#labelLimiter = new LabelValueLimiter(options.maxLabelValues);
     for (const name of COUNTER_NAMES) {
       this.#counters.set(name, this.#makeCounter(name));
     }
@@ -99,29 +99,34 @@
   }
 
   /**
-   * Raises a counter. It may be passed on as a {@link CountSink} by itself.
+   * Increments a counter. Bound to the metrics, so it can be passed on as a
+   * {@link CountSink}.
    *
-   * @param counter Which one.
-   * @param labels Its labels; those not in the closed list are left out.
-   * @param by How much.
+   * @param counter Name of the counter.
+   * @param labels Label values; labels that counters may not have are left out.
+   * @param by Increment.
    */
   readonly count: CountSink = (counter, labels, by) => {
-    this.#counters.get(counter)?.inc(this.#bound(labels), by);
+    this.#counters.get(counter)?.inc(this.#limitLabels(labels), by);
   };
 
   /**
-   * Records the times of an answered request.
+   * Records the durations of an answered request.
    *
-   * @param tier The request's tier.
-   * @param times Its times.
+   * @param tier Tier of the request.
+   * @param times Durations of the request, in milliseconds.
    */
   observeAnswer(tier: string, times: AnswerTimes): void {
-    const labels = this.#bound({ tier });
+    const labels = this.#limitLabels({ tier });
     this.#waitSeconds.observe(labels, times.waitedMs / MS_PER_SECOND);
     this.#totalSeconds.observe(labels, times.totalMs / MS_PER_SECOND);
   }
 
-  /** @returns All metrics as text. */
+  /**
+   * Renders all metrics.
+   *
+   * @returns The page in the Prometheus text format.
+   */
   async page(): Promise<MetricsPage> {
     return {
       contentType: this.#registry.contentType,
@@ -129,14 +134,16 @@
     };
   }
 
-  #bound(labels: Readonly<Record<string, string>>): Record<string, string> {
-    const bound: Record<string, string> = {};
+  #limitLabels(
+    labels: Readonly<Record<string, string>>,
+  ): Record<string, string> {
+    const limited: Record<string, string> = {};
     for (const name of COUNTER_LABELS) {
       if (Object.hasOwn(labels, name)) {
-        bound[name] = this.#labels.bounded(name, labels[name]);
+        limited[name] = this.#labelLimiter.limit(name, labels[name]);
       }
     }
-    return bound;
+    return limited;
   }
 
   #makeCounter(name: AnyCounterName): Counter {
@@ -159,10 +166,10 @@
     });
   }
 
-  #makeHistogram(name: string, what: string): Histogram {
+  #makeHistogram(name: string, interval: string): Histogram {
     return new Histogram({
       name: `${PREFIX}request_${name}_seconds`,
-      help: `Time of answered requests from ${what}, by tier.`,
+      help: `Time of answered requests from ${interval}, by tier.`,
       labelNames: ["tier"],
       buckets: WAIT_BUCKETS_SECONDS,
       registers: [this.#registry],
--- a/packages/daemon/src/metrics_test.ts
+++ b/packages/daemon/src/metrics_test.ts
@@ -4,7 +4,7 @@
 import { GaugeName, Metrics } from "./metrics.ts";
 import { EdgeCounterName } from "./ports.ts";
 
-test("should have every counter and gauge, and waits by tier", async () => {
+test("should expose all counters and gauges, and waits by tier", async () => {
   const metrics = new Metrics({ readGauge: () => 7 });
   metrics.observeAnswer("urgent", { waitedMs: 40, totalMs: 900 });
   const { text, contentType } = await metrics.page();
--- a/packages/daemon/src/order_desk.ts
+++ b/packages/daemon/src/order_issuer.ts
@@ -1,4 +1,4 @@
-/** Gives orders to engines, one at a time for each target. */
+/** Issues orders to engines, one at a time for each target. */
 
 import {
   type EngineState,
@@ -24,17 +24,17 @@
 import { type Sleep, sleepByTimer } from "./sleep.ts";
 import { TargetConnections } from "./target_connections.ts";
 
-/** Every way an order can end. The list is closed. */
+/** Ways in which an order can end. */
 export enum OrderOutcomeKind {
-  /** The target is as ordered, by this order. */
+  /** The target is in the ordered state because of this order. */
   Obeyed = "obeyed",
-  /** The target answered, but its state is not what was ordered. */
+  /** The target answered, but is not in the ordered state. */
   NotAsOrdered = "not_as_ordered",
-  /** The target has obeyed a higher fencing number; it did not obey this. */
+  /** The target has obeyed a higher fencing number and rejected this order. */
   RefusedAsOld = "refused_as_old",
-  /** Another order was given meanwhile; this one was not sent. */
+  /** Another order took the lease first; this one was not sent. */
   HeldElsewhere = "held_elsewhere",
-  /** The lease ended before the order could be sent; it was not sent. */
+  /** The lease expired before the order could be sent; it was not sent. */
   LeaseLapsed = "lease_lapsed",
   /** The target could not be reached; the order was not sent. */
   TargetUnreachable = "target_unreachable",
@@ -42,58 +42,64 @@
   StoreUnavailable = "store_unavailable",
   /** The target's row is corrupt; the order was not sent. */
   RowUnreadable = "row_unreadable",
-  /** The order was sent and may still be obeyed. */
+  /** The order was sent, and may have taken or may still take effect. */
   InDoubt = "in_doubt",
 }
 
-/** How an order ended. */
+/** Result of an order; the command line prints it as JSON. */
 export interface OrderOutcome {
   readonly kind: OrderOutcomeKind;
   readonly orderId: string;
+  /** Fencing number of the order, if the lease was taken. */
   readonly fencingNumber?: number;
-  /** The target's state before and after, where it was read. */
+  /** State of the target before the order was sent, if it was read. */
   readonly before?: EngineState;
+  /** State of the target after the order was sent, if it is known. */
   readonly after?: EngineState;
-  /** The order found instead, when held elsewhere. */
+  /** Order that holds the lease, if the outcome is HeldElsewhere. */
   readonly other?: OrderRow;
 }
 
-/** An order for one target. */
+/** A control command for one engine, such as loading a model. */
 export interface EngineOrder {
   readonly targetId: string;
   /** `host:port` of the target's HTTP interface. */
   readonly address: string;
-  /** Whether the target refuses old fencing numbers. */
+  /** Whether the target rejects orders with an outdated fencing number. */
   readonly checksFencing: boolean;
   readonly kind: OrderKind;
+  /** Model, adapter, version or role to set, depending on the kind. */
   readonly value: string;
 }
 
-/** What an order desk is made of. */
-export interface OrderDeskOptions {
+/** Platform, holder, clock and timing of an {@link OrderIssuer}. */
+export interface OrderIssuerOptions {
   readonly platform: PlatformHttp;
-  /** Who gives the orders, for others to read. */
+  /** Name of whoever issues the orders, recorded in the lease. */
   readonly holder: string;
   readonly clock: Clock;
-  /** @returns An id that no other order has. */
+  /** Returns a globally unique order id. */
   readonly newOrderId: () => string;
+  /** Waits out leases; a real timer where absent. */
   readonly sleep?: Sleep;
+  /** Duration of the lease under which an order is issued. */
   readonly leaseMs?: number;
-  /** Longest time between sending an order and its taking effect. */
+  /** Maximum time from sending an order until it takes effect. */
   readonly maxOrderDelayMs?: number;
+  /** Maximum wait for the answer to an order. */
   readonly orderTimeoutMs?: number;
 }
 
-/** How the sending of an order ended. */
-enum Sending {
+/** Outcome of sending an order to its target. */
+enum SendOutcome {
   Obeyed = "obeyed",
   RefusedAsOld = "refused_as_old",
   NotSent = "not_sent",
   InDoubt = "in_doubt",
 }
 
-interface Sent {
-  readonly sending: Sending;
+interface SendResult {
+  readonly outcome: SendOutcome;
   readonly state?: EngineState;
 }
 
@@ -112,19 +118,20 @@
 };
 
 /**
- * Gives orders under a lease with a rising fencing number. Targets that check
- * the number refuse an order that comes late. For those that do not, a former
- * lease and the longest order delay are waited out first, the order is sent
- * only within the own lease, and the target's state is read before and after.
+ * Issues orders under a lease with an increasing fencing number (a fencing
+ * token). A target that checks the number rejects a delayed order. For a target
+ * that does not, the previous lease and the maximum order delay are waited out
+ * first, the order is sent only while its own lease lasts, and the target's
+ * state is read before and after.
  */
-export class OrderDesk {
-  readonly #options: OrderDeskOptions;
+export class OrderIssuer {
+  readonly #options: OrderIssuerOptions;
   readonly #leases: OrderLeases;
   readonly #leaseMs: number;
   readonly #connections = new TargetConnections();
 
-  /** @param options The table, the time and the holder's name. */
-  constructor(options: OrderDeskOptions) {
+  /** @param options Platform, holder, clock and timing. */
+  constructor(options: OrderIssuerOptions) {
     this.#options = options;
     this.#leaseMs = options.leaseMs ?? DEFAULT_LEASE_MS;
     this.#leases = new OrderLeases({
@@ -135,22 +142,26 @@
   }
 
   /**
-   * Gives one order, sending it at most once.
+   * Issues an order, sending it at most once.
    *
-   * @param order The order.
-   * @returns How it ended.
+   * @param order Order to issue.
+   * @returns Outcome of the order.
    */
-  async give(order: EngineOrder): Promise<OrderOutcome> {
+  async issue(order: EngineOrder): Promise<OrderOutcome> {
     const orderId = this.#options.newOrderId();
     const link = this.#connections.link(order.targetId, order.address);
-    const first = link && await this.#readState(link.control, order);
-    if (link === undefined || first === undefined) {
+    const initialState = link && await this.#readState(link.control, order);
+    if (link === undefined || initialState === undefined) {
       return { kind: OrderOutcomeKind.TargetUnreachable, orderId };
     }
-    const lease = await this.#acquire(order, orderId, first.fencingNumber);
+    const lease = await this.#acquireLease(
+      order,
+      orderId,
+      initialState.fencingNumber,
+    );
     return lease.isErr()
-      ? refusedLease(orderId, lease.error)
-      : await this.#giveUnder(lease.value, order, link.control);
+      ? leaseRefusedOutcome(orderId, lease.error)
+      : await this.#issueUnderLease(lease.value, order, link.control);
   }
 
   /** Closes the connections to targets. */
@@ -158,7 +169,7 @@
     await this.#connections.stop();
   }
 
-  #acquire(
+  #acquireLease(
     order: EngineOrder,
     orderId: string,
     targetFencingNumber: number,
@@ -178,33 +189,38 @@
     });
   }
 
-  async #giveUnder(
+  async #issueUnderLease(
     lease: OrderLease,
     order: EngineOrder,
     pool: Pool,
   ): Promise<OrderOutcome> {
     const { orderId, fencingNumber } = lease.row;
     const before = await this.#readState(pool, order);
-    const about = { orderId, fencingNumber, before };
+    const details = { orderId, fencingNumber, before };
     if (before === undefined) {
       await this.#leases.settle(lease, OrderState.Settled);
-      return { kind: OrderOutcomeKind.TargetUnreachable, ...about };
+      return { kind: OrderOutcomeKind.TargetUnreachable, ...details };
     }
-    const leftMs = lease.endsAtMs - this.#options.clock.nowMs();
-    if (leftMs <= 0) {
+    const remainingMs = lease.endsAtMs - this.#options.clock.nowMs();
+    if (remainingMs <= 0) {
       await this.#leases.settle(lease, OrderState.Settled);
-      return { kind: OrderOutcomeKind.LeaseLapsed, ...about };
+      return { kind: OrderOutcomeKind.LeaseLapsed, ...details };
     }
-    const sent = await this.#send(lease, pool, leftMs);
-    // A target that ignores fencing numbers is believed only when read again.
-    const answered = order.checksFencing ? sent.state : undefined;
-    const after = await this.#readState(pool, order) ?? answered;
-    const kind = outcomeOf(sent, lease.row, after);
-    await this.#leases.settle(lease, stateAfter(kind));
-    return { kind, ...about, after };
+    const sendResult = await this.#send(lease, pool, remainingMs);
+    // The answer of a target that ignores fencing numbers is no proof of its
+    // state; only a new read is.
+    const answeredState = order.checksFencing ? sendResult.state : undefined;
+    const after = await this.#readState(pool, order) ?? answeredState;
+    const kind = outcomeKindOf(sendResult, lease.row, after);
+    await this.#leases.settle(lease, rowStateAfter(kind));
+    return { kind, ...details, after };
   }
 
-  async #send(lease: OrderLease, pool: Pool, leftMs: number): Promise<Sent> {
+  async #send(
+    lease: OrderLease,
+    pool: Pool,
+    remainingMs: number,
+  ): Promise<SendResult> {
     const { orderId, fencingNumber, kind, value } = lease.row;
     const body: OrderRequest = { orderId, fencingNumber, kind, value };
     const { orderTimeoutMs = DEFAULT_ORDER_TIMEOUT_MS } = this.#options;
@@ -212,12 +228,12 @@
       method: "POST",
       path: "/v1/orders",
       body: JSON.stringify(body),
-    }, Math.min(orderTimeoutMs, leftMs));
+    }, Math.min(orderTimeoutMs, remainingMs));
     if (answer.isErr()) {
       const { sent } = answer.error;
-      return { sending: sent ? Sending.InDoubt : Sending.NotSent };
+      return { outcome: sent ? SendOutcome.InDoubt : SendOutcome.NotSent };
     }
-    return judgeAnswer(answer.value);
+    return sendResultOf(answer.value);
   }
 
   async #readState(
@@ -254,51 +270,58 @@
   }
 }
 
-function refusedLease(orderId: string, refusal: LeaseRefusal): OrderOutcome {
+function leaseRefusedOutcome(
+  orderId: string,
+  refusal: LeaseRefusal,
+): OrderOutcome {
   const kind = OUTCOME_BY_FAULT[refusal.fault];
   return { kind, orderId, other: refusal.other };
 }
 
-function judgeAnswer({ statusCode, body }: HttpAnswer): Sent {
+function sendResultOf({ statusCode, body }: HttpAnswer): SendResult {
   const json = parseJson(body.toString("utf8")).unwrapOr(undefined);
   const answer = orderAnswerSchema.safeParse(json);
   if (!answer.success) {
-    return { sending: Sending.InDoubt };
+    return { outcome: SendOutcome.InDoubt };
   }
   const { obeyed, state } = answer.data;
   if (statusCode === STATUS_OK && obeyed) {
-    return { sending: Sending.Obeyed, state };
+    return { outcome: SendOutcome.Obeyed, state };
   }
-  const refused = statusCode === STATUS_CONFLICT && !obeyed;
-  return { sending: refused ? Sending.RefusedAsOld : Sending.InDoubt, state };
+  const isRefused = statusCode === STATUS_CONFLICT && !obeyed;
+  return {
+    outcome: isRefused ? SendOutcome.RefusedAsOld : SendOutcome.InDoubt,
+    state,
+  };
 }
 
 /**
- * What can be said of an order. An order without an answer counts as obeyed
- * only when the target itself names it as its last.
+ * Determines the outcome of sending an order. It counts as obeyed only if the
+ * target is in the ordered state and names the order as its last one, whether
+ * or not the order was answered.
  */
-function outcomeOf(
-  { sending }: Sent,
+function outcomeKindOf(
+  { outcome }: SendResult,
   order: OrderRow,
   after: EngineState | undefined,
 ): OrderOutcomeKind {
-  if (sending === Sending.NotSent) {
+  if (outcome === SendOutcome.NotSent) {
     return OrderOutcomeKind.TargetUnreachable;
   }
-  if (sending === Sending.RefusedAsOld) {
+  if (outcome === SendOutcome.RefusedAsOld) {
     return OrderOutcomeKind.RefusedAsOld;
   }
-  const obeyed = after !== undefined && isAsOrdered(after, order) &&
+  const isObeyed = after !== undefined && isAsOrdered(after, order) &&
     after.lastOrderId === order.orderId;
-  if (obeyed) {
+  if (isObeyed) {
     return OrderOutcomeKind.Obeyed;
   }
-  return sending === Sending.Obeyed && after !== undefined
+  return outcome === SendOutcome.Obeyed && after !== undefined
     ? OrderOutcomeKind.NotAsOrdered
     : OrderOutcomeKind.InDoubt;
 }
 
-function stateAfter(kind: OrderOutcomeKind): OrderState {
+function rowStateAfter(kind: OrderOutcomeKind): OrderState {
   return kind === OrderOutcomeKind.InDoubt
     ? OrderState.InDoubt
     : OrderState.Settled;
--- a/packages/daemon/src/order_desk_test.ts
+++ b/packages/daemon/src/order_issuer_test.ts
@@ -14,17 +14,17 @@
 } from "./edge_test_support.ts";
 import {
   type EngineOrder,
-  OrderDesk,
+  OrderIssuer,
   type OrderOutcome,
   OrderOutcomeKind,
-} from "./order_desk.ts";
+} from "./order_issuer.ts";
 import { OrderState } from "./order_rows.ts";
 import { PlatformHttp } from "./platform_http.ts";
 
 const LEASE_MS = 30_000;
 const ORDER_DELAY_MS = 10_000;
 const KEY = "order/t1";
-const FORMER = {
+const PREVIOUS_ORDER = {
   holder: "former",
   fencingNumber: 4,
   leaseMs: LEASE_MS,
@@ -34,11 +34,11 @@
   state: OrderState.Leased,
 };
 
-class Bench {
+class TestBench {
   readonly table = new TestTable();
   readonly clock = new TestClock();
   readonly engine = new TestServer((seen) => this.#answer(seen));
-  readonly desks: OrderDesk[] = [];
+  readonly issuers: OrderIssuer[] = [];
   http!: PlatformHttp;
   checksFencing = true;
   loseOrderAnswers = false;
@@ -63,14 +63,14 @@
   }
 
   async stop(): Promise<void> {
-    await Promise.all(this.desks.map((desk) => desk.stop()));
+    await Promise.all(this.issuers.map((issuer) => issuer.stop()));
     await this.http.stop();
     await this.engine.stop();
     await this.table.server.stop();
   }
 
-  give(value: string, holder = "desk"): Promise<OrderOutcome> {
-    const desk = new OrderDesk({
+  issue(value: string, holder = "issuer"): Promise<OrderOutcome> {
+    const issuer = new OrderIssuer({
       platform: this.http,
       holder,
       clock: this.clock,
@@ -79,8 +79,8 @@
       leaseMs: LEASE_MS,
       maxOrderDelayMs: ORDER_DELAY_MS,
     });
-    this.desks.push(desk);
-    return desk.give(this.order(value));
+    this.issuers.push(issuer);
+    return issuer.issue(this.order(value));
   }
 
   order(value: string): EngineOrder {
@@ -93,7 +93,7 @@
     };
   }
 
-  orders(): number {
+  orderCount(): number {
     return this.engine.paths().filter((path) => path === "/v1/orders").length;
   }
 
@@ -123,9 +123,12 @@
   }
 }
 
-function testWith(title: string, run: (bench: Bench) => Promise<void>): void {
+function testWith(
+  title: string,
+  run: (bench: TestBench) => Promise<void>,
+): void {
   test(title, async () => {
-    const bench = await new Bench().start();
+    const bench = await new TestBench().start();
     try {
       await run(bench);
     } finally {
@@ -134,60 +137,63 @@
   });
 }
 
-testWith("should give orders under rising fencing numbers", async (bench) => {
-  const first = await bench.give("m1", "a");
-  const second = await bench.give("m2", "b");
-  assert.equal([first.kind, second.kind], [
-    OrderOutcomeKind.Obeyed,
-    OrderOutcomeKind.Obeyed,
-  ]);
-  assert.equal([first.fencingNumber, second.fencingNumber], [1, 2]);
-  assert.is(second.before?.model, "m1");
-  assert.is(second.after?.model, "m2");
-  assert.is(bench.table.value(KEY).state, OrderState.Settled);
-  assert.is(bench.clock.atMs, 0);
-});
+testWith(
+  "should issue orders with increasing fencing numbers",
+  async (bench) => {
+    const first = await bench.issue("m1", "a");
+    const second = await bench.issue("m2", "b");
+    assert.equal([first.kind, second.kind], [
+      OrderOutcomeKind.Obeyed,
+      OrderOutcomeKind.Obeyed,
+    ]);
+    assert.equal([first.fencingNumber, second.fencingNumber], [1, 2]);
+    assert.is(second.before?.model, "m1");
+    assert.is(second.after?.model, "m2");
+    assert.is(bench.table.value(KEY).state, OrderState.Settled);
+    assert.is(bench.clock.atMs, 0);
+  },
+);
 
 for (const checksFencing of [true, false]) {
   testWith(
-    `should let one of two racing desks win, fencing checked: ${checksFencing}`,
+    `should let one of two racing issuers win, fencing checked: ${checksFencing}`,
     async (bench) => {
       bench.checksFencing = checksFencing;
       const outcomes = await Promise.all([
-        bench.give("m1", "a"),
-        bench.give("m2", "b"),
+        bench.issue("m1", "a"),
+        bench.issue("m2", "b"),
       ]);
       const winner = outcomes.find(({ kind }) =>
         kind === OrderOutcomeKind.Obeyed
       );
-      const loser = outcomes.find((outcome) => outcome !== winner);
-      assert.is(loser?.kind, OrderOutcomeKind.HeldElsewhere);
-      assert.is(loser?.other?.orderId, winner?.orderId);
-      assert.is(bench.orders(), 1);
+      const refused = outcomes.find((outcome) => outcome !== winner);
+      assert.is(refused?.kind, OrderOutcomeKind.HeldElsewhere);
+      assert.is(refused?.other?.orderId, winner?.orderId);
+      assert.is(bench.orderCount(), 1);
       assert.is(bench.state.lastOrderId, winner?.orderId);
     },
   );
 }
 
 testWith(
-  "should tell that an old fencing number was refused",
+  "should report that an old fencing number was refused",
   async (bench) => {
     let states = 0;
     bench.onState = () => {
       states += 1;
       if (states === 2) {
-        bench.obey({ ...FORMER, fencingNumber: 9, orderId: "later" });
+        bench.obey({ ...PREVIOUS_ORDER, fencingNumber: 9, orderId: "later" });
       }
     };
-    const outcome = await bench.give("m1");
+    const outcome = await bench.issue("m1");
     assert.is(outcome.kind, OrderOutcomeKind.RefusedAsOld);
     assert.is(outcome.after?.lastOrderId, "later");
   },
 );
 
-testWith("should exceed the target's own number", async (bench) => {
+testWith("should exceed the fencing number of the target", async (bench) => {
   bench.state = { ...bench.state, fencingNumber: 7 };
-  assert.is((await bench.give("m1")).fencingNumber, 8);
+  assert.is((await bench.issue("m1")).fencingNumber, 8);
 });
 
 for (
@@ -197,11 +203,11 @@
   ] as const
 ) {
   testWith(
-    `should wait out a lapsed holder, fencing checked: ${checksFencing}`,
+    `should wait out an unsettled lease, fencing checked: ${checksFencing}`,
     async (bench) => {
       bench.checksFencing = checksFencing;
-      bench.table.put(KEY, FORMER);
-      const outcome = await bench.give("m1");
+      bench.table.put(KEY, PREVIOUS_ORDER);
+      const outcome = await bench.issue("m1");
       assert.is(outcome.kind, OrderOutcomeKind.Obeyed);
       assert.is(outcome.fencingNumber, 5);
       assert.is(bench.clock.atMs, waitedMs);
@@ -209,50 +215,50 @@
   );
 }
 
-testWith("should not send an order after its lease ended", async (bench) => {
+testWith("should not send an order after its lease expired", async (bench) => {
   bench.checksFencing = false;
   let states = 0;
   bench.onState = () => {
     states += 1;
     bench.clock.atMs += states === 2 ? LEASE_MS : 0;
   };
-  const outcome = await bench.give("m1");
+  const outcome = await bench.issue("m1");
   assert.is(outcome.kind, OrderOutcomeKind.LeaseLapsed);
-  assert.is(bench.orders(), 0);
+  assert.is(bench.orderCount(), 0);
 });
 
 testWith(
-  "should say when a target that ignores numbers is not as ordered",
+  "should report when a target that ignores fencing is not as ordered",
   async (bench) => {
     bench.checksFencing = false;
     bench.onState = () => {
-      if (bench.orders() === 1) {
-        bench.obey({ ...FORMER, orderId: "late" });
+      if (bench.orderCount() === 1) {
+        bench.obey({ ...PREVIOUS_ORDER, orderId: "late" });
       }
     };
-    const outcome = await bench.give("m1");
+    const outcome = await bench.issue("m1");
     assert.is(outcome.kind, OrderOutcomeKind.NotAsOrdered);
     assert.is(outcome.after?.lastOrderId, "late");
   },
 );
 
 testWith(
-  "should settle a lost answer of the lease by its order id",
+  "should resolve a lost answer to the lease write by the order id",
   async (bench) => {
     bench.table.writeFaults.push(TableFault.AnswerLost);
-    const outcome = await bench.give("m1");
+    const outcome = await bench.issue("m1");
     assert.is(outcome.kind, OrderOutcomeKind.Obeyed);
     assert.is(outcome.fencingNumber, 1);
   },
 );
 
 testWith(
-  "should settle a lost answer of the order by the target's state",
+  "should resolve a lost answer to the order by the target's state",
   async (bench) => {
     bench.loseOrderAnswers = true;
-    const outcome = await bench.give("m1");
+    const outcome = await bench.issue("m1");
     assert.is(outcome.kind, OrderOutcomeKind.Obeyed);
-    assert.is(bench.orders(), 1);
+    assert.is(bench.orderCount(), 1);
   },
 );
 
@@ -260,13 +266,13 @@
   "should send nothing while the table is down or its row corrupt",
   async (bench) => {
     bench.table.fault = TableFault.Down;
-    const down = await bench.give("m1");
+    const down = await bench.issue("m1");
     assert.is(down.kind, OrderOutcomeKind.StoreUnavailable);
     bench.table.fault = TableFault.None;
     bench.table.put(KEY, { holder: "former" });
-    const corrupt = await bench.give("m1");
+    const corrupt = await bench.issue("m1");
     assert.is(corrupt.kind, OrderOutcomeKind.RowUnreadable);
-    assert.is(bench.orders(), 0);
+    assert.is(bench.orderCount(), 0);
   },
 );
 
--- a/packages/daemon/src/order_lease.ts
+++ b/packages/daemon/src/order_lease.ts
@@ -1,4 +1,4 @@
-/** Takes and settles the lease under which one order is given. */
+/** Acquires and settles the lease under which an order is issued. */
 
 import {
   ABSENT_ROW_VERSION,
@@ -15,79 +15,84 @@
 import type { Clock } from "./ports.ts";
 import type { Sleep } from "./sleep.ts";
 
-/** Why a lease was not taken. */
+/** Reasons why a lease was not acquired. */
 export enum LeaseFault {
-  /** Another order was given meanwhile; its row comes along. */
+  /** Another order took the lease first. */
   HeldElsewhere = "held_elsewhere",
-  /** The table did not settle whether the lease is ours. */
+  /** The table did not confirm whether the lease was written. */
   StoreUnavailable = "store_unavailable",
-  /** The row is corrupt. */
+  /** The order row of the target is corrupt. */
   RowUnreadable = "row_unreadable",
 }
 
-/** A lease not taken. */
+/** Failure to acquire a lease. */
 export interface LeaseRefusal {
   readonly fault: LeaseFault;
+  /** Order row found instead, if the lease is held elsewhere. */
   readonly other?: OrderRow;
 }
 
-/** A lease that was taken. */
+/** An acquired lease on a target. */
 export interface OrderLease {
+  /** Key of the order row. */
   readonly key: string;
+  /** Row as it was written. */
   readonly row: OrderRow;
+  /** Version of the row in the table. */
   readonly rowVersion: number;
-  /** On this process's clock, counted from before the row was written. */
+  /** End on this process's clock, counted from before the row was written. */
   readonly endsAtMs: number;
 }
 
-/** What is wanted of a lease. */
+/** Order and target for which a lease is acquired. */
 export interface LeaseRequest {
   readonly targetId: string;
   readonly order: Omit<OrderRow, "fencingNumber" | "state">;
-  /** The target's own number, which the lease's must exceed. */
+  /** Fencing number of the target, which that of the lease must exceed. */
   readonly targetFencingNumber: number;
-  /** Waited out besides the former lease, for orders under way. */
+  /** Waited out in addition to the previous lease, for orders in flight. */
   readonly orderDelayMs: number;
 }
 
-/** What leases are taken with. */
+/** Platform client, clock and sleep function of {@link OrderLeases}. */
 export interface OrderLeasesOptions {
   readonly platform: PlatformHttp;
   readonly clock: Clock;
   readonly sleep: Sleep;
 }
 
-const MAX_TRIES = 6;
-const PAUSE_MS = 200;
+const MAX_WRITE_ATTEMPTS = 6;
+const RETRY_DELAY_MS = 200;
 
-/** What is to be written, on condition of the version last read. */
+/** A lease row to be written if the row still has the version last read. */
 interface LeaseWrite {
   readonly key: string;
   readonly row: OrderRow;
-  readonly formerVersion: number;
+  readonly previousVersion: number;
   readonly endsAtMs: number;
 }
 
 type LeaseResult = Result<OrderLease, LeaseRefusal>;
 
 /**
- * Leases on targets, kept in the table. A lease whose end is not known from
- * its row is waited out on the own clock, from after its row was read; no two
- * machines' clocks are compared.
+ * Acquires leases on targets, stored in the platform's table. An unsettled
+ * lease is waited out in full on this process's clock, from after its row was
+ * read, so that the clocks of different hosts are never compared.
  */
 export class OrderLeases {
   readonly #options: OrderLeasesOptions;
 
-  /** @param options The table and the time. */
+  /** @param options Platform client, clock and sleep function. */
   constructor(options: OrderLeasesOptions) {
     this.#options = options;
   }
 
   /**
-   * Takes the lease on a target with a higher fencing number.
+   * Acquires the lease on a target with a higher fencing number, after waiting
+   * out an unsettled previous lease.
    *
-   * @param request What is wanted.
-   * @returns The lease, or why it was not taken.
+   * @param request Order and target for which the lease is acquired.
+   * @returns The lease, or why it was not acquired.
    */
   async acquire(request: LeaseRequest): Promise<LeaseResult> {
     const key = orderKey(request.targetId);
@@ -95,27 +100,27 @@
     if (read.isErr()) {
       return err({ fault: LeaseFault.StoreUnavailable });
     }
-    const former = read.value && readOrderRow(read.value);
-    if (read.value !== undefined && former === undefined) {
+    const previous = read.value && readOrderRow(read.value);
+    if (read.value !== undefined && previous === undefined) {
       return err({ fault: LeaseFault.RowUnreadable });
     }
-    if (former !== undefined && former.state !== OrderState.Settled) {
-      await this.#options.sleep(former.leaseMs + request.orderDelayMs);
+    if (previous !== undefined && previous.state !== OrderState.Settled) {
+      await this.#options.sleep(previous.leaseMs + request.orderDelayMs);
     }
     return await this.#write({
       key,
-      row: rowAfter(former, request),
-      formerVersion: read.value?.version ?? ABSENT_ROW_VERSION,
+      row: nextOrderRow(previous, request),
+      previousVersion: read.value?.version ?? ABSENT_ROW_VERSION,
       endsAtMs: this.#options.clock.nowMs() + request.order.leaseMs,
     });
   }
 
   /**
-   * Writes how the order ended. When this fails the row stays leased, and the
-   * next desk waits the lease out.
+   * Writes the final state of the order. If the write fails, the row stays
+   * leased and the next issuer waits out the lease.
    *
-   * @param lease The lease.
-   * @param state How the order ended.
+   * @param lease Lease under which the order was issued.
+   * @param state Final state of the order.
    */
   async settle(lease: OrderLease, state: OrderState): Promise<void> {
     const { key, row, rowVersion } = lease;
@@ -127,21 +132,21 @@
   }
 
   async #write(write: LeaseWrite): Promise<LeaseResult> {
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      const settled = await this.#tryWrite(write) ??
+    for (let attempts = 0; attempts < MAX_WRITE_ATTEMPTS; attempts++) {
+      const result = await this.#tryWrite(write) ??
         await this.#readBack(write);
-      if (settled !== undefined) {
-        return settled;
+      if (result !== undefined) {
+        return result;
       }
-      await this.#options.sleep(PAUSE_MS);
+      await this.#options.sleep(RETRY_DELAY_MS);
     }
     return err({ fault: LeaseFault.StoreUnavailable });
   }
 
   async #tryWrite(write: LeaseWrite): Promise<LeaseResult | undefined> {
-    const { key, row, formerVersion } = write;
+    const { key, row, previousVersion } = write;
     const answer = await this.#options.platform.transact({
-      conditions: [{ key, version: formerVersion }],
+      conditions: [{ key, version: previousVersion }],
       puts: [{ key, value: JSON.stringify(row) }],
       deletes: [],
     });
@@ -149,16 +154,18 @@
       return undefined;
     }
     const { committed, rows, conflicts } = answer.value;
-    const found = (committed ? rows : conflicts).find((it) => it.key === key);
-    return found && judge(write, found);
+    const found = (committed ? rows : conflicts).find((candidate) =>
+      candidate.key === key
+    );
+    return found && leaseResultOf(write, found);
   }
 
   async #readBack(write: LeaseWrite): Promise<LeaseResult | undefined> {
     const read = await this.#read(write.key);
     const row = read.unwrapOr(undefined);
-    return row === undefined || row.version === write.formerVersion
+    return row === undefined || row.version === write.previousVersion
       ? undefined
-      : judge(write, row);
+      : leaseResultOf(write, row);
   }
 
   async #read(key: string): Promise<Result<Row | undefined, PlatformFault>> {
@@ -167,23 +174,23 @@
   }
 }
 
-function rowAfter(
-  former: OrderRow | undefined,
+function nextOrderRow(
+  previous: OrderRow | undefined,
   request: LeaseRequest,
 ): OrderRow {
-  const highest = Math.max(
-    former?.fencingNumber ?? 0,
+  const highestFencingNumber = Math.max(
+    previous?.fencingNumber ?? 0,
     request.targetFencingNumber,
   );
   return {
     ...request.order,
-    fencingNumber: highest + 1,
+    fencingNumber: highestFencingNumber + 1,
     state: OrderState.Leased,
   };
 }
 
-/** The order's id tells whose write a row comes from, however it was answered. */
-function judge(write: LeaseWrite, found: Row): LeaseResult {
+/** Tells by the order id whether the row found was written by this process. */
+function leaseResultOf(write: LeaseWrite, found: Row): LeaseResult {
   const other = readOrderRow(found);
   if (other?.orderId !== write.row.orderId) {
     return err({ fault: LeaseFault.HeldElsewhere, other });
--- a/packages/daemon/src/order_rows.ts
+++ b/packages/daemon/src/order_rows.ts
@@ -1,4 +1,4 @@
-/** The row of the platform's table that serialises orders to one target. */
+/** The row of the platform's table that serializes the orders to a target. */
 
 import {
   type EngineState,
@@ -8,11 +8,11 @@
 import * as z from "zod";
 import { parseJson } from "./ndjson_reader.ts";
 
-/** How far the order of a row has come. */
+/** State of the order in a row. */
 export enum OrderState {
-  /** Its holder may send the order until the lease ends. */
+  /** The holder may send the order until the lease ends. */
   Leased = "leased",
-  /** The order was answered, or was certainly never sent. */
+  /** The outcome is known: the order was answered, or was never sent. */
   Settled = "settled",
   /** The order was sent and its outcome is unknown. */
   InDoubt = "in_doubt",
@@ -28,25 +28,27 @@
   state: z.enum(OrderState),
 });
 
-/** The latest order given to a target. */
+/** The latest order issued to a target, with its lease. */
 export type OrderRow = z.infer<typeof orderRowSchema>;
 
-/** Row key prefix of orders. */
-export const ORDER_PREFIX = "order/";
+/** Prefix of the keys of order rows. */
+export const ORDER_KEY_PREFIX = "order/";
 
 /**
- * @param targetId The target.
- * @returns The key of its row.
+ * Builds the key of a target's order row.
+ *
+ * @param targetId Id of the target.
+ * @returns Key of the row in the platform's table.
  */
 export function orderKey(targetId: string): string {
-  return `${ORDER_PREFIX}${encodeURIComponent(targetId)}`;
+  return `${ORDER_KEY_PREFIX}${encodeURIComponent(targetId)}`;
 }
 
 /**
- * Reads an order row.
+ * Parses an order row.
  *
- * @param row The row as the table gave it.
- * @returns The order, or nothing when the row is corrupt.
+ * @param row Row read from the table.
+ * @returns The order, or undefined if the row is corrupt.
  */
 export function readOrderRow(row: Row): OrderRow | undefined {
   const json = parseJson(row.value).unwrapOr(undefined);
@@ -61,11 +63,11 @@
 };
 
 /**
- * Tells whether a target is as an order wants it.
+ * Tells whether a target is in the state that an order demands.
  *
- * @param state The target's state.
- * @param order What was ordered.
- * @returns True when the ordered field has the ordered value.
+ * @param state State of the target.
+ * @param order Kind and value of the order.
+ * @returns Whether the field that the order sets has the ordered value.
  */
 export function isAsOrdered(
   state: EngineState,
--- a/packages/daemon/src/outbound_queue.ts
+++ b/packages/daemon/src/outbound_queue.ts
@@ -1,85 +1,92 @@
-/** Frames that wait until the socket takes them, bounded in bytes. */
+/** A queue of frames to be written to a socket, bounded in bytes. */
 
 import type { Buffer } from "node:buffer";
 
-/** A frame to send. */
+/** An encoded frame to be sent. */
 export interface OutboundFrame {
   readonly bytes: Buffer;
-  /** True when the sender repeats its content anyway, so it may be dropped. */
-  readonly repeated: boolean;
+  /** Whether the frame may be dropped, as its content is sent periodically. */
+  readonly isDroppable: boolean;
 }
 
-/** What became of a frame. */
+/** Result of {@link OutboundQueue.enqueue}. */
 export enum EnqueueOutcome {
+  /** The frame is in the queue. */
   Queued = "queued",
-  /** No room, and the frame is one that is repeated anyway. */
+  /** The queue is full and the frame is droppable. */
   Dropped = "dropped",
-  /** No room for a frame that is not repeated. */
+  /** The queue is full and the frame is not droppable. */
   Overflow = "overflow",
 }
 
-/** First in, first out; repeated frames give way when there is no room. */
+/** FIFO queue of frames; droppable frames are evicted when it is full. */
 export class OutboundQueue {
   #frames: OutboundFrame[] = [];
-  #head = 0;
+  #headIndex = 0;
   #bytes = 0;
-  #repeatedBytes = 0;
+  #droppableBytes = 0;
 
-  /** @returns Bytes that wait. */
+  /** Bytes of all queued frames. */
   get bytes(): number {
     return this.#bytes;
   }
 
   /**
-   * Adds a frame when there is room, or room can be made.
+   * Adds a frame, evicting droppable frames if the queue is full.
    *
-   * @param frame The frame.
-   * @param maxBytes The most that may wait, this frame included.
-   * @returns What became of it.
+   * @param frame Frame to add.
+   * @param maxBytes Maximum of queued bytes, including this frame.
+   * @returns Whether the frame was queued, or why not.
    */
   enqueue(frame: OutboundFrame, maxBytes: number): EnqueueOutcome {
     const excessBytes = this.#bytes + frame.bytes.length - maxBytes;
-    if (excessBytes > 0 && this.#repeatedBytes > 0) this.#dropRepeated();
+    if (excessBytes > 0 && this.#droppableBytes > 0) this.#evictDroppable();
     if (this.#bytes + frame.bytes.length > maxBytes) {
-      return frame.repeated ? EnqueueOutcome.Dropped : EnqueueOutcome.Overflow;
+      return frame.isDroppable
+        ? EnqueueOutcome.Dropped
+        : EnqueueOutcome.Overflow;
     }
     this.#frames.push(frame);
-    this.#account(frame, 1);
+    this.#updateByteCounts(frame, 1);
     return EnqueueOutcome.Queued;
   }
 
-  /** @returns The oldest frame, taken out, or null. */
+  /**
+   * Removes the oldest frame.
+   *
+   * @returns The frame, or null if the queue is empty.
+   */
   dequeue(): OutboundFrame | null {
-    const frame = this.#frames[this.#head];
+    const frame = this.#frames[this.#headIndex];
     if (!frame) return null;
-    this.#head += 1;
-    this.#account(frame, -1);
-    if (this.#head * 2 >= this.#frames.length) {
-      this.#frames = this.#frames.slice(this.#head);
-      this.#head = 0;
+    this.#headIndex += 1;
+    this.#updateByteCounts(frame, -1);
+    if (this.#headIndex * 2 >= this.#frames.length) {
+      this.#frames = this.#frames.slice(this.#headIndex);
+      this.#headIndex = 0;
     }
     return frame;
   }
 
-  /** Drops everything. */
+  /** Removes all frames. */
   clear(): void {
     this.#frames = [];
-    this.#head = 0;
+    this.#headIndex = 0;
     this.#bytes = 0;
-    this.#repeatedBytes = 0;
+    this.#droppableBytes = 0;
   }
 
-  #dropRepeated(): void {
-    const kept = this.#frames.slice(this.#head)
-      .filter((frame) => !frame.repeated);
+  #evictDroppable(): void {
+    const kept = this.#frames.slice(this.#headIndex)
+      .filter((frame) => !frame.isDroppable);
     this.#frames = kept;
-    this.#head = 0;
-    this.#bytes -= this.#repeatedBytes;
-    this.#repeatedBytes = 0;
+    this.#headIndex = 0;
+    this.#bytes -= this.#droppableBytes;
+    this.#droppableBytes = 0;
   }
 
-  #account(frame: OutboundFrame, sign: 1 | -1): void {
+  #updateByteCounts(frame: OutboundFrame, sign: 1 | -1): void {
     this.#bytes += sign * frame.bytes.length;
-    if (frame.repeated) this.#repeatedBytes += sign * frame.bytes.length;
+    if (frame.isDroppable) this.#droppableBytes += sign * frame.bytes.length;
   }
 }
--- a/packages/daemon/src/outbound_queue_test.ts
+++ b/packages/daemon/src/outbound_queue_test.ts
@@ -5,11 +5,11 @@
 
 const MAX_BYTES = 30;
 
-function frame(mark: number, repeated: boolean) {
-  return { bytes: Buffer.alloc(10, mark), repeated };
+function frame(mark: number, isDroppable: boolean) {
+  return { bytes: Buffer.alloc(10, mark), isDroppable };
 }
 
-test("should drop repeated frames first and then overflow", () => {
+test("should evict droppable frames first and then overflow", () => {
   const queue = new OutboundQueue();
   const outcomes = [
     frame(1, false),
--- a/packages/daemon/src/peer_address.ts
+++ b/packages/daemon/src/peer_address.ts
@@ -1,20 +1,21 @@
-/** Addresses of peers as text: `host:port`, or `[host]:port` for IPv6. */
+/** Peer addresses as text: `host:port`, or `[host]:port` for IPv6. */
 
 const ADDRESS_PATTERN =
   /^(?:\[(?<bracketed>[^\]]+)\]|(?<plain>[^:[\]]+)):(?<port>\d{1,5})$/;
 const MAX_PORT = 65535;
 
-/** Where to reach a peer. */
+/** Host and port at which a peer listens. */
 export interface PeerAddress {
+  /** Host name or IP address, without brackets. */
   readonly host: string;
   readonly port: number;
 }
 
 /**
- * Reads an address.
+ * Parses a peer address.
  *
- * @param text The address as text.
- * @returns The address, or null when the text is none.
+ * @param text Address as `host:port` or `[host]:port`.
+ * @returns The address, or null if the text is not a valid one.
  */
 export function parsePeerAddress(text: string): PeerAddress | null {
   const groups = ADDRESS_PATTERN.exec(text)?.groups;
@@ -25,10 +26,10 @@
 }
 
 /**
- * Writes an address.
+ * Formats a peer address.
  *
- * @param address The address.
- * @returns Its text, which `parsePeerAddress` reads.
+ * @param address Host and port of the peer.
+ * @returns Text that `parsePeerAddress` parses.
  */
 export function formatPeerAddress({ host, port }: PeerAddress): string {
   return host.includes(":") ? `[${host}]:${port}` : `${host}:${port}`;
--- a/packages/daemon/src/peer_connection.ts
+++ b/packages/daemon/src/peer_connection.ts
@@ -1,4 +1,4 @@
-/** One connection to another instance: handshake, frames, back-pressure. */
+/** One TCP connection to a peer: handshake, framing and backpressure. */
 
 import type { Buffer } from "node:buffer";
 import type { Socket } from "node:net";
@@ -32,37 +32,44 @@
 import type { PeerLimits } from "./peer_limits.ts";
 import { type EdgeContext, EdgeCounterName } from "./ports.ts";
 
-/** Who an instance says it is. */
+/** Identity that an instance states in its handshake. */
 export interface PeerIdentity {
   readonly instanceId: string;
+  /** Increases with each start of the same instance id. */
   readonly incarnation: number;
   readonly failureDomain: string;
 }
 
-/** What a connection tells its owner. */
+/** Callbacks through which a connection reports to its owner. */
 export interface PeerConnectionOwner {
   /**
-   * Decides on a peer that has proved itself.
+   * Decides whether an authenticated peer is refused.
    *
-   * @returns Why it is turned away, or null.
+   * @param connection Connection whose handshake proof was valid.
+   * @returns Why the peer is refused, or null if it is accepted.
    */
-  admit(connection: PeerConnection): CloseReason | null;
-  opened(connection: PeerConnection): void;
-  received(connection: PeerConnection, message: PeerMessage): void;
-  frameRejected(connection: PeerConnection, fault: FrameFault): void;
-  /** Called once, whether or not the connection ever opened. */
-  closed(connection: PeerConnection, reason: CloseReason): void;
+  refusalReason(connection: PeerConnection): CloseReason | null;
+  /** Called when the handshake has completed. */
+  onOpened(connection: PeerConnection): void;
+  /** Called for each message of an open connection. */
+  onMessage(connection: PeerConnection, message: PeerMessage): void;
+  /** Called when a frame is invalid, before the connection closes. */
+  onFrameRejected(connection: PeerConnection, fault: FrameFault): void;
+  /** Called exactly once, whether or not the connection ever opened. */
+  onClosed(connection: PeerConnection, reason: CloseReason): void;
 }
 
-/** What a connection needs. */
+/** Role, identity, owner and limits of a {@link PeerConnection}. */
 export interface PeerConnectionOptions {
   readonly context: EdgeContext;
   readonly owner: PeerConnectionOwner;
   readonly identity: PeerIdentity;
+  /** Secret shared by all instances. */
   readonly secret: string;
   readonly limits: PeerLimits;
+  /** Side of the connection that this instance takes. */
   readonly role: HandshakeRole;
-  /** The peer that was dialled. */
+  /** Instance id of the peer that was dialled; absent for the acceptor. */
   readonly expectedPeerId?: string;
 }
 
@@ -73,19 +80,19 @@
   Closed,
 }
 
-const HELLO_EXPECTED: FrameExpectation<Hello> = {
+const HELLO_EXPECTATION: FrameExpectation<Hello> = {
   schema: helloSchema,
   maxFrameBytes: MAX_HANDSHAKE_FRAME_BYTES,
 };
-const PROOF_EXPECTED: FrameExpectation<Proof> = {
+const PROOF_EXPECTATION: FrameExpectation<Proof> = {
   schema: proofSchema,
   maxFrameBytes: MAX_HANDSHAKE_FRAME_BYTES,
 };
-const MESSAGE_EXPECTED: FrameExpectation<PeerMessage> = {
+const MESSAGE_EXPECTATION: FrameExpectation<PeerMessage> = {
   schema: peerMessageSchema,
 };
 
-/** One connection, from its first byte to its close. */
+/** Runs one connection from its handshake to its close. */
 export class PeerConnection {
   readonly #socket: Socket;
   readonly #options: PeerConnectionOptions;
@@ -93,8 +100,8 @@
   readonly #decoder = new FrameDecoder();
   readonly #queue = new OutboundQueue();
   readonly #handshakeTimer: NodeJS.Timeout;
-  /** Reads the next frame in each phase; false when none was there. */
-  readonly #readNext: Readonly<Record<Phase, () => boolean>> = {
+  /** Reads the next frame in each phase; returns false if there is none. */
+  readonly #readFrameByPhase: Readonly<Record<Phase, () => boolean>> = {
     [Phase.AwaitingHello]: () => this.#readHello(),
     [Phase.AwaitingProof]: () => this.#readProof(),
     [Phase.Open]: () => this.#readMessage(),
@@ -102,16 +109,15 @@
   };
   #phase = Phase.AwaitingHello;
   #peerHello: Hello | null = null;
-  #retired = false;
+  #isDraining = false;
   #silentIntervals = 0;
   #sentInInterval = false;
 
   /**
-   * Starts the handshake at once.
+   * Starts the handshake immediately.
    *
-   * @param socket A socket that allows being half open; it may still be
-   * connecting.
-   * @param options The connection's side, bounds and owner.
+   * @param socket Socket with `allowHalfOpen`; it may still be connecting.
+   * @param options Role, identity, owner and limits.
    */
   constructor(socket: Socket, options: PeerConnectionOptions) {
     this.#socket = socket;
@@ -122,88 +128,91 @@
       options.limits.handshakeTimeoutMs,
     );
     this.#handshakeTimer.unref();
-    this.#listen();
+    this.#addSocketListeners();
     this.#sendHandshake(this.#handshake.ownHello);
   }
 
-  /** @returns Which side of the connection this instance is. */
+  /** Side of the connection that this instance takes. */
   get role(): HandshakeRole {
     return this.#options.role;
   }
 
-  /** @returns The peer that was dialled, where this instance dialled. */
+  /** Instance id that was dialled; undefined if the peer dialled. */
   get expectedPeerId(): string | undefined {
     return this.#options.expectedPeerId;
   }
 
-  /** @returns Who the peer says it is, once its hello is here. */
+  /** Identity in the peer's hello; null until the hello arrives. */
   get peer(): PeerIdentity | null {
     return this.#peerHello;
   }
 
-  /** @returns The id of the side that dialled, once the hello is here. */
+  /**
+   * Instance id of the side that dialled; undefined for the acceptor until the
+   * hello arrives.
+   */
   get diallerId(): string | undefined {
     return this.role === HandshakeRole.Dialler
       ? this.#options.identity.instanceId
       : this.#peerHello?.instanceId;
   }
 
-  /** @returns True from the handshake's end to the close. */
+  /** Whether the handshake has completed and the connection is not closed. */
   get isOpen(): boolean {
     return this.#phase === Phase.Open;
   }
 
-  /** @returns True while messages can be handed over for sending. */
-  get isUsable(): boolean {
-    return this.isOpen && !this.#retired;
+  /** Whether the connection is open and not draining. */
+  get canSend(): boolean {
+    return this.isOpen && !this.#isDraining;
   }
 
-  /** @returns Bytes accepted for sending that the system has not taken. */
+  /** Bytes queued here or in the socket and not yet written to the system. */
   get queuedBytes(): number {
     return this.#queue.bytes + this.#socket.writableLength;
   }
 
-  /** @returns The other side's address, for log lines. */
+  /** Remote IP address, for log lines. */
   get remoteAddress(): string {
     return this.#socket.remoteAddress ?? "an unknown address";
   }
 
   /**
-   * Queues a frame.
+   * Queues a frame. If the queue is full and the frame is not droppable, the
+   * connection closes, but only in a later turn of the event loop: the caller
+   * may be the core, which must not receive an event during a step.
    *
-   * @param frame The frame.
-   * @returns True when it was queued. When a frame that is not repeated finds
-   * no room, the connection closes, but never within this call: the caller
-   * may be the core, which must not be told of it halfway through its work.
+   * @param frame Frame to send.
+   * @returns Whether the frame was queued.
    */
   send(frame: OutboundFrame): boolean {
-    if (!this.isUsable) return false;
-    const roomBytes = this.#options.limits.maxQueuedBytes -
+    if (!this.canSend) return false;
+    const availableBytes = this.#options.limits.maxQueuedBytes -
       this.#socket.writableLength;
-    const outcome = this.#queue.enqueue(frame, roomBytes);
-    if (outcome === EnqueueOutcome.Overflow) this.#closeSoon();
+    const outcome = this.#queue.enqueue(frame, availableBytes);
+    if (outcome === EnqueueOutcome.Overflow) this.#closeOnOverflow();
     if (outcome !== EnqueueOutcome.Queued) return false;
-    this.#pump();
+    this.#flushQueue();
     return true;
   }
 
-  /** Takes no more to send, sends what is queued, and then closes. */
-  retire(): void {
-    if (!this.isUsable) return;
-    this.#retired = true;
+  /** Accepts no more frames, sends the queued ones, and then closes. */
+  drain(): void {
+    if (!this.canSend) return;
+    this.#isDraining = true;
     const timer = setTimeout(
       () => this.close(CloseReason.DrainTimeout),
       this.#options.limits.drainTimeoutMs,
     );
     timer.unref();
     this.#socket.once("close", () => clearTimeout(timer));
-    this.#pump();
+    this.#flushQueue();
   }
 
   /**
-   * Closes at once.
+   * Closes the connection immediately and discards queued frames.
    *
-   * @param reason Why; only the first reason counts.
+   * @param reason Why it closes; ignored if the connection is already closed.
    */
   close(reason: CloseReason): void {
     if (this.#phase === Phase.Closed) return;
@@ -211,34 +220,37 @@
     clearTimeout(this.#handshakeTimer);
     this.#queue.clear();
     this.#socket.destroy();
-    this.#options.owner.closed(this, reason);
+    this.#options.owner.onClosed(this, reason);
   }
 
   /**
-   * Called once in each keep-alive interval. Intervals are counted, so that an
-   * instance that was paused itself does not take its peers for silent.
+   * Sends a keep-alive if nothing was sent in the last interval, and closes a
+   * silent connection. Must be called once in each keep-alive interval.
+   * Intervals are counted instead of measured by a clock, so that an instance
+   * that was itself paused does not close the links to its peers.
    */
-  intervalPassed(): void {
+  onKeepAliveInterval(): void {
     if (!this.isOpen) return;
     this.#silentIntervals += 1;
     if (this.#silentIntervals > this.#options.limits.maxSilentIntervals) {
       this.close(CloseReason.Silent);
       return;
     }
-    if (!this.#sentInInterval && this.isUsable) this.#sendKeepAlive();
+    if (!this.#sentInInterval && this.canSend) this.#sendKeepAlive();
     this.#sentInInterval = false;
   }
 
-  #closeSoon(): void {
-    this.#retired = true;
+  /** Closes in a later turn of the event loop, never within `send`. */
+  #closeOnOverflow(): void {
+    this.#isDraining = true;
     this.#queue.clear();
     setImmediate(() => this.close(CloseReason.QueueOverflow));
   }
 
-  #listen(): void {
+  #addSocketListeners(): void {
     this.#socket.setNoDelay(true);
     this.#socket.on("data", (chunk: Buffer) => this.#onData(chunk));
-    this.#socket.on("drain", () => this.#pump());
+    this.#socket.on("drain", () => this.#flushQueue());
     this.#socket.on("end", () => this.#onEnd());
     this.#socket.on("error", () => this.close(CloseReason.SocketError));
     this.#socket.on("close", () => this.close(CloseReason.Ended));
@@ -250,24 +262,24 @@
     this.#count(EdgeCounterName.PeerBytesReceived, chunk.length);
     this.#decoder.push(chunk);
     let progressed = true;
-    while (progressed) progressed = this.#readNext[this.#phase]();
+    while (progressed) progressed = this.#readFrameByPhase[this.#phase]();
   }
 
   #onEnd(): void {
     const result = this.#decoder.end();
     if (this.#phase === Phase.Closed) return;
     if (result.isErr()) this.#rejectFrame(result.error);
-    else if (this.isOpen) this.#endOwnSide();
+    else if (this.isOpen) this.#drainAfterPeerEnd();
     else this.close(CloseReason.HandshakeAborted);
   }
 
-  #endOwnSide(): void {
-    if (this.#retired) this.#pump();
-    else this.retire();
+  #drainAfterPeerEnd(): void {
+    if (this.#isDraining) this.#flushQueue();
+    else this.drain();
   }
 
   #readHello(): boolean {
-    const hello = this.#nextFrame(HELLO_EXPECTED);
+    const hello = this.#nextFrame(HELLO_EXPECTATION);
     if (!hello) return false;
     if (hello.protocolVersion !== PEER_PROTOCOL_VERSION) {
       this.close(CloseReason.ProtocolMismatch);
@@ -281,9 +293,9 @@
 
   #readProof(): boolean {
     const hello = this.#peerHello;
-    const proof = this.#nextFrame(PROOF_EXPECTED);
+    const proof = this.#nextFrame(PROOF_EXPECTATION);
     if (!hello || !proof) return false;
-    const refusal = this.#refusalOf(hello, proof);
+    const refusal = this.#proofRefusalReason(hello, proof);
     if (refusal) {
       this.close(refusal);
       return false;
@@ -291,20 +303,20 @@
     if (this.role === HandshakeRole.Acceptor) this.#sendProof(hello);
     this.#phase = Phase.Open;
     clearTimeout(this.#handshakeTimer);
-    this.#options.owner.opened(this);
+    this.#options.owner.onOpened(this);
     return true;
   }
 
-  #refusalOf(hello: Hello, proof: Proof): CloseReason | null {
-    return this.#handshake.isValid(hello, proof)
-      ? this.#options.owner.admit(this)
+  #proofRefusalReason(hello: Hello, proof: Proof): CloseReason | null {
+    return this.#handshake.isPeerProofValid(hello, proof)
+      ? this.#options.owner.refusalReason(this)
       : CloseReason.ProofRejected;
   }
 
   #readMessage(): boolean {
-    const message = this.#nextFrame(MESSAGE_EXPECTED);
+    const message = this.#nextFrame(MESSAGE_EXPECTATION);
     if (!message) return false;
-    this.#options.owner.received(this, message);
+    this.#options.owner.onMessage(this, message);
     return true;
   }
 
@@ -316,7 +328,7 @@
   }
 
   #rejectFrame(fault: FrameFault): void {
-    this.#options.owner.frameRejected(this, fault);
+    this.#options.owner.onFrameRejected(this, fault);
     this.close(CloseReason.BadFrame);
   }
 
@@ -332,15 +344,15 @@
     if (!this.#socket.writableNeedDrain) this.#write(encodeKeepAlive());
   }
 
-  #pump(): void {
+  #flushQueue(): void {
     if (!this.isOpen) return;
     while (!this.#socket.writableNeedDrain) {
       const frame = this.#queue.dequeue();
       if (!frame) break;
       this.#write(frame.bytes);
     }
-    const drained = this.#queue.bytes === 0;
-    if (this.#retired && drained && !this.#socket.writableEnded) {
+    const isQueueEmpty = this.#queue.bytes === 0;
+    if (this.#isDraining && isQueueEmpty && !this.#socket.writableEnded) {
       this.#socket.end();
     }
   }
--- a/packages/daemon/src/peer_dialler.ts
+++ b/packages/daemon/src/peer_dialler.ts
@@ -1,39 +1,42 @@
-/** Dials one peer, again and again, until told to stop. */
+/** Dials one peer, with backoff between attempts, until stopped. */
 
 import type { Backoff } from "./backoff.ts";
 import type { PeerAddress } from "./peer_address.ts";
 import type { PeerConnection } from "./peer_connection.ts";
 
-/** What a dialler needs. */
+/** Address, backoff and dial function of a {@link PeerDialler}. */
 export interface PeerDiallerOptions {
   readonly address: PeerAddress;
   readonly backoff: Backoff;
-  /** Opens one connection; `attemptEnded` is told of it when it has closed. */
+  /** Opens one connection; its close must be reported to `onAttemptClosed`. */
   readonly dial: (address: PeerAddress) => PeerConnection;
 }
 
-/** Keeps at most one attempt or one outgoing connection to a peer. */
+/** Keeps at most one dial attempt or outgoing connection to a peer. */
 export class PeerDialler {
   readonly #options: PeerDiallerOptions;
   #timer: NodeJS.Timeout | null = null;
   #attempt: PeerConnection | null = null;
-  #attempted = false;
+  #hasDialled = false;
   #stopped = false;
 
-  /** @param options The address, the delays and how to dial. */
+  /** @param options Address, backoff and dial function. */
   constructor(options: PeerDiallerOptions) {
     this.#options = options;
   }
 
-  /** @returns Where it dials. */
+  /** Address at which the peer is dialled. */
   get address(): PeerAddress {
     return this.#options.address;
   }
 
-  /** Dials, at once the first time and after a delay later on. */
+  /**
+   * Dials unless an attempt is pending: immediately the first time, after a
+   * backoff delay later on.
+   */
   ensureDialling(): void {
     if (this.#stopped || this.#attempt || this.#timer) return;
-    if (!this.#attempted) {
+    if (!this.#hasDialled) {
       this.#dial();
       return;
     }
@@ -42,18 +45,25 @@
     this.#timer.unref();
   }
 
-  /** @param connection A connection dialled to the peer that has closed. */
-  attemptEnded(connection: PeerConnection): void {
+  /**
+   * Records that an outgoing connection has closed.
+   *
+   * @param connection Connection to the peer that this instance dialled.
+   */
+  onAttemptClosed(connection: PeerConnection): void {
     if (this.#attempt === connection) this.#attempt = null;
   }
 
-  /** Tells that a connection to the peer is up, whoever dialled it. */
-  linkUp(): void {
+  /**
+   * Resets the backoff and cancels a pending redial. Called when a link to the
+   * peer opens, whichever side dialled it.
+   */
+  onLinkOpened(): void {
     this.#options.backoff.reset();
     this.#cancelTimer();
   }
 
-  /** Dials no more. */
+  /** Stops dialling; a connection that is open stays open. */
   stop(): void {
     this.#stopped = true;
     this.#cancelTimer();
@@ -61,7 +71,7 @@
 
   #dial(): void {
     this.#timer = null;
-    this.#attempted = true;
+    this.#hasDialled = true;
     this.#attempt = this.#options.dial(this.#options.address);
   }
 
--- a/packages/daemon/src/peer_diallers.ts
+++ b/packages/daemon/src/peer_diallers.ts
@@ -1,4 +1,4 @@
-/** The diallers of all peers that this instance is to have a link to. */
+/** The diallers of all peers that this instance keeps a link to. */
 
 import { Backoff } from "./backoff.ts";
 import { formatPeerAddress, type PeerAddress } from "./peer_address.ts";
@@ -6,49 +6,53 @@
 import { PeerDialler } from "./peer_dialler.ts";
 import type { PeerLimits } from "./peer_limits.ts";
 
-/** What the diallers need. */
+/** Limits, randomness and dial function of {@link PeerDiallers}. */
 export interface PeerDiallersOptions {
   readonly limits: PeerLimits;
-  /** Gives a number from 0 up to, not including, 1. */
+  /** Returns a random number in [0, 1), for the jitter of redials. */
   readonly random: () => number;
   /** Opens one connection to a peer. */
   readonly dial: (peerId: string, address: PeerAddress) => PeerConnection;
 }
 
-/** Keeps one dialler for each peer. */
+/** Keeps one {@link PeerDialler} for each peer. */
 export class PeerDiallers {
   readonly #options: PeerDiallersOptions;
   readonly #byPeer = new Map<string, PeerDialler>();
 
-  /** @param options The delays and how to dial. */
+  /** @param options Limits, randomness and dial function. */
   constructor(options: PeerDiallersOptions) {
     this.#options = options;
   }
 
   /**
-   * @param peerId The peer's id.
-   * @returns Its dialler, if it is to be dialled.
+   * Looks up the dialler of a peer.
+   *
+   * @param peerId Instance id of the peer.
+   * @returns The dialler, or undefined if the peer is not dialled.
    */
   get(peerId: string): PeerDialler | undefined {
     return this.#byPeer.get(peerId);
   }
 
   /**
-   * @param peerId The peer's id.
-   * @param address An address.
-   * @returns Whether the peer is dialled there.
+   * Tells whether a peer is dialled at an address.
+   *
+   * @param peerId Instance id of the peer.
+   * @param address Address to compare with the one that is dialled.
+   * @returns Whether the peer has a dialler with this address.
    */
-  dialsAt(peerId: string, address: PeerAddress): boolean {
-    const present = this.#byPeer.get(peerId);
-    return present !== undefined &&
-      formatPeerAddress(present.address) === formatPeerAddress(address);
+  isDiallingAt(peerId: string, address: PeerAddress): boolean {
+    const dialler = this.#byPeer.get(peerId);
+    return dialler !== undefined &&
+      formatPeerAddress(dialler.address) === formatPeerAddress(address);
   }
 
   /**
-   * Adds a peer that has no dialler.
+   * Adds a dialler for a peer that has none.
    *
-   * @param peerId The peer's id.
-   * @param address Where to dial it.
+   * @param peerId Instance id of the peer.
+   * @param address Address at which to dial the peer.
    */
   add(peerId: string, address: PeerAddress): void {
     const { limits, random, dial } = this.#options;
@@ -65,13 +69,17 @@
     this.#byPeer.set(peerId, dialler);
   }
 
-  /** @param peerId The peer that is dialled no more. */
+  /**
+   * Stops and removes the dialler of a peer, if there is one.
+   *
+   * @param peerId Instance id of the peer.
+   */
   remove(peerId: string): void {
     this.#byPeer.get(peerId)?.stop();
     this.#byPeer.delete(peerId);
   }
 
-  /** Dials no peer any more. */
+  /** Stops the diallers of all peers. */
   stop(): void {
     for (const dialler of this.#byPeer.values()) dialler.stop();
   }
--- a/packages/daemon/src/peer_handshake.ts
+++ b/packages/daemon/src/peer_handshake.ts
@@ -1,4 +1,4 @@
-/** This instance's side of a handshake: its hello, and the two proofs. */
+/** This instance's side of a peer handshake: its hello and the two proofs. */
 
 import {
   createNonce,
@@ -12,29 +12,31 @@
 } from "@chestnuthatch/wire/handshake";
 import { PEER_PROTOCOL_VERSION } from "@chestnuthatch/wire/peer_messages";
 
-/** What an instance brings to a handshake. */
+/** Identity, secret and role of this instance in a handshake. */
 export interface PeerHandshakeOptions {
   readonly identity: Pick<
     Hello,
     "instanceId" | "incarnation" | "failureDomain"
   >;
+  /** Secret shared by all instances. */
   readonly secret: string;
+  /** Side of the connection that this instance takes. */
   readonly role: HandshakeRole;
 }
 
-const OTHER_ROLE: Readonly<Record<HandshakeRole, HandshakeRole>> = {
+const OPPOSITE_ROLE: Readonly<Record<HandshakeRole, HandshakeRole>> = {
   [HandshakeRole.Dialler]: HandshakeRole.Acceptor,
   [HandshakeRole.Acceptor]: HandshakeRole.Dialler,
 };
 
-/** Makes and checks what one handshake exchanges. */
+/** Creates and verifies the messages of one handshake. */
 export class PeerHandshake {
-  /** Sent first, with a nonce of its own. */
+  /** First message to send; holds a fresh nonce. */
   readonly ownHello: Hello;
   readonly #secret: string;
   readonly #role: HandshakeRole;
 
-  /** @param options Who this instance is, and its side of the connection. */
+  /** @param options Identity, secret and role of this instance. */
   constructor(options: PeerHandshakeOptions) {
     const { instanceId, incarnation, failureDomain } = options.identity;
     this.#secret = options.secret;
@@ -50,10 +52,10 @@
   }
 
   /**
-   * Proves that this instance knows the secret.
+   * Creates the proof that this instance knows the secret.
    *
-   * @param peerHello The other side's hello.
-   * @returns The proof to send.
+   * @param peerHello Hello received from the peer.
+   * @returns Proof message to send.
    */
   prove(peerHello: Hello): Proof {
     const transcript = this.#transcript(peerHello);
@@ -61,16 +63,16 @@
   }
 
   /**
-   * Checks the other side's proof.
+   * Verifies the proof of the peer.
    *
-   * @param peerHello The other side's hello.
-   * @param proof Its proof.
-   * @returns Whether it knows the secret.
+   * @param peerHello Hello received from the peer.
+   * @param proof Proof received from the peer.
+   * @returns Whether the peer knows the secret.
    */
-  isValid(peerHello: Hello, proof: Proof): boolean {
+  isPeerProofValid(peerHello: Hello, proof: Proof): boolean {
     return isProofValid(proof, {
       secret: this.#secret,
-      role: OTHER_ROLE[this.#role],
+      role: OPPOSITE_ROLE[this.#role],
       transcript: this.#transcript(peerHello),
     });
   }
--- a/packages/daemon/src/peer_limits.ts
+++ b/packages/daemon/src/peer_limits.ts
@@ -1,25 +1,28 @@
-/** Bounds that the links between instances keep to. */
+/** Limits and timeouts of the links between instances. */
 
-/** Every bound, with its unit. */
+/** Limits and timeouts of the links to peers. */
 export interface PeerLimits {
-  /** Bytes that may wait for one connection to take them. */
+  /** Bytes that may be queued on one connection. */
   readonly maxQueuedBytes: number;
+  /** Accepted connections that may be open at a time. */
   readonly maxInboundConnections: number;
-  /** From opening the socket to the other side's proof. */
+  /** Time from opening the socket to the peer's valid proof. */
   readonly handshakeTimeoutMs: number;
-  /** A connection with nothing to send says so at this interval. */
+  /** An idle connection sends a keep-alive at this interval. */
   readonly keepAliveIntervalMs: number;
-  /** A connection that hears nothing for this many intervals is closed. */
+  /** A connection that receives nothing for more intervals is closed. */
   readonly maxSilentIntervals: number;
-  /** How long a connection that closes may take to drain. */
+  /** Time in which a draining connection must send its queued frames. */
   readonly drainTimeoutMs: number;
+  /** Upper bound of the first backoff delay between dial attempts. */
   readonly redialBaseMs: number;
+  /** Upper bound of every backoff delay between dial attempts. */
   readonly redialMaxMs: number;
-  /** Least time between two log lines of one kind. */
+  /** Minimum time between two log lines of one kind. */
   readonly logIntervalMs: number;
 }
 
-/** The bounds used where the settings give none. */
+/** Limits for every value that the options leave out. */
 export const DEFAULT_PEER_LIMITS: PeerLimits = {
   maxQueuedBytes: 8 * 1024 * 1024,
   maxInboundConnections: 256,
--- a/packages/daemon/src/peer_links.ts
+++ b/packages/daemon/src/peer_links.ts
@@ -1,4 +1,7 @@
-/** The links to all other instances: who is dialled, accepted and sent to. */
+/**
+ * The TCP links between this instance and its peers: dialling, accepting, and
+ * sending and receiving messages.
+ */
 
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { Buffer } from "node:buffer";
@@ -27,31 +30,38 @@
 import { PeerRegistry } from "./peer_registry.ts";
 import type { EdgeContext } from "./ports.ts";
 
-/** Messages that are sent again anyway, so that losing one does no harm. */
-const REPEATED_KINDS: ReadonlySet<PeerMessageKind> = new Set([
+/**
+ * Kinds of message that may be dropped under backpressure: each is sent
+ * periodically, so the next one replaces a lost one.
+ */
+const DROPPABLE_KINDS: ReadonlySet<PeerMessageKind> = new Set([
   PeerMessageKind.Heartbeat,
   PeerMessageKind.HolderReport,
   PeerMessageKind.TargetsHeard,
 ]);
 
-/** What the links need. */
+/** Identity, secret, listening address and limits of {@link PeerLinks}. */
 export interface PeerLinksOptions {
+  /** Identity that this instance states in handshakes. */
   readonly identity: PeerIdentity;
-  /** Shared by all instances; at least `MIN_SECRET_BYTES` long. */
+  /** Secret shared by all instances; at least `MIN_SECRET_BYTES` long. */
   readonly secret: string;
+  /** Host name or IP address to listen on. */
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** Port to listen on; 0 lets the operating system choose one. */
   readonly port: number;
-  /** Gives a number from 0 up to, not including, 1. */
+  /** Returns a random number in [0, 1), for the jitter of redials. */
   readonly random: () => number;
-  /** Bounds that differ from `DEFAULT_PEER_LIMITS`. */
+  /** Limits that override `DEFAULT_PEER_LIMITS`. */
   readonly limits?: Partial<PeerLimits>;
 }
 
 /**
- * Links to peers over TCP; messages in, messages out, up and down.
+ * Keeps TCP links to peers, sends messages on them, and emits an event for each
+ * message received and each peer that connects or disconnects.
  *
- * No event is emitted from within `connect`, `forget` or `send`.
+ * A link is an open connection to a peer. No event is emitted from within
+ * `connect`, `disconnect` or `send`.
  */
 export class PeerLinks implements PeerConnectionOwner {
   readonly #context: EdgeContext;
@@ -64,17 +74,17 @@
   readonly #diallers: PeerDiallers;
   #keepAliveTimer: NodeJS.Timeout | null = null;
   #stopping = false;
-  #onAllClosed: () => void = () => {};
+  #resolveAllClosed: () => void = () => {};
 
   /**
-   * @param context The edge's clock, sinks and counters.
-   * @param options Who this instance is, and where it listens.
-   * @throws RangeError when the secret is too short.
+   * @param context Clock, event sink, log and counters of the edge.
+   * @param options Identity, secret, listening address and limits.
+   * @throws RangeError if the secret is shorter than `MIN_SECRET_BYTES`.
    */
   constructor(context: EdgeContext, options: PeerLinksOptions) {
     if (Buffer.byteLength(options.secret) < MIN_SECRET_BYTES) {
       throw new RangeError(
-        `the secret needs ${MIN_SECRET_BYTES} bytes or more`,
+        `the secret must have at least ${MIN_SECRET_BYTES} bytes`,
       );
     }
     this.#context = context;
@@ -91,9 +101,9 @@
   }
 
   /**
-   * Starts listening.
+   * Starts listening for connections from peers.
    *
-   * @returns The address, or why listening failed.
+   * @returns The address listened on as `host:port`, or the listening error.
    */
   async start(): Promise<Result<string, Error>> {
     const { host, port } = this.#options;
@@ -108,14 +118,18 @@
         this.#log.error("listen", `listening failed: ${error.message}`),
     );
     this.#keepAliveTimer = setInterval(
-      () => this.#intervalPassed(),
+      () => this.#onKeepAliveInterval(),
       this.#limits.keepAliveIntervalMs,
     );
     this.#keepAliveTimer.unref();
     return ok(this.address());
   }
 
-  /** @returns `host:port` listened on; empty before `start`. */
+  /**
+   * Returns the address that this instance listens on.
+   *
+   * @returns `host:port`; empty before `start`.
+   */
   address(): string {
     const bound = this.#server.address();
     if (bound === null || typeof bound === "string") return "";
@@ -123,65 +137,76 @@
   }
 
   /**
-   * Keeps a link to a peer up, dialling whenever there is none.
+   * Keeps a link to a peer open, redialling whenever there is none.
    *
-   * @param peerId The peer's id; whoever else answers is turned away.
-   * @param address `host:port`; a new one replaces the one dialled before.
+   * @param peerId Instance id of the peer; a connection on which another
+   * instance answers is refused.
+   * @param address Address as `host:port`; replaces an earlier one.
    */
   connect(peerId: string, address: string): void {
     const parsed = parsePeerAddress(address);
     if (this.#stopping || peerId === this.#options.identity.instanceId) return;
     if (!parsed) {
-      this.#log.error("bad_address", `${peerId} has no valid address`);
+      this.#log.error("bad_address", `peer ${peerId} has an invalid address`);
       return;
     }
-    if (!this.#diallers.dialsAt(peerId, parsed)) {
+    if (!this.#diallers.isDiallingAt(peerId, parsed)) {
       this.#stopDialling(peerId);
       this.#diallers.add(peerId, parsed);
     }
-    this.#dialIfDown(peerId);
+    this.#dialIfDisconnected(peerId);
   }
 
   /**
-   * Dials a peer no more, and closes its links once they have drained.
+   * Stops dialling a peer, and closes its links once they have drained.
    *
-   * @param peerId The peer's id.
+   * @param peerId Instance id of the peer.
    */
-  forget(peerId: string): void {
+  disconnect(peerId: string): void {
     this.#stopDialling(peerId);
-    for (const link of this.#registry.linksOf(peerId)) link.retire();
+    for (const link of this.#registry.linksOf(peerId)) link.drain();
   }
 
   /**
-   * Sends a message if a link to the peer is up. Messages on one link keep
-   * their order; a message may be lost when a link closes.
+   * Queues a message for a peer if a link to it is open. Messages on one link
+   * keep their order; a message may be lost when a link closes.
    *
-   * @param peerId The peer's id.
-   * @param message The message.
-   * @returns True when the message was queued.
+   * @param peerId Instance id of the peer.
+   * @param message Message to send.
+   * @returns Whether the message was queued.
    */
   send(peerId: string, message: PeerMessage): boolean {
-    const link = this.#registry.usableLink(peerId);
+    const link = this.#registry.linkForSending(peerId);
     if (!link) return false;
     const frame = encodeFrame(message);
     if (frame.isErr()) {
-      this.#log.error("bad_message", `a message is ${frame.error}`);
+      this.#log.error(
+        "bad_message",
+        `a message could not be encoded: ${frame.error}`,
+      );
       return false;
     }
-    const repeated = REPEATED_KINDS.has(message.kind);
-    return link.send({ bytes: frame.value, repeated });
+    const isDroppable = DROPPABLE_KINDS.has(message.kind);
+    return link.send({ bytes: frame.value, isDroppable });
   }
 
   /**
-   * @param peerId The peer's id.
-   * @returns Bytes that wait on its links, for metrics.
+   * Returns how many bytes are queued for a peer, for metrics.
+   *
+   * @param peerId Instance id of the peer.
+   * @returns Bytes queued on all links to the peer.
    */
   queuedBytes(peerId: string): number {
     return this.#registry.linksOf(peerId)
       .reduce((sum, link) => sum + link.queuedBytes, 0);
   }
 
-  /** @returns Settled when everything queued is sent, or the time is over. */
+  /**
+   * Stops listening and dialling, and closes all links once they have drained.
+   *
+   * @returns A promise that resolves once all links are closed; links that have
+   * not drained within `drainTimeoutMs` are closed then.
+   */
   async stop(): Promise<void> {
     this.#stopping = true;
     if (this.#keepAliveTimer) clearInterval(this.#keepAliveTimer);
@@ -190,7 +215,7 @@
       this.#server.close(() => resolve());
     });
     for (const connection of this.#connections) {
-      if (connection.isOpen) connection.retire();
+      if (connection.isOpen) connection.drain();
       else connection.close(CloseReason.Stopped);
     }
     const timer = setTimeout(
@@ -201,20 +226,29 @@
     clearTimeout(timer);
   }
 
-  /** Decides on a peer that has proved itself. @inheritDoc */
-  admit(connection: PeerConnection): CloseReason | null {
+  /**
+   * Decides whether an authenticated peer is refused.
+   *
+   * @param connection Connection whose handshake proof was valid.
+   * @returns Why the peer is refused, or null if it is accepted.
+   */
+  refusalReason(connection: PeerConnection): CloseReason | null {
     return this.#stopping
       ? CloseReason.Stopped
-      : this.#registry.refusalOf(connection);
+      : this.#registry.refusalReason(connection);
   }
 
-  /** Takes in a connection whose handshake is done. @inheritDoc */
-  opened(connection: PeerConnection): void {
+  /**
+   * Registers a connection whose handshake has completed.
+   *
+   * @param connection Connection that opened.
+   */
+  onOpened(connection: PeerConnection): void {
     const { peer } = connection;
     if (peer === null) return;
     const { instanceId: peerId, failureDomain } = peer;
     const isFirst = this.#registry.add(connection);
-    this.#diallers.get(peerId)?.linkUp();
+    this.#diallers.get(peerId)?.onLinkOpened();
     if (isFirst) {
       this.#context.emit({
         kind: EventKind.PeerConnected,
@@ -222,11 +256,16 @@
         failureDomain,
       });
     }
-    this.#registry.retireRedundant(connection);
+    this.#registry.drainRedundant(connection);
   }
 
-  /** Passes a message on to the core. @inheritDoc */
-  received(connection: PeerConnection, message: PeerMessage): void {
+  /**
+   * Emits a received message to the core.
+   *
+   * @param connection Connection that the message arrived on.
+   * @param message Message received.
+   */
+  onMessage(connection: PeerConnection, message: PeerMessage): void {
     if (!connection.peer) return;
     this.#context.emit({
       kind: EventKind.PeerMessageReceived,
@@ -236,15 +275,25 @@
     });
   }
 
-  /** Counts and logs a bad frame. @inheritDoc */
-  frameRejected(connection: PeerConnection, fault: FrameFault): void {
-    this.#log.frameRejected(nameOf(connection), fault);
+  /**
+   * Counts and logs a rejected frame.
+   *
+   * @param connection Connection that the frame arrived on.
+   * @param fault Why the frame was rejected.
+   */
+  onFrameRejected(connection: PeerConnection, fault: FrameFault): void {
+    this.#log.frameRejected(displayName(connection), fault);
   }
 
-  /** Forgets a connection, and dials anew where it was the last. @inheritDoc */
-  closed(connection: PeerConnection, reason: CloseReason): void {
+  /**
+   * Removes a closed connection, and redials the peer if that was its last one.
+   *
+   * @param connection Connection that closed.
+   * @param reason Why it closed.
+   */
+  onClosed(connection: PeerConnection, reason: CloseReason): void {
     this.#connections.delete(connection);
-    this.#log.connectionClosed(nameOf(connection), reason);
+    this.#log.connectionClosed(displayName(connection), reason);
     const { peer, expectedPeerId } = connection;
     const wasLast = this.#registry.remove(connection);
     if (wasLast && peer) {
@@ -252,14 +301,14 @@
       this.#context.emit({ kind: EventKind.PeerDisconnected, peerId });
     }
     this.#redialAfter(connection, expectedPeerId ?? peer?.instanceId);
-    if (this.#connections.size === 0) this.#onAllClosed();
+    if (this.#connections.size === 0) this.#resolveAllClosed();
   }
 
   #redialAfter(connection: PeerConnection, peerId: string | undefined): void {
     if (peerId === undefined) return;
     const dialled = connection.role === HandshakeRole.Dialler;
-    if (dialled) this.#diallers.get(peerId)?.attemptEnded(connection);
-    this.#dialIfDown(peerId);
+    if (dialled) this.#diallers.get(peerId)?.onAttemptClosed(connection);
+    this.#dialIfDisconnected(peerId);
   }
 
   #createServer(): Server {
@@ -303,7 +352,7 @@
     });
   }
 
-  #dialIfDown(peerId: string): void {
+  #dialIfDisconnected(peerId: string): void {
     if (this.#stopping || this.#registry.linksOf(peerId).length > 0) return;
     this.#diallers.get(peerId)?.ensureDialling();
   }
@@ -317,8 +366,10 @@
     }
   }
 
-  #intervalPassed(): void {
-    for (const connection of this.#connections) connection.intervalPassed();
+  #onKeepAliveInterval(): void {
+    for (const connection of this.#connections) {
+      connection.onKeepAliveInterval();
+    }
   }
 
   #closeAll(): void {
@@ -330,12 +381,12 @@
   #allClosed(): Promise<void> {
     if (this.#connections.size === 0) return Promise.resolve();
     return new Promise((resolve) => {
-      this.#onAllClosed = resolve;
+      this.#resolveAllClosed = resolve;
     });
   }
 }
 
-function nameOf(connection: PeerConnection): string {
+function displayName(connection: PeerConnection): string {
   const id = connection.peer?.instanceId ?? connection.expectedPeerId;
   return id ?? connection.remoteAddress;
 }
--- a/packages/daemon/src/peer_links_test.ts
+++ b/packages/daemon/src/peer_links_test.ts
@@ -26,14 +26,14 @@
 const MAX_QUEUED_BYTES = 256 * 1024;
 const SETTINGS_BYTES = 32 * 1024;
 
-/** One instance's links, with everything that they told it. */
+/** Links of one instance, with the events and counts that they emitted. */
 class TestInstance {
   readonly events: UntimedEvent[] = [];
   readonly counted: string[] = [];
   readonly context: EdgeContext;
   readonly identity: PeerIdentity;
   readonly links: PeerLinks;
-  #wake: () => void = () => {};
+  #notifyWaiter: () => void = () => {};
 
   constructor(
     readonly id: string,
@@ -46,10 +46,12 @@
   ) {
     this.context = {
       clock: { nowMs: () => 0 },
-      emit: (event) => this.#note(() => this.events.push(event)),
+      emit: (event) => this.#record(() => this.events.push(event)),
       log: () => {},
       count: (counter, labels) =>
-        this.#note(() => this.counted.push(counter, ...Object.values(labels))),
+        this.#record(() =>
+          this.counted.push(counter, ...Object.values(labels))
+        ),
     };
     const { incarnation = 1 } = options;
     this.identity = { instanceId: id, incarnation, failureDomain: "tengeru" };
@@ -72,7 +74,7 @@
   async until(condition: () => boolean): Promise<void> {
     while (!condition()) {
       await new Promise<void>((resolve) => {
-        this.#wake = resolve;
+        this.#notifyWaiter = resolve;
       });
     }
   }
@@ -87,22 +89,22 @@
     );
   }
 
-  /** How often a counter, or one of its labels, was named. */
-  total(name: string): number {
+  /** Returns how often a counter or one of its label values was counted. */
+  countOf(name: string): number {
     return this.counted.filter((each) => each === name).length;
   }
 
-  #note(change: () => void): void {
+  #record(change: () => void): void {
     change();
-    this.#wake();
+    this.#notifyWaiter();
   }
 }
 
-function wanted(haveVersion: number): PeerMessage {
+function settingsWanted(haveVersion: number): PeerMessage {
   return { kind: PeerMessageKind.SettingsWanted, haveVersion };
 }
 
-function offer(version: number): PeerMessage {
+function settingsOffer(version: number): PeerMessage {
   const content = "x".repeat(SETTINGS_BYTES);
   return {
     kind: PeerMessageKind.SettingsOffer,
@@ -117,12 +119,12 @@
   return { host, port: Number(port) };
 }
 
-/** Opens a link with its socket in the test's hands. */
+/** Opens a link whose socket the test controls. */
 async function openRawLink(instance: TestInstance, incarnation = 1) {
   const socket = connect({ ...addressOf(instance), allowHalfOpen: true });
   const { context, identity } = new TestInstance(RAW_ID, { incarnation });
   const received: PeerMessage[] = [];
-  const opening = new EventEmitter();
+  const handshakeResult = new EventEmitter();
   const connection = new PeerConnection(socket, {
     context,
     identity,
@@ -130,15 +132,19 @@
     limits: DEFAULT_PEER_LIMITS,
     role: HandshakeRole.Dialler,
     owner: {
-      admit: () => null,
-      opened: () => opening.emit("settled", null),
-      received: (_connection, message) => received.push(message),
-      frameRejected: () => {},
-      closed: (_connection, reason) => opening.emit("settled", reason),
+      refusalReason: () => null,
+      onOpened: () => handshakeResult.emit("settled", null),
+      onMessage: (_connection, message) => received.push(message),
+      onFrameRejected: () => {},
+      onClosed: (_connection, reason) =>
+        handshakeResult.emit("settled", reason),
     },
   });
-  const [ended]: (CloseReason | null)[] = await once(opening, "settled");
-  return { socket, connection, received, ended };
+  const [closeReason]: (CloseReason | null)[] = await once(
+    handshakeResult,
+    "settled",
+  );
+  return { socket, connection, received, closeReason };
 }
 
 interface Pair {
@@ -162,9 +168,12 @@
 }
 
 pairs("should carry messages both ways, in order", async ({ a, b }) => {
-  assert.not(a.links.send(b.id, wanted(0)));
+  assert.not(a.links.send(b.id, settingsWanted(0)));
   await joinPair({ a, b });
-  const sent = Array.from({ length: 200 }, (_, version) => wanted(version));
+  const sent = Array.from(
+    { length: 200 },
+    (_, version) => settingsWanted(version),
+  );
   for (const message of sent) {
     assert.ok(a.links.send(b.id, message));
     assert.ok(b.links.send(a.id, message));
@@ -180,54 +189,57 @@
     kind: EventKind.PeerMessageReceived,
     fromId: a.id,
     fromIncarnation: 1,
-    message: wanted(0),
+    message: settingsWanted(0),
   });
-  assert.ok(a.total(EdgeCounterName.PeerBytesSent) > 0);
+  assert.ok(a.countOf(EdgeCounterName.PeerBytesSent) > 0);
 });
 
-pairs("should lose nothing when both sides dial at once", async ({ a, b }) => {
+pairs("should lose no message if both sides dial at once", async ({ a, b }) => {
   a.links.connect(b.id, b.links.address());
   b.links.connect(a.id, a.links.address());
   await a.until(() => a.has(EventKind.PeerConnected));
   await b.until(() => b.has(EventKind.PeerConnected));
   const versions = Array.from({ length: 500 }, (_, version) => version);
   for (const version of versions) {
-    assert.ok(a.links.send(b.id, wanted(version)));
-    assert.ok(b.links.send(a.id, wanted(version)));
+    assert.ok(a.links.send(b.id, settingsWanted(version)));
+    assert.ok(b.links.send(a.id, settingsWanted(version)));
     await new Promise(setImmediate);
   }
   await a.until(() => a.received().length === versions.length);
   await b.until(() => b.received().length === versions.length);
-  const ups = [...a.events, ...b.events]
+  const connectedEvents = [...a.events, ...b.events]
     .filter((event) => event.kind === EventKind.PeerConnected);
-  assert.is(ups.length, 2);
+  assert.is(connectedEvents.length, 2);
   assert.not(a.has(EventKind.PeerDisconnected));
   assert.not(b.has(EventKind.PeerDisconnected));
 });
 
-pairs("should drain a link that a newer one replaces", async ({ a }) => {
+pairs("should drain a link when a newer one replaces it", async ({ a }) => {
   const older = await openRawLink(a);
   older.socket.pause();
-  const sent = Array.from({ length: 200 }, (_, version) => offer(version));
+  const sent = Array.from(
+    { length: 200 },
+    (_, version) => settingsOffer(version),
+  );
   for (const message of sent) assert.ok(a.links.send(RAW_ID, message));
   const newer = await openRawLink(a);
-  assert.ok(a.links.send(RAW_ID, wanted(1)));
+  assert.ok(a.links.send(RAW_ID, settingsWanted(1)));
   await once(newer.socket, "data");
-  const late = encodeFrame(wanted(2))._unsafeUnwrap();
-  assert.ok(older.connection.send({ bytes: late, repeated: false }));
+  const late = encodeFrame(settingsWanted(2))._unsafeUnwrap();
+  assert.ok(older.connection.send({ bytes: late, isDroppable: false }));
   older.socket.resume();
   await once(older.socket, "close");
   assert.equal(older.received, sent);
-  assert.equal(newer.received, [wanted(1)]);
+  assert.equal(newer.received, [settingsWanted(1)]);
   await a.until(() => a.received().length === 1);
-  a.links.forget(RAW_ID);
+  a.links.disconnect(RAW_ID);
   await a.until(() => a.has(EventKind.PeerDisconnected));
 });
 
-pairs("should flush what is queued when it stops", async ({ a, b }) => {
+pairs("should send all queued messages when stopped", async ({ a, b }) => {
   await joinPair({ a, b });
   for (let version = 0; version < 300; version += 1) {
-    a.links.send(b.id, wanted(version));
+    a.links.send(b.id, settingsWanted(version));
   }
   await a.links.stop();
   await b.until(() => b.has(EventKind.PeerDisconnected));
@@ -235,18 +247,18 @@
   assert.is(b.events.at(-1)?.kind, EventKind.PeerDisconnected);
 });
 
-pairs("should turn a wrong secret away", async ({ a }) => {
-  const stranger = new TestInstance("entry-x", {
+pairs("should refuse a peer with a wrong secret", async ({ a }) => {
+  const wrongSecretInstance = new TestInstance("entry-x", {
     secret: "another secret here",
   });
-  stranger.links.connect(a.id, a.links.address());
-  await a.until(() => a.total(CloseReason.ProofRejected) > 0);
-  await stranger.links.stop();
+  wrongSecretInstance.links.connect(a.id, a.links.address());
+  await a.until(() => a.countOf(CloseReason.ProofRejected) > 0);
+  await wrongSecretInstance.links.stop();
   assert.equal(a.events, []);
-  assert.equal(stranger.events, []);
+  assert.equal(wrongSecretInstance.events, []);
 });
 
-async function sendGarbage(
+async function sendInvalidBytes(
   instance: TestInstance,
   bytes: number[],
 ): Promise<void> {
@@ -257,16 +269,16 @@
   await once(socket, "close");
 }
 
-pairs("should close only the link that sends garbage", async ({ a, b }) => {
+pairs("should close only the link with invalid frames", async ({ a, b }) => {
   await joinPair({ a, b });
   const { socket } = await openRawLink(b);
   socket.write(Uint8Array.from([0, 0, 0, 3, 1, 0xc2, 0x41]));
-  await sendGarbage(b, [0, 0, 4, 1]);
-  await sendGarbage(b, [0, 0, 0, 9, 1]);
-  await b.until(() => b.total(FrameFault.Malformed) === 2);
-  assert.is(b.total(FrameFault.Oversized), 1);
+  await sendInvalidBytes(b, [0, 0, 4, 1]);
+  await sendInvalidBytes(b, [0, 0, 0, 9, 1]);
+  await b.until(() => b.countOf(FrameFault.Malformed) === 2);
+  assert.is(b.countOf(FrameFault.Oversized), 1);
   await b.until(() => b.has(EventKind.PeerDisconnected));
-  assert.ok(a.links.send(b.id, wanted(7)));
+  assert.ok(a.links.send(b.id, settingsWanted(7)));
   await b.until(() => b.received().length === 1);
   assert.not(a.has(EventKind.PeerDisconnected));
 });
@@ -279,7 +291,7 @@
   const restarted = await new TestInstance(b.id, { port, incarnation: 2 })
     .start();
   await restarted.until(() => restarted.has(EventKind.PeerConnected));
-  restarted.links.send(a.id, wanted(2));
+  restarted.links.send(a.id, settingsWanted(2));
   await a.until(() => a.received().length === 1);
   const last = a.events.at(-1);
   assert.is(
@@ -293,9 +305,9 @@
   const older = await openRawLink(a, 4);
   const newer = await openRawLink(a, 5);
   await once(older.socket, "close");
-  const again = await openRawLink(a, 4);
-  assert.is(again.ended, CloseReason.HandshakeAborted);
-  assert.is(a.total(CloseReason.OlderIncarnation), 1);
+  const outdated = await openRawLink(a, 4);
+  assert.is(outdated.closeReason, CloseReason.HandshakeAborted);
+  assert.is(a.countOf(CloseReason.OlderIncarnation), 1);
   assert.equal(
     a.events.map((event) => event.kind),
     [
@@ -307,7 +319,7 @@
   newer.socket.destroy();
 });
 
-pairs("should bound what waits for a slow reader", async () => {
+pairs("should bound the bytes queued for a slow reader", async () => {
   const limits = { maxQueuedBytes: MAX_QUEUED_BYTES };
   const instance = await new TestInstance("entry-s", { limits }).start();
   const { socket } = await openRawLink(instance);
@@ -316,7 +328,7 @@
     kind: PeerMessageKind.Heartbeat,
     members: [],
   };
-  while (instance.links.send(RAW_ID, offer(1))) {
+  while (instance.links.send(RAW_ID, settingsOffer(1))) {
     assert.ok(instance.links.queuedBytes(RAW_ID) <= MAX_QUEUED_BYTES);
     instance.links.send(RAW_ID, heartbeat);
     await new Promise(setImmediate);
@@ -327,7 +339,7 @@
   await instance.links.stop();
 });
 
-pairs("should close a peer that falls silent", async () => {
+pairs("should close the link to a silent peer", async () => {
   const limits = { keepAliveIntervalMs: 1, maxSilentIntervals: 3 };
   const instance = await new TestInstance("entry-s", { limits }).start();
   const { socket } = await openRawLink(instance);
--- a/packages/daemon/src/peer_log.ts
+++ b/packages/daemon/src/peer_log.ts
@@ -1,4 +1,4 @@
-/** What the links to peers log and count. */
+/** Log lines and counters of the links to peers. */
 
 import { LogLevel, LogPart } from "@chestnuthatch/core/effects";
 import type { FrameFault } from "@chestnuthatch/wire/frame_codec";
@@ -7,20 +7,24 @@
 import { type EdgeContext, EdgeCounterName } from "./ports.ts";
 
 interface PeerLogLine {
-  /** From a closed list; lines of one kind share a limit. */
-  readonly lineKind: string;
+  /** One of a fixed set of keys; lines with the same key share a rate limit. */
+  readonly throttleKey: string;
   readonly level: LogLevel;
   readonly text: string;
 }
 
-/** Writes at most one line of each kind in an interval, and counts the rest. */
+/**
+ * Writes at most one line per throttle key and interval, and reports how many
+ * were suppressed.
+ */
 export class PeerLog {
   readonly #context: EdgeContext;
   readonly #rateLimit: LogRateLimit;
 
   /**
-   * @param context The edge's clock, log and counters.
-   * @param intervalMs Least time between two lines of one kind.
+   * @param context Clock, log and counters of the edge.
+   * @param intervalMs Minimum time between two lines with the same throttle
+   * key, in milliseconds.
    */
   constructor(context: EdgeContext, intervalMs: number) {
     this.#context = context;
@@ -32,56 +36,59 @@
   }
 
   /**
-   * Reports that a frame was refused.
+   * Counts and logs a rejected frame.
    *
-   * @param peerName Who sent it.
-   * @param fault What is wrong with it.
+   * @param peerName Instance id or IP address of the sender.
+   * @param fault Why the frame was rejected.
    */
   frameRejected(peerName: string, fault: FrameFault): void {
     this.#context.count(EdgeCounterName.PeerFramesRejected, { fault }, 1);
     this.#write({
-      lineKind: fault,
+      throttleKey: fault,
       level: LogLevel.Warn,
-      text: `a frame from ${peerName} is refused: ${fault}`,
+      text: `rejected a frame from ${peerName}: ${fault}`,
     });
   }
 
   /**
-   * Reports that a connection closed.
+   * Logs that a connection closed, and counts it if the peer was refused.
    *
-   * @param peerName Whom it led to.
-   * @param reason Why it closed.
+   * @param peerName Instance id or IP address of the peer.
+   * @param reason Why the connection closed.
    */
   connectionClosed(peerName: string, reason: CloseReason): void {
-    const { level, text, refused } = CLOSE_REPORTS[reason];
-    if (refused) {
+    const { level, text, isRefusal } = CLOSE_REPORTS[reason];
+    if (isRefusal) {
       const labels = { reason };
       this.#context.count(EdgeCounterName.PeerConnectionsRefused, labels, 1);
     }
     this.#write({
-      lineKind: reason,
+      throttleKey: reason,
       level,
-      text: `the connection with ${peerName} is closed: ${text}`,
+      text: `connection with ${peerName} closed: ${text}`,
     });
   }
 
   /**
-   * Logs an error.
+   * Logs an error of the links.
    *
-   * @param lineKind Its kind, from a closed list.
+   * @param throttleKey One of a fixed set of keys; errors with the same key
+   * share a rate limit.
    * @param text What failed.
    */
-  error(lineKind: string, text: string): void {
-    this.#write({ lineKind, level: LogLevel.Error, text });
+  error(throttleKey: string, text: string): void {
+    this.#write({ throttleKey, level: LogLevel.Error, text });
   }
 
-  #write({ lineKind, level, text }: PeerLogLine): void {
+  #write({ throttleKey, level, text }: PeerLogLine): void {
     const nowMs = this.#context.clock.nowMs();
-    const suppressed = this.#rateLimit.closeWindow(lineKind, nowMs);
-    if (!this.#rateLimit.allow(lineKind, nowMs)) {
+    const suppressed = this.#rateLimit.closeExpiredWindow(throttleKey, nowMs);
+    if (!this.#rateLimit.allow(throttleKey, nowMs)) {
       return;
     }
-    const suffix = suppressed > 0 ? ` (${suppressed} more not logged)` : "";
+    const suffix = suppressed > 0
+      ? ` (${suppressed} similar lines suppressed)`
+      : "";
     this.#context.log(level, LogPart.Peers, text + suffix);
   }
 }
--- a/packages/daemon/src/peer_registry.ts
+++ b/packages/daemon/src/peer_registry.ts
@@ -1,33 +1,34 @@
-/** Which open connections lead to which peer, and which of them is used. */
+/** The open connections of each peer, and the choice of the one to send on. */
 
 import { CloseReason } from "./close_reason.ts";
 import type { PeerConnection } from "./peer_connection.ts";
-import { SeenIncarnations } from "./seen_incarnations.ts";
+import { NewestIncarnations } from "./newest_incarnations.ts";
 
 /**
- * The open connections of each peer.
+ * Holds the open connections (links) of each peer.
  *
- * Where both sides dialled, the connection dialled by the smaller instance id
- * is kept. That side learns last that the connection is open, so it alone
- * closes the other one: by then both sides send on the one that is kept.
+ * If both sides dialled each other, the connection dialled by the instance with
+ * the smaller id is kept. The dialler is the last to complete a handshake, so
+ * that instance alone closes the other connection: by then both sides send on
+ * the one that is kept.
  */
 export class PeerRegistry {
   readonly #ownId: string;
   readonly #links = new Map<string, PeerConnection[]>();
-  readonly #incarnations = new SeenIncarnations();
+  readonly #incarnations = new NewestIncarnations();
 
-  /** @param ownId The id of this instance. */
+  /** @param ownId Instance id of this instance. */
   constructor(ownId: string) {
     this.#ownId = ownId;
   }
 
   /**
-   * Decides on a peer that has proved itself.
+   * Decides whether an authenticated peer is refused.
    *
-   * @param connection Its connection.
-   * @returns Why it is turned away, or null.
+   * @param connection Connection whose handshake proof was valid.
+   * @returns Why the peer is refused, or null if it is accepted.
    */
-  refusalOf(connection: PeerConnection): CloseReason | null {
+  refusalReason(connection: PeerConnection): CloseReason | null {
     const { peer, expectedPeerId } = connection;
     if (!peer) return CloseReason.HandshakeAborted;
     if (peer.instanceId === this.#ownId) return CloseReason.OwnId;
@@ -40,78 +41,87 @@
   }
 
   /**
-   * Adds a connection that opened; call `retireRedundant` after it.
+   * Adds a connection that has opened and closes those of older incarnations.
+   * Call `drainRedundant` afterwards.
    *
-   * @param connection The connection.
-   * @returns True when it is the peer's first.
+   * @param connection Connection that opened.
+   * @returns Whether it is the only link to the peer.
    */
   add(connection: PeerConnection): boolean {
     const { peer } = connection;
     if (!peer) return false;
-    this.#closeOlder(peer.instanceId, peer.incarnation);
-    this.#incarnations.note(peer.instanceId, peer.incarnation);
+    this.#closeOlderIncarnations(peer.instanceId, peer.incarnation);
+    this.#incarnations.record(peer.instanceId, peer.incarnation);
     const links = this.linksOf(peer.instanceId);
     this.#links.set(peer.instanceId, [...links, connection]);
     return links.length === 0;
   }
 
   /**
-   * Removes a connection that closed.
+   * Removes a connection that has closed.
    *
-   * @param connection The connection, opened or not.
-   * @returns True when it was the peer's last.
+   * @param connection Connection, whether or not it ever opened.
+   * @returns Whether it was the last link to the peer.
    */
   remove(connection: PeerConnection): boolean {
     const peerId = connection.peer?.instanceId;
     if (peerId === undefined) return false;
     const links = this.linksOf(peerId);
-    const left = links.filter((link) => link !== connection);
-    if (left.length === links.length) return false;
-    if (left.length > 0) this.#links.set(peerId, left);
+    const remaining = links.filter((link) => link !== connection);
+    if (remaining.length === links.length) return false;
+    if (remaining.length > 0) this.#links.set(peerId, remaining);
     else this.#links.delete(peerId);
-    return left.length === 0;
+    return remaining.length === 0;
   }
 
   /**
-   * @param peerId The peer's id.
-   * @returns Its open connections, oldest first.
+   * Lists the links to a peer.
+   *
+   * @param peerId Instance id of the peer.
+   * @returns Open connections to the peer, oldest first.
    */
   linksOf(peerId: string): readonly PeerConnection[] {
     return this.#links.get(peerId) ?? [];
   }
 
   /**
-   * @param peerId The peer's id.
-   * @returns The connection to send on, or null.
+   * Chooses the link on which to send to a peer.
+   *
+   * @param peerId Instance id of the peer.
+   * @returns Connection to send on, or null if none accepts messages.
    */
-  usableLink(peerId: string): PeerConnection | null {
-    const usable = this.linksOf(peerId).filter((link) => link.isUsable);
-    const keptDiallerId = this.#keptDiallerId(peerId);
-    const kept = usable.filter((link) => link.diallerId === keptDiallerId);
-    return kept.at(-1) ?? usable.at(-1) ?? null;
+  linkForSending(peerId: string): PeerConnection | null {
+    const sendable = this.linksOf(peerId).filter((link) => link.canSend);
+    const preferredDiallerId = this.#preferredDiallerId(peerId);
+    const preferred = sendable.filter((link) =>
+      link.diallerId === preferredDiallerId
+    );
+    return preferred.at(-1) ?? sendable.at(-1) ?? null;
   }
 
   /**
-   * Retires what a new connection makes redundant.
+   * Drains the links that a new connection makes redundant.
    *
-   * @param connection The connection added last.
+   * @param connection Connection that was added last.
    */
-  retireRedundant(connection: PeerConnection): void {
+  drainRedundant(connection: PeerConnection): void {
     const peerId = connection.peer?.instanceId;
     if (peerId === undefined) return;
-    const kept = this.usableLink(peerId);
-    const isCloser = this.#keptDiallerId(peerId) === this.#ownId;
+    const sendingLink = this.linkForSending(peerId);
+    const closesDuplicates = this.#preferredDiallerId(peerId) === this.#ownId;
     for (const link of this.linksOf(peerId)) {
-      const sameDialler = link.diallerId === kept?.diallerId;
-      if (link !== kept && (isCloser || sameDialler)) link.retire();
+      const hasSameDialler = link.diallerId === sendingLink?.diallerId;
+      if (link !== sendingLink && (closesDuplicates || hasSameDialler)) {
+        link.drain();
+      }
     }
   }
 
-  #keptDiallerId(peerId: string): string {
+  #preferredDiallerId(peerId: string): string {
     return peerId < this.#ownId ? peerId : this.#ownId;
   }
 
-  #closeOlder(peerId: string, incarnation: number): void {
+  #closeOlderIncarnations(peerId: string, incarnation: number): void {
     for (const link of this.linksOf(peerId)) {
       const isOlder = link.peer !== null && link.peer.incarnation < incarnation;
       if (isOlder) link.close(CloseReason.Superseded);
--- a/packages/daemon/src/platform_calls.ts
+++ b/packages/daemon/src/platform_calls.ts
@@ -1,4 +1,4 @@
-/** HTTP calls to the platform, within this process's share of its rates. */
+/** HTTP calls to the platform, limited to this process's share of its rates. */
 
 import { err, type Result } from "neverthrow";
 import { Pool } from "undici";
@@ -7,102 +7,109 @@
 import type { HttpRequest } from "./http_exchange.ts";
 import { type Clock, type CountSink, EdgeCounterName } from "./ports.ts";
 
-/** Every way a call to the platform can fail. The list is closed. */
+/** Ways in which a platform call can fail; the values are metric labels. */
 export enum PlatformFault {
-  /** No connection, or it broke: a write may have taken effect. */
+  /** The connection failed or was lost: a write may have taken effect. */
   Unreachable = "unreachable",
-  /** No whole answer in time: a write may have taken effect. */
+  /** No complete answer arrived in time: a write may have taken effect. */
   TimedOut = "timed_out",
-  /** The platform says it is down: a write may have taken effect. */
+  /** The platform reports that it is down: a write may have taken effect. */
   Unavailable = "unavailable",
-  /** Over the platform's rate or our share of it: nothing was done. */
+  /**
+   * The platform's rate or this process's share of it is exceeded: the call was
+   * not executed.
+   */
   RateLimited = "rate_limited",
-  /** The answer is not one: a write may have taken effect. */
+  /** The answer is invalid: a write may have taken effect. */
   BadAnswer = "bad_answer",
 }
 
-/** What a call gives. */
+/** Result of a call to the platform, or the fault it failed with. */
 export type PlatformResult<T> = Promise<Result<T, PlatformFault>>;
 
-/** Which of the platform's rates a call counts towards. */
+/** The platform's rate limit that a call counts towards. */
 export enum PlatformRate {
   Reads = "reads",
   Writes = "writes",
 }
 
-/** Where the platform is, and this process's share of its rates. */
+/** Address, rate shares and timeout of the platform's client. */
 export interface PlatformCallsOptions {
   /** `host:port`, or a URL with scheme `http`. */
   readonly address: string;
   readonly clock: Clock;
+  /** Receives the counts of calls and failures. */
   readonly count?: CountSink;
+  /** This process's share of the platform's read rate. */
   readonly readsPerSecond?: number;
+  /** This process's share of the platform's write rate. */
   readonly writesPerSecond?: number;
+  /** Maximum time of a call, including the wait for the rate limit. */
   readonly callTimeoutMs?: number;
 }
 
-/** How one call may differ from the others. */
+/** Options of a single call to the platform. */
 export interface CallOptions {
-  /** Time until the answer must be here, at most the client's own. */
+  /** Timeout of the call; capped by the client's `callTimeoutMs`. */
   readonly timeoutMs?: number;
 }
 
-/** One call. */
+/** A call to the platform. */
 export interface PlatformCall extends CallOptions {
-  /** Told apart by it in metrics. */
+  /** Name of the call in metrics. */
   readonly name: string;
   readonly rate: PlatformRate;
   readonly request: HttpRequest;
 }
 
-/** Eight instances within 2000 reads a second. */
+/** Keeps eight instances within the platform's 2000 reads per second. */
 const DEFAULT_READS_PER_SECOND = 200;
-/** Eight instances within 400 writes a second. */
+/** Keeps eight instances within the platform's 400 writes per second. */
 const DEFAULT_WRITES_PER_SECOND = 50;
 const DEFAULT_CALL_TIMEOUT_MS = 2000;
-const CONNECTIONS = 16;
+const MAX_CONNECTIONS = 16;
 const CONNECT_TIMEOUT_MS = 1000;
-const KEEP_ALIVE_MS = 4000;
+const KEEP_ALIVE_TIMEOUT_MS = 4000;
 const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
 
-/** Makes calls in turn. It never sends anything twice of itself. */
+/** Makes rate-limited calls to the platform; it never retries a call. */
 export class PlatformCalls {
   readonly #pool: Pool;
   readonly #clock: Clock;
   readonly #count: CountSink;
   readonly #callTimeoutMs: number;
-  readonly #gates: Readonly<Record<PlatformRate, CallGate>>;
+  readonly #rateLimiters: Readonly<Record<PlatformRate, CallGate>>;
 
-  /** @param options Where the platform is. */
+  /** @param options Address, rate shares and timeout. */
   constructor(options: PlatformCallsOptions) {
     this.#clock = options.clock;
     this.#count = options.count ?? (() => {});
     this.#callTimeoutMs = options.callTimeoutMs ?? DEFAULT_CALL_TIMEOUT_MS;
-    this.#gates = {
-      [PlatformRate.Reads]: this.#gate(
+    this.#rateLimiters = {
+      [PlatformRate.Reads]: this.#createRateLimiter(
         options.readsPerSecond ?? DEFAULT_READS_PER_SECOND,
       ),
-      [PlatformRate.Writes]: this.#gate(
+      [PlatformRate.Writes]: this.#createRateLimiter(
         options.writesPerSecond ?? DEFAULT_WRITES_PER_SECOND,
       ),
     };
     this.#pool = new Pool(originOf(options.address), {
-      connections: CONNECTIONS,
+      connections: MAX_CONNECTIONS,
       pipelining: 1,
       connectTimeout: CONNECT_TIMEOUT_MS,
-      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     });
   }
 
   /**
-   * Makes one call and counts it.
+   * Makes a call and counts it.
    *
-   * @param call The call.
-   * @returns The answer, of any status.
+   * @param call Name, rate and request of the call.
+   * @returns The HTTP answer, whatever its status.
    */
   async run(call: PlatformCall): PlatformResult<HttpAnswer> {
     this.#count(EdgeCounterName.PlatformCalls, { call: call.name }, 1);
-    const result = await this.#runInTurn(call);
+    const result = await this.#runRateLimited(call);
     if (result.isErr()) {
       const labels = { call: call.name, fault: result.error };
       this.#count(EdgeCounterName.PlatformFailures, labels, 1);
@@ -110,26 +117,26 @@
     return result;
   }
 
-  /** Cuts all connections; calls in progress fail as unreachable. */
+  /** Destroys all connections; calls in progress fail as unreachable. */
   async stop(): Promise<void> {
     await this.#pool.destroy();
   }
 
-  #gate(callsPerSecond: number): CallGate {
+  #createRateLimiter(callsPerSecond: number): CallGate {
     return new CallGate({
       callsPerSecond,
       maxWaitMs: this.#callTimeoutMs,
-      concurrency: CONNECTIONS,
+      concurrency: MAX_CONNECTIONS,
     });
   }
 
-  async #runInTurn(call: PlatformCall): PlatformResult<HttpAnswer> {
+  async #runRateLimited(call: PlatformCall): PlatformResult<HttpAnswer> {
     const timeoutMs = Math.min(
       call.timeoutMs ?? Infinity,
       this.#callTimeoutMs,
     );
     const deadlineAtMs = this.#clock.nowMs() + timeoutMs;
-    const result = await this.#gates[call.rate].run(() =>
+    const result = await this.#rateLimiters[call.rate].run(() =>
       this.#send(call.request, deadlineAtMs - this.#clock.nowMs())
     );
     return result ?? err(PlatformFault.RateLimited);
--- a/packages/daemon/src/platform_client.ts
+++ b/packages/daemon/src/platform_client.ts
@@ -1,4 +1,7 @@
-/** Carries out the core's orders towards the platform. */
+/**
+ * Executes the core's effects on the platform: claims, kept answers, and polls
+ * of the instance list and the settings.
+ */
 
 import {
   type EffectKind,
@@ -25,127 +28,140 @@
 import type { EdgeContext } from "./ports.ts";
 import { type Sleep, sleepByTimer } from "./sleep.ts";
 
-/** What a platform client is made of. */
+/** HTTP client, timing and limits of a {@link PlatformClient}. */
 export interface PlatformClientOptions {
   readonly http: PlatformHttp;
   /**
-   * @param requestId A request that waits for its claim.
-   * @returns How long its claim is tried.
+   * Returns how long to try to write the claim of a request.
+   *
+   * @param requestId Id of a request that waits for its claim.
+   * @returns Time limit of the claim write, in milliseconds.
    */
   readonly claimWaitMs?: (requestId: string) => number;
+  /** Waits between retries; a real timer where absent. */
   readonly sleep?: Sleep;
+  /** Claims that may be waiting to be voided at a time. */
   readonly maxPendingVoids?: number;
 }
 
-/** A poll that is sent again only once the last one has ended. */
+/** A poll of which at most one is in progress at a time. */
 enum PollKind {
   InstanceList = "instance_list",
   Settings = "settings",
 }
 
 const DEFAULT_CLAIM_WAIT_MS = 3000;
-const KEEP_ANSWER_TRIES = 4;
-const READ_ANSWER_TRIES = 2;
-const MAX_KEEPS_IN_PROGRESS = 1024;
-const FIRST_PAUSE_MS = 100;
-const LOG_EVERY_MS = 10_000;
-const SETTLE_CHECK_MS = 20;
+const MAX_KEEP_ANSWER_ATTEMPTS = 4;
+const MAX_READ_ANSWER_ATTEMPTS = 2;
+const MAX_ANSWER_WRITES_IN_PROGRESS = 1024;
+const INITIAL_RETRY_DELAY_MS = 100;
+const MIN_LOG_INTERVAL_MS = 10_000;
+const DRAIN_CHECK_INTERVAL_MS = 20;
 
-/** Claims, kept answers, and polls of the list and the settings. */
+/**
+ * Writes and voids claims, stores and reads kept answers, and polls the
+ * instance list and the settings.
+ */
 export class PlatformClient {
   readonly #edge: EdgeContext;
   readonly #http: PlatformHttp;
   readonly #sleep: Sleep;
   readonly #claimWaitMs: (requestId: string) => number;
-  readonly #writer: ClaimWriter;
-  readonly #voider: ClaimVoider;
-  readonly #polling = new Set<PollKind>();
+  readonly #claimWriter: ClaimWriter;
+  readonly #claimVoider: ClaimVoider;
+  readonly #activePolls = new Set<PollKind>();
   readonly #lastLoggedAtMs = new Map<string, number>();
-  #keepsInProgress = 0;
+  #answerWritesInProgress = 0;
   #stopped = false;
 
   /**
-   * @param edge The instance's sinks and clock.
-   * @param options The platform.
+   * @param edge Clock, event sink and log of the instance.
+   * @param options HTTP client, timing and limits.
    */
   constructor(edge: EdgeContext, options: PlatformClientOptions) {
     this.#edge = edge;
     this.#http = options.http;
     this.#sleep = options.sleep ?? sleepByTimer;
     this.#claimWaitMs = options.claimWaitMs ?? (() => DEFAULT_CLAIM_WAIT_MS);
-    this.#writer = new ClaimWriter({
+    this.#claimWriter = new ClaimWriter({
       http: options.http,
       clock: edge.clock,
       sleep: this.#sleep,
     });
-    this.#voider = new ClaimVoider({
+    this.#claimVoider = new ClaimVoider({
       http: options.http,
-      writer: this.#writer,
+      writer: this.#claimWriter,
       sleep: this.#sleep,
       log: edge.log,
       maxPending: options.maxPendingVoids,
     });
   }
 
-  /** @returns Claims that are still to be voided. */
+  /** Number of claims that are still to be voided. */
   get pendingVoids(): number {
-    return this.#voider.pending;
+    return this.#claimVoider.pendingCount;
   }
 
   /**
-   * Writes a claim: one ClaimAnswered for each.
+   * Writes a claim, and emits one ClaimAnswered event with the outcome.
    *
-   * @param effect The claim.
+   * @param effect Claim to write.
    */
   async writeClaim(effect: ClaimEffect): Promise<void> {
     const { requestId } = effect;
     const waitMs = this.#claimWaitMs(requestId);
-    const standing = await this.#writer.write(effect, waitMs);
-    this.#edge.emit({ kind: EventKind.ClaimAnswered, requestId, ...standing });
+    const status = await this.#claimWriter.write(effect, waitMs);
+    this.#edge.emit({ kind: EventKind.ClaimAnswered, requestId, ...status });
   }
 
   /**
-   * Voids a claim, in the background.
+   * Voids a claim in the background, without emitting an event.
    *
-   * @param effect The claim.
-   * @returns Settles when it is void or given up; nothing is emitted.
+   * @param effect Claim to void.
+   * @returns A promise that resolves once the claim is void or abandoned.
    */
   voidClaim(effect: ClaimEffect): Promise<void> {
-    return this.#voider.void(effect);
+    return this.#claimVoider.void(effect);
   }
 
   /**
-   * Stores an answer for callers that ask again. The same content under the
-   * same key may be stored twice, so this write is tried again.
+   * Stores an answer for callers that repeat their request. Storing the same
+   * content under the same key twice is harmless, so the write is retried.
    *
-   * @param effect The answer.
+   * @param effect Key and content of the answer.
    */
   async keepAnswer(effect: EffectOf<EffectKind.KeepAnswer>): Promise<void> {
-    if (this.#keepsInProgress >= MAX_KEEPS_IN_PROGRESS) {
-      this.#logSeldom("keep", "Too many answers to keep; one is not kept.");
+    if (this.#answerWritesInProgress >= MAX_ANSWER_WRITES_IN_PROGRESS) {
+      this.#logThrottled(
+        "keep",
+        "Too many answers are being stored; one was not stored.",
+      );
       return;
     }
-    this.#keepsInProgress += 1;
-    const kept = await this.#tryTimes(
-      KEEP_ANSWER_TRIES,
+    this.#answerWritesInProgress += 1;
+    const stored = await this.#callWithRetries(
+      MAX_KEEP_ANSWER_ATTEMPTS,
       () => this.#http.putObject(effect.key, effect.content),
     );
-    this.#keepsInProgress -= 1;
-    if (kept.isErr()) {
-      this.#logSeldom("keep", `An answer was not kept: ${kept.error}.`);
+    this.#answerWritesInProgress -= 1;
+    if (stored.isErr()) {
+      this.#logThrottled(
+        "keep",
+        `An answer could not be stored: ${stored.error}.`,
+      );
     }
   }
 
   /**
-   * Looks for a kept answer: one KeptAnswerRead for each.
+   * Reads a kept answer, and emits one KeptAnswerRead event with the result.
    *
-   * @param effect Its key.
+   * @param effect Key of the answer, and the request that it is read for.
    */
   async readKeptAnswer(
     effect: EffectOf<EffectKind.ReadKeptAnswer>,
   ): Promise<void> {
-    const read = await this.#tryTimes(
-      READ_ANSWER_TRIES,
+    const read = await this.#callWithRetries(
+      MAX_READ_ANSWER_ATTEMPTS,
       () => this.#http.getObject(effect.key),
     );
     this.#edge.emit({
@@ -156,12 +172,12 @@
     });
   }
 
-  /** Reads the list: InstanceListRead, or nothing while it cannot be read. */
+  /** Reads the instance list, and emits InstanceListRead if that succeeds. */
   async pollInstanceList(): Promise<void> {
-    await this.#onceAtATime(PollKind.InstanceList, async () => {
+    await this.#withoutOverlap(PollKind.InstanceList, async () => {
       const list = await this.#http.instances();
       if (list.isErr()) {
-        this.#logAway("The list", list.error);
+        this.#logReadFailure("The instance list", list.error);
         return;
       }
       this.#edge.emit({ kind: EventKind.InstanceListRead, list: list.value });
@@ -169,14 +185,15 @@
   }
 
   /**
-   * Reads settings newer than those in force: SettingsRead, or nothing.
+   * Reads the current settings, and emits SettingsRead if they are valid and
+   * newer than the version in force.
    *
-   * @param effect The version in force here.
+   * @param effect Settings version in force on this instance.
    */
   async pollSettings(
     effect: EffectOf<EffectKind.PollSettings>,
   ): Promise<void> {
-    await this.#onceAtATime(PollKind.Settings, async () => {
+    await this.#withoutOverlap(PollKind.Settings, async () => {
       const head = await this.#readRow(HEAD_KEY, readHead);
       if (head === undefined || head.version <= effect.haveVersion) {
         return;
@@ -184,7 +201,7 @@
       const settings = await this.#readRow(
         versionKey(head.version),
         (row) =>
-          readVersionRow(row).andThen((read) => checkChange(row, head, read)),
+          readVersionRow(row).andThen((read) => checkChangeId(row, head, read)),
       );
       if (settings !== undefined) {
         const { version, content, changeId } = settings;
@@ -195,24 +212,24 @@
   }
 
   /**
-   * Waits until answers are kept and claims voided, or the time is over.
+   * Waits until all answers are stored and all claims voided.
    *
-   * @param limitMs How long to wait at most.
+   * @param timeoutMs Maximum wait, in milliseconds.
    */
-  async settle(limitMs: number): Promise<void> {
-    const untilMs = this.#edge.clock.nowMs() + limitMs;
+  async drain(timeoutMs: number): Promise<void> {
+    const deadlineAtMs = this.#edge.clock.nowMs() + timeoutMs;
     while (
-      this.#keepsInProgress + this.pendingVoids > 0 &&
-      this.#edge.clock.nowMs() < untilMs
+      this.#answerWritesInProgress + this.pendingVoids > 0 &&
+      this.#edge.clock.nowMs() < deadlineAtMs
     ) {
-      await this.#sleep(SETTLE_CHECK_MS);
+      await this.#sleep(DRAIN_CHECK_INTERVAL_MS);
     }
   }
 
-  /** Ends background work; calls in progress run to their end. */
+  /** Stops retries and voids; calls in progress are not aborted. */
   stop(): void {
     this.#stopped = true;
-    this.#voider.stop();
+    this.#claimVoider.stop();
   }
 
   async #readRow<T>(
@@ -221,65 +238,72 @@
   ): Promise<T | undefined> {
     const answer = await this.#http.read([key]);
     if (answer.isErr()) {
-      this.#logAway("The table", answer.error);
+      this.#logReadFailure("The table", answer.error);
       return undefined;
     }
     const row = answer.value.rows.find((found) => found.key === key);
     if (row === undefined) {
-      this.#logSeldom("row", `The row ${key} does not exist.`);
+      this.#logThrottled("row", `The row ${key} does not exist.`);
       return undefined;
     }
     const parsed = read(row);
     if (parsed.isErr()) {
       const { message } = parsed.error;
-      this.#logSeldom("row", `The row ${key} is corrupt: ${message}.`);
+      this.#logThrottled("row", `The row ${key} is corrupt: ${message}.`);
       return undefined;
     }
     return parsed.value;
   }
 
-  async #tryTimes<T>(
-    tries: number,
+  async #callWithRetries<T>(
+    maxAttempts: number,
     call: () => Promise<Result<T, PlatformFault>>,
   ): Promise<Result<T, PlatformFault>> {
     let result = await call();
-    let pauseMs = FIRST_PAUSE_MS;
-    for (let done = 1; done < tries && result.isErr(); done++) {
-      await this.#sleep(pauseMs);
+    let retryDelayMs = INITIAL_RETRY_DELAY_MS;
+    for (
+      let attempts = 1;
+      attempts < maxAttempts && result.isErr();
+      attempts++
+    ) {
+      await this.#sleep(retryDelayMs);
       if (this.#stopped) {
         return result;
       }
       result = await call();
-      pauseMs *= 2;
+      retryDelayMs *= 2;
     }
     return result;
   }
 
-  async #onceAtATime(kind: PollKind, poll: () => Promise<void>): Promise<void> {
-    if (this.#polling.has(kind)) {
+  async #withoutOverlap(
+    kind: PollKind,
+    poll: () => Promise<void>,
+  ): Promise<void> {
+    if (this.#activePolls.has(kind)) {
       return;
     }
-    this.#polling.add(kind);
+    this.#activePolls.add(kind);
     await poll();
-    this.#polling.delete(kind);
+    this.#activePolls.delete(kind);
   }
 
-  #logAway(what: string, fault: PlatformFault): void {
-    this.#logSeldom(what, `${what} could not be read: ${fault}.`);
+  #logReadFailure(source: string, fault: PlatformFault): void {
+    this.#logThrottled(source, `${source} could not be read: ${fault}.`);
   }
 
-  #logSeldom(topic: string, text: string): void {
+  #logThrottled(throttleKey: string, text: string): void {
     const nowMs = this.#edge.clock.nowMs();
-    const lastAtMs = this.#lastLoggedAtMs.get(topic) ?? -Infinity;
-    if (nowMs - lastAtMs < LOG_EVERY_MS) {
+    const lastAtMs = this.#lastLoggedAtMs.get(throttleKey) ?? -Infinity;
+    if (nowMs - lastAtMs < MIN_LOG_INTERVAL_MS) {
       return;
     }
-    this.#lastLoggedAtMs.set(topic, nowMs);
+    this.#lastLoggedAtMs.set(throttleKey, nowMs);
     this.#edge.log(LogLevel.Warn, LogPart.Platform, text);
   }
 }
 
-function checkChange(
+function checkChangeId(
   row: Row,
   head: SettingsHead,
   settings: SettingsVersion,
@@ -290,6 +314,6 @@
   return err({
     kind: RowFaultKind.WrongShape,
     key: row.key,
-    message: "the head names another change",
+    message: "the head row names another change",
   });
 }
--- a/packages/daemon/src/platform_client_test.ts
+++ b/packages/daemon/src/platform_client_test.ts
@@ -28,7 +28,7 @@
   row: ROW,
 };
 
-class Bench {
+class TestBench {
   readonly table = new TestTable();
   readonly edge = new TestEdge();
   http!: PlatformHttp;
@@ -59,16 +59,19 @@
 
   async claim(): Promise<unknown> {
     await this.client.writeClaim(CLAIM);
-    const { requestId: _, kind: __, ...standing } = await this.edge.until(
+    const { requestId: _, kind: __, ...status } = await this.edge.until(
       EventKind.ClaimAnswered,
     );
-    return standing;
+    return status;
   }
 }
 
-function testWith(title: string, run: (bench: Bench) => Promise<void>): void {
+function testWith(
+  title: string,
+  run: (bench: TestBench) => Promise<void>,
+): void {
   test(title, async () => {
-    const bench = await new Bench().start();
+    const bench = await new TestBench().start();
     try {
       await run(bench);
     } finally {
@@ -81,11 +84,11 @@
 
 for (
   const [title, writeFaults, readFaults] of [
-    ["at the first try", [], []],
+    ["at the first attempt", [], []],
     ["when the answer is lost after the write", [AnswerLost], []],
     ["when the answer and the read back are lost", [AnswerLost], [CallLost]],
     ["when the write is lost", [CallLost], []],
-    ["when the table is down for a moment", [Down, Down], [Down]],
+    ["when the table is briefly down", [Down, Down], [Down]],
   ] as const
 ) {
   testWith(`should hold a claim ${title}`, async (bench) => {
@@ -97,7 +100,7 @@
   });
 }
 
-testWith("should tell who holds a claim", async (bench) => {
+testWith("should report who holds a claim", async (bench) => {
   bench.table.put(KEY, OTHER);
   const heldElsewhere = { outcome: ClaimOutcome.HeldElsewhere, found: OTHER };
   assert.equal(await bench.claim(), heldElsewhere);
@@ -106,7 +109,7 @@
   assert.equal(await bench.claim(), heldElsewhere);
 });
 
-testWith("should take a corrupt claim row for another's", async (bench) => {
+testWith("should treat a corrupt claim row as another's", async (bench) => {
   bench.table.put(KEY, { nonce: "n1" });
   assert.equal(await bench.claim(), {
     outcome: ClaimOutcome.HeldElsewhere,
@@ -115,14 +118,14 @@
 });
 
 testWith(
-  "should not know of a claim while the table is down",
+  "should report an unknown claim outcome while the table is down",
   async (bench) => {
     bench.table.fault = Down;
     assert.equal(await bench.claim(), { outcome: ClaimOutcome.Unknown });
   },
 );
 
-testWith("should void a claim, and only its own", async (bench) => {
+testWith("should void its own claim only", async (bench) => {
   await bench.claim();
   await bench.client.voidClaim(CLAIM);
   assert.is(bench.table.rows.size, 0);
@@ -132,7 +135,7 @@
   assert.is(bench.client.pendingVoids, 0);
 });
 
-testWith("should void a claim once the table is back", async (bench) => {
+testWith("should void a claim once the table recovers", async (bench) => {
   const OUTAGE_CALLS = 10;
   await bench.claim();
   bench.table.fault = Down;
@@ -147,27 +150,27 @@
 });
 
 testWith(
-  "should void a write that takes effect after a read found nothing",
+  "should void a write that takes effect after a read found no row",
   async (bench) => {
     bench.table.fault = Down;
     await bench.claim();
     bench.table.fault = TableFault.None;
-    const lateAtRead = 3;
+    const lateReadNumber = 3;
     let reads = 0;
     bench.table.onCall = (path) => {
       reads += path === "/table/read" ? 1 : 0;
-      if (reads === lateAtRead) {
+      if (reads === lateReadNumber) {
         bench.table.put(KEY, ROW);
         reads += 1;
       }
     };
     await bench.client.voidClaim(CLAIM);
-    assert.ok(reads > lateAtRead);
+    assert.ok(reads > lateReadNumber);
     assert.is(bench.table.rows.size, 0);
   },
 );
 
-testWith("should stop a write that is voided meanwhile", async (bench) => {
+testWith("should cancel a write whose claim is voided", async (bench) => {
   bench.table.writeFaults.push(CallLost);
   let voided: Promise<void> | undefined;
   bench.table.onCall = () => {
@@ -203,7 +206,7 @@
 });
 
 testWith(
-  "should pass on newer settings and never corrupt ones",
+  "should emit newer settings and never corrupt ones",
   async (bench) => {
     const content = "fleet: {}";
     const version = {
@@ -232,7 +235,7 @@
 );
 
 testWith(
-  "should say nothing but a seldom log line while the store is away",
+  "should emit no event and throttle log lines while the store is down",
   async (bench) => {
     bench.table.fault = Down;
     await bench.client.pollSettings({
@@ -246,22 +249,22 @@
   },
 );
 
-testWith("should fail fast when too many calls wait", async (bench) => {
-  const slow = new PlatformHttp({
+testWith("should fail fast when too many calls are queued", async (bench) => {
+  const rateLimited = new PlatformHttp({
     address: bench.table.server.address,
     clock: bench.edge.clock,
     readsPerSecond: 10,
     callTimeoutMs: 100,
   });
-  const first = slow.read([KEY]);
-  const second = slow.read([KEY]);
-  const third = await slow.read([KEY]);
+  const first = rateLimited.read([KEY]);
+  const second = rateLimited.read([KEY]);
+  const third = await rateLimited.read([KEY]);
   assert.is(third._unsafeUnwrapErr(), PlatformFault.RateLimited);
   bench.edge.clock.atMs = 100;
   await first;
   assert.is((await second)._unsafeUnwrapErr(), PlatformFault.RateLimited);
   assert.ok(bench.table.server.seen.length <= 1);
-  await slow.stop();
+  await rateLimited.stop();
 });
 
 test.run();
--- a/packages/daemon/src/platform_http.ts
+++ b/packages/daemon/src/platform_http.ts
@@ -1,4 +1,7 @@
-/** Typed calls to the platform: table, object store, list, weight store. */
+/**
+ * Typed calls to the platform: table, object store, instance list and weight
+ * store.
+ */
 
 import type { Buffer } from "node:buffer";
 import {
@@ -31,11 +34,12 @@
   type PlatformResult,
 };
 
-/** Which part of a prefix to scan. */
+/** Page of a prefix scan of the table. */
 export interface ScanRange {
   readonly prefix: string;
-  /** Key after which the scan goes on; empty for the first page. */
+  /** Last key of the previous page; empty for the first page. */
   readonly after?: string;
+  /** Maximum number of rows in the page. */
   readonly limit: number;
 }
 
@@ -44,14 +48,14 @@
 const STATUS_CREATED = 201;
 const STATUS_NOT_FOUND = 404;
 const STATUS_CONFLICT = 409;
-const STATUS_TOO_MANY = 429;
-const STATUS_UNAVAILABLE = 503;
+const STATUS_TOO_MANY_REQUESTS = 429;
+const STATUS_SERVICE_UNAVAILABLE = 503;
 
 const FAULT_BY_STATUS: ReadonlyMap<number, PlatformFault> = new Map([
-  [STATUS_TOO_MANY, PlatformFault.RateLimited],
-  [STATUS_UNAVAILABLE, PlatformFault.Unavailable],
+  [STATUS_TOO_MANY_REQUESTS, PlatformFault.RateLimited],
+  [STATUS_SERVICE_UNAVAILABLE, PlatformFault.Unavailable],
 ]);
-const TABLE_STATUSES: ReadonlySet<number> = new Set([
+const TRANSACT_STATUSES: ReadonlySet<number> = new Set([
   STATUS_OK,
   STATUS_CONFLICT,
 ]);
@@ -61,22 +65,22 @@
   STATUS_NO_CONTENT,
 ]);
 
-/** The platform's client. It never sends anything twice of itself. */
+/** Client of the platform's HTTP protocol; it never retries a call. */
 export class PlatformHttp {
   readonly #calls: PlatformCalls;
 
-  /** @param options Where the platform is. */
+  /** @param options Address, rate shares and timeout. */
   constructor(options: PlatformCallsOptions) {
     this.#calls = new PlatformCalls(options);
   }
 
   /**
-   * Writes rows if every condition holds.
+   * Writes rows in a transaction if every condition holds.
    *
-   * @param request Conditions and writes.
-   * @param options Its timeout.
-   * @returns Whether it was committed; a fault leaves that open, unless it is
-   * RateLimited.
+   * @param request Conditions, puts and deletes.
+   * @param options Timeout of the call.
+   * @returns Whether the transaction was committed; after a fault other than
+   * RateLimited it may or may not have been.
    */
   async transact(
     request: TransactRequest,
@@ -89,18 +93,18 @@
       request: post("/table/transact", request),
     });
     return answer.andThen(({ statusCode, body }) =>
-      TABLE_STATUSES.has(statusCode)
+      TRANSACT_STATUSES.has(statusCode)
         ? parseBody(body, transactAnswerSchema)
         : err(faultOf(statusCode))
     );
   }
 
   /**
-   * Reads rows.
+   * Reads rows of the table.
    *
-   * @param keys Their keys.
-   * @param options Its timeout.
-   * @returns The rows there are.
+   * @param keys Keys of the rows.
+   * @param options Timeout of the call.
+   * @returns The rows that exist.
    */
   read(
     keys: readonly string[],
@@ -113,14 +117,14 @@
       rate: PlatformRate.Reads,
       request,
     };
-    return this.#callFor(call, rowsAnswerSchema);
+    return this.#callAndParse(call, rowsAnswerSchema);
   }
 
   /**
-   * Reads rows in key order.
+   * Reads a page of rows in key order.
    *
-   * @param range Prefix and page.
-   * @returns The rows of the page.
+   * @param range Key prefix and page.
+   * @returns Rows of the page.
    */
   scan(range: ScanRange): PlatformResult<RowsAnswer> {
     const query = new URLSearchParams({
@@ -129,18 +133,19 @@
       limit: String(range.limit),
     });
     const request = get(`/table/scan?${query}`);
-    return this.#callFor(
+    return this.#callAndParse(
       { name: "scan", rate: PlatformRate.Reads, request },
       rowsAnswerSchema,
     );
   }
 
   /**
-   * Stores an object.
+   * Writes an object to the object store.
    *
-   * @param key Its key.
-   * @param content Its text.
-   * @returns Nothing of use; a fault leaves open whether it was stored.
+   * @param key Key of the object.
+   * @param content Text of the object.
+   * @returns Nothing, or a fault; after a fault other than RateLimited the
+   * object may or may not have been stored.
    */
   async putObject(key: string, content: string): PlatformResult<void> {
     const answer = await this.#calls.run({
@@ -154,10 +159,10 @@
   }
 
   /**
-   * Reads an object.
+   * Reads an object from the object store.
    *
-   * @param key Its key.
-   * @returns Its text, or undefined when there is none.
+   * @param key Key of the object.
+   * @returns Text of the object, or undefined if it does not exist.
    */
   async getObject(key: string): PlatformResult<string | undefined> {
     const answer = await this.#calls.run({
@@ -175,9 +180,13 @@
     });
   }
 
-  /** @returns The lagging list of instances and targets. */
+  /**
+   * Reads the list of instances and targets.
+   *
+   * @returns The list, which lags behind by the time that it states.
+   */
   instances(): PlatformResult<InstanceList> {
-    return this.#callFor(
+    return this.#callAndParse(
       {
         name: "instances",
         rate: PlatformRate.Reads,
@@ -188,10 +197,10 @@
   }
 
   /**
-   * Reads from the weight store.
+   * Reads an item of the weight store.
    *
-   * @param name What to read.
-   * @returns Its bytes.
+   * @param name Name of the item.
+   * @returns Content of the item.
    */
   async weights(name: string): PlatformResult<Buffer> {
     const answer = await this.#calls.run({
@@ -204,12 +213,12 @@
     );
   }
 
-  /** Cuts all connections; calls in progress fail as unreachable. */
+  /** Destroys all connections; calls in progress fail as unreachable. */
   async stop(): Promise<void> {
     await this.#calls.stop();
   }
 
-  async #callFor<T>(
+  async #callAndParse<T>(
     call: PlatformCall,
     schema: z.ZodType<T>,
   ): PlatformResult<T> {
@@ -230,7 +239,7 @@
   return { method: "POST", path, body: JSON.stringify(body) };
 }
 
-/** The key is one path segment, so that no part of it can act as a path. */
+/** Encodes the key as one path segment, so that none of it acts as a path. */
 function objectPath(key: string): string {
   return `/objects/${encodeURIComponent(key)}`;
 }
--- a/packages/daemon/src/ports.ts
+++ b/packages/daemon/src/ports.ts
@@ -1,4 +1,8 @@
-/** What every edge of an instance is handed, and how it tells the core. */
+/**
+ * Interfaces between the core and the edges of an instance. An edge is a
+ * component that does input or output on behalf of the core: an adapter, in the
+ * terms of ports and adapters.
+ */
 
 import type { CoreEvent } from "@chestnuthatch/core/events";
 import type {
@@ -7,31 +11,35 @@
   LogPart,
 } from "@chestnuthatch/core/effects";
 
-/** The instance's monotonic clock. */
+/** Monotonic clock of the instance. */
 export interface Clock {
-  /** @returns Milliseconds since some fixed moment of this process. */
+  /**
+   * Reads the clock.
+   *
+   * @returns Milliseconds since an arbitrary fixed point in this process.
+   */
   nowMs(): number;
 }
 
 type WithoutTime<T> = T extends unknown ? Omit<T, "nowMs"> : never;
 
-/** An event before the instance stamps it with the time. */
+/** An event to which the instance has not yet added the time. */
 export type UntimedEvent = WithoutTime<CoreEvent>;
 
-/** Takes what an edge has to tell the core. */
+/** Passes an event from an edge to the core. */
 export type EventSink = (event: UntimedEvent) => void;
 
-/** Writes one log line with its part's prefix. */
+/** Writes a log line with the prefix of the part that it comes from. */
 export type LogSink = (level: LogLevel, part: LogPart, text: string) => void;
 
-/** Raises a counter. */
+/** Increments a counter. */
 export type CountSink = (
   counter: CounterName | EdgeCounterName,
   labels: Readonly<Record<string, string>>,
   by: number,
 ) => void;
 
-/** Counters that only edges raise. */
+/** Counters that only edges increment; the values are part of metric names. */
 export enum EdgeCounterName {
   PeerFramesRejected = "peer_frames_rejected",
   PeerBytesSent = "peer_bytes_sent",
@@ -43,7 +51,7 @@
   TargetCalls = "target_calls",
 }
 
-/** What every edge is handed. */
+/** Clock, event sink, log and counters that every edge receives. */
 export interface EdgeContext {
   readonly clock: Clock;
   readonly emit: EventSink;
--- a/packages/daemon/src/ranked_queue.ts
+++ b/packages/daemon/src/ranked_queue.ts
@@ -1,65 +1,69 @@
-/** The order in which waiting dispatches of a pool are sent. */
+/** Priority queue that orders the queued dispatches of a pool. */
 
 import type { Queue, QueueAddOptions } from "p-queue";
 
-/** What a queued dispatch is ranked by. */
+/** Values that a queued dispatch is ranked by. */
 export interface RankOptions extends QueueAddOptions {
-  /** Rank of the tier; 0 is sent first. */
+  /** Rank of the request's tier; 0 is sent first. */
   readonly tierRank: number;
-  /** Worth of the request; higher is sent first within a tier. */
+  /** Value of the request; a higher one is sent first within a tier. */
   readonly value: number;
 }
 
-/** A task of the queue. */
+/** A task of the queue, as p-queue passes it. */
 export type RunFunction = () => Promise<unknown>;
 
 interface RankedItem {
   readonly id: string | undefined;
   readonly tierRank: number;
-  readonly arrival: number;
+  readonly arrivalNumber: number;
   readonly run: RunFunction;
   value: number;
 }
 
 const LOWEST_TIER_RANK = Number.MAX_SAFE_INTEGER;
 
-/** A `queueClass` for p-queue: tier rank, then value, then arrival. */
+/** A `queueClass` for p-queue; orders by tier rank, value and arrival. */
 export class RankedQueue implements Queue<RunFunction, RankOptions> {
-  /** Sorted with the next item to run at the end. */
+  /** Sorted so that the next item to run is the last. */
   readonly #items: RankedItem[] = [];
-  #arrivals = 0;
+  #nextArrivalNumber = 0;
 
-  /** @returns How many tasks wait. */
+  /** Number of queued tasks. */
   get size(): number {
     return this.#items.length;
   }
 
   /**
-   * Adds a task behind all that rank the same or better.
+   * Adds a task after all tasks of the same or a better rank.
    *
-   * @param run The task.
-   * @param options Its rank; without one it is last.
+   * @param run Task to add.
+   * @param options Rank of the task; without a tier rank it runs last.
    */
   enqueue(run: RunFunction, options?: Partial<RankOptions>): void {
     this.#insert({
       id: options?.id,
       tierRank: options?.tierRank ?? LOWEST_TIER_RANK,
       value: options?.value ?? 0,
-      arrival: this.#arrivals++,
+      arrivalNumber: this.#nextArrivalNumber++,
       run,
     });
   }
 
-  /** @returns The best ranked task, taken out of the queue. */
+  /**
+   * Removes the task of the best rank.
+   *
+   * @returns The task, or undefined if the queue is empty.
+   */
   dequeue(): RunFunction | undefined {
     return this.#items.pop()?.run;
   }
 
   /**
-   * Finds tasks of one rank.
+   * Finds the tasks of a rank.
    *
-   * @param options The rank looked for; a field left out matches all.
-   * @returns The tasks, best ranked first.
+   * @param options Rank to match; an absent field matches every task.
+   * @returns Matching tasks, best rank first.
    */
   filter(options: Readonly<Partial<RankOptions>>): RunFunction[] {
     const { tierRank, value } = options;
@@ -71,26 +75,31 @@
   }
 
   /**
-   * Changes the value of a waiting task; its tier stays.
+   * Changes the value of a queued task within its tier.
    *
-   * @param id The task's id.
-   * @param priority The new value.
+   * @param id Id of the task.
+   * @param priority New value of the task.
+   * @throws ReferenceError if no queued task has the id.
    */
   setPriority(id: string, priority: number): void {
-    const item = this.#take(id);
+    const item = this.#removeById(id);
     if (item === undefined) {
-      throw new ReferenceError(`No task with the id "${id}" waits.`);
+      throw new ReferenceError(`no queued task has the id "${id}"`);
     }
     item.value = priority;
     this.#insert(item);
   }
 
-  /** @param id Id of a task to take out; unknown ids are ignored. */
+  /**
+   * Removes a task from the queue.
+   *
+   * @param id Id of the task; an unknown id is ignored.
+   */
   remove(id: string): void {
-    this.#take(id);
+    this.#removeById(id);
   }
 
-  #take(id: string): RankedItem | undefined {
+  #removeById(id: string): RankedItem | undefined {
     const index = this.#items.findIndex((item) => item.id === id);
     return index < 0 ? undefined : this.#items.splice(index, 1)[0];
   }
@@ -117,5 +126,5 @@
   if (item.value !== other.value) {
     return item.value > other.value;
   }
-  return item.arrival < other.arrival;
+  return item.arrivalNumber < other.arrivalNumber;
 }
--- a/packages/daemon/src/ranked_queue_test.ts
+++ b/packages/daemon/src/ranked_queue_test.ts
@@ -2,23 +2,23 @@
 import * as assert from "uvu/assert";
 import { RankedQueue, type RunFunction } from "./ranked_queue.ts";
 
-const NAMES = new Map<RunFunction, string>();
+const NAME_BY_TASK = new Map<RunFunction, string>();
 
 function task(name: string): RunFunction {
   const run: RunFunction = () => Promise.resolve(name);
-  NAMES.set(run, name);
+  NAME_BY_TASK.set(run, name);
   return run;
 }
 
-function drain(queue: RankedQueue): string[] {
+function dequeueAll(queue: RankedQueue): string[] {
   const names: string[] = [];
   for (let run = queue.dequeue(); run !== undefined; run = queue.dequeue()) {
-    names.push(NAMES.get(run)!);
+    names.push(NAME_BY_TASK.get(run)!);
   }
   return names;
 }
 
-function filled(): RankedQueue {
+function filledQueue(): RankedQueue {
   const queue = new RankedQueue();
   queue.enqueue(task("low, early"), { tierRank: 2, value: 9, id: "low" });
   queue.enqueue(task("high, early"), { tierRank: 0, value: 1 });
@@ -30,7 +30,7 @@
 }
 
 test("should rank by tier, then value, then arrival", () => {
-  assert.equal(drain(filled()), [
+  assert.equal(dequeueAll(filledQueue()), [
     "high, worth more",
     "high, early",
     "high, late",
@@ -40,18 +40,20 @@
   ]);
 });
 
-test("should change the value of a waiting task within its tier", () => {
-  const queue = filled();
+test("should change the value of a queued task within its tier", () => {
+  const queue = filledQueue();
   queue.setPriority("late", 10);
-  assert.equal(drain(queue).slice(3, 5), ["low, late", "low, early"]);
+  assert.equal(dequeueAll(queue).slice(3, 5), ["low, late", "low, early"]);
   assert.throws(() => queue.setPriority("gone", 1), ReferenceError);
 });
 
 test("should find and remove tasks", () => {
-  const queue = filled();
+  const queue = filledQueue();
   queue.remove("low");
   queue.remove("gone");
-  const found = queue.filter({ tierRank: 2 }).map((run) => NAMES.get(run));
+  const found = queue.filter({ tierRank: 2 }).map((run) =>
+    NAME_BY_TASK.get(run)
+  );
   assert.equal(found, ["low, late"]);
   assert.is(queue.size, 5);
 });
--- a/packages/daemon/src/refuse_unread.ts
+++ b/packages/daemon/src/refuse_unread.ts
@@ -41,7 +41,7 @@
     return;
   }
   let discardedBytes = 0;
-  const cancelTimer = options.timers.after(limits.discardTimeoutMs, done);
+  const cancelTimer = options.timers.schedule(limits.discardTimeoutMs, done);
   const finish = (): void => {
     cancelTimer();
     done();
--- a/packages/daemon/src/send_queues.ts
+++ b/packages/daemon/src/send_queues.ts
@@ -1,41 +1,43 @@
-/** The queues in which dispatches wait to be sent, one for each pool. */
+/** Queues of dispatches that wait to be sent, one for each pool. */
 
 import PQueue from "p-queue";
 import { RankedQueue, type RankOptions } from "./ranked_queue.ts";
 
-/** Bounds of each queue. */
+/** Limits of the queue of each pool. */
 export interface SendQueueLimits {
-  /** Dispatches of one pool that are being connected and sent at a time. */
-  readonly concurrentSends: number;
-  /** Dispatches of one pool that wait for their turn. */
+  /** Dispatches of one pool that may be connecting or sending at a time. */
+  readonly maxConcurrentSends: number;
+  /** Dispatches of one pool that may be queued. */
   readonly maxQueuedSends: number;
 }
 
 type SendQueue = PQueue<RankedQueue, RankOptions>;
 
-/** Sends the dispatches of each pool by rank. */
+/** Sends the queued dispatches of each pool in order of rank. */
 export class SendQueues {
   readonly #limits: SendQueueLimits;
   readonly #byPool = new Map<string, SendQueue>();
 
-  /** @param limits Bounds of each queue. */
+  /** @param limits Limits of the queue of each pool. */
   constructor(limits: SendQueueLimits) {
     this.#limits = limits;
   }
 
   /**
-   * @param pool The pool.
-   * @returns Whether no more dispatches may wait.
+   * Tells whether the queue of a pool is full.
+   *
+   * @param pool Name of the pool.
+   * @returns Whether no further dispatch may be queued.
    */
   isFull(pool: string): boolean {
     return this.#queueOf(pool).size >= this.#limits.maxQueuedSends;
   }
 
   /**
-   * Adds a dispatch.
+   * Queues a dispatch.
    *
-   * @param send Sends it; the turn ends when its promise settles.
-   * @param options Its pool, and what it is ranked by.
+   * @param send Sends the dispatch; its slot is freed when the promise settles.
+   * @param options Pool of the dispatch, and the values that it is ranked by.
    */
   add(
     send: () => Promise<void>,
@@ -48,7 +50,7 @@
     let queue = this.#byPool.get(pool);
     if (queue === undefined) {
       queue = new PQueue<RankedQueue, RankOptions>({
-        concurrency: this.#limits.concurrentSends,
+        concurrency: this.#limits.maxConcurrentSends,
         queueClass: RankedQueue,
       });
       this.#byPool.set(pool, queue);
--- a/packages/daemon/src/sleep.ts
+++ b/packages/daemon/src/sleep.ts
@@ -1,18 +1,18 @@
-/** Waiting, handed in so that tests need not wait. */
+/** An interface for delays, so that tests need not wait. */
 
 import { NODE_TIMERS } from "./timers.ts";
 
-/** Waits for some milliseconds. */
+/** Returns a promise that resolves after a delay in milliseconds. */
 export type Sleep = (delayMs: number) => Promise<void>;
 
 /**
- * Waits by the runtime's timer, without keeping the process alive.
+ * Waits with a Node.js timer that does not keep the process alive.
  *
- * @param delayMs How long.
- * @returns Nothing, once the time is over.
+ * @param delayMs Delay in milliseconds.
+ * @returns A promise that resolves after the delay.
  */
 export function sleepByTimer(delayMs: number): Promise<void> {
   return new Promise((resolve) => {
-    NODE_TIMERS.after(delayMs, resolve);
+    NODE_TIMERS.schedule(delayMs, resolve);
   });
 }
--- a/packages/daemon/src/target_client.ts
+++ b/packages/daemon/src/target_client.ts
@@ -66,7 +66,7 @@
   ...DEFAULT_CONNECTION_LIMITS,
   maxLineBytes: 256 * 1024,
   maxBodyBytes: 64 * 1024 * 1024,
-  concurrentSends: 64,
+  maxConcurrentSends: 64,
   maxQueuedSends: 4096,
   maxSendWaitMs: 1000,
 };
--- a/packages/daemon/src/target_client_test.ts
+++ b/packages/daemon/src/target_client_test.ts
@@ -237,7 +237,7 @@
 
 test("should send no request that was cancelled or timed out in the queue", async () => {
   await withServer(() => {}, async (_bench, server) => {
-    const bench = new Bench(server.address, { concurrentSends: 1 });
+    const bench = new Bench(server.address, { maxConcurrentSends: 1 });
     // The queue's only turn is taken until the first connection is open.
     bench.client.dispatch(dispatchOf({ requestId: "first" }));
     bench.client.dispatch(dispatchOf({ requestId: "second" }));
--- a/packages/daemon/src/timers.ts
+++ b/packages/daemon/src/timers.ts
@@ -1,21 +1,23 @@
-/** Timers, handed in so that tests can fire them. */
+/** An interface for timers, so that tests can replace them. */
 
-/** Undoes a timer that has not fired. */
+/** Cancels a timer; has no effect once it has fired. */
 export type CancelTimer = () => void;
 
-/** Sets one-shot timers. */
+/** Schedules one-shot timers. */
 export interface Timers {
   /**
-   * @param delayMs How long to wait.
-   * @param run What to do then.
-   * @returns What undoes it.
+   * Schedules a function to run once.
+   *
+   * @param delayMs Delay in milliseconds.
+   * @param run Function to run after the delay.
+   * @returns A function that cancels the timer.
    */
-  after(delayMs: number, run: () => void): CancelTimer;
+  schedule(delayMs: number, run: () => void): CancelTimer;
 }
 
-/** Timers of the runtime; they never keep the process alive. */
+/** Node.js timers, unreferenced so that they never keep the process alive. */
 export const NODE_TIMERS: Timers = {
-  after(delayMs, run) {
+  schedule(delayMs, run) {
     const timer = setTimeout(run, delayMs);
     timer.unref();
     return () => clearTimeout(timer);
