--- a/packages/daemon/src/peer_connection.ts
+++ b/packages/daemon/src/peer_connection.ts
@@ -229,7 +229,7 @@
    * Intervals are counted instead of measured by a clock, so that an instance
    * that was itself paused does not close the links to its peers.
    */
-  onKeepAliveInterval(): void {
+  checkLiveness(): void {
     if (!this.isOpen) return;
     this.#silentIntervals += 1;
     if (this.#silentIntervals > this.#options.limits.maxSilentIntervals) {
--- a/packages/daemon/src/peer_links.ts
+++ b/packages/daemon/src/peer_links.ts
@@ -118,7 +118,7 @@
         this.#log.error("listen", `listening failed: ${error.message}`),
     );
     this.#keepAliveTimer = setInterval(
-      () => this.#onKeepAliveInterval(),
+      () => this.#checkLiveness(),
       this.#limits.keepAliveIntervalMs,
     );
     this.#keepAliveTimer.unref();
@@ -366,10 +366,8 @@
     }
   }
 
-  #onKeepAliveInterval(): void {
-    for (const connection of this.#connections) {
-      connection.onKeepAliveInterval();
-    }
+  #checkLiveness(): void {
+    for (const connection of this.#connections) connection.checkLiveness();
   }
 
   #closeAll(): void {
--- a/packages/daemon/src/peer_registry.ts
+++ b/packages/daemon/src/peer_registry.ts
@@ -2,7 +2,7 @@
 
 import { CloseReason } from "./close_reason.ts";
 import type { PeerConnection } from "./peer_connection.ts";
-import { NewestIncarnations } from "./newest_incarnations.ts";
+import { SeenIncarnations } from "./seen_incarnations.ts";
 
 /**
  * Holds the open connections (links) of each peer.
@@ -15,7 +15,7 @@
 export class PeerRegistry {
   readonly #ownId: string;
   readonly #links = new Map<string, PeerConnection[]>();
-  readonly #incarnations = new NewestIncarnations();
+  readonly #incarnations = new SeenIncarnations();
 
   /** @param ownId Instance id of this instance. */
   constructor(ownId: string) {
@@ -107,13 +107,11 @@
   drainRedundant(connection: PeerConnection): void {
     const peerId = connection.peer?.instanceId;
     if (peerId === undefined) return;
-    const sendingLink = this.linkForSending(peerId);
+    const chosen = this.linkForSending(peerId);
     const closesDuplicates = this.#preferredDiallerId(peerId) === this.#ownId;
     for (const link of this.linksOf(peerId)) {
-      const hasSameDialler = link.diallerId === sendingLink?.diallerId;
-      if (link !== sendingLink && (closesDuplicates || hasSameDialler)) {
-        link.drain();
-      }
+      const sameDialler = link.diallerId === chosen?.diallerId;
+      if (link !== chosen && (closesDuplicates || sameDialler)) link.drain();
     }
   }
 
--- a/packages/daemon/src/newest_incarnations.ts
+++ b/packages/daemon/src/seen_incarnations.ts
@@ -3,7 +3,7 @@
 const MAX_TRACKED_PEERS = 4096;
 
 /** Tracks the newest incarnation of each of a bounded number of peer ids. */
-export class NewestIncarnations {
+export class SeenIncarnations {
   readonly #incarnationByPeer = new Map<string, number>();
 
   /**
