--- a/packages/daemon/src/order_issuer_test.ts
+++ b/packages/daemon/src/order_issuer_test.ts
@@ -156,7 +156,7 @@
 
 for (const checksFencing of [true, false]) {
   testWith(
-    `should let one of two racing issuers win, fencing checked: ${checksFencing}`,
+    `should let one of two issuers win, fencing checked: ${checksFencing}`,
     async (bench) => {
       bench.checksFencing = checksFencing;
       const outcomes = await Promise.all([
--- a/packages/daemon/src/outbound_queue.ts
+++ b/packages/daemon/src/outbound_queue.ts
@@ -5,7 +5,7 @@
 /** An encoded frame to be sent. */
 export interface OutboundFrame {
   readonly bytes: Buffer;
-  /** Whether the frame may be dropped, as its content is sent periodically. */
+  /** Whether the frame may be dropped, as its content is sent again later. */
   readonly isDroppable: boolean;
 }
 
--- a/packages/daemon/src/peer_links.ts
+++ b/packages/daemon/src/peer_links.ts
@@ -31,8 +31,8 @@
 import type { EdgeContext } from "./ports.ts";
 
 /**
- * Kinds of message that may be dropped under backpressure: each is sent
- * periodically, so the next one replaces a lost one.
+ * Kinds of message that may be dropped under backpressure, because their content
+ * is sent again later.
  */
 const DROPPABLE_KINDS: ReadonlySet<PeerMessageKind> = new Set([
   PeerMessageKind.Heartbeat,
