--- a/packages/core/src/coordinator_controller.ts
+++ b/packages/core/src/coordinator_controller.ts
@@ -183,7 +183,7 @@
 ): void {
   const ask = view.shard.waiting.get(requestId);
   if (ask?.holderId === sender.holderId) {
-    closeAsk(view, handleAsk);
+    closeAsk(view, ask);
   }
 }
 
--- a/packages/daemon/src/seen_incarnations.ts
+++ b/packages/daemon/src/seen_incarnations.ts
@@ -1,32 +1,35 @@
-/** Remembers the newest incarnation of each peer that has proved itself. */
+/** The newest incarnation seen of each authenticated peer. */
 
-const MAX_REMEMBERED_PEERS = 4096;
+const MAX_TRACKED_PEERS = 4096;
 
-/** The newest incarnation seen of each peer id, for a bounded number of ids. */
+/** Tracks the newest incarnation of each of a bounded number of peer ids. */
 export class SeenIncarnations {
-  readonly #newest = new Map<string, number>();
+  readonly #incarnationByPeer = new Map<string, number>();
 
   /**
-   * @param peerId The peer's id.
-   * @param incarnation The incarnation it claims.
-   * @returns True when a newer one has been seen.
+   * Tells whether an incarnation is older than the newest one recorded.
+   *
+   * @param peerId Instance id of the peer.
+   * @param incarnation Incarnation that the peer states.
+   * @returns Whether a newer incarnation of the peer has been recorded.
    */
   isOutdated(peerId: string, incarnation: number): boolean {
-    return incarnation < (this.#newest.get(peerId) ?? 0);
+    return incarnation < (this.#incarnationByPeer.get(peerId) ?? 0);
   }
 
   /**
-   * Notes an incarnation; the id noted longest ago gives way when full.
+   * Records an incarnation. When the bound is exceeded, the least recently
+   * recorded id is evicted.
    *
-   * @param peerId The peer's id.
-   * @param incarnation Its incarnation; not outdated.
+   * @param peerId Instance id of the peer.
+   * @param incarnation Incarnation of the peer; must not be outdated.
    */
-  note(peerId: string, incarnation: number): void {
-    this.#newest.delete(peerId);
-    this.#newest.set(peerId, incarnation);
-    if (this.#newest.size <= MAX_REMEMBERED_PEERS) return;
-    for (const oldestId of this.#newest.keys()) {
-      this.#newest.delete(oldestId);
+  record(peerId: string, incarnation: number): void {
+    this.#incarnationByPeer.delete(peerId);
+    this.#incarnationByPeer.set(peerId, incarnation);
+    if (this.#incarnationByPeer.size <= MAX_TRACKED_PEERS) return;
+    for (const oldestId of this.#incarnationByPeer.keys()) {
+      this.#incarnationByPeer.delete(oldestId);
       return;
     }
   }
