--- a/packages/cli/src/embedded_fleet.ts
+++ b/packages/cli/src/embedded_fleet.ts
@@ -3,8 +3,8 @@
 import { readFileSync } from "node:fs";
 import { EntryInstance } from "@chestnuthatch/daemon/entry_instance";
 import {
-  checkStartSettings,
   type StartSettingsInput,
+  validateStartSettings,
 } from "@chestnuthatch/daemon/start_settings";
 import { NO_VERSION, proposeChange } from "@chestnuthatch/settings/change";
 import type { SettingsInForce } from "@chestnuthatch/settings/policy";
@@ -144,7 +144,7 @@
       platform: { address: this.standins.platformAddress },
       log: { level: this.#options.logLevel ?? LogLevel.Warn },
     };
-    return checkStartSettings(input)._unsafeUnwrap();
+    return validateStartSettings(input)._unsafeUnwrap();
   }
 }
 
--- a/packages/daemon/src/body_reader.ts
+++ b/packages/daemon/src/body_reader.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's body within its limits. */
+/** Reads the body of a caller's request within size and time limits. */
 
 import { Buffer } from "node:buffer";
 import type { IncomingMessage } from "node:http";
@@ -8,57 +8,58 @@
 import type { CallerLimits } from "./caller_limits.ts";
 import type { CancelTimer, Timers } from "./timers.ts";
 
-/** Why a body was not read to its end. */
+/** Reason why a body could not be read completely. */
 export type BodyFault =
   | ErrorKind.BodyTooLarge
   | ErrorKind.SlowCaller
   | ErrorKind.TooManyOpenRequests
   | ErrorKind.CallerGone;
 
-/** What a body is read with. */
+/** Options for reading a body. */
 export interface BodyReaderOptions {
   readonly limits: CallerLimits;
   readonly timers: Timers;
-  /** Holds the body's bytes until its owner gives them back. */
+  /** Reserves the body's bytes until the owner of the body releases them. */
   readonly budget: ByteBudget;
 }
 
 /**
- * Reads a body whole, or stops reading at the first fault.
+ * Reads a complete body, or stops at the first fault.
  *
  * @param request The caller's HTTP request.
- * @param options Limits, timers and the budget of kept bytes.
- * @returns The body, its bytes taken from the budget, or the fault.
+ * @param options Limits, timers and the byte budget of all bodies.
+ * @returns The body, with its bytes reserved in the budget, or the fault, with
+ *   nothing reserved.
  */
 export function readBody(
   request: IncomingMessage,
   options: BodyReaderOptions,
 ): Promise<Result<Buffer, BodyFault>> {
-  if (announcedBytes(request) > options.limits.maxBodyBytes) {
+  if (contentLengthBytes(request) > options.limits.maxBodyBytes) {
     return Promise.resolve(err(ErrorKind.BodyTooLarge));
   }
   return new Promise((resolve) => {
-    new BodyReading(request, { ...options, done: resolve });
+    new BodyReadOperation(request, { ...options, onDone: resolve });
   });
 }
 
-function announcedBytes(request: IncomingMessage): number {
+function contentLengthBytes(request: IncomingMessage): number {
   return Number(request.headers["content-length"] ?? 0);
 }
 
-interface BodyReadingOptions extends BodyReaderOptions {
-  readonly done: (result: Result<Buffer, BodyFault>) => void;
+interface BodyReadOperationOptions extends BodyReaderOptions {
+  readonly onDone: (result: Result<Buffer, BodyFault>) => void;
 }
 
-/** One body being read. */
-class BodyReading {
+/** Collects the chunks of one body and reports its result once. */
+class BodyReadOperation {
   readonly #request: IncomingMessage;
-  readonly #options: BodyReadingOptions;
+  readonly #options: BodyReadOperationOptions;
   readonly #chunks: Buffer[] = [];
   readonly #cancelTimer: CancelTimer;
-  #bytes = 0;
+  #bytesRead = 0;
 
-  constructor(request: IncomingMessage, options: BodyReadingOptions) {
+  constructor(request: IncomingMessage, options: BodyReadOperationOptions) {
     this.#request = request;
     this.#options = options;
     this.#cancelTimer = options.timers.schedule(
@@ -71,7 +72,7 @@
   }
 
   readonly #onData = (chunk: Buffer): void => {
-    if (this.#bytes + chunk.length > this.#options.limits.maxBodyBytes) {
+    if (this.#bytesRead + chunk.length > this.#options.limits.maxBodyBytes) {
       this.#fail(ErrorKind.BodyTooLarge);
       return;
     }
@@ -79,25 +80,25 @@
       this.#fail(ErrorKind.TooManyOpenRequests);
       return;
     }
-    this.#bytes += chunk.length;
+    this.#bytesRead += chunk.length;
     this.#chunks.push(chunk);
   };
 
   readonly #onEnd = (): void => {
-    this.#stop();
-    this.#options.done(ok(Buffer.concat(this.#chunks, this.#bytes)));
+    this.#stopListening();
+    this.#options.onDone(ok(Buffer.concat(this.#chunks, this.#bytesRead)));
   };
 
   readonly #onClose = (): void => this.#fail(ErrorKind.CallerGone);
 
   #fail(fault: BodyFault): void {
-    this.#stop();
+    this.#stopListening();
     this.#request.pause();
-    this.#options.budget.release(this.#bytes);
-    this.#options.done(err(fault));
+    this.#options.budget.release(this.#bytesRead);
+    this.#options.onDone(err(fault));
   }
 
-  #stop(): void {
+  #stopListening(): void {
     this.#cancelTimer();
     this.#request.off("data", this.#onData);
     this.#request.off("end", this.#onEnd);
--- a/packages/daemon/src/caller_front.ts
+++ b/packages/daemon/src/caller_edge.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' edge: takes requests over HTTP, tells the core, and delivers
- * each outcome to the caller that waits for it.
+ * The callers' edge of an instance: receives requests over HTTP, passes them to
+ * the core, and sends each outcome to its caller.
  */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -14,40 +14,46 @@
 import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
 import { type BodyFault, readBody } from "./body_reader.ts";
 import { ByteBudget } from "./byte_budget.ts";
-import { parseCallerRequest } from "./caller_input.ts";
 import { type CallerLimits, DEFAULT_CALLER_LIMITS } from "./caller_limits.ts";
+import { parseCallerRequest } from "./caller_request_parser.ts";
 import { CallerServer, type CallerServerOptions } from "./caller_server.ts";
 import { type EdgeFault, edgeRefusal } from "./edge_refusal.ts";
 import { CallStage, OpenCall, OpenCalls } from "./open_calls.ts";
 import { type EdgeContext, EdgeCounterName } from "./ports.ts";
-import { refuseUnread } from "./refuse_unread.ts";
 import { RequestBodies } from "./request_bodies.ts";
-import { requestSpecOf } from "./request_spec_of.ts";
+import { createRequestSpec } from "./request_spec.ts";
+import type { RequestTracer } from "./request_tracer.ts";
 import { NODE_TIMERS, type Timers } from "./timers.ts";
-import type { RequestTracing } from "./tracing.ts";
+import { refuseUnreadBody } from "./unread_refusal.ts";
 
-/** What the callers' edge is made of. */
-export interface CallerFrontOptions extends
+/** Options of a {@link CallerEdge}. */
+export interface CallerEdgeOptions extends
   Pick<
     CallerServerOptions,
-    "host" | "port" | "reads" | "mintRequestId"
+    "host" | "port" | "reader" | "generateRequestId"
   > {
+  /** Limits that differ from {@link DEFAULT_CALLER_LIMITS}. */
   readonly limits?: Partial<CallerLimits>;
+  /** Timers of Node.js by default. */
   readonly timers?: Timers;
-  readonly tracing?: Pick<RequestTracing, "received">;
+  /** Starts the trace of each accepted request; none by default. */
+  readonly tracer?: Pick<RequestTracer, "startTrace">;
 }
 
-const FAULT_MESSAGES: Readonly<Record<BodyFault, string>> = {
+const BODY_FAULT_MESSAGES: Readonly<Record<BodyFault, string>> = {
   [ErrorKind.BodyTooLarge]: "The body is larger than this instance takes.",
   [ErrorKind.SlowCaller]: "The body did not come in time.",
   [ErrorKind.TooManyOpenRequests]: "The bodies of open requests fill memory.",
   [ErrorKind.CallerGone]: "The caller hung up while sending.",
 };
 
-/** Takes callers' requests, and hands each its outcome. */
-export class CallerFront {
+/**
+ * HTTP interface of an instance towards callers: reads and validates requests,
+ * emits them as events to the core, and writes answers and refusals.
+ */
+export class CallerEdge {
   readonly #context: EdgeContext;
-  readonly #options: CallerFrontOptions;
+  readonly #options: CallerEdgeOptions;
   readonly #limits: CallerLimits;
   readonly #timers: Timers;
   readonly #server: CallerServer;
@@ -56,15 +62,15 @@
   readonly #bodyBudget: ByteBudget;
 
   /**
-   * @param context What every edge is handed.
-   * @param options Where to listen and what to hand out.
+   * @param context Clock, event sink, log and counters of the instance.
+   * @param options Listening address, limits and sources of the read routes.
    */
-  constructor(context: EdgeContext, options: CallerFrontOptions) {
+  constructor(context: EdgeContext, options: CallerEdgeOptions) {
     this.#context = context;
     this.#options = options;
     this.#limits = { ...DEFAULT_CALLER_LIMITS, ...options.limits };
     this.#timers = options.timers ?? NODE_TIMERS;
-    this.#bodyBudget = new ByteBudget(this.#limits.maxKeptBodyBytes);
+    this.#bodyBudget = new ByteBudget(this.#limits.maxTotalBodyBytes);
     this.#server = new CallerServer(context, {
       ...options,
       limits: this.#limits,
@@ -73,83 +79,98 @@
     });
   }
 
-  /** How many calls are open, those still being received included. */
+  /** Number of open calls, including those still being received. */
   get openRequests(): number {
     return this.#calls.size;
   }
 
-  /** @returns Nothing, once the edge listens. */
+  /**
+   * Starts listening.
+   *
+   * @returns Settles once the edge accepts connections.
+   */
   start(): Promise<void> {
     return this.#server.start();
   }
 
-  /** @returns `host:port` that the edge listens on. */
+  /**
+   * Returns the listening address; valid only after {@link CallerEdge.start}.
+   *
+   * @returns The address as `host:port`.
+   */
   address(): string {
     return this.#server.address();
   }
 
   /**
-   * Gives the target edge a request's body.
+   * Finds the body of a request, which the target edge sends on dispatch.
    *
-   * @param requestId The request.
-   * @returns Its body, until its outcome has been handed over.
+   * @param requestId Id of the request.
+   * @returns The body, or `undefined` once the request has its outcome.
    */
-  bodyOf(requestId: string): string | undefined {
-    return this.#bodies.bodyOf(requestId);
+  findBody(requestId: string): string | undefined {
+    return this.#bodies.find(requestId);
   }
 
   /**
-   * Delivers a whole answer; nothing happens when the caller is gone.
+   * Sends a complete answer; has no effect if the caller has disconnected.
    *
-   * @param requestId The call that is answered.
-   * @param answer The answer.
+   * @param requestId Id of the call to answer.
+   * @param answer The answer to send.
    */
   answer(requestId: string, answer: Answer): void {
     this.#deliverOutcome(requestId, (call) => call.answer(answer));
   }
 
   /**
-   * Delivers a refusal; nothing happens when the caller is gone.
+   * Sends a refusal; has no effect if the caller has disconnected.
    *
-   * @param requestId The call that is refused.
-   * @param refusal The refusal.
+   * @param requestId Id of the call to refuse.
+   * @param refusal The refusal to send.
    */
   refuse(requestId: string, refusal: Refusal): void {
     this.#deliverOutcome(requestId, (call) => call.refuse(refusal));
   }
 
   /**
-   * Passes on a piece of an answer. A caller that does not read what it was
-   * sent before is cut off.
+   * Sends a part of a streamed answer. Closes the connection of a caller whose
+   * unread stream exceeds the buffer limit.
    *
-   * @param requestId The call.
-   * @param text The next piece.
+   * @param requestId Id of the call.
+   * @param text Text that follows the parts sent before.
    */
   streamText(requestId: string, text: string): void {
-    const call = this.#calls.waiting(requestId);
+    const call = this.#calls.findAccepted(requestId);
     if (call === undefined) {
       return;
     }
     if (call.response.writableLength > this.#limits.maxBufferedStreamBytes) {
-      this.#log(LogLevel.Warn, `Cut off ${requestId}: it reads too slowly`);
+      this.#log(
+        LogLevel.Warn,
+        `Closed the connection of ${requestId}: the caller reads too slowly`,
+      );
       call.response.destroy();
       return;
     }
     call.streamText(text);
   }
 
-  /** Refuses new requests from now on; those open go on to their end. */
+  /** Refuses new requests; open requests continue until their outcome. */
   beginShutdown(): void {
     this.#server.beginShutdown();
   }
 
-  /** @returns Nothing, once every call has ended and the port is closed. */
+  /**
+   * Shuts the edge down.
+   *
+   * @returns Settles once every call has ended and the port is closed.
+   */
   stop(): Promise<void> {
     return this.#server.stop();
   }
 
   #onRequest(request: IncomingMessage, response: ServerResponse): void {
-    const call = new OpenCall(this.#options.mintRequestId(), response);
+    const call = new OpenCall(this.#options.generateRequestId(), response);
     response.setHeader(REQUEST_ID_HEADER, call.requestId);
     const fault = this.#admissionFault();
     if (fault !== undefined) {
@@ -157,14 +178,14 @@
       return;
     }
     this.#calls.add(call);
-    response.once("close", () => this.#onClosed(call));
+    response.once("close", () => this.#onResponseClosed(call));
     this.#receive(call, request).catch((error) =>
-      this.#onReceiveFault(call, error)
+      this.#onReceiveError(call, error)
     );
   }
 
   #admissionFault(): EdgeFault | undefined {
-    if (this.#server.shuttingDown) {
+    if (this.#server.isShuttingDown) {
       return {
         error: ErrorKind.ShuttingDown,
         message: "This instance is shutting down.",
@@ -188,22 +209,22 @@
       budget: this.#bodyBudget,
     });
     if (body.isErr()) {
-      this.#refuseBody(call, request, body.error);
+      this.#refuseFaultyBody(call, request, body.error);
       return;
     }
-    call.bodyBytes = body.value.length;
+    call.reservedBodyBytes = body.value.length;
     if (call.response.destroyed) {
-      this.#giveBackBody(call);
+      this.#releaseBodyBudget(call);
       return;
     }
     parseCallerRequest(body.value).match(
       (parsed) => this.#accept(call, parsed, request),
       (fault) =>
-        this.#refuseRead(call, { error: ErrorKind.BadRequest, ...fault }),
+        this.#refuseAfterRead(call, { error: ErrorKind.BadRequest, ...fault }),
     );
   }
 
-  #refuseBody(
+  #refuseFaultyBody(
     call: OpenCall,
     request: IncomingMessage,
     error: BodyFault,
@@ -213,7 +234,7 @@
     }
     this.#refuseUnread(call, request, {
       error,
-      message: FAULT_MESSAGES[error],
+      message: BODY_FAULT_MESSAGES[error],
       retryAfterMs: this.#limits.retryAfterMs,
     });
   }
@@ -223,11 +244,11 @@
     parsed: CallerRequest,
     request: IncomingMessage,
   ): void {
-    const spec = requestSpecOf(parsed, call.requestId);
-    call.streams = spec.stream;
+    const spec = createRequestSpec(parsed, call.requestId);
+    call.wantsStream = spec.stream;
     call.stage = CallStage.Accepted;
-    this.#bodies.keep(spec, parsed.body);
-    this.#options.tracing?.received(call.requestId, traceparentOf(request));
+    this.#bodies.add(spec, parsed.body);
+    this.#options.tracer?.startTrace(call.requestId, readTraceparent(request));
     this.#context.emit({ kind: EventKind.RequestArrived, spec });
   }
 
@@ -238,31 +259,31 @@
   ): void {
     call.stage = CallStage.Ended;
     this.#countRefusal(fault.error);
-    refuseUnread(call.response, edgeRefusal(call.requestId, fault), {
+    refuseUnreadBody(call.response, edgeRefusal(call.requestId, fault), {
       request,
       limits: this.#limits,
       timers: this.#timers,
     });
   }
 
-  #refuseRead(call: OpenCall, fault: EdgeFault): void {
+  #refuseAfterRead(call: OpenCall, fault: EdgeFault): void {
     this.#countRefusal(fault.error);
-    this.#giveBackBody(call);
+    this.#releaseBodyBudget(call);
     call.refuse(edgeRefusal(call.requestId, fault));
-    this.#server.boundDelivery(call.response);
+    this.#server.startDeliveryTimeout(call.response);
   }
 
   #deliverOutcome(requestId: string, deliver: (call: OpenCall) => void): void {
-    const call = this.#calls.waiting(requestId);
+    const call = this.#calls.findAccepted(requestId);
     if (call === undefined) {
       return;
     }
     this.#releaseBody(call);
     deliver(call);
-    this.#server.boundDelivery(call.response);
+    this.#server.startDeliveryTimeout(call.response);
   }
 
-  #onClosed(call: OpenCall): void {
+  #onResponseClosed(call: OpenCall): void {
     this.#calls.remove(call.requestId);
     if (call.stage !== CallStage.Accepted) {
       return;
@@ -275,16 +296,19 @@
 
   #releaseBody(call: OpenCall): void {
     this.#bodies.release(call.requestId);
-    this.#giveBackBody(call);
+    this.#releaseBodyBudget(call);
   }
 
-  #giveBackBody(call: OpenCall): void {
-    this.#bodyBudget.release(call.bodyBytes);
-    call.bodyBytes = 0;
+  #releaseBodyBudget(call: OpenCall): void {
+    this.#bodyBudget.release(call.reservedBodyBytes);
+    call.reservedBodyBytes = 0;
   }
 
-  #onReceiveFault(call: OpenCall, error: unknown): void {
-    this.#log(LogLevel.Error, `Could not take ${call.requestId}: ${error}`);
+  #onReceiveError(call: OpenCall, error: unknown): void {
+    this.#log(
+      LogLevel.Error,
+      `Could not receive request ${call.requestId}: ${error}`,
+    );
     if (call.stage === CallStage.Ended) {
       return;
     }
@@ -306,7 +330,7 @@
   }
 }
 
-function traceparentOf(request: IncomingMessage): string | undefined {
+function readTraceparent(request: IncomingMessage): string | undefined {
   const value = request.headers.traceparent;
   return typeof value === "string" ? value : undefined;
 }
--- a/packages/daemon/src/caller_limits.ts
+++ b/packages/daemon/src/caller_limits.ts
@@ -1,44 +1,46 @@
-/** What one instance takes from callers at most. */
+/** Limits of the callers' edge. */
 
-/** Bounds of the callers' edge. */
+/** Sizes, counts and timeouts that the callers' edge enforces. */
 export interface CallerLimits {
-  /** Most bytes of one request's body. */
+  /** Maximum size of one request's body. */
   readonly maxBodyBytes: number;
-  /** Most bytes of all bodies that are kept at a time. */
-  readonly maxKeptBodyBytes: number;
-  /** Most bytes of one request's headers. */
+  /** Maximum size of all request bodies held in memory at a time. */
+  readonly maxTotalBodyBytes: number;
+  /** Maximum size of one request's headers. */
   readonly maxHeaderBytes: number;
+  /** Maximum number of requests open at a time. */
   readonly maxOpenRequests: number;
+  /** Maximum number of connections open at a time. */
   readonly maxConnections: number;
-  /** Longest time for a caller to send its headers. */
+  /** Time within which a caller must send its headers. */
   readonly headersTimeoutMs: number;
-  /** Longest time for a caller to send its body. */
+  /** Time within which a caller must send its body. */
   readonly bodyTimeoutMs: number;
-  /** Longest time for a caller to take in a finished answer. */
-  readonly deliverTimeoutMs: number;
-  /** Most bytes of a stream that wait for its reader. */
+  /** Time within which a caller must read a finished answer. */
+  readonly deliveryTimeoutMs: number;
+  /** Maximum size of the part of a stream that the caller has not read. */
   readonly maxBufferedStreamBytes: number;
-  /** Most bytes of a refused body that are read and dropped. */
+  /** Maximum number of bytes of a refused body that are discarded. */
   readonly maxDiscardedBytes: number;
-  /** Longest time for which a refused body is read and dropped. */
+  /** Time for which bytes of a refused body are discarded. */
   readonly discardTimeoutMs: number;
-  /** Retry hint of refusals for these limits. */
+  /** Retry delay sent with refusals that these limits cause. */
   readonly retryAfterMs: number;
 }
 
 const KIB = 1024;
 const MIB = 1024 * KIB;
 
-/** Limits that suit a small instance. */
+/** Default limits, sized for a small instance. */
 export const DEFAULT_CALLER_LIMITS: CallerLimits = {
   maxBodyBytes: 4 * MIB,
-  maxKeptBodyBytes: 256 * MIB,
+  maxTotalBodyBytes: 256 * MIB,
   maxHeaderBytes: 16 * KIB,
   maxOpenRequests: 4096,
   maxConnections: 8192,
   headersTimeoutMs: 10_000,
   bodyTimeoutMs: 10_000,
-  deliverTimeoutMs: 60_000,
+  deliveryTimeoutMs: 60_000,
   maxBufferedStreamBytes: MIB,
   maxDiscardedBytes: 256 * KIB,
   discardTimeoutMs: 1_000,
--- a/packages/daemon/src/caller_reply.ts
+++ b/packages/daemon/src/caller_reply.ts
@@ -1,4 +1,4 @@
-/** Writes answers to callers as HTTP. */
+/** HTTP replies to callers: status, headers and body. */
 
 import { Buffer } from "node:buffer";
 import type { OutgoingHttpHeaders, ServerResponse } from "node:http";
@@ -10,81 +10,83 @@
 } from "@chestnuthatch/wire/caller_protocol";
 
 /** Media type of a JSON body. */
-export const JSON_TYPE = "application/json; charset=utf-8";
-/** Media type of a stream of events, one JSON object a line. */
-export const NDJSON_TYPE = "application/x-ndjson; charset=utf-8";
+export const JSON_MEDIA_TYPE = "application/json; charset=utf-8";
+/** Media type of a stream of events, one JSON object per line. */
+export const NDJSON_MEDIA_TYPE = "application/x-ndjson; charset=utf-8";
 
 const MS_PER_SECOND = 1000;
 
-/** A whole HTTP answer. */
-export interface WholeReply {
+/** A complete HTTP response to a caller. */
+export interface CallerReply {
+  /** HTTP status code. */
   readonly status: number;
   readonly headers: OutgoingHttpHeaders;
   readonly body: string;
 }
 
 /**
- * Words a JSON answer.
+ * Creates a reply with a JSON body.
  *
- * @param status The HTTP status.
- * @param value What the body says.
- * @returns The answer.
+ * @param status HTTP status code.
+ * @param value Value that the body contains as JSON.
+ * @returns The reply.
  */
-export function jsonReply(status: number, value: unknown): WholeReply {
-  return wholeReply(status, {
+export function jsonReply(status: number, value: unknown): CallerReply {
+  return createReply(status, {
     body: JSON.stringify(value),
-    headers: { "content-type": JSON_TYPE },
+    headers: { "content-type": JSON_MEDIA_TYPE },
   });
 }
 
 /**
- * Words a refusal as one JSON body.
+ * Creates the reply that carries a refusal as its JSON body.
  *
- * @param refusal The refusal.
- * @returns The answer, with the refusal's status and headers.
+ * @param refusal Refusal to send.
+ * @returns The reply, with the status and headers of the refusal.
  */
-export function refusalReply(refusal: Refusal): WholeReply {
-  return wholeReply(ERROR_TABLE[refusal.error].httpStatus, {
+export function refusalReply(refusal: Refusal): CallerReply {
+  return createReply(ERROR_TABLE[refusal.error].httpStatus, {
     body: JSON.stringify(refusal),
-    headers: { "content-type": JSON_TYPE, ...refusalHeaders(refusal) },
+    headers: { "content-type": JSON_MEDIA_TYPE, ...refusalHeaders(refusal) },
   });
 }
 
 /**
- * Words an answer.
+ * Creates a reply and adds its `content-length` header.
  *
- * @param status The HTTP status.
- * @param content The body and its headers, its length apart.
- * @returns The answer.
+ * @param status HTTP status code.
+ * @param content Body, and all other headers.
+ * @returns The reply.
  */
-export function wholeReply(
+export function createReply(
   status: number,
   content: { readonly body: string; readonly headers: OutgoingHttpHeaders },
-): WholeReply {
-  const length = Buffer.byteLength(content.body);
+): CallerReply {
+  const lengthBytes = Buffer.byteLength(content.body);
   return {
     status,
-    headers: { ...content.headers, "content-length": length },
+    headers: { ...content.headers, "content-length": lengthBytes },
     body: content.body,
   };
 }
 
 /**
- * Sends a whole answer and ends the response.
+ * Sends a reply and ends the response.
  *
- * @param response The response.
- * @param reply The answer.
+ * @param response Response to write to; its head must not have been sent.
+ * @param reply Reply to send.
  */
-export function sendReply(response: ServerResponse, reply: WholeReply): void {
+export function sendReply(response: ServerResponse, reply: CallerReply): void {
   response.writeHead(reply.status, reply.headers);
   response.end(reply.body);
 }
 
 /**
- * Words the headers that only refusals have.
+ * Creates the headers that only refusals have.
  *
- * @param refusal The refusal.
- * @returns The request's id, and when to come back where there is a hint.
+ * @param refusal Refusal to send.
+ * @returns `x-request-id`, and `retry-after` in seconds if the refusal has a
+ *   retry delay.
  */
 export function refusalHeaders(refusal: Refusal): OutgoingHttpHeaders {
   const headers: OutgoingHttpHeaders = {
@@ -98,10 +100,10 @@
 }
 
 /**
- * Words one event of a stream.
+ * Formats an event of a stream as one line of JSON.
  *
- * @param event The event.
- * @returns Its line.
+ * @param event Event to send.
+ * @returns The line, with its line feed.
  */
 export function eventLine(event: CallerEvent): string {
   return `${JSON.stringify(event)}\n`;
--- a/packages/daemon/src/caller_input.ts
+++ b/packages/daemon/src/caller_request_parser.ts
@@ -1,4 +1,4 @@
-/** Checks what a caller sent, naming the path of the field at fault. */
+/** Parses and validates the JSON body of a caller's request. */
 
 import type { Buffer } from "node:buffer";
 import { TextDecoder } from "node:util";
@@ -9,24 +9,24 @@
 import { err, ok, type Result } from "neverthrow";
 import type * as z from "zod";
 
-/** What is wrong with a caller's body. */
+/** Validation error of a request body. */
 export interface InputFault {
-  /** Path of the field at fault; absent for the body as a whole. */
+  /** Path of the invalid field; absent if the body as a whole is invalid. */
   readonly path?: string;
-  /** What was found and what is allowed. */
+  /** Sentence that states what was found and what is allowed. */
   readonly message: string;
 }
 
 type Issue = z.core.$ZodIssue;
 type IssueCode = Issue["code"];
-type Describer = (issue: Issue, fields: Readonly<FieldValues>) => string;
-type FieldValues = Record<string, unknown>;
+type IssueDescriber = (issue: Issue, fields: Readonly<JsonObject>) => string;
+type JsonObject = Record<string, unknown>;
 
-const FIELD_NAMES = Object.keys(callerRequestSchema.shape);
+const ALLOWED_FIELD_NAMES = Object.keys(callerRequestSchema.shape);
 const MAX_QUOTED_CHARACTERS = 60;
 
-/** What each field takes, in the words of the callers' page. */
-const ALLOWED: Readonly<Record<keyof CallerRequest, string>> = {
+/** Allowed values of each field, in the wording of the callers' page. */
+const ALLOWED_VALUES: Readonly<Record<keyof CallerRequest, string>> = {
   workspace: "a string that is not empty",
   tier: "a string that is not empty",
   pool: "a string that is not empty",
@@ -40,21 +40,21 @@
   stream: "true or false",
 };
 
-const DESCRIBERS: Readonly<Partial<Record<IssueCode, Describer>>> = {
+const ISSUE_DESCRIBERS: Readonly<Partial<Record<IssueCode, IssueDescriber>>> = {
   unrecognized_keys: () =>
-    `is not a field; allowed fields are ${FIELD_NAMES.join(", ")}`,
+    `is not a field; allowed fields are ${ALLOWED_FIELD_NAMES.join(", ")}`,
 };
 
 /**
- * Parses and checks the body of `POST /v1/requests`.
+ * Parses and validates the body of `POST /v1/requests`.
  *
- * @param bytes The body.
- * @returns The request, or the first field at fault.
+ * @param bytes Bytes of the body.
+ * @returns The request, or the error of the first invalid field.
  */
 export function parseCallerRequest(
   bytes: Buffer,
 ): Result<CallerRequest, InputFault> {
-  return parseJson(bytes).andThen(checkRequest);
+  return parseJson(bytes).andThen(validateRequest);
 }
 
 function parseJson(bytes: Buffer): Result<unknown, InputFault> {
@@ -66,54 +66,54 @@
   }
 }
 
-function checkRequest(value: unknown): Result<CallerRequest, InputFault> {
+function validateRequest(value: unknown): Result<CallerRequest, InputFault> {
   const parsed = callerRequestSchema.safeParse(value);
   if (parsed.success) {
     return ok(parsed.data);
   }
-  if (!isFields(value)) {
+  if (!isJsonObject(value)) {
     return err({
-      message: `The body is ${typeName(value)}; allowed is a JSON object.`,
+      message: `The body is ${describeType(value)}; allowed is a JSON object.`,
     });
   }
-  return err(describe(parsed.error.issues[0], value));
+  return err(toInputFault(parsed.error.issues[0], value));
 }
 
-function isFields(value: unknown): value is FieldValues {
+function isJsonObject(value: unknown): value is JsonObject {
   return typeof value === "object" && value !== null && !Array.isArray(value);
 }
 
-function describe(issue: Issue, fields: FieldValues): InputFault {
-  const path = shorten(pathOf(issue));
-  const describer = DESCRIBERS[issue.code] ?? describeField;
+function toInputFault(issue: Issue, fields: JsonObject): InputFault {
+  const path = truncate(issuePath(issue));
+  const describer = ISSUE_DESCRIBERS[issue.code] ?? describeField;
   return { path, message: `Field ${path} ${describer(issue, fields)}.` };
 }
 
-function pathOf(issue: Issue): string {
+function issuePath(issue: Issue): string {
   return issue.code === "unrecognized_keys"
     ? issue.keys[0]
     : issue.path.join(".");
 }
 
-function describeField(issue: Issue, fields: FieldValues): string {
+function describeField(issue: Issue, fields: JsonObject): string {
   const field = String(issue.path[0]);
-  const allowed = ALLOWED[field as keyof CallerRequest];
+  const allowed = ALLOWED_VALUES[field as keyof CallerRequest];
   return Object.hasOwn(fields, field)
-    ? `is ${valueName(fields[field])}; allowed is ${allowed}`
+    ? `is ${describeValue(fields[field])}; allowed is ${allowed}`
     : `is missing; it must be ${allowed}`;
 }
 
-function valueName(value: unknown): string {
+function describeValue(value: unknown): string {
   if (typeof value === "number") {
     return `the number ${value}`;
   }
   if (typeof value === "string") {
     return `a string of ${value.length} characters`;
   }
-  return typeName(value);
+  return describeType(value);
 }
 
-function typeName(value: unknown): string {
+function describeType(value: unknown): string {
   if (value === null) {
     return "null";
   }
@@ -123,7 +123,7 @@
   return typeof value === "object" ? "an object" : `a ${typeof value}`;
 }
 
-function shorten(text: string): string {
+function truncate(text: string): string {
   return text.length > MAX_QUOTED_CHARACTERS
     ? `${text.slice(0, MAX_QUOTED_CHARACTERS)}…`
     : text;
--- a/packages/daemon/src/caller_server.ts
+++ b/packages/daemon/src/caller_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of the callers' edge: routes, connections, shutdown. */
+/** HTTP server of the callers' edge: routes, connections and shutdown. */
 
 import {
   createServer,
@@ -14,59 +14,68 @@
 import type { CallerLimits } from "./caller_limits.ts";
 import { refusalReply, sendReply } from "./caller_reply.ts";
 import { type EdgeFault, edgeRefusal } from "./edge_refusal.ts";
-import { faultOfHttpError, refuseConnection } from "./malformed_http.ts";
+import { faultForErrorCode, refuseConnection } from "./http_parser_errors.ts";
 import { type EdgeContext, EdgeCounterName } from "./ports.ts";
 import {
-  answerRead,
-  type InstanceReads,
+  answerReadRequest,
+  type InstanceReader,
   READ_ROUTES,
   type RoutedRequest,
 } from "./read_routes.ts";
 import type { Timers } from "./timers.ts";
 
-/** What the server is made of. */
+/** Options of a {@link CallerServer}. */
 export interface CallerServerOptions {
+  /** Name or address of the interface to listen on. */
   readonly host: string;
-  /** 0 lets the system choose one; see {@link CallerServer.address}. */
+  /**
+   * Port to listen on. With 0 the operating system chooses a free port, which
+   * {@link CallerServer.address} returns.
+   */
   readonly port: number;
-  readonly reads: InstanceReads;
-  /** Gives an id that no other request of the fleet has. */
-  readonly mintRequestId: () => string;
+  /** Source of the data that the read routes return. */
+  readonly reader: InstanceReader;
+  /** Generates a request id that is unique within the fleet. */
+  readonly generateRequestId: () => string;
   readonly limits: CallerLimits;
   readonly timers: Timers;
-  /** Takes a call for which work is asked. */
+  /** Handles each `POST /v1/requests`. */
   readonly onRequest: (
     request: IncomingMessage,
     response: ServerResponse,
   ) => void;
 }
 
-/** Routes callers' HTTP requests, and closes when all are answered. */
+/** Routes callers' HTTP requests, and shuts down once all are answered. */
 export class CallerServer {
   readonly #context: EdgeContext;
   readonly #options: CallerServerOptions;
   readonly #server: Server;
-  /** Every response that is not over, those of refused calls included. */
+  /** Responses not yet closed, including those of refused calls. */
   readonly #responses = new Set<ServerResponse>();
-  #shuttingDown = false;
-  #onIdle: () => void = () => {};
+  #isShuttingDown = false;
+  #onAllResponsesClosed: () => void = () => {};
 
   /**
-   * @param context What every edge is handed.
-   * @param options Where to listen and who takes requests.
+   * @param context Clock, event sink, log and counters of the instance.
+   * @param options Listening address, limits and request handler.
    */
   constructor(context: EdgeContext, options: CallerServerOptions) {
     this.#context = context;
     this.#options = options;
-    this.#server = this.#makeServer();
+    this.#server = this.#createServer();
   }
 
-  /** @returns Whether new requests are to be refused. */
-  get shuttingDown(): boolean {
-    return this.#shuttingDown;
+  /** Whether shutdown has begun, so that new requests must be refused. */
+  get isShuttingDown(): boolean {
+    return this.#isShuttingDown;
   }
 
-  /** @returns Nothing, once the server listens. */
+  /**
+   * Starts listening.
+   *
+   * @returns Settles once the server accepts connections.
+   */
   start(): Promise<void> {
     const { host, port } = this.#options;
     return new Promise((resolve, reject) => {
@@ -78,40 +87,52 @@
     });
   }
 
-  /** @returns `host:port` that the server listens on. */
+  /**
+   * Returns the listening address; valid only after {@link CallerServer.start}.
+   *
+   * @returns The address as `host:port`.
+   */
   address(): string {
     const { address, port } = this.#server.address() as AddressInfo;
     return `${address}:${port}`;
   }
 
-  /** Closes each connection after the response that is under way. */
+  /** Closes each connection after its response in progress. */
   beginShutdown(): void {
-    this.#shuttingDown = true;
+    this.#isShuttingDown = true;
     for (const response of this.#responses) {
       if (!response.headersSent) {
         response.setHeader("connection", "close");
       }
     }
-    this.#closeIdle();
+    this.#closeIdleConnections();
   }
 
   /**
-   * The runtime takes a connection for idle once its answer is ended, though
-   * bytes of it may wait for the caller; closed then, a caller that reads slowly
-   * gets 4 of 33 MB. So it is asked only while nothing waits.
+   * Node.js treats a connection as idle once its response has been ended, even
+   * if bytes of the response are still buffered. Closing it then truncates the
+   * response: a slow reader received 4 of 33 MB. So this closes connections
+   * only while no response has unsent bytes.
    */
-  #closeIdle(): void {
-    const waits = [...this.#responses].some((each) => each.writableEnded);
-    if (!waits) {
+  #closeIdleConnections(): void {
+    const hasUnsentResponse = [...this.#responses].some((response) =>
+      response.writableEnded
+    );
+    if (!hasUnsentResponse) {
       this.#server.closeIdleConnections();
     }
   }
 
-  /** @returns Nothing, once every response is over and the port is closed. */
+  /**
+   * Shuts the server down.
+   *
+   * @returns Settles once every response has closed and the port is closed.
+   */
   async stop(): Promise<void> {
     this.beginShutdown();
-    // Until then callers are refused: closing the port closes what seems idle.
-    await this.#idle();
+    // The port stays open until then, and new requests are refused. Closing it
+    // earlier would also close connections that only seem idle.
+    await this.#whenAllResponsesClosed();
     const closed = new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
     });
@@ -119,86 +140,94 @@
     await closed;
   }
 
-  /** @param response A response that is cut off unless it is over in time. */
-  boundDelivery(response: ServerResponse): void {
+  /**
+   * Limits the time that a response may take from now on.
+   *
+   * @param response Destroyed unless it closes within `deliveryTimeoutMs`.
+   */
+  startDeliveryTimeout(response: ServerResponse): void {
     const { timers, limits } = this.#options;
     const cancel = timers.schedule(
-      limits.deliverTimeoutMs,
+      limits.deliveryTimeoutMs,
       () => response.destroy(),
     );
     response.once("close", cancel);
   }
 
-  #idle(): Promise<void> {
+  #whenAllResponsesClosed(): Promise<void> {
     return new Promise((resolve) => {
-      this.#onIdle = resolve;
-      this.#checkIdle();
+      this.#onAllResponsesClosed = resolve;
+      this.#notifyIfAllResponsesClosed();
     });
   }
 
-  #checkIdle(): void {
+  #notifyIfAllResponsesClosed(): void {
     if (this.#responses.size === 0) {
-      this.#onIdle();
+      this.#onAllResponsesClosed();
     }
   }
 
-  #makeServer(): Server {
+  #createServer(): Server {
     const { limits } = this.#options;
     const server = createServer({
       maxHeaderSize: limits.maxHeaderBytes,
       headersTimeout: limits.headersTimeoutMs,
       connectionsCheckingInterval: limits.headersTimeoutMs,
-      // The body reader has a timer of its own, which answers truthfully.
+      // The body reader's own timeout answers with an accurate refusal.
       requestTimeout: 0,
     });
     server.maxConnections = limits.maxConnections;
     server.on("clientError", (error, socket) => {
       this.#onClientError(error, socket);
     });
-    server.on("request", this.#makeRoutes());
+    server.on("request", this.#createRequestListener());
     return server;
   }
 
-  #makeRoutes(): (request: IncomingMessage, response: ServerResponse) => void {
+  #createRequestListener(): (
+    request: IncomingMessage,
+    response: ServerResponse,
+  ) => void {
     const routes = polka({
-      onNoMatch: (request, response) => this.#onNoRoute(request, response),
+      onNoMatch: (request, response) =>
+        this.#refuseUnknownRoute(request, response),
     });
     routes.post("/v1/requests", this.#options.onRequest);
     for (const [pattern, handler] of Object.entries(READ_ROUTES)) {
       routes.get(pattern, (request, response) => {
         const exchange = { request: request as RoutedRequest, response };
-        this.boundDelivery(response);
-        answerRead(handler, this.#options.reads, exchange).catch((error) =>
-          this.#onRouteFault(response, error)
-        );
+        this.startDeliveryTimeout(response);
+        answerReadRequest(handler, this.#options.reader, exchange).catch((
+          error,
+        ) => this.#onRouteError(response, error));
       });
     }
     return (request, response) => {
-      this.#track(response);
+      this.#trackResponse(response);
       try {
         routes.handler(request as polka.Request, response);
       } catch (error) {
-        this.#onRouteFault(response, error);
+        this.#onRouteError(response, error);
       }
     };
   }
 
-  #track(response: ServerResponse): void {
+  #trackResponse(response: ServerResponse): void {
     this.#responses.add(response);
-    if (this.#shuttingDown) {
+    if (this.#isShuttingDown) {
       response.setHeader("connection", "close");
     }
     response.once("close", () => {
       this.#responses.delete(response);
-      if (this.#shuttingDown) {
-        this.#closeIdle();
+      if (this.#isShuttingDown) {
+        this.#closeIdleConnections();
       }
-      this.#checkIdle();
+      this.#notifyIfAllResponsesClosed();
     });
   }
 
-  #onRouteFault(response: ServerResponse, error: unknown): void {
-    const text = `Could not answer a call: ${error}`;
+  #onRouteError(response: ServerResponse, error: unknown): void {
+    const text = `Could not answer a request: ${error}`;
     this.#context.log(LogLevel.Error, LogPart.Callers, text);
     this.#refuse(response, {
       error: ErrorKind.Internal,
@@ -207,7 +236,10 @@
     });
   }
 
-  #onNoRoute(request: IncomingMessage, response: ServerResponse): void {
+  #refuseUnknownRoute(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     this.#refuse(response, {
       error: ErrorKind.BadRequest,
       message: `There is no such path for ${request.method}; allowed are ` +
@@ -220,23 +252,23 @@
       response.destroy();
       return;
     }
-    const refusal = edgeRefusal(this.#options.mintRequestId(), fault);
+    const refusal = edgeRefusal(this.#options.generateRequestId(), fault);
     sendReply(response, refusalReply(refusal));
   }
 
   #onClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
-    // A refusal here would be read as the answer to the call under way.
-    const underWay = [...this.#responses].some((response) =>
+    // The caller would read a refusal as the answer to its open request.
+    const hasOpenResponse = [...this.#responses].some((response) =>
       response.socket === socket
     );
-    if (underWay || error.code === "ECONNRESET" || !socket.writable) {
+    if (hasOpenResponse || error.code === "ECONNRESET" || !socket.writable) {
       socket.destroy();
       return;
     }
-    const fault = faultOfHttpError(error.code);
+    const fault = faultForErrorCode(error.code);
     const labels = { error: fault.error };
     this.#context.count(EdgeCounterName.CallerBodiesRejected, labels, 1);
-    const refusal = edgeRefusal(this.#options.mintRequestId(), fault);
+    const refusal = edgeRefusal(this.#options.generateRequestId(), fault);
     refuseConnection(socket, refusal);
   }
 }
--- a/packages/daemon/src/callers_page_test.ts
+++ b/packages/daemon/src/callers_page_test.ts
@@ -10,16 +10,17 @@
 } from "@chestnuthatch/wire/caller_protocol";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { CallerFront } from "./caller_front.ts";
+import { CallerEdge } from "./caller_edge.ts";
 
 const PAGE = readFileSync(
   new URL("../../../docs/operators/callers.md", import.meta.url),
   "utf8",
 );
-const FENCE = /^```(http|json)\n([\s\S]*?)^```$/gm;
+const CODE_BLOCK = /^```(http|json)\n([\s\S]*?)^```$/gm;
 const REQUEST_LINE = /^POST \/v1\/requests /;
 const STREAM_TYPE = "application/x-ndjson";
-const ROW = /^\| `(\w+)` +\| (\d+) +\| `(\w+)` +\| (yes|no) +\| (.*?) +\|$/gm;
+const ERROR_TABLE_ROW =
+  /^\| `(\w+)` +\| (\d+) +\| `(\w+)` +\| (yes|no) +\| (.*?) +\|$/gm;
 
 const ANSWER = {
   text: "Lift the blade guard.",
@@ -36,7 +37,7 @@
 }
 
 function httpExamples(): HttpExample[] {
-  return [...PAGE.matchAll(FENCE)].map(([, , text]) => {
+  return [...PAGE.matchAll(CODE_BLOCK)].map(([, , text]) => {
     const [head, body] = text.split("\n\n");
     const [firstLine, ...headers] = head.split("\n");
     return { firstLine, headers: headers.join("\n"), body: body ?? "" };
@@ -60,14 +61,14 @@
   }
 }
 
-test("should show examples that keep to the schemas", () => {
+test("should show examples that conform to the schemas", () => {
   const examples = httpExamples();
   examples.forEach(checkExample);
   assert.ok(examples.length >= 6);
 });
 
-test("should tell the error table as it is", () => {
-  const told = [...PAGE.matchAll(ROW)].map(
+test("should document the error table as in the code", () => {
+  const documentedTable = [...PAGE.matchAll(ERROR_TABLE_ROW)].map(
     ([, error, httpStatus, defaultRun, mayRetry, hint]) => [error, {
       httpStatus: Number(httpStatus),
       defaultRun,
@@ -75,17 +76,17 @@
       hint,
     }],
   );
-  assert.equal(Object.fromEntries(told), ERROR_TABLE);
+  assert.equal(Object.fromEntries(documentedTable), ERROR_TABLE);
 });
 
-/** A callers' edge whose every request is answered at once. */
-function answeringFront(): CallerFront {
-  const front: CallerFront = new CallerFront({
+/** Creates a callers' edge that answers every request immediately. */
+function createAnsweringEdge(): CallerEdge {
+  const callerEdge: CallerEdge = new CallerEdge({
     clock: { nowMs: () => 0 },
     emit: (event) => {
       if (event.kind === EventKind.RequestArrived) {
         const { requestId } = event.spec;
-        front.answer(requestId, { ...ANSWER, requestId });
+        callerEdge.answer(requestId, { ...ANSWER, requestId });
       }
     },
     log: () => {},
@@ -93,8 +94,8 @@
   }, {
     host: "127.0.0.1",
     port: 0,
-    mintRequestId: () => "njiro-1-42",
-    reads: {
+    generateRequestId: () => "njiro-1-42",
+    reader: {
       readiness: () => ({ ready: true, reasons: [] }),
       requestState: () => undefined,
       why: () => undefined,
@@ -102,7 +103,7 @@
       metrics: () => Promise.resolve({ contentType: "text/plain", text: "" }),
     },
   });
-  return front;
+  return callerEdge;
 }
 
 function checkReply(wantsStream: boolean, text: string): void {
@@ -116,19 +117,19 @@
   assert.is(events.at(-1)?.kind, CallerEventKind.Final);
 }
 
-test("should take every request of the page over HTTP, and answer in the form it shows", async () => {
-  const front = answeringFront();
-  await front.start();
+test("should accept every request of the page and answer in the documented form", async () => {
+  const callerEdge = createAnsweringEdge();
+  await callerEdge.start();
   const sent = httpExamples().filter(({ firstLine }) =>
     REQUEST_LINE.test(firstLine)
   );
   for (const { body } of sent) {
-    const url = `http://${front.address()}/v1/requests`;
+    const url = `http://${callerEdge.address()}/v1/requests`;
     const response = await fetch(url, { method: "POST", body });
     assert.is(response.status, 200);
     checkReply(JSON.parse(body).stream === true, await response.text());
   }
-  await front.stop();
+  await callerEdge.stop();
   assert.ok(sent.length >= 2);
 });
 
--- a/packages/daemon/src/dispatch_input.ts
+++ b/packages/daemon/src/dispatch_input.ts
@@ -1,29 +1,31 @@
-/** What the target edge needs to send a request that the core dispatches. */
+/** Collects the data that the target edge sends when dispatching a request. */
 
 import type { Blackboard } from "@chestnuthatch/core/blackboard";
 import type { DispatchInput } from "./target_adapter.ts";
 
 /**
- * Gathers what is sent for a request.
+ * Collects the data to send to the target of a request.
  *
- * @param board The instance's state.
- * @param requestId The request, already granted a target.
- * @param bodyOf Gives the body that came with a call, while it is open.
- * @returns What to send, or nothing when the request is not known any more.
+ * @param board State of the instance.
+ * @param requestId Id of a request that has been assigned a target.
+ * @param findBody Finds the body that was sent with a call, while it is open.
+ * @returns The data, or `undefined` if the request, its body, its target or its
+ *   pool is no longer known.
  */
-export function dispatchInputOf(
+export function createDispatchInput(
   board: Blackboard,
   requestId: string,
-  bodyOf: (callId: string) => string | undefined,
+  findBody: (callId: string) => string | undefined,
 ): DispatchInput | undefined {
   const request = board.requests.byId.get(requestId);
   const settings = board.settings.inForce;
   const target = settings?.targets.get(request?.attempt?.targetId ?? "");
   const pool = settings?.pools.get(request?.spec.pool ?? "");
-  // Calls that joined sent the same content, so any open one's body serves.
+  // Calls that joined the request sent the same content, so the body of any
+  // open call can be sent.
   const body = [...(request?.calls.keys() ?? [])]
-    .map(bodyOf)
-    .find((found) => found !== undefined);
+    .map(findBody)
+    .find((callBody) => callBody !== undefined);
   if (
     request === undefined || target === undefined || pool === undefined ||
     body === undefined
--- a/packages/daemon/src/edge_refusal.ts
+++ b/packages/daemon/src/edge_refusal.ts
@@ -1,36 +1,39 @@
-/** Refusals that the callers' edge makes by itself. */
+/** Refusals that the callers' edge decides on without the core. */
 
 import { ERROR_TABLE } from "@chestnuthatch/core/error_table";
 import type { Refusal } from "@chestnuthatch/core/request";
 import type { ErrorKind, RunState } from "@chestnuthatch/wire/work";
 
-/** Why the edge turns a call away. */
+/** Reason for a refusal by the callers' edge. */
 export interface EdgeFault {
   readonly error: ErrorKind;
+  /** Sentence that names the fault; the hint of the error table follows it. */
   readonly message: string;
+  /** Path of the invalid field of the body. */
   readonly path?: string;
+  /** Retry delay; sent only if the error table allows a retry. */
   readonly retryAfterMs?: number;
-  /** Where it differs from the error table. */
+  /** Whether the request may have run, if the error table's value is wrong. */
   readonly ran?: RunState;
 }
 
 /**
- * Words a refusal by the error table.
+ * Creates a refusal from a fault and the error table.
  *
- * @param requestId The id given to the call.
- * @param fault Why it is refused.
- * @returns The refusal.
+ * @param requestId Id given to the refused call.
+ * @param fault Reason for the refusal.
+ * @returns The refusal to send.
  */
 export function edgeRefusal(requestId: string, fault: EdgeFault): Refusal {
-  const entry = ERROR_TABLE[fault.error];
+  const tableEntry = ERROR_TABLE[fault.error];
   return {
     requestId,
     error: fault.error,
-    ran: fault.ran ?? entry.defaultRun,
-    message: `${fault.message} ${entry.hint}`,
+    ran: fault.ran ?? tableEntry.defaultRun,
+    message: `${fault.message} ${tableEntry.hint}`,
     path: fault.path,
-    mayRetry: entry.mayRetry,
-    retryAfterMs: entry.mayRetry ? fault.retryAfterMs : undefined,
+    mayRetry: tableEntry.mayRetry,
+    retryAfterMs: tableEntry.mayRetry ? fault.retryAfterMs : undefined,
     callLog: [`The callers' edge refused it: ${fault.error}.`],
   };
 }
--- a/packages/daemon/src/edge_test_support.ts
+++ b/packages/daemon/src/edge_test_support.ts
@@ -1,4 +1,4 @@
-/** Small servers and sinks for the tests of the edges. */
+/** Test doubles for the tests of the edges: clock, context and servers. */
 
 import { Buffer } from "node:buffer";
 import {
@@ -16,10 +16,10 @@
 import type { Clock, EdgeContext, UntimedEvent } from "./ports.ts";
 import type { Sleep } from "./sleep.ts";
 
-/** An event of one kind, without its time. */
+/** Event of one kind, without its time. */
 export type Emitted<K extends EventKind> = Extract<UntimedEvent, { kind: K }>;
 
-/** A clock that tests set; sleeping moves it on. */
+/** Clock that tests set and that {@link TestClock.sleep} advances. */
 export class TestClock implements Clock {
   atMs = 0;
 
@@ -33,17 +33,17 @@
   };
 }
 
-/** Records what an edge emits, and lets tests wait for it. */
-export class TestEdge implements EdgeContext {
+/** Records the events and logs of an edge, and lets tests wait for events. */
+export class TestEdgeContext implements EdgeContext {
   readonly clock = new TestClock();
   readonly events: UntimedEvent[] = [];
   readonly logs: string[] = [];
-  #waiting: (() => void)[] = [];
+  #waiters: (() => void)[] = [];
 
   readonly emit = (event: UntimedEvent): void => {
     this.events.push(event);
-    const waiting = this.#waiting;
-    this.#waiting = [];
+    const waiting = this.#waiters;
+    this.#waiters = [];
     waiting.forEach((resume) => resume());
   };
 
@@ -53,39 +53,39 @@
 
   readonly count = (): void => {};
 
-  async until<K extends EventKind>(...kinds: K[]): Promise<Emitted<K>> {
+  async waitForEvent<K extends EventKind>(...kinds: K[]): Promise<Emitted<K>> {
     for (;;) {
       const found = this.events.find(({ kind }) => kinds.includes(kind as K));
       if (found !== undefined) {
         return found as Emitted<K>;
       }
-      await new Promise<void>((resolve) => this.#waiting.push(resolve));
+      await new Promise<void>((resolve) => this.#waiters.push(resolve));
     }
   }
 }
 
-/** One request as a test server saw it. */
-export interface SeenRequest {
+/** Request received by a test server, with its response. */
+export interface ReceivedRequest {
   readonly path: string;
   readonly body: string;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
 }
 
-/** An HTTP server on a free port of the loopback. */
+/** HTTP server on a free port of the loopback interface. */
 export class TestServer {
-  readonly seen: SeenRequest[] = [];
+  readonly received: ReceivedRequest[] = [];
   readonly #server: Server;
 
-  constructor(answer: (seen: SeenRequest) => void) {
+  constructor(answer: (received: ReceivedRequest) => void) {
     this.#server = createServer((request, response) => {
       const chunks: Buffer[] = [];
       request.on("data", (chunk: Buffer) => chunks.push(chunk));
       request.on("end", () => {
         const body = Buffer.concat(chunks).toString("utf8");
-        const seen = { path: request.url!, body, request, response };
-        this.seen.push(seen);
-        answer(seen);
+        const receivedRequest = { path: request.url!, body, request, response };
+        this.received.push(receivedRequest);
+        answer(receivedRequest);
       });
     });
   }
@@ -96,7 +96,7 @@
   }
 
   paths(): string[] {
-    return this.seen.map(({ path }) => path);
+    return this.received.map(({ path }) => path);
   }
 
   async start(): Promise<this> {
@@ -112,43 +112,44 @@
   }
 }
 
-/** Ways in which a table may treat one call. */
+/** Fault that a {@link TestTable} applies to a call. */
 export enum TableFault {
   None = "none",
-  /** The call takes effect, and its answer is lost. */
+  /** The call takes effect, but its answer is not sent. */
   AnswerLost = "answer_lost",
-  /** The call is lost. */
+  /** The call has no effect, and its connection is closed. */
   CallLost = "call_lost",
   Down = "down",
 }
 
-/** The platform's table and object store, with faults. */
+/** In-memory server of the platform's table and object store, with faults. */
 export class TestTable {
   readonly rows = new Map<string, Row>();
   readonly objects = new Map<string, string>();
-  readonly server = new TestServer((seen) => this.#answer(seen));
-  /** Faults of the next writes and reads, in turn; then `fault`. */
+  readonly server = new TestServer((received) => this.#answer(received));
+  /** Faults of the next writes, in order; then `defaultFault` applies. */
   readonly writeFaults: TableFault[] = [];
+  /** Faults of the next reads, in order; then `defaultFault` applies. */
   readonly readFaults: TableFault[] = [];
-  fault = TableFault.None;
+  defaultFault = TableFault.None;
   /** Called before each call is answered. */
   onCall: (path: string) => void = () => {};
-  #versions = 0;
+  #lastVersion = 0;
 
   put(key: string, value: unknown): void {
     const text = JSON.stringify(value);
-    this.rows.set(key, { key, value: text, version: ++this.#versions });
+    this.rows.set(key, { key, value: text, version: ++this.#lastVersion });
   }
 
   value(key: string): Record<string, unknown> {
     return JSON.parse(this.rows.get(key)!.value);
   }
 
-  #answer({ path, body, request, response }: SeenRequest): void {
+  #answer({ path, body, request, response }: ReceivedRequest): void {
     this.onCall(path);
     const isWrite = path === "/table/transact" || request.method === "PUT";
     const faults = isWrite ? this.writeFaults : this.readFaults;
-    const fault = faults.shift() ?? this.fault;
+    const fault = faults.shift() ?? this.defaultFault;
     if (fault === TableFault.Down) {
       response.writeHead(503).end();
       return;
@@ -191,7 +192,7 @@
       return { committed: false, rows: [], conflicts };
     }
     const rows = request.puts.map(({ key, value }) => {
-      const row = { key, value, version: ++this.#versions };
+      const row = { key, value, version: ++this.#lastVersion };
       this.rows.set(key, row);
       return row;
     });
--- a/packages/daemon/src/engine_adapter.ts
+++ b/packages/daemon/src/engine_adapter.ts
@@ -1,4 +1,4 @@
-/** Speaks the protocol of model engines: streams, resume, cancel. */
+/** Protocol of model engines: streamed answers, resume and cancel. */
 
 import type { Buffer } from "node:buffer";
 import type { AttemptRef } from "@chestnuthatch/core/events";
@@ -20,10 +20,10 @@
 const REASON_BAD_EVENT = "line is not an engine event";
 const REASON_TOO_LARGE = "stream too large";
 
-/** Adapter for engines. */
+/** Adapter for engines, whose streams can be resumed and cancelled. */
 export class EngineAdapter implements TargetAdapter {
   /** @inheritdoc */
-  dispatch(attempt: OutgoingAttempt): HttpRequest {
+  dispatchRequest(attempt: OutgoingAttempt): HttpRequest {
     const { input } = attempt;
     const body: GenerateRequest = {
       requestId: attempt.requestId,
@@ -39,7 +39,7 @@
   }
 
   /** @inheritdoc */
-  resume(attempt: AttemptRef, fromToken: number): HttpRequest {
+  resumeRequest(attempt: AttemptRef, fromToken: number): HttpRequest {
     const query = new URLSearchParams({
       requestId: attempt.requestId,
       attemptNonce: attempt.attemptNonce,
@@ -49,7 +49,7 @@
   }
 
   /** @inheritdoc */
-  cancel(attempt: AttemptRef): HttpRequest {
+  cancelRequest(attempt: AttemptRef): HttpRequest {
     const body: CancelRequest = {
       requestId: attempt.requestId,
       attemptNonce: attempt.attemptNonce,
@@ -58,7 +58,7 @@
   }
 
   /** @inheritdoc */
-  reader(sink: AnswerSink, limits: AnswerLimits): AnswerReader {
+  createReader(sink: AnswerSink, limits: AnswerLimits): AnswerReader {
     return new EngineStreamReader(sink, limits);
   }
 }
@@ -66,44 +66,44 @@
 class EngineStreamReader implements AnswerReader {
   readonly #sink: AnswerSink;
   readonly #limits: AnswerLimits;
-  readonly #lines: NdjsonReader;
-  #bytes = 0;
-  #badEvent = false;
+  readonly #lineReader: NdjsonReader;
+  #bytesRead = 0;
+  #hasInvalidEvent = false;
 
   constructor(sink: AnswerSink, limits: AnswerLimits) {
     this.#sink = sink;
     this.#limits = limits;
-    this.#lines = new NdjsonReader(limits.maxLineBytes);
+    this.#lineReader = new NdjsonReader(limits.maxLineBytes);
   }
 
   push(chunk: Buffer): string {
-    this.#bytes += chunk.length;
-    if (this.#bytes > this.#limits.maxBodyBytes) {
+    this.#bytesRead += chunk.length;
+    if (this.#bytesRead > this.#limits.maxBodyBytes) {
       return REASON_TOO_LARGE;
     }
-    const read = this.#lines.push(chunk, (value) => this.#take(value));
-    return this.#verdict(read.isErr() ? read.error : "");
+    const read = this.#lineReader.push(chunk, (value) => this.#onLine(value));
+    return this.#faultReason(read.isErr() ? read.error : "");
   }
 
   end(): string {
-    const read = this.#lines.end((value) => this.#take(value));
-    return this.#verdict(read.isErr() ? read.error : "");
+    const read = this.#lineReader.end((value) => this.#onLine(value));
+    return this.#faultReason(read.isErr() ? read.error : "");
   }
 
-  #take(value: unknown): void {
-    if (this.#badEvent) {
+  #onLine(value: unknown): void {
+    if (this.#hasInvalidEvent) {
       return;
     }
     const event = engineEventSchema.safeParse(value);
     if (event.success) {
-      this.#sink.streamEvent(event.data);
+      this.#sink.onStreamEvent(event.data);
     } else {
-      this.#badEvent = true;
+      this.#hasInvalidEvent = true;
     }
   }
 
-  #verdict(fault: string): string {
-    return this.#badEvent ? REASON_BAD_EVENT : fault;
+  #faultReason(fault: string): string {
+    return this.#hasInvalidEvent ? REASON_BAD_EVENT : fault;
   }
 }
 
--- a/packages/daemon/src/entry_instance.ts
+++ b/packages/daemon/src/entry_instance.ts
@@ -1,4 +1,4 @@
-/** One entry instance: the core, wired to its edges. */
+/** An entry instance: the core, connected to its edges. */
 
 import process from "node:process";
 import {
@@ -11,18 +11,20 @@
 import { type CoreEvent, EventKind } from "@chestnuthatch/core/events";
 import { seededRandomness } from "@chestnuthatch/core/randomness";
 import { SchedulerCore } from "@chestnuthatch/core/scheduler_core";
-import { type InstanceEdges, makeEdges } from "./instance_edges.ts";
+import { createEdges, type InstanceEdges } from "./instance_edges.ts";
 import { Logger } from "./logger.ts";
 import type { Clock, UntimedEvent } from "./ports.ts";
-import { RequestHops } from "./request_hops.ts";
-import { requestIdOf } from "./request_reads.ts";
+import { resolveRequestId } from "./request_lookups.ts";
+import { RequestSpanRecorder } from "./request_span_recorder.ts";
 import type { StartSettings } from "./start_settings.ts";
 
-/** What may be handed to an instance besides its start settings. */
+/** Options of an {@link EntryInstance} besides its start settings. */
 export interface EntryInstanceOptions {
+  /** Monotonic clock; `performance.now()` by default. */
   readonly clock?: Clock;
+  /** Destination of log lines; standard error by default. */
   readonly logOutput?: NodeJS.WritableStream;
-  /** Called once a graceful or forced shutdown has ended. */
+  /** Called when a graceful or forced shutdown is complete. */
   readonly onStopped?: () => void;
 }
 
@@ -31,41 +33,45 @@
 };
 
 const TICK_MS = 50;
-/** How long a stopping instance waits for the platform to take its writes. */
-const MAX_SETTLE_MS = 3000;
+/** Time for which shutdown waits for pending writes to the platform. */
+const PLATFORM_DRAIN_TIMEOUT_MS = 3000;
 const MAX_SEED = 2 ** 31;
 
 const MONOTONIC_CLOCK: Clock = { nowMs: () => performance.now() };
 
-/** Runs one entry instance within this process. */
+/**
+ * Runs an entry instance within this process: passes events of the edges to the
+ * core one at a time, and executes the effects that the core returns.
+ */
 export class EntryInstance {
+  /** Decides on effects from events and holds the state of the instance. */
   readonly core: SchedulerCore;
   readonly #settings: StartSettings;
   readonly #options: EntryInstanceOptions;
   readonly #clock: Clock;
   readonly #logger: Logger;
   readonly #edges: InstanceEdges;
-  readonly #hops: RequestHops;
-  readonly #inbox: UntimedEvent[] = [];
-  readonly #handlers: EffectHandlers;
-  #draining = false;
+  readonly #spanRecorder: RequestSpanRecorder;
+  readonly #eventQueue: UntimedEvent[] = [];
+  readonly #effectHandlers: EffectHandlers;
+  #isHandlingEvents = false;
   #tickTimer?: NodeJS.Timeout;
-  #graceTimer?: NodeJS.Timeout;
-  #stopping?: Promise<void>;
+  #shutdownTimer?: NodeJS.Timeout;
+  #stopPromise?: Promise<void>;
 
   /**
-   * @param settings The instance's start settings.
+   * @param settings Start settings of the instance.
    * @param options Clock and outputs, for tests and embedding.
    */
   constructor(settings: StartSettings, options: EntryInstanceOptions = {}) {
     this.#settings = settings;
     this.#options = options;
     this.#clock = options.clock ?? MONOTONIC_CLOCK;
-    // Rises with every start of an id; never compared between instances.
+    // Higher at each start of an instance id; never compared between ids.
     const incarnation = Date.now();
-    this.core = makeCore(settings, incarnation);
-    this.#logger = this.#makeLogger();
-    this.#edges = makeEdges({
+    this.core = createCore(settings, incarnation);
+    this.#logger = this.#createLogger();
+    this.#edges = createEdges({
       settings,
       incarnation,
       core: this.core,
@@ -73,11 +79,15 @@
       logger: this.#logger,
       emit: (event) => this.emit(event),
     });
-    this.#hops = new RequestHops(this.#edges.tracing);
-    this.#handlers = this.#makeHandlers();
+    this.#spanRecorder = new RequestSpanRecorder(this.#edges.tracer);
+    this.#effectHandlers = this.#createEffectHandlers();
   }
 
-  /** @returns Nothing, once callers and peers can connect. */
+  /**
+   * Starts the instance.
+   *
+   * @returns Settles once callers and peers can connect.
+   */
   async start(): Promise<void> {
     const listening = await this.#edges.peers.start();
     if (listening.isErr()) {
@@ -105,14 +115,14 @@
     return this.#edges.peers.address();
   }
 
-  /** Begins a graceful shutdown; a second call ends it at once. */
+  /** Begins a graceful shutdown; a second call forces it. */
   shutdown(): void {
     if (this.core.board.self.leaving) {
       this.emit({ kind: EventKind.ShutdownForced });
       return;
     }
     this.#edges.callers.beginShutdown();
-    this.#graceTimer = setTimeout(
+    this.#shutdownTimer = setTimeout(
       () => this.emit({ kind: EventKind.ShutdownForced }),
       this.#settings.shutdownGraceMs,
     );
@@ -120,80 +130,87 @@
   }
 
   /**
-   * Lets the core handle an event and carries out what it orders.
+   * Passes an event to the core and executes the resulting effects. An event
+   * emitted meanwhile is queued and handled afterwards.
    *
-   * @param event What happened; it is stamped with the time here.
+   * @param event Event without its time, which is added here.
    */
   emit(event: UntimedEvent): void {
-    this.#inbox.push(event);
-    if (this.#draining) {
+    this.#eventQueue.push(event);
+    if (this.#isHandlingEvents) {
       return;
     }
-    this.#draining = true;
-    for (let next = this.#inbox.shift(); next !== undefined;) {
-      this.#handle(next);
-      next = this.#inbox.shift();
+    this.#isHandlingEvents = true;
+    for (let next = this.#eventQueue.shift(); next !== undefined;) {
+      this.#handleEvent(next);
+      next = this.#eventQueue.shift();
     }
-    this.#draining = false;
+    this.#isHandlingEvents = false;
   }
 
-  /** @returns Nothing, once every edge is closed. */
+  /**
+   * Stops the instance; further calls wait for the same stop.
+   *
+   * @returns Settles once every edge is closed.
+   */
   stop(): Promise<void> {
-    this.#stopping ??= this.#stopEdges();
-    return this.#stopping;
+    this.#stopPromise ??= this.#stopEdges();
+    return this.#stopPromise;
   }
 
-  #handle(event: UntimedEvent): void {
+  #handleEvent(event: UntimedEvent): void {
     const nowMs = this.#clock.nowMs();
     let effects: readonly Effect[] = [];
     try {
-      this.#hops.seen(event, nowMs);
+      this.#spanRecorder.onEvent(event, nowMs);
       effects = this.core.handle({ ...event, nowMs } as CoreEvent);
     } catch (error) {
       this.#logFailure(`handling ${event.kind}`, error);
     }
     for (const effect of effects) {
-      this.#carryOut(effect, nowMs);
+      this.#executeEffect(effect, nowMs);
     }
   }
 
-  #carryOut(effect: Effect, nowMs: number): void {
-    const handler = this.#handlers[effect.kind] as (effect: Effect) => void;
+  #executeEffect(effect: Effect, nowMs: number): void {
+    const handler = this.#effectHandlers[effect.kind] as (
+      effect: Effect,
+    ) => void;
     try {
-      this.#hops.ordered(effect, nowMs);
+      this.#spanRecorder.onEffect(effect, nowMs);
       handler(effect);
     } catch (error) {
-      this.#logFailure(`carrying out ${effect.kind}`, error);
+      this.#logFailure(`executing ${effect.kind}`, error);
     }
   }
 
-  #logFailure(what: string, error: unknown): void {
+  #logFailure(activity: string, error: unknown): void {
     const text = error instanceof Error ? error.stack : String(error);
     this.#logger.write(
       LogLevel.Error,
       LogPart.Daemon,
-      `Failed at ${what}: ${text}`,
+      `Error while ${activity}: ${text}`,
     );
   }
 
   async #stopEdges(): Promise<void> {
-    const { callers, peers, platform, platformHttp, targets, tracing } =
+    const { callers, peers, platform, platformHttp, targets, tracer } =
       this.#edges;
     clearInterval(this.#tickTimer);
-    clearTimeout(this.#graceTimer);
+    clearTimeout(this.#shutdownTimer);
     await callers.stop();
-    await platform.drain(MAX_SETTLE_MS);
+    await platform.drain(PLATFORM_DRAIN_TIMEOUT_MS);
     await peers.stop();
     await targets.stop();
     platform.stop();
     await platformHttp.stop();
-    await tracing.stop();
+    await tracer.stop();
     this.#logger.write(LogLevel.Info, LogPart.Daemon, "Stopped.");
     this.#logger.close();
     this.#options.onStopped?.();
   }
 
-  #makeHandlers(): EffectHandlers {
+  #createEffectHandlers(): EffectHandlers {
     const { callers, metrics, peers, platform, targets } = this.#edges;
     return {
       [EffectKind.SendPeer]: ({ peerId, message }) => {
@@ -214,7 +231,7 @@
         void platform.readKeptAnswer(effect),
       [EffectKind.PollInstanceList]: () => void platform.pollInstanceList(),
       [EffectKind.PollSettings]: (effect) => void platform.pollSettings(effect),
-      [EffectKind.AnswerCaller]: (effect) => this.#answer(effect),
+      [EffectKind.AnswerCaller]: (effect) => this.#answerCaller(effect),
       [EffectKind.RefuseCaller]: ({ requestId, refusal }) =>
         callers.refuse(requestId, refusal),
       [EffectKind.StreamToCaller]: ({ requestId, text }) =>
@@ -228,15 +245,17 @@
     };
   }
 
-  #answer({ requestId, answer }: EffectOf<EffectKind.AnswerCaller>): void {
+  #answerCaller(
+    { requestId, answer }: EffectOf<EffectKind.AnswerCaller>,
+  ): void {
     const { board } = this.core;
-    const request = board.requests.byId.get(requestIdOf(board, requestId));
+    const request = board.requests.byId.get(resolveRequestId(board, requestId));
     const tier = request?.spec.tier ?? "joined";
     this.#edges.metrics.observeAnswer(tier, answer);
     this.#edges.callers.answer(requestId, answer);
   }
 
-  #makeLogger(): Logger {
+  #createLogger(): Logger {
     return new Logger({
       clock: this.#clock,
       format: this.#settings.log.format,
@@ -247,7 +266,10 @@
   }
 }
 
-function makeCore(settings: StartSettings, incarnation: number): SchedulerCore {
+function createCore(
+  settings: StartSettings,
+  incarnation: number,
+): SchedulerCore {
   return new SchedulerCore({
     instanceId: settings.instanceId,
     incarnation,
--- a/packages/daemon/src/http_call.ts
+++ b/packages/daemon/src/http_call.ts
@@ -1,4 +1,4 @@
-/** Short HTTP calls: one request, one bounded answer. */
+/** Short HTTP calls: one request with one answer of limited size. */
 
 import { Buffer } from "node:buffer";
 import { err, ok, type Result } from "neverthrow";
@@ -11,43 +11,45 @@
 } from "./http_exchange.ts";
 import type { Clock } from "./ports.ts";
 
-/** Bounds of a call. */
-export interface CallLimits {
+/** Clock and limits of a call. */
+export interface HttpCallOptions {
   readonly clock: Clock;
-  /** Time until the whole answer must be here. */
+  /** Time within which the complete answer must arrive. */
   readonly timeoutMs: number;
+  /** Maximum size of the body of the answer. */
   readonly maxAnswerBytes: number;
 }
 
-/** A whole HTTP answer, of any status. */
+/** A complete HTTP answer, of any status. */
 export interface HttpAnswer {
   readonly statusCode: number;
   readonly body: Buffer;
 }
 
-/** Why no whole answer came. */
-export interface CallFault extends ExchangeEnd {
+/** Failure of a call for which no complete answer arrived. */
+export interface HttpCallFault extends ExchangeEnd {
+  /** Whether the call exceeded its timeout. */
   readonly timedOut: boolean;
 }
 
 const REASON_TOO_LARGE = "the answer is too large";
 
 /**
- * Makes one call; it is never sent twice.
+ * Makes a call; the request is sent at most once.
  *
- * @param dispatcher The connections to use.
- * @param request What to send.
- * @param limits Its bounds.
- * @returns The answer, or why there is none and whether the request was sent.
+ * @param dispatcher Connections to use.
+ * @param request HTTP request to send.
+ * @param options Clock and limits of the call.
+ * @returns The answer, or the failure, with whether the request was sent.
  */
 export function callHttp(
   dispatcher: Dispatcher,
   request: HttpRequest,
-  limits: CallLimits,
-): Promise<Result<HttpAnswer, CallFault>> {
+  options: HttpCallOptions,
+): Promise<Result<HttpAnswer, HttpCallFault>> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
-    let bytes = 0;
+    let bytesReceived = 0;
     let statusCode = 0;
     const exchange: HttpExchange = new HttpExchange({
       onStatus: (status) => {
@@ -55,8 +57,8 @@
       },
       onChunk: (chunk) => {
         chunks.push(chunk);
-        bytes += chunk.length;
-        if (bytes > limits.maxAnswerBytes) {
+        bytesReceived += chunk.length;
+        if (bytesReceived > options.maxAnswerBytes) {
           exchange.abort(REASON_TOO_LARGE);
         }
       },
@@ -68,8 +70,8 @@
         );
       },
     }, {
-      clock: limits.clock,
-      deadlineAtMs: limits.clock.nowMs() + limits.timeoutMs,
+      clock: options.clock,
+      deadlineAtMs: options.clock.nowMs() + options.timeoutMs,
     });
     exchange.start(dispatcher, request);
   });
--- a/packages/daemon/src/http_exchange.ts
+++ b/packages/daemon/src/http_exchange.ts
@@ -1,10 +1,10 @@
 /**
- * One HTTP request sent at most once, with the certainty whether it was sent.
+ * An HTTP request that is sent at most once and reports whether it was sent.
  *
- * undici calls `onRequestStart` synchronously right before it hands the first
+ * undici calls `onRequestStart` synchronously just before it writes the first
  * byte of the request to a connected socket. An exchange that ends before that
  * call certainly sent nothing; after it, the request counts as sent. A second
- * such call would be a re-send and is aborted before a byte of it is written.
+ * call would be a retry and is aborted before any byte is written.
  */
 
 import type { Buffer } from "node:buffer";
@@ -12,93 +12,111 @@
 import type { Clock } from "./ports.ts";
 import { type CancelTimer, NODE_TIMERS, type Timers } from "./timers.ts";
 
-/** What to send. */
+/** Content of an HTTP request. */
 export interface HttpRequest {
   readonly method: "GET" | "POST" | "PUT";
+  /** Path with query. */
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
+  /** Body; sent as JSON unless `headers` has another `content-type`. */
   readonly body?: string;
 }
 
-/** How an exchange ended. */
+/** Result of an exchange. */
 export interface ExchangeEnd {
-  /** False only when certainly no byte of the request left. */
+  /** False only if certainly no byte of the request was sent. */
   readonly sent: boolean;
-  /** Why it ended early; empty when the whole response came. */
+  /** Why the exchange failed; empty if the complete response arrived. */
   readonly reason: string;
 }
 
-/** What an exchange tells while it runs. */
+/** Callbacks of an exchange. */
 export interface ExchangeHandlers {
-  /** @param statusCode Status of the final response. */
+  /**
+   * Handles the status of the final response.
+   *
+   * @param statusCode HTTP status code, 200 or above.
+   */
   onStatus(statusCode: number): void;
-  /** @param chunk Bytes of the body. */
+  /**
+   * Handles a part of the body of the response.
+   *
+   * @param chunk Bytes that follow those of earlier calls.
+   */
   onChunk(chunk: Buffer): void;
-  /** @param end How it ended; called once, and nothing is called after it. */
+  /**
+   * Handles the end of the exchange. It is called once, as the last callback.
+   *
+   * @param end Result of the exchange.
+   */
   onEnd(end: ExchangeEnd): void;
 }
 
-/** Times of an exchange on the instance's clock. */
-export interface ExchangeTimes {
+/** Clock, timers and deadlines of an exchange. */
+export interface ExchangeTiming {
   readonly clock: Clock;
-  /** The runtime's timers by default. */
+  /** Timers of Node.js by default. */
   readonly timers?: Timers;
-  /** When the exchange is cut off, sent or not. */
+  /** Time on `clock` at which the exchange is aborted, sent or not. */
   readonly deadlineAtMs: number;
-  /** After this moment the request is no longer sent. */
+  /** Time on `clock` from which the request is no longer sent. */
   readonly sendByAtMs?: number;
 }
 
-/** Reason of an exchange whose time was over. */
+/** Reason of an exchange that exceeded its deadline. */
 export const REASON_TIMED_OUT = "timed out";
-/** Reason of an exchange that got its turn too late to be sent. */
+/** Reason of an exchange that was queued until after `sendByAtMs`. */
 export const REASON_SENT_TOO_LATE = "waited too long to be sent";
 const REASON_RESEND = "the connection was lost";
 
+/** Maximum delay of `setTimeout`, which fires at once for longer delays. */
 const MAX_TIMER_MS = 2 ** 31 - 1;
-const FIRST_FINAL_STATUS = 200;
+const MIN_FINAL_STATUS = 200;
 
-/** An exchange; its timeout runs from its making, also before it is started. */
+/**
+ * Sends one request and reports its response. The deadline applies from
+ * construction, even before {@link HttpExchange.start}.
+ */
 export class HttpExchange implements Dispatcher.DispatchHandler {
   readonly #handlers: ExchangeHandlers;
-  readonly #times: ExchangeTimes;
+  readonly #timing: ExchangeTiming;
   readonly #cancelTimer: CancelTimer;
   #controller?: Dispatcher.DispatchController;
-  #sent = false;
-  #ended = false;
-  #onDeparted!: () => void;
-  /** Settles when the request has begun to leave, or never will. */
-  readonly departed: Promise<void> = new Promise((resolve) => {
-    this.#onDeparted = resolve;
+  #isSent = false;
+  #isEnded = false;
+  #resolveSendStartedOrEnded!: () => void;
+  /** Settles once sending has started or the exchange has ended. */
+  readonly sendStartedOrEnded: Promise<void> = new Promise((resolve) => {
+    this.#resolveSendStartedOrEnded = resolve;
   });
 
   /**
-   * @param handlers Told what comes back.
-   * @param times When to give up.
+   * @param handlers Callbacks for the response and the end of the exchange.
+   * @param timing Clock, timers and deadlines.
    */
-  constructor(handlers: ExchangeHandlers, times: ExchangeTimes) {
+  constructor(handlers: ExchangeHandlers, timing: ExchangeTiming) {
     this.#handlers = handlers;
-    this.#times = times;
-    const leftMs = times.deadlineAtMs - times.clock.nowMs();
-    this.#cancelTimer = (times.timers ?? NODE_TIMERS).schedule(
-      Math.min(Math.max(leftMs, 0), MAX_TIMER_MS),
+    this.#timing = timing;
+    const remainingMs = timing.deadlineAtMs - timing.clock.nowMs();
+    this.#cancelTimer = (timing.timers ?? NODE_TIMERS).schedule(
+      Math.min(Math.max(remainingMs, 0), MAX_TIMER_MS),
       () => this.abort(REASON_TIMED_OUT),
     );
   }
 
-  /** @returns Whether it is over. */
-  get ended(): boolean {
-    return this.#ended;
+  /** Whether the exchange has ended. */
+  get isEnded(): boolean {
+    return this.#isEnded;
   }
 
   /**
-   * Sends the request, unless the exchange is over already.
+   * Sends the request, unless the exchange has already ended.
    *
-   * @param dispatcher The connections to send it by.
-   * @param request What to send.
+   * @param dispatcher Connections to use.
+   * @param request HTTP request to send.
    */
   start(dispatcher: Dispatcher, request: HttpRequest): void {
-    if (this.#ended) {
+    if (this.#isEnded) {
       return;
     }
     const headers: Record<string, string> = { ...request.headers };
@@ -116,102 +134,117 @@
     }, this);
   }
 
-  /** @param reason Why it is cut off; no effect once it is over. */
+  /**
+   * Aborts the exchange; has no effect once it has ended.
+   *
+   * @param reason Reason to report with the end of the exchange.
+   */
   abort(reason: string): void {
-    if (this.#ended) {
+    if (this.#isEnded) {
       return;
     }
-    this.#end(reason);
+    this.#finish(reason);
     this.#controller?.abort(new Error(reason));
   }
 
-  /** @param controller Aborts the request. */
+  /**
+   * Called by undici just before it writes the request.
+   *
+   * @param controller Can abort the request.
+   */
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
-    const refusal = this.#reasonNotToSend();
-    if (refusal !== undefined) {
-      this.#end(refusal);
-      controller.abort(new Error(refusal));
+    const abortReason = this.#reasonNotToSend();
+    if (abortReason !== undefined) {
+      this.#finish(abortReason);
+      controller.abort(new Error(abortReason));
       return;
     }
-    this.#sent = true;
-    this.#onDeparted();
+    this.#isSent = true;
+    this.#resolveSendStartedOrEnded();
   }
 
   /**
-   * @param _controller Aborts the request.
-   * @param statusCode The status.
+   * Called by undici for each response head, including interim responses.
+   *
+   * @param _controller Can abort the request.
+   * @param statusCode HTTP status code.
    */
   onResponseStart(
     _controller: Dispatcher.DispatchController,
     statusCode: number,
   ): void {
-    if (!this.#ended && statusCode >= FIRST_FINAL_STATUS) {
+    if (!this.#isEnded && statusCode >= MIN_FINAL_STATUS) {
       this.#handlers.onStatus(statusCode);
     }
   }
 
   /**
-   * @param _controller Aborts the request.
+   * Called by undici for each part of the body.
+   *
+   * @param _controller Can abort the request.
    * @param chunk Bytes of the body.
    */
   onResponseData(
     _controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    if (!this.#ended) {
+    if (!this.#isEnded) {
       this.#handlers.onChunk(chunk);
     }
   }
 
-  /** Called by undici at the end of the whole body. */
+  /** Called by undici at the end of the body. */
   onResponseEnd(): void {
-    this.#end("");
+    this.#finish("");
   }
 
   /**
-   * @param _controller Aborts the request.
-   * @param error What went wrong.
+   * Called by undici if the request fails.
+   *
+   * @param _controller Can abort the request.
+   * @param error Cause of the failure.
    */
   onResponseError(
     _controller: Dispatcher.DispatchController,
     error: Error,
   ): void {
-    this.#end(describeError(error));
+    this.#finish(describeError(error));
   }
 
   #reasonNotToSend(): string | undefined {
-    if (this.#ended) {
+    if (this.#isEnded) {
       return REASON_TIMED_OUT;
     }
-    if (this.#sent) {
+    if (this.#isSent) {
       return REASON_RESEND;
     }
-    // The clock is asked because timers fire late in a process that was paused.
-    const nowMs = this.#times.clock.nowMs();
-    if (nowMs >= this.#times.deadlineAtMs) {
+    // The deadline timer may fire late after a pause of the process, so the
+    // clock is checked as well.
+    const nowMs = this.#timing.clock.nowMs();
+    if (nowMs >= this.#timing.deadlineAtMs) {
       return REASON_TIMED_OUT;
     }
-    const sendByAtMs = this.#times.sendByAtMs ?? Infinity;
+    const sendByAtMs = this.#timing.sendByAtMs ?? Infinity;
     return nowMs >= sendByAtMs ? REASON_SENT_TOO_LATE : undefined;
   }
 
-  #end(reason: string): void {
-    if (this.#ended) {
+  #finish(reason: string): void {
+    if (this.#isEnded) {
       return;
     }
-    this.#ended = true;
+    this.#isEnded = true;
     this.#cancelTimer();
-    this.#onDeparted();
-    this.#handlers.onEnd({ sent: this.#sent, reason });
+    this.#resolveSendStartedOrEnded();
+    this.#handlers.onEnd({ sent: this.#isSent, reason });
   }
 }
 
 /**
- * Words for an error of the network.
+ * Describes a network error.
  *
- * @param error The error.
- * @returns Its code where it has one, or its message; never empty.
+ * @param error Error of a socket or of undici.
+ * @returns Its code, or else its message; never empty.
  */
 export function describeError(error: Error): string {
   const { code } = error as NodeJS.ErrnoException;
--- a/packages/daemon/src/http_exchange_test.ts
+++ b/packages/daemon/src/http_exchange_test.ts
@@ -5,7 +5,7 @@
 import { type ExchangeEnd, HttpExchange } from "./http_exchange.ts";
 import { ManualTimers } from "./manual_timers.ts";
 
-test("should abort a second start before it is written, and stay sent", () => {
+test("should abort a retry before it is written, and still report the request as sent", () => {
   const ends: ExchangeEnd[] = [];
   let aborts = 0;
   const controller = { abort: () => aborts += 1 } as unknown;
--- a/packages/daemon/src/malformed_http.ts
+++ b/packages/daemon/src/http_parser_errors.ts
@@ -1,4 +1,4 @@
-/** Answers bytes that never became an HTTP request. */
+/** Refusals for bytes that the HTTP parser could not parse as a request. */
 
 import { STATUS_CODES } from "node:http";
 import type { Duplex } from "node:stream";
@@ -7,7 +7,7 @@
 import { refusalReply } from "./caller_reply.ts";
 import type { EdgeFault } from "./edge_refusal.ts";
 
-const FAULTS: Readonly<Record<string, EdgeFault>> = {
+const FAULT_BY_ERROR_CODE: Readonly<Record<string, EdgeFault>> = {
   HPE_HEADER_OVERFLOW: {
     error: ErrorKind.HeadersTooLarge,
     message: "The headers are larger than this instance takes.",
@@ -18,26 +18,26 @@
   },
 };
 
-const OTHER_FAULT: EdgeFault = {
+const DEFAULT_FAULT: EdgeFault = {
   error: ErrorKind.BadRequest,
   message: "The bytes are not an HTTP request.",
 };
 
 /**
- * Tells what is wrong with a connection's bytes.
+ * Maps an error code of the HTTP parser to the fault to send.
  *
- * @param errorCode The parser's code.
- * @returns The fault to refuse it with.
+ * @param errorCode Error code, such as `HPE_HEADER_OVERFLOW`.
+ * @returns The fault; a general one for unknown codes.
  */
-export function faultOfHttpError(errorCode: string | undefined): EdgeFault {
-  return FAULTS[errorCode ?? ""] ?? OTHER_FAULT;
+export function faultForErrorCode(errorCode: string | undefined): EdgeFault {
+  return FAULT_BY_ERROR_CODE[errorCode ?? ""] ?? DEFAULT_FAULT;
 }
 
 /**
- * Writes a refusal straight to a connection and closes it.
+ * Writes a refusal directly to a connection and closes it.
  *
- * @param socket The connection.
- * @param refusal The refusal.
+ * @param socket Connection on which no response has been started.
+ * @param refusal Refusal to send.
  */
 export function refuseConnection(socket: Duplex, refusal: Refusal): void {
   const reply = refusalReply(refusal);
--- a/packages/daemon/src/instance_edges.ts
+++ b/packages/daemon/src/instance_edges.ts
@@ -1,4 +1,4 @@
-/** Makes the edges of one entry instance and wires them to each other. */
+/** Creates the edges of an entry instance and connects them to each other. */
 
 import { randomUUID } from "node:crypto";
 import { isAlive } from "@chestnuthatch/core/coordinators";
@@ -6,34 +6,40 @@
 import type { SchedulerCore } from "@chestnuthatch/core/scheduler_core";
 import { statusOf } from "@chestnuthatch/core/status";
 import { ConsoleSpanExporter } from "@opentelemetry/sdk-trace-base";
-import { CallerFront } from "./caller_front.ts";
-import { dispatchInputOf } from "./dispatch_input.ts";
+import { CallerEdge } from "./caller_edge.ts";
+import { createDispatchInput } from "./dispatch_input.ts";
 import type { Logger } from "./logger.ts";
 import { GaugeName, Metrics } from "./metrics.ts";
 import { PeerLinks } from "./peer_links.ts";
 import { PlatformClient } from "./platform_client.ts";
 import { PlatformHttp } from "./platform_http.ts";
 import type { Clock, EdgeContext, EventSink } from "./ports.ts";
-import { requestStateOf, requestStoryOf } from "./request_reads.ts";
+import { describeRequest, explainRequest } from "./request_lookups.ts";
+import {
+  NO_OP_REQUEST_TRACER,
+  type RequestTracer,
+  SpanRequestTracer,
+} from "./request_tracer.ts";
 import { type StartSettings, TraceExport } from "./start_settings.ts";
 import { TargetClient } from "./target_client.ts";
-import { NO_TRACING, type RequestTracing, SpanTracing } from "./tracing.ts";
 
-/** What the edges are made from. */
-export interface InstanceParts {
+/** Objects and settings that the edges are created from. */
+export interface EdgeDependencies {
   readonly settings: StartSettings;
+  /** Number of this start of the instance; a later start has a higher one. */
   readonly incarnation: number;
   readonly core: SchedulerCore;
   readonly clock: Clock;
   readonly logger: Logger;
+  /** Receives the events of all edges. */
   readonly emit: EventSink;
 }
 
-/** The edges of one instance. */
+/** Edges of an instance, with its metrics and tracer. */
 export interface InstanceEdges {
   readonly metrics: Metrics;
-  readonly tracing: RequestTracing;
-  readonly callers: CallerFront;
+  readonly tracer: RequestTracer;
+  readonly callers: CallerEdge;
   readonly peers: PeerLinks;
   readonly targets: TargetClient;
   readonly platformHttp: PlatformHttp;
@@ -41,7 +47,10 @@
 }
 
 const GAUGE_READERS: Readonly<
-  Record<GaugeName, (parts: InstanceParts, callers: CallerFront) => number>
+  Record<
+    GaugeName,
+    (dependencies: EdgeDependencies, callers: CallerEdge) => number
+  >
 > = {
   [GaugeName.OpenRequests]: (_parts, callers) => callers.openRequests,
   [GaugeName.LiveMembers]: ({ core, clock }) =>
@@ -53,63 +62,66 @@
 };
 
 /**
- * Makes all edges; none of them is started.
+ * Creates all edges without starting them.
  *
- * @param parts What they are made from.
+ * @param dependencies Settings, core, clock, logger and event sink.
  * @returns The edges.
  */
-export function makeEdges(parts: InstanceParts): InstanceEdges {
+export function createEdges(dependencies: EdgeDependencies): InstanceEdges {
   const metrics = new Metrics({
-    readGauge: (name) => GAUGE_READERS[name](parts, callers),
+    readGauge: (name) => GAUGE_READERS[name](dependencies, callers),
   });
-  const tracing = makeTracing(parts);
+  const tracer = createTracer(dependencies);
   const context: EdgeContext = {
-    clock: parts.clock,
-    emit: parts.emit,
-    log: parts.logger.write,
+    clock: dependencies.clock,
+    emit: dependencies.emit,
+    log: dependencies.logger.write,
     count: metrics.count,
   };
-  const callers = makeCallers(context, { parts, metrics, tracing });
-  const platformHttp = makePlatformHttp(context, parts);
+  const callers = createCallerEdge(context, { dependencies, metrics, tracer });
+  const platformHttp = createPlatformHttp(context, dependencies);
   return {
     metrics,
-    tracing,
+    tracer,
     callers,
-    peers: makePeers(context, parts),
-    targets: makeTargets(context, { parts, callers, tracing }),
+    peers: createPeerLinks(context, dependencies),
+    targets: createTargetClient(context, { dependencies, callers, tracer }),
     platformHttp,
-    platform: makePlatform(context, { parts, http: platformHttp }),
+    platform: createPlatformClient(context, {
+      dependencies,
+      http: platformHttp,
+    }),
   };
 }
 
-function makeTracing({ settings, clock }: InstanceParts): RequestTracing {
+function createTracer({ settings, clock }: EdgeDependencies): RequestTracer {
   if (settings.traces.export === TraceExport.Off) {
-    return NO_TRACING;
+    return NO_OP_REQUEST_TRACER;
   }
-  return new SpanTracing({
+  return new SpanRequestTracer({
     exporter: new ConsoleSpanExporter(),
     clock,
-    clockZeroMs: Date.now() - clock.nowMs(),
+    clockOriginMs: Date.now() - clock.nowMs(),
     instanceId: settings.instanceId,
   });
 }
 
-function makeCallers(
+function createCallerEdge(
   context: EdgeContext,
   options: {
-    readonly parts: InstanceParts;
+    readonly dependencies: EdgeDependencies;
     readonly metrics: Metrics;
-    readonly tracing: RequestTracing;
+    readonly tracer: RequestTracer;
   },
-): CallerFront {
-  const { metrics, tracing } = options;
-  const { settings, core, clock } = options.parts;
+): CallerEdge {
+  const { metrics, tracer } = options;
+  const { settings, core, clock } = options.dependencies;
   const { limits, callers } = settings;
   const { board } = core;
-  return new CallerFront(context, {
+  return new CallerEdge(context, {
     ...callers,
-    mintRequestId: randomUUID,
-    tracing,
+    generateRequestId: randomUUID,
+    tracer,
     limits: {
       maxBodyBytes: limits.maxBodyBytes,
       maxHeaderBytes: limits.maxHeaderBytes,
@@ -117,19 +129,19 @@
       bodyTimeoutMs: limits.slowCallerMs,
       maxBufferedStreamBytes: limits.maxStreamBufferBytes,
     },
-    reads: {
+    reader: {
       readiness: () => readinessOf(board),
-      requestState: (id) => requestStateOf(board, id),
-      why: (id) => requestStoryOf(board, id),
+      requestState: (id) => describeRequest(board, id),
+      why: (id) => explainRequest(board, id),
       status: () => statusOf(board, clock.nowMs()),
       metrics: () => metrics.page(),
     },
   });
 }
 
-function makePeers(
+function createPeerLinks(
   context: EdgeContext,
-  { settings, incarnation }: InstanceParts,
+  { settings, incarnation }: EdgeDependencies,
 ): PeerLinks {
   return new PeerLinks(context, {
     identity: {
@@ -144,31 +156,31 @@
   });
 }
 
-function makeTargets(
+function createTargetClient(
   context: EdgeContext,
   options: {
-    readonly parts: InstanceParts;
-    readonly callers: CallerFront;
-    readonly tracing: RequestTracing;
+    readonly dependencies: EdgeDependencies;
+    readonly callers: CallerEdge;
+    readonly tracer: RequestTracer;
   },
 ): TargetClient {
-  const { callers, tracing } = options;
-  const { settings, core } = options.parts;
-  const bodyOf = (callId: string) => callers.bodyOf(callId);
+  const { callers, tracer } = options;
+  const { settings, core } = options.dependencies;
+  const bodyOf = (callId: string) => callers.findBody(callId);
   return new TargetClient(context, {
     limits: { maxConcurrentSends: settings.limits.maxDispatchesPerPool },
     dispatchInput: (requestId) =>
-      dispatchInputOf(core.board, requestId, bodyOf),
+      createDispatchInput(core.board, requestId, bodyOf),
     traceHeaders: (requestId): Readonly<Record<string, string>> => {
-      const traceparent = tracing.traceparentOf(requestId);
+      const traceparent = tracer.currentTraceparent(requestId);
       return traceparent === undefined ? {} : { traceparent };
     },
   });
 }
 
-function makePlatformHttp(
+function createPlatformHttp(
   context: EdgeContext,
-  { settings: { platform } }: InstanceParts,
+  { settings: { platform } }: EdgeDependencies,
 ): PlatformHttp {
   return new PlatformHttp({
     address: platform.address,
@@ -180,11 +192,14 @@
   });
 }
 
-function makePlatform(
+function createPlatformClient(
   context: EdgeContext,
-  options: { readonly parts: InstanceParts; readonly http: PlatformHttp },
+  options: {
+    readonly dependencies: EdgeDependencies;
+    readonly http: PlatformHttp;
+  },
 ): PlatformClient {
-  const { requests } = options.parts.core.board;
+  const { requests } = options.dependencies.core.board;
   return new PlatformClient(context, {
     http: options.http,
     claimWaitMs: (requestId) =>
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,19 +1,19 @@
-/** The binary `chestnuthatchd`: one entry instance as a process of its own. */
+/** The program `chestnuthatchd`, which runs one entry instance. */
 
 import { readFileSync } from "node:fs";
 import process from "node:process";
 import { Command } from "commander";
 import { EntryInstance } from "./entry_instance.ts";
-import { readStartSettings } from "./start_settings.ts";
+import { parseStartSettings } from "./start_settings.ts";
 
 const EXIT_BAD_SETTINGS = 2;
 const EXIT_CANNOT_START = 1;
 
-async function run(path: string): Promise<void> {
-  const settings = readStartSettings(readText(path));
+async function runInstance(settingsPath: string): Promise<void> {
+  const settings = parseStartSettings(readSettingsFile(settingsPath));
   if (settings.isErr()) {
     for (const fault of settings.error) {
-      console.error(`${path}: ${fault}`);
+      console.error(`${settingsPath}: ${fault}`);
     }
     process.exit(EXIT_BAD_SETTINGS);
   }
@@ -25,7 +25,7 @@
   try {
     await instance.start();
   } catch (error) {
-    console.error(`${path}: cannot start: ${String(error)}`);
+    console.error(`${settingsPath}: cannot start: ${String(error)}`);
     process.exit(EXIT_CANNOT_START);
   }
   console.log(JSON.stringify({
@@ -35,7 +35,7 @@
   }));
 }
 
-function readText(path: string): string {
+function readSettingsFile(path: string): string {
   try {
     return readFileSync(path, "utf8");
   } catch (error) {
@@ -47,5 +47,5 @@
 await new Command("chestnuthatchd")
   .description("Runs one entry instance of chestnuthatch.")
   .requiredOption("--settings <file>", "YAML file of its start settings")
-  .action((options: { settings: string }) => run(options.settings))
+  .action((options: { settings: string }) => runInstance(options.settings))
   .parseAsync();
--- a/packages/daemon/src/ndjson_reader.ts
+++ b/packages/daemon/src/ndjson_reader.ts
@@ -1,86 +1,89 @@
-/** Splits a byte stream into lines of JSON, however the bytes are cut. */
+/** Parser of newline-delimited JSON that arrives in arbitrary chunks. */
 
 import { Buffer } from "node:buffer";
 import { err, ok, type Result } from "neverthrow";
 
-/** Why a stream of lines cannot be read on. */
+/** Reason why a stream cannot be parsed further. */
 export enum NdjsonFault {
   LineTooLong = "line too long",
-  BadText = "line is not UTF-8",
-  BadJson = "line is not JSON",
+  InvalidUtf8 = "line is not UTF-8",
+  InvalidJson = "line is not JSON",
 }
 
 const LINE_FEED = 0x0a;
 
-/** Reads lines incrementally; holds one unfinished line at most. */
+/** Parses lines incrementally; buffers at most one incomplete line. */
 export class NdjsonReader {
   readonly #maxLineBytes: number;
   readonly #decoder = new TextDecoder("utf-8", { fatal: true });
-  #pieces: Buffer[] = [];
-  #heldBytes = 0;
+  #pendingChunks: Buffer[] = [];
+  #pendingBytes = 0;
 
-  /** @param maxLineBytes Bound on one line. */
+  /** @param maxLineBytes Maximum size of a line, without its line feed. */
   constructor(maxLineBytes: number) {
     this.#maxLineBytes = maxLineBytes;
   }
 
   /**
-   * Takes the next bytes.
+   * Parses the next bytes.
    *
-   * @param chunk The bytes.
-   * @param onValue Called with the value of each finished line, in order.
-   * @returns Nothing, or why reading has to stop.
+   * @param chunk Bytes that follow those of earlier calls.
+   * @param onValue Called with the value of each completed line, in order.
+   * @returns The fault, if parsing must stop.
    */
   push(
     chunk: Buffer,
     onValue: (value: unknown) => void,
   ): Result<void, NdjsonFault> {
-    let from = 0;
-    let to = chunk.indexOf(LINE_FEED);
-    while (to >= 0) {
-      const line = this.#finishLine(chunk.subarray(from, to), onValue);
+    let lineStart = 0;
+    let lineEnd = chunk.indexOf(LINE_FEED);
+    while (lineEnd >= 0) {
+      const line = this.#completeLine(
+        chunk.subarray(lineStart, lineEnd),
+        onValue,
+      );
       if (line.isErr()) {
         return line;
       }
-      from = to + 1;
-      to = chunk.indexOf(LINE_FEED, from);
+      lineStart = lineEnd + 1;
+      lineEnd = chunk.indexOf(LINE_FEED, lineStart);
     }
-    return this.#hold(chunk.subarray(from));
+    return this.#appendPending(chunk.subarray(lineStart));
   }
 
   /**
-   * Ends the stream; a last line may lack its line feed.
+   * Parses the last line, which may lack its line feed.
    *
-   * @param onValue Called with that line's value.
-   * @returns Nothing, or why the last line cannot be read.
+   * @param onValue Called with the value of the last line, unless it is blank.
+   * @returns The fault, if the last line cannot be parsed.
    */
   end(onValue: (value: unknown) => void): Result<void, NdjsonFault> {
-    return this.#finishLine(Buffer.alloc(0), onValue);
+    return this.#completeLine(Buffer.alloc(0), onValue);
   }
 
-  #hold(piece: Buffer): Result<void, NdjsonFault> {
-    if (piece.length === 0) {
+  #appendPending(chunk: Buffer): Result<void, NdjsonFault> {
+    if (chunk.length === 0) {
       return ok();
     }
-    this.#heldBytes += piece.length;
-    if (this.#heldBytes > this.#maxLineBytes) {
+    this.#pendingBytes += chunk.length;
+    if (this.#pendingBytes > this.#maxLineBytes) {
       return err(NdjsonFault.LineTooLong);
     }
-    this.#pieces.push(piece);
+    this.#pendingChunks.push(chunk);
     return ok();
   }
 
-  #finishLine(
-    piece: Buffer,
+  #completeLine(
+    chunk: Buffer,
     onValue: (value: unknown) => void,
   ): Result<void, NdjsonFault> {
-    const held = this.#hold(piece);
-    if (held.isErr()) {
-      return held;
+    const appended = this.#appendPending(chunk);
+    if (appended.isErr()) {
+      return appended;
     }
-    const line = Buffer.concat(this.#pieces);
-    this.#pieces = [];
-    this.#heldBytes = 0;
+    const line = Buffer.concat(this.#pendingChunks);
+    this.#pendingChunks = [];
+    this.#pendingBytes = 0;
     return this.#parse(line).map((value) => {
       if (value !== undefined) {
         onValue(value);
@@ -93,20 +96,20 @@
     try {
       text = this.#decoder.decode(line);
     } catch {
-      return err(NdjsonFault.BadText);
+      return err(NdjsonFault.InvalidUtf8);
     }
     if (text.trim() === "") {
       return ok(undefined);
     }
-    return parseJson(text).mapErr(() => NdjsonFault.BadJson);
+    return parseJson(text).mapErr(() => NdjsonFault.InvalidJson);
   }
 }
 
 /**
  * Parses JSON without throwing.
  *
- * @param text The text.
- * @returns The value, or nothing of use when it is not JSON.
+ * @param text Text to parse.
+ * @returns The value, or an error without content if the text is not JSON.
  */
 export function parseJson(text: string): Result<unknown, undefined> {
   try {
--- a/packages/daemon/src/open_calls.ts
+++ b/packages/daemon/src/open_calls.ts
@@ -1,4 +1,4 @@
-/** The calls that wait for their outcome, and how each is answered. */
+/** Open calls of callers, and the writing of their HTTP responses. */
 
 import type { ServerResponse } from "node:http";
 import { ERROR_TABLE } from "@chestnuthatch/core/error_table";
@@ -7,7 +7,7 @@
 import {
   eventLine,
   jsonReply,
-  NDJSON_TYPE,
+  NDJSON_MEDIA_TYPE,
   refusalHeaders,
   refusalReply,
   sendReply,
@@ -15,69 +15,82 @@
 
 const OK_STATUS = 200;
 
-/** How far a call has come. */
+/** Stage of processing of a call. */
 export enum CallStage {
-  /** Its body is being read and checked. */
+  /** The body is being read and validated. */
   Receiving = "receiving",
-  /** The core has been told of it. */
+  /** The call has been passed to the core. */
   Accepted = "accepted",
-  /** It has its final answer, which may still be under way. */
+  /** The call has its outcome, which may still be being sent. */
   Ended = "ended",
 }
 
-/** One call and its HTTP response. */
+/** A call of a caller, with its HTTP response. */
 export class OpenCall {
+  /** Id given to the call, sent in its `x-request-id` header. */
   readonly requestId: string;
   readonly response: ServerResponse;
   stage = CallStage.Receiving;
   /** Whether the caller asked for a stream. */
-  streams = false;
-  /** Bytes taken from the budget of bodies. */
-  bodyBytes = 0;
+  wantsStream = false;
+  /** Bytes reserved for its body in the byte budget of all bodies. */
+  reservedBodyBytes = 0;
   #streamedCharacters = 0;
 
   /**
-   * @param requestId The id given to the call.
-   * @param response Where it is answered.
+   * @param requestId Id given to the call.
+   * @param response HTTP response of the call.
    */
   constructor(requestId: string, response: ServerResponse) {
     this.requestId = requestId;
     this.response = response;
   }
 
-  /** @param answer The whole answer. */
+  /**
+   * Sends a complete answer and ends the response.
+   *
+   * @param answer Answer to send; of a stream only the unsent text is sent.
+   */
   answer(answer: Answer): void {
     this.stage = CallStage.Ended;
-    if (!this.streams) {
+    if (!this.wantsStream) {
       sendReply(this.response, jsonReply(OK_STATUS, answer));
       return;
     }
-    const { text, ...figures } = answer;
-    // A kept answer, or one joined late, has text that was never streamed.
+    const { text, ...answerFields } = answer;
+    // A stored answer, or one to a call that joined late, has unsent text.
     this.#writeText(text.slice(this.#streamedCharacters));
-    this.#startStream(OK_STATUS);
+    this.#writeStreamHead(OK_STATUS);
     this.response.end(
-      eventLine({ kind: CallerEventKind.Final, answer: figures }),
+      eventLine({ kind: CallerEventKind.Final, answer: answerFields }),
     );
   }
 
-  /** @param refusal The refusal. */
+  /**
+   * Sends a refusal and ends the response.
+   *
+   * @param refusal Refusal to send, as the last event of a stream.
+   */
   refuse(refusal: Refusal): void {
     this.stage = CallStage.Ended;
-    if (!this.streams) {
+    if (!this.wantsStream) {
       sendReply(this.response, refusalReply(refusal));
       return;
     }
-    this.#startStream(ERROR_TABLE[refusal.error].httpStatus, refusal);
+    this.#writeStreamHead(ERROR_TABLE[refusal.error].httpStatus, refusal);
     this.response.end(eventLine({
       kind: CallerEventKind.Error,
       refusal: { ...refusal, callLog: [...refusal.callLog] },
     }));
   }
 
-  /** @param text The next piece; dropped unless the caller wants a stream. */
+  /**
+   * Sends the next part of the answer if the caller asked for a stream.
+   *
+   * @param text Text that follows the parts sent before.
+   */
   streamText(text: string): void {
-    if (this.streams) {
+    if (this.wantsStream) {
       this.#writeText(text);
     }
   }
@@ -86,46 +99,56 @@
     if (text === "") {
       return;
     }
-    this.#startStream(OK_STATUS);
+    this.#writeStreamHead(OK_STATUS);
     this.#streamedCharacters += text.length;
     this.response.write(eventLine({ kind: CallerEventKind.Text, text }));
   }
 
-  #startStream(status: number, refusal?: Refusal): void {
+  #writeStreamHead(status: number, refusal?: Refusal): void {
     if (this.response.headersSent) {
       return;
     }
     this.response.writeHead(status, {
-      "content-type": NDJSON_TYPE,
+      "content-type": NDJSON_MEDIA_TYPE,
       ...(refusal === undefined ? {} : refusalHeaders(refusal)),
     });
   }
 }
 
-/** Open calls by request id. */
+/** Registry of open calls by request id. */
 export class OpenCalls {
   readonly #byId = new Map<string, OpenCall>();
 
-  /** How many calls are open, those still being received included. */
+  /** Number of open calls, including those still being received. */
   get size(): number {
     return this.#byId.size;
   }
 
-  /** @param call A call just received. */
+  /**
+   * Adds a call.
+   *
+   * @param call Call whose body has not been read yet.
+   */
   add(call: OpenCall): void {
     this.#byId.set(call.requestId, call);
   }
 
-  /** @param requestId The call whose response is over. */
+  /**
+   * Removes a call.
+   *
+   * @param requestId Id of a call whose response has closed.
+   */
   remove(requestId: string): void {
     this.#byId.delete(requestId);
   }
 
   /**
-   * @param requestId The request.
-   * @returns Its call, if it still waits for its outcome.
+   * Finds a call that has no outcome yet.
+   *
+   * @param requestId Id of the call.
+   * @returns The call, or `undefined` unless it is {@link CallStage.Accepted}.
    */
-  waiting(requestId: string): OpenCall | undefined {
+  findAccepted(requestId: string): OpenCall | undefined {
     const call = this.#byId.get(requestId);
     return call?.stage === CallStage.Accepted ? call : undefined;
   }
--- a/packages/daemon/src/order_issuer.ts
+++ b/packages/daemon/src/order_issuer.ts
@@ -9,7 +9,7 @@
 } from "@chestnuthatch/wire/target_protocol";
 import { err, ok, type Result } from "neverthrow";
 import type { Pool } from "undici";
-import { type CallFault, callHttp, type HttpAnswer } from "./http_call.ts";
+import { callHttp, type HttpAnswer, type HttpCallFault } from "./http_call.ts";
 import type { HttpRequest } from "./http_exchange.ts";
 import { parseJson } from "./ndjson_reader.ts";
 import {
@@ -149,8 +149,8 @@
    */
   async issue(order: EngineOrder): Promise<OrderOutcome> {
     const orderId = this.#options.newOrderId();
-    const link = this.#connections.link(order.targetId, order.address);
-    const initialState = link && await this.#readState(link.control, order);
+    const link = this.#connections.getOrCreate(order.targetId, order.address);
+    const initialState = link && await this.#readState(link.controlPool, order);
     if (link === undefined || initialState === undefined) {
       return { kind: OrderOutcomeKind.TargetUnreachable, orderId };
     }
@@ -161,7 +161,7 @@
     );
     return lease.isErr()
       ? leaseRefusedOutcome(orderId, lease.error)
-      : await this.#issueUnderLease(lease.value, order, link.control);
+      : await this.#issueUnderLease(lease.value, order, link.controlPool);
   }
 
   /** Closes the connections to targets. */
@@ -261,7 +261,7 @@
     pool: Pool,
     request: HttpRequest,
     timeoutMs: number,
-  ): Promise<Result<HttpAnswer, CallFault>> {
+  ): Promise<Result<HttpAnswer, HttpCallFault>> {
     return callHttp(pool, request, {
       clock: this.#options.clock,
       timeoutMs,
--- a/packages/daemon/src/order_issuer_test.ts
+++ b/packages/daemon/src/order_issuer_test.ts
@@ -6,7 +6,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  type SeenRequest,
+  type ReceivedRequest,
   TableFault,
   TestClock,
   TestServer,
@@ -107,7 +107,7 @@
     return true;
   }
 
-  #answer({ path, body, response }: SeenRequest): void {
+  #answer({ path, body, response }: ReceivedRequest): void {
     if (path === "/v1/state") {
       this.onState();
       response.end(JSON.stringify(this.state));
@@ -265,10 +265,10 @@
 testWith(
   "should send nothing while the table is down or its row corrupt",
   async (bench) => {
-    bench.table.fault = TableFault.Down;
+    bench.table.defaultFault = TableFault.Down;
     const down = await bench.issue("m1");
     assert.is(down.kind, OrderOutcomeKind.StoreUnavailable);
-    bench.table.fault = TableFault.None;
+    bench.table.defaultFault = TableFault.None;
     bench.table.put(KEY, { holder: "former" });
     const corrupt = await bench.issue("m1");
     assert.is(corrupt.kind, OrderOutcomeKind.RowUnreadable);
--- a/packages/daemon/src/platform_calls.ts
+++ b/packages/daemon/src/platform_calls.ts
@@ -2,8 +2,8 @@
 
 import { err, type Result } from "neverthrow";
 import { Pool } from "undici";
-import { CallGate } from "./call_gate.ts";
-import { type CallFault, callHttp, type HttpAnswer } from "./http_call.ts";
+import { CallRateLimiter } from "./call_rate_limiter.ts";
+import { callHttp, type HttpAnswer, type HttpCallFault } from "./http_call.ts";
 import type { HttpRequest } from "./http_exchange.ts";
 import { type Clock, type CountSink, EdgeCounterName } from "./ports.ts";
 
@@ -78,7 +78,7 @@
   readonly #clock: Clock;
   readonly #count: CountSink;
   readonly #callTimeoutMs: number;
-  readonly #rateLimiters: Readonly<Record<PlatformRate, CallGate>>;
+  readonly #rateLimiters: Readonly<Record<PlatformRate, CallRateLimiter>>;
 
   /** @param options Address, rate shares and timeout. */
   constructor(options: PlatformCallsOptions) {
@@ -122,8 +122,8 @@
     await this.#pool.destroy();
   }
 
-  #createRateLimiter(callsPerSecond: number): CallGate {
-    return new CallGate({
+  #createRateLimiter(callsPerSecond: number): CallRateLimiter {
+    return new CallRateLimiter({
       callsPerSecond,
       maxWaitMs: this.#callTimeoutMs,
       concurrency: MAX_CONNECTIONS,
@@ -164,6 +164,6 @@
     : `http://${address}`;
 }
 
-function faultOfCall(fault: CallFault): PlatformFault {
+function faultOfCall(fault: HttpCallFault): PlatformFault {
   return fault.timedOut ? PlatformFault.TimedOut : PlatformFault.Unreachable;
 }
--- a/packages/daemon/src/platform_client_test.ts
+++ b/packages/daemon/src/platform_client_test.ts
@@ -8,7 +8,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { ClaimEffect } from "./claim_writer.ts";
-import { TableFault, TestEdge, TestTable } from "./edge_test_support.ts";
+import { TableFault, TestEdgeContext, TestTable } from "./edge_test_support.ts";
 import { PlatformClient } from "./platform_client.ts";
 import { PlatformFault, PlatformHttp } from "./platform_http.ts";
 
@@ -30,7 +30,7 @@
 
 class TestBench {
   readonly table = new TestTable();
-  readonly edge = new TestEdge();
+  readonly edge = new TestEdgeContext();
   http!: PlatformHttp;
   client!: PlatformClient;
 
@@ -59,7 +59,7 @@
 
   async claim(): Promise<unknown> {
     await this.client.writeClaim(CLAIM);
-    const { requestId: _, kind: __, ...status } = await this.edge.until(
+    const { requestId: _, kind: __, ...status } = await this.edge.waitForEvent(
       EventKind.ClaimAnswered,
     );
     return status;
@@ -120,7 +120,7 @@
 testWith(
   "should report an unknown claim outcome while the table is down",
   async (bench) => {
-    bench.table.fault = Down;
+    bench.table.defaultFault = Down;
     assert.equal(await bench.claim(), { outcome: ClaimOutcome.Unknown });
   },
 );
@@ -138,11 +138,11 @@
 testWith("should void a claim once the table recovers", async (bench) => {
   const OUTAGE_CALLS = 10;
   await bench.claim();
-  bench.table.fault = Down;
+  bench.table.defaultFault = Down;
   let calls = 0;
   bench.table.onCall = () => {
     calls += 1;
-    bench.table.fault = calls < OUTAGE_CALLS ? Down : TableFault.None;
+    bench.table.defaultFault = calls < OUTAGE_CALLS ? Down : TableFault.None;
   };
   bench.table.writeFaults.push(AnswerLost);
   await bench.client.voidClaim(CLAIM);
@@ -152,9 +152,9 @@
 testWith(
   "should void a write that takes effect after a read found no row",
   async (bench) => {
-    bench.table.fault = Down;
+    bench.table.defaultFault = Down;
     await bench.claim();
-    bench.table.fault = TableFault.None;
+    bench.table.defaultFault = TableFault.None;
     const lateReadNumber = 3;
     let reads = 0;
     bench.table.onCall = (path) => {
@@ -194,7 +194,7 @@
   const read = { kind: EffectKind.ReadKeptAnswer, requestId: "r1" } as const;
   await bench.client.readKeptAnswer({ ...read, key });
   await bench.client.readKeptAnswer({ ...read, key: "answer/njiro/none" });
-  bench.table.fault = Down;
+  bench.table.defaultFault = Down;
   await bench.client.readKeptAnswer({ ...read, key });
   assert.equal(
     bench.edge.events.map((event) =>
@@ -237,7 +237,7 @@
 testWith(
   "should emit no event and throttle log lines while the store is down",
   async (bench) => {
-    bench.table.fault = Down;
+    bench.table.defaultFault = Down;
     await bench.client.pollSettings({
       kind: EffectKind.PollSettings,
       haveVersion: 0,
@@ -263,7 +263,7 @@
   bench.edge.clock.atMs = 100;
   await first;
   assert.is((await second)._unsafeUnwrapErr(), PlatformFault.RateLimited);
-  assert.ok(bench.table.server.seen.length <= 1);
+  assert.ok(bench.table.server.received.length <= 1);
   await rateLimited.stop();
 });
 
--- a/packages/daemon/src/read_routes.ts
+++ b/packages/daemon/src/read_routes.ts
@@ -1,37 +1,40 @@
-/** What callers and operators may read of an instance over HTTP. */
+/** HTTP routes on which callers and operators read the state of an instance. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { ErrorKind } from "@chestnuthatch/wire/work";
 import {
+  type CallerReply,
+  createReply,
   jsonReply,
   refusalReply,
   sendReply,
-  type WholeReply,
-  wholeReply,
 } from "./caller_reply.ts";
 import { edgeRefusal } from "./edge_refusal.ts";
 
-/** Whether the instance takes requests. */
+/** Whether the instance accepts requests. */
 export interface Readiness {
   readonly ready: boolean;
-  /** Why not; empty when ready. */
+  /** Reasons why it does not; empty if ready. */
   readonly reasons: readonly string[];
 }
 
-/** Metrics in the form that a scraper reads. */
+/** Metrics in the text format that a scraper reader. */
 export interface MetricsPage {
   readonly contentType: string;
   readonly text: string;
 }
 
-/** Where the routes get what they tell. Objects are sent as JSON. */
-export interface InstanceReads {
+/** Source of the data that the read routes send; objects are sent as JSON. */
+export interface InstanceReader {
+  /** Reads whether the instance accepts requests. */
   readiness(): Readiness;
-  /** The state of a request, or nothing where the instance knows none. */
+  /** Reads the state of a request; `undefined` if the request is unknown. */
   requestState(requestId: string): object | undefined;
-  /** A request's story, or nothing where it is not remembered. */
+  /** Explains a request; `undefined` if no decisions are recorded for it. */
   why(requestId: string): object | undefined;
+  /** Reads the status of the instance. */
   status(): object;
+  /** Reads the current metrics. */
   metrics(): Promise<MetricsPage>;
 }
 
@@ -41,51 +44,54 @@
 };
 
 type ReadHandler = (
-  reads: InstanceReads,
+  reader: InstanceReader,
   requestId: string,
-) => WholeReply | Promise<WholeReply>;
+) => CallerReply | Promise<CallerReply>;
 
 const OK_STATUS = 200;
 const UNAVAILABLE_STATUS = 503;
 
-/** Route patterns and what answers them. */
+/** Handlers of the read routes, by route pattern. */
 export const READ_ROUTES: Readonly<Record<string, ReadHandler>> = {
   "/healthz": () => jsonReply(OK_STATUS, { status: "ok" }),
-  "/readyz": (reads) => readinessReply(reads.readiness()),
-  "/metrics": async (reads) => metricsReply(await reads.metrics()),
-  "/v1/status": (reads) => jsonReply(OK_STATUS, reads.status()),
-  "/v1/requests/:id": (reads, id) => foundReply(id, reads.requestState(id)),
-  "/v1/why/:id": (reads, id) => foundReply(id, reads.why(id)),
+  "/readyz": (reader) => readinessReply(reader.readiness()),
+  "/metrics": async (reader) => metricsReply(await reader.metrics()),
+  "/v1/status": (reader) => jsonReply(OK_STATUS, reader.status()),
+  "/v1/requests/:id": (reader, id) => lookupReply(id, reader.requestState(id)),
+  "/v1/why/:id": (reader, id) => lookupReply(id, reader.why(id)),
 };
 
 /**
- * Answers one read.
+ * Answers a request to a read route.
  *
- * @param handler The route's handler.
- * @param reads Where it gets what it tells.
- * @param exchange The HTTP request and response.
+ * @param handler Handler of the route.
+ * @param reader Source of the data to send.
+ * @param exchange HTTP request, and the response to write to.
  */
-export async function answerRead(
+export async function answerReadRequest(
   handler: ReadHandler,
-  reads: InstanceReads,
+  reader: InstanceReader,
   exchange: { request: RoutedRequest; response: ServerResponse },
 ): Promise<void> {
   const requestId = exchange.request.params?.id ?? "";
-  sendReply(exchange.response, await handler(reads, requestId));
+  sendReply(exchange.response, await handler(reader, requestId));
 }
 
-function readinessReply(readiness: Readiness): WholeReply {
+function readinessReply(readiness: Readiness): CallerReply {
   return jsonReply(readiness.ready ? OK_STATUS : UNAVAILABLE_STATUS, readiness);
 }
 
-function metricsReply(page: MetricsPage): WholeReply {
-  return wholeReply(OK_STATUS, {
+function metricsReply(page: MetricsPage): CallerReply {
+  return createReply(OK_STATUS, {
     body: page.text,
     headers: { "content-type": page.contentType },
   });
 }
 
-function foundReply(requestId: string, found: object | undefined): WholeReply {
+function lookupReply(
+  requestId: string,
+  found: object | undefined,
+): CallerReply {
   if (found !== undefined) {
     return jsonReply(OK_STATUS, found);
   }
--- a/packages/daemon/src/request_bodies.ts
+++ b/packages/daemon/src/request_bodies.ts
@@ -1,73 +1,80 @@
 /**
- * The bodies of open requests. Requests with the same content share one body,
- * so that a call which joined another's request keeps the body alive after the
- * first caller has hung up.
+ * Bodies of open requests. Requests with the same content share one body, so
+ * that the body stays available to a call that joined another caller's request
+ * after that caller has disconnected.
  */
 
 interface SharedBody {
   readonly contentHash: string;
   readonly text: string;
-  readonly openIds: Set<string>;
-  /** Ids that still find this body, open or not. */
-  readonly knownIds: Set<string>;
+  /** Requests that have not been released. */
+  readonly openRequestIds: Set<string>;
+  /** All requests added with this body, released or not. */
+  readonly allRequestIds: Set<string>;
 }
 
-/** Keeps bodies by content, and finds them by request id. */
+/** Stores bodies by content hash and finds them by request id. */
 export class RequestBodies {
-  readonly #byContent = new Map<string, SharedBody>();
-  readonly #byRequest = new Map<string, SharedBody>();
+  readonly #byContentHash = new Map<string, SharedBody>();
+  readonly #byRequestId = new Map<string, SharedBody>();
 
-  /** How many different bodies are kept. */
+  /** Number of distinct bodies stored. */
   get size(): number {
-    return this.#byContent.size;
+    return this.#byContentHash.size;
   }
 
   /**
-   * Keeps a request's body until {@link RequestBodies.release}.
+   * Stores the body of a request until {@link RequestBodies.release}.
    *
-   * @param spec The request's id and content hash.
-   * @param text Its body.
+   * @param spec Id and content hash of the request.
+   * @param text Body of the request.
    */
-  keep(
+  add(
     spec: { readonly requestId: string; readonly contentHash: string },
     text: string,
   ): void {
-    const shared = this.#byContent.get(spec.contentHash) ?? {
+    const shared = this.#byContentHash.get(spec.contentHash) ?? {
       contentHash: spec.contentHash,
       text,
-      openIds: new Set(),
-      knownIds: new Set(),
+      openRequestIds: new Set(),
+      allRequestIds: new Set(),
     };
-    shared.openIds.add(spec.requestId);
-    shared.knownIds.add(spec.requestId);
-    this.#byContent.set(spec.contentHash, shared);
-    this.#byRequest.set(spec.requestId, shared);
+    shared.openRequestIds.add(spec.requestId);
+    shared.allRequestIds.add(spec.requestId);
+    this.#byContentHash.set(spec.contentHash, shared);
+    this.#byRequestId.set(spec.requestId, shared);
   }
 
   /**
-   * @param requestId The request.
-   * @returns Its body while it, or one with the same content, is open.
+   * Finds the body of a request.
+   *
+   * @param requestId Id of the request.
+   * @returns The body, while this request or one with the same content is open.
    */
-  bodyOf(requestId: string): string | undefined {
-    return this.#byRequest.get(requestId)?.text;
+  find(requestId: string): string | undefined {
+    return this.#byRequestId.get(requestId)?.text;
   }
 
-  /** @param requestId The request that is over. */
+  /**
+   * Removes the body of a request unless another open request shares it.
+   *
+   * @param requestId Id of a request that has ended.
+   */
   release(requestId: string): void {
-    const shared = this.#byRequest.get(requestId);
+    const shared = this.#byRequestId.get(requestId);
     if (shared === undefined) {
       return;
     }
-    shared.openIds.delete(requestId);
-    if (shared.openIds.size === 0) {
-      this.#drop(shared);
+    shared.openRequestIds.delete(requestId);
+    if (shared.openRequestIds.size === 0) {
+      this.#remove(shared);
     }
   }
 
-  #drop(shared: SharedBody): void {
-    this.#byContent.delete(shared.contentHash);
-    for (const requestId of shared.knownIds) {
-      this.#byRequest.delete(requestId);
+  #remove(shared: SharedBody): void {
+    this.#byContentHash.delete(shared.contentHash);
+    for (const requestId of shared.allRequestIds) {
+      this.#byRequestId.delete(requestId);
     }
   }
 }
--- a/packages/daemon/src/service_adapter.ts
+++ b/packages/daemon/src/service_adapter.ts
@@ -1,4 +1,4 @@
-/** Speaks the protocol of plain services: one call, one answer. */
+/** Protocol of services: one call with one answer. */
 
 import { Buffer } from "node:buffer";
 import {
@@ -18,10 +18,10 @@
 const REASON_BAD_ANSWER = "answer is not a service answer";
 const REASON_TOO_LARGE = "answer too large";
 
-/** Adapter for services; their calls cannot be resumed or cancelled. */
+/** Adapter for services, whose calls cannot be resumed or cancelled. */
 export class ServiceAdapter implements TargetAdapter {
   /** @inheritdoc */
-  dispatch(attempt: OutgoingAttempt): HttpRequest {
+  dispatchRequest(attempt: OutgoingAttempt): HttpRequest {
     const call: ServiceCall = {
       requestId: attempt.requestId,
       attemptNonce: attempt.attemptNonce,
@@ -32,17 +32,17 @@
   }
 
   /** @inheritdoc */
-  resume(): undefined {
+  resumeRequest(): undefined {
     return undefined;
   }
 
   /** @inheritdoc */
-  cancel(): undefined {
+  cancelRequest(): undefined {
     return undefined;
   }
 
   /** @inheritdoc */
-  reader(sink: AnswerSink, limits: AnswerLimits): AnswerReader {
+  createReader(sink: AnswerSink, limits: AnswerLimits): AnswerReader {
     return new ServiceAnswerReader(sink, limits);
   }
 }
@@ -51,7 +51,7 @@
   readonly #sink: AnswerSink;
   readonly #limits: AnswerLimits;
   readonly #chunks: Buffer[] = [];
-  #bytes = 0;
+  #bytesRead = 0;
 
   constructor(sink: AnswerSink, limits: AnswerLimits) {
     this.#sink = sink;
@@ -59,8 +59,8 @@
   }
 
   push(chunk: Buffer): string {
-    this.#bytes += chunk.length;
-    if (this.#bytes > this.#limits.maxBodyBytes) {
+    this.#bytesRead += chunk.length;
+    if (this.#bytesRead > this.#limits.maxBodyBytes) {
       return REASON_TOO_LARGE;
     }
     this.#chunks.push(chunk);
@@ -74,7 +74,7 @@
       return REASON_BAD_ANSWER;
     }
     const { requestId, attemptNonce, body } = answer.data;
-    this.#sink.serviceAnswered({ requestId, attemptNonce }, body);
+    this.#sink.onServiceAnswer({ requestId, attemptNonce }, body);
     return "";
   }
 }
--- a/packages/daemon/src/shutdown_delivery_test.ts
+++ b/packages/daemon/src/shutdown_delivery_test.ts
@@ -1,4 +1,7 @@
-/** An answer that waits for its caller to read outlasts a graceful shutdown. */
+/**
+ * Guards against a graceful shutdown that truncates an answer which its caller
+ * has not read yet. Node.js treats such a connection as idle.
+ */
 
 import type { Buffer } from "node:buffer";
 import { once } from "node:events";
@@ -7,10 +10,10 @@
 import { EventKind } from "@chestnuthatch/core/events";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { CallerFront } from "./caller_front.ts";
+import { CallerEdge } from "./caller_edge.ts";
 import type { UntimedEvent } from "./ports.ts";
 
-/** More than the buffers of a loopback connection hold unread. */
+/** More than the buffers of a loopback connection can store. */
 const ANSWER_BYTES = 32 * 1024 * 1024;
 const MAX_POLLS = 1000;
 const POLL_MS = 5;
@@ -21,9 +24,9 @@
   body: "b",
 });
 
-test("an answer that waits for its caller outlasts the shutdown", async () => {
+test("should deliver an answer that is still being read at shutdown", async () => {
   const events: UntimedEvent[] = [];
-  const front = new CallerFront({
+  const callerEdge = new CallerEdge({
     clock: { nowMs: () => 0 },
     emit: (event) => void events.push(event),
     log: () => {},
@@ -31,8 +34,8 @@
   }, {
     host: "127.0.0.1",
     port: 0,
-    mintRequestId: () => "r1",
-    reads: {
+    generateRequestId: () => "r1",
+    reader: {
       readiness: () => ({ ready: true, reasons: [] }),
       requestState: () => undefined,
       why: () => undefined,
@@ -40,8 +43,8 @@
       metrics: () => Promise.resolve({ contentType: "text/plain", text: "" }),
     },
   });
-  await front.start();
-  const [host, port] = front.address().split(":");
+  await callerEdge.start();
+  const [host, port] = callerEdge.address().split(":");
   const caller = connect(Number(port), host);
   caller.on("error", () => {});
   caller.write(
@@ -53,7 +56,7 @@
     await sleep(POLL_MS);
   }
   assert.is(events[0]!.kind, EventKind.RequestArrived);
-  front.answer("r1", {
+  callerEdge.answer("r1", {
     requestId: "r1",
     text: "a".repeat(ANSWER_BYTES),
     targetId: "t1",
@@ -61,8 +64,8 @@
     waitedMs: 1,
     totalMs: 1,
   });
-  front.beginShutdown();
-  const stopped = front.stop();
+  callerEdge.beginShutdown();
+  const stopped = callerEdge.stop();
   let bytesRead = 0;
   caller.on("data", (chunk: Buffer) => bytesRead += chunk.length);
   await once(caller, "close");
--- a/packages/daemon/src/start_settings.ts
+++ b/packages/daemon/src/start_settings.ts
@@ -1,4 +1,4 @@
-/** An instance's own start settings: one small YAML file, checked whole. */
+/** Start settings of an instance: schema, and parsing of their YAML file. */
 
 import { err, ok, type Result } from "neverthrow";
 import { parseDocument } from "yaml";
@@ -6,7 +6,7 @@
 import { LogLevel } from "@chestnuthatch/core/effects";
 import { LogFormat } from "./logger.ts";
 
-/** Where trace spans go. */
+/** Destination of trace spans. */
 export enum TraceExport {
   Off = "off",
   Console = "console",
@@ -17,19 +17,19 @@
 const addressSchema = z.string().regex(/^[^\s:]+:\d+$/, "host:port");
 const listenSchema = z.strictObject({ host: z.string(), port: portSchema });
 
-const MIN_SECRET_LENGTH = 16;
+const MIN_SECRET_CHARACTERS = 16;
 
 const startSettingsSchema = z.strictObject({
   instanceId: nameSchema,
   failureDomain: nameSchema,
   region: nameSchema,
-  /** Where callers connect. */
+  /** Address on which callers connect. */
   callers: listenSchema,
-  /** Where other instances connect. */
+  /** Address on which other instances connect. */
   peers: listenSchema.extend({
-    /** Shared by every instance of the fleet. */
-    secret: z.string().min(MIN_SECRET_LENGTH),
-    /** Instances to reach before the platform's list is known. */
+    /** Secret shared by all instances of the fleet. */
+    secret: z.string().min(MIN_SECRET_CHARACTERS),
+    /** Instances to connect to before the platform's list is known. */
     seeds: z.array(z.strictObject({
       instanceId: nameSchema,
       failureDomain: nameSchema,
@@ -38,8 +38,9 @@
   }),
   platform: z.strictObject({
     address: addressSchema,
-    /** This instance's share of the table's writes and reads. */
+    /** This instance's share of the platform's write rate. */
     maxWritesPerSecond: z.number().positive().default(40),
+    /** This instance's share of the platform's read rate. */
     maxReadsPerSecond: z.number().positive().default(200),
     timeoutMs: z.number().positive().default(1000),
   }),
@@ -49,7 +50,7 @@
     maxOpenRequests: z.number().int().positive().default(2000),
     slowCallerMs: z.number().positive().default(10_000),
     maxStreamBufferBytes: z.number().int().positive().default(1024 * 1024),
-    /** Dispatches of one pool that are being connected and sent at a time. */
+    /** Dispatches of one pool that may be connecting or sending at a time. */
     maxDispatchesPerPool: z.number().int().positive().default(64),
   }).prefault({}),
   log: z.strictObject({
@@ -59,39 +60,39 @@
   traces: z.strictObject({
     export: z.enum(TraceExport).default(TraceExport.Off),
   }).prefault({}),
-  /** Longest time a graceful shutdown waits for requests in progress. */
+  /** Time for which a graceful shutdown waits for requests in progress. */
   shutdownGraceMs: z.number().positive().default(120_000),
 });
 
-/** An instance's start settings, defaults filled in. */
+/** Validated start settings, with defaults applied. */
 export type StartSettings = z.infer<typeof startSettingsSchema>;
 
-/** What one may write in the file. */
+/** Start settings before validation, in which defaults may be omitted. */
 export type StartSettingsInput = z.input<typeof startSettingsSchema>;
 
 /**
- * Reads start settings from YAML.
+ * Parses start settings from YAML and validates them.
  *
- * @param yamlText Content of the file.
- * @returns The settings, or every fault with its path.
+ * @param yamlText Content of the settings file.
+ * @returns The settings, or a message for each fault.
  */
-export function readStartSettings(
+export function parseStartSettings(
   yamlText: string,
 ): Result<StartSettings, string[]> {
   const document = parseDocument(yamlText, { prettyErrors: true });
   if (document.errors.length > 0) {
     return err(document.errors.map((fault) => fault.message));
   }
-  return checkStartSettings(document.toJS());
+  return validateStartSettings(document.toJS());
 }
 
 /**
- * Checks start settings that were not read from a file.
+ * Validates start settings that do not come from a file.
  *
- * @param value What should be start settings.
- * @returns The settings, or every fault with its path.
+ * @param value Settings to validate, of any type.
+ * @returns The settings, or a message for each fault, with the setting's path.
  */
-export function checkStartSettings(
+export function validateStartSettings(
   value: unknown,
 ): Result<StartSettings, string[]> {
   const parsed = startSettingsSchema.safeParse(value);
--- a/packages/daemon/src/target_adapter.ts
+++ b/packages/daemon/src/target_adapter.ts
@@ -1,4 +1,4 @@
-/** The port behind which engines and services look alike to the client. */
+/** Common interface of the protocols of engines and services. */
 
 import type { Buffer } from "node:buffer";
 import type { AttemptRef } from "@chestnuthatch/core/events";
@@ -6,74 +6,101 @@
 import type { TargetKind } from "@chestnuthatch/wire/work";
 import type { HttpRequest } from "./http_exchange.ts";
 
-/** What is sent for a request, apart from what the core's effect says. */
+/** Data sent with a dispatch that the core's effect does not contain. */
 export interface DispatchInput {
   readonly kind: TargetKind;
   /** `host:port` of the target's HTTP interface. */
   readonly address: string;
   readonly body: string;
+  /** Model of the request's pool. */
   readonly model: string;
   readonly promptTokens: number;
+  /** Hashes of the prompt's blocks, by which an engine finds cached blocks. */
   readonly blockHashes: readonly string[];
   readonly idempotencyKey?: string;
 }
 
-/** One attempt as it is to be sent. */
+/** An attempt with the data to send. */
 export interface OutgoingAttempt extends AttemptRef {
   readonly maxOutputTokens: number;
   readonly input: DispatchInput;
 }
 
-/** Where an adapter puts what it has read. */
+/** Receives the parts of an answer that an adapter has read. */
 export interface AnswerSink {
-  /** @param event A line of an engine's stream, as received. */
-  streamEvent(event: EngineEvent): void;
   /**
-   * @param answered Ids as the answer names them.
-   * @param body The service's answer.
+   * Handles an event of an engine's stream.
+   *
+   * @param event The event, with the ids that it was received with.
    */
-  serviceAnswered(answered: AttemptRef, body: string): void;
+  onStreamEvent(event: EngineEvent): void;
+  /**
+   * Handles the answer of a service.
+   *
+   * @param answered Ids of the attempt that the answer names.
+   * @param body Body of the answer.
+   */
+  onServiceAnswer(answered: AttemptRef, body: string): void;
 }
 
-/** Bounds on what a target may send. */
+/** Maximum sizes of an answer of a target. */
 export interface AnswerLimits {
+  /** Maximum size of one line of a stream. */
   readonly maxLineBytes: number;
+  /** Maximum size of the whole answer. */
   readonly maxBodyBytes: number;
 }
 
-/** Reads the body of one answer. */
+/** Incrementally parses the body of one answer. */
 export interface AnswerReader {
   /**
-   * @param chunk The next bytes.
-   * @returns Why reading has to stop; empty to go on.
+   * Parses the next bytes.
+   *
+   * @param chunk Bytes that follow those of earlier calls.
+   * @returns Reason to stop reading, or an empty string.
    */
   push(chunk: Buffer): string;
-  /** @returns What was wrong with the whole; empty when nothing was. */
+  /**
+   * Parses the end of the body.
+   *
+   * @returns Reason why the answer is invalid, or an empty string.
+   */
   end(): string;
 }
 
-/** Speaks the protocol of one kind of target. */
+/** Creates the requests and parses the answers of one kind of target. */
 export interface TargetAdapter {
   /**
-   * @param attempt The attempt.
-   * @returns The request that dispatches it.
+   * Creates the HTTP request that dispatches an attempt.
+   *
+   * @param attempt Attempt to dispatch.
+   * @returns The HTTP request.
    */
-  dispatch(attempt: OutgoingAttempt): HttpRequest;
+  dispatchRequest(attempt: OutgoingAttempt): HttpRequest;
   /**
-   * @param attempt The attempt, already dispatched.
-   * @param fromToken The first token wanted.
-   * @returns The request, or nothing where streams cannot be resumed.
+   * Creates the HTTP request that resumes the stream of an attempt.
+   *
+   * @param attempt Attempt that has been dispatched.
+   * @param fromToken Index of the first token to read.
+   * @returns The HTTP request, or `undefined` if this kind cannot resume.
    */
-  resume(attempt: AttemptRef, fromToken: number): HttpRequest | undefined;
+  resumeRequest(
+    attempt: AttemptRef,
+    fromToken: number,
+  ): HttpRequest | undefined;
   /**
-   * @param attempt The attempt, already dispatched.
-   * @returns The request, or nothing where work cannot be cancelled.
+   * Creates the HTTP request that cancels an attempt.
+   *
+   * @param attempt Attempt that has been dispatched.
+   * @returns The HTTP request, or `undefined` if this kind cannot cancel.
    */
-  cancel(attempt: AttemptRef): HttpRequest | undefined;
+  cancelRequest(attempt: AttemptRef): HttpRequest | undefined;
   /**
-   * @param sink Told what was read.
-   * @param limits Bounds of the answer.
-   * @returns A reader for one answer.
+   * Creates a reader for one answer.
+   *
+   * @param sink Receives the parsed parts of the answer.
+   * @param limits Maximum sizes of the answer.
+   * @returns The reader.
    */
-  reader(sink: AnswerSink, limits: AnswerLimits): AnswerReader;
+  createReader(sink: AnswerSink, limits: AnswerLimits): AnswerReader;
 }
--- a/packages/daemon/src/target_attempt.ts
+++ b/packages/daemon/src/target_attempt.ts
@@ -1,11 +1,11 @@
-/** One attempt on its way to a target, and the one end it comes to. */
+/** An attempt to run a request at a target, from sending to its end. */
 
 import type { Buffer } from "node:buffer";
 import { type AttemptRef, EventKind } from "@chestnuthatch/core/events";
 import type { Dispatcher } from "undici";
 import {
   type ExchangeEnd,
-  type ExchangeTimes,
+  type ExchangeTiming,
   HttpExchange,
   type HttpRequest,
 } from "./http_exchange.ts";
@@ -17,25 +17,28 @@
   TargetAdapter,
 } from "./target_adapter.ts";
 
-/** What an attempt is made of. */
-export interface AttemptOptions extends ExchangeTimes {
+/** Options of a {@link TargetAttempt}. */
+export interface AttemptOptions extends ExchangeTiming {
+  /** Protocol of the target. */
   readonly adapter: TargetAdapter;
+  /** Maximum sizes of the answer. */
   readonly limits: AnswerLimits;
+  /** Receives the events of the attempt. */
   readonly emit: EventSink;
-  /** True when an earlier request of this attempt has been sent. */
-  readonly maySoFarHaveRun: boolean;
+  /** Whether an earlier HTTP request of this attempt has been sent. */
+  readonly mayHaveRun: boolean;
   /** Called before the attempt's last event. */
   readonly onEnd: () => void;
 }
 
-/** Ends of a resume that tell that the target has the stream no more. */
-const LOST_REASONS: ReadonlySet<string> = new Set([
+/** Reasons for the end of a resume if the target no longer has the stream. */
+const LOST_STREAM_REASONS: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "status 404",
 ]);
 
-/** Ends that tell that the target does not take connections. */
-const CONNECT_FAULTS: ReadonlySet<string> = new Set([
+/** Reasons for the end of an attempt if the target refuses connections. */
+const UNREACHABLE_REASONS: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
@@ -45,69 +48,76 @@
 
 const STATUS_OK = 200;
 const REASON_SUPERSEDED = "resumed by another stream";
-const REASON_CROSSED = "the answer names another attempt";
+const REASON_OTHER_ATTEMPT = "the answer names another attempt";
 
 /**
- * Runs one exchange for an attempt and emits its events. Exactly one end is
- * emitted: DispatchNotSent when certainly nothing was sent, ServiceAnswered
- * for a service's answer, StreamClosed for everything else.
+ * Runs one HTTP exchange for an attempt and emits its events. Unless it is
+ * superseded, it emits exactly one end: `DispatchNotSent` if certainly nothing
+ * was sent, `ServiceAnswered` for a service's answer to this attempt, and
+ * `StreamClosed` otherwise. A service's answer to another attempt is emitted as
+ * well, before `StreamClosed`.
  */
 export class TargetAttempt implements AnswerSink {
+  /** Ids of the attempt. */
   readonly ref: AttemptRef;
   readonly #options: AttemptOptions;
   readonly #reader: AnswerReader;
   readonly #exchange: HttpExchange;
-  #answered = false;
-  #crossed = false;
-  #superseded = false;
+  #hasAnswered = false;
+  #hasCrossedAnswer = false;
+  #isSuperseded = false;
 
   /**
-   * @param ref Names the attempt as sent.
-   * @param options How it is sent and read.
+   * @param ref Ids of the attempt, as sent to the target.
+   * @param options Protocol, limits and times of the attempt.
    */
   constructor(ref: AttemptRef, options: AttemptOptions) {
     this.ref = ref;
     this.#options = options;
-    this.#reader = options.adapter.reader(this, options.limits);
+    this.#reader = options.adapter.createReader(this, options.limits);
     this.#exchange = new HttpExchange({
       onStatus: (statusCode) => this.#checkStatus(statusCode),
-      onChunk: (chunk) => this.#read(chunk),
-      onEnd: (end) => this.#finish(end),
+      onChunk: (chunk) => this.#readChunk(chunk),
+      onEnd: (end) => this.#onExchangeEnd(end),
     }, options);
   }
 
   /**
-   * Sends the attempt, unless it has ended while it waited.
+   * Sends the attempt, unless it ended while it was queued.
    *
-   * @param dispatcher The connections to use.
-   * @param request What to send.
-   * @returns Settles when the request has begun to leave, or never will.
+   * @param dispatcher Connections to the target.
+   * @param request HTTP request to send.
+   * @returns Settles once sending has started or the attempt has ended.
    */
   send(dispatcher: Dispatcher, request: HttpRequest): Promise<void> {
     this.#exchange.start(dispatcher, request);
-    return this.#exchange.departed;
+    return this.#exchange.sendStartedOrEnded;
   }
 
-  /** @param reason Why the attempt is cut off. */
-  stop(reason: string): void {
+  /**
+   * Aborts the attempt; has no effect once it has ended.
+   *
+   * @param reason Reason to report with the end of the attempt.
+   */
+  abort(reason: string): void {
     this.#exchange.abort(reason);
   }
 
-  /** Cuts the attempt off without an event: a resumed stream takes over. */
+  /** Aborts the attempt without an event, as a resumed stream replaces it. */
   supersede(): void {
-    this.#superseded = true;
+    this.#isSuperseded = true;
     this.#exchange.abort(REASON_SUPERSEDED);
   }
 
   /** @inheritdoc */
-  streamEvent(event: Parameters<AnswerSink["streamEvent"]>[0]): void {
+  onStreamEvent(event: Parameters<AnswerSink["onStreamEvent"]>[0]): void {
     this.#options.emit({ kind: EventKind.StreamEvent, ...this.ref, event });
   }
 
   /** @inheritdoc */
-  serviceAnswered(answered: AttemptRef, body: string): void {
-    this.#answered = this.#isOwn(answered);
-    this.#crossed = !this.#answered;
+  onServiceAnswer(answered: AttemptRef, body: string): void {
+    this.#hasAnswered = this.#isThisAttempt(answered);
+    this.#hasCrossedAnswer = !this.#hasAnswered;
     this.#options.emit({
       kind: EventKind.ServiceAnswered,
       ...this.ref,
@@ -116,7 +126,7 @@
     });
   }
 
-  #isOwn(answered: AttemptRef): boolean {
+  #isThisAttempt(answered: AttemptRef): boolean {
     return answered.requestId === this.ref.requestId &&
       answered.attemptNonce === this.ref.attemptNonce;
   }
@@ -127,46 +137,46 @@
     }
   }
 
-  #read(chunk: Buffer): void {
+  #readChunk(chunk: Buffer): void {
     const fault = this.#reader.push(chunk);
     if (fault !== "") {
       this.#exchange.abort(fault);
     }
   }
 
-  #finish(end: ExchangeEnd): void {
+  #onExchangeEnd(end: ExchangeEnd): void {
     this.#options.onEnd();
-    if (this.#superseded) {
+    if (this.#isSuperseded) {
       return;
     }
-    // Ends are emitted later, so that no event arises inside the effect that
-    // caused it; an attempt that cannot be sent ends within its own effect.
+    // An attempt that cannot be sent ends while its effect is being executed.
+    // Emitting is deferred, so that no event is emitted meanwhile.
     queueMicrotask(() => this.#emitEnd(end));
   }
 
   #emitEnd(end: ExchangeEnd): void {
-    if (!end.sent && !this.#options.maySoFarHaveRun) {
+    if (!end.sent && !this.#options.mayHaveRun) {
       this.#options.emit({
         kind: EventKind.DispatchNotSent,
         ...this.ref,
         reason: end.reason,
-        targetUnreachable: CONNECT_FAULTS.has(end.reason),
+        targetUnreachable: UNREACHABLE_REASONS.has(end.reason),
       });
       return;
     }
-    const reason = end.reason === "" ? this.#readEnd() : end.reason;
-    if (!this.#answered) {
+    const reason = end.reason === "" ? this.#finishReading() : end.reason;
+    if (!this.#hasAnswered) {
       this.#options.emit({
         kind: EventKind.StreamClosed,
         ...this.ref,
         reason,
-        lost: LOST_REASONS.has(reason),
+        lost: LOST_STREAM_REASONS.has(reason),
       });
     }
   }
 
-  #readEnd(): string {
+  #finishReading(): string {
     const fault = this.#reader.end();
-    return this.#crossed ? REASON_CROSSED : fault;
+    return this.#hasCrossedAnswer ? REASON_OTHER_ATTEMPT : fault;
   }
 }
--- a/packages/daemon/src/target_client.ts
+++ b/packages/daemon/src/target_client.ts
@@ -1,4 +1,4 @@
-/** Carries out the core's orders towards targets. */
+/** The target edge: executes the core's effects that call targets. */
 
 import { type AttemptRef, EventKind } from "@chestnuthatch/core/events";
 import {
@@ -23,38 +23,44 @@
   TargetAdapter,
 } from "./target_adapter.ts";
 import { TargetAttempt } from "./target_attempt.ts";
-import { sendCancel } from "./target_cancels.ts";
+import { sendCancel } from "./target_cancellation.ts";
 import {
   type ConnectionLimits,
   DEFAULT_CONNECTION_LIMITS,
   TargetConnections,
-  type TargetLink,
+  type TargetPools,
 } from "./target_connections.ts";
 import { TargetPolls } from "./target_polls.ts";
 import type { Timers } from "./timers.ts";
 
-/** Bounds of the client. */
+/** Limits of a {@pools TargetClient}. */
 export interface TargetClientLimits
   extends AnswerLimits, ConnectionLimits, SendQueueLimits {
-  /** A dispatch that has waited this long is not sent any more. */
+  /** Time after which a queued dispatch is no longer sent. */
   readonly maxSendWaitMs: number;
 }
 
-/** What a target client is made of. */
+/** Options of a {@pools TargetClient}. */
 export interface TargetClientOptions {
   /**
-   * @param requestId A request that the core dispatches.
-   * @returns What is to be sent, or nothing when it is not known.
+   * Collects the data to send for a request.
+   *
+   * @param requestId Id of a request that the core dispatches.
+   * @returns The data, or `undefined` if the request is not known.
    */
   readonly dispatchInput: (requestId: string) => DispatchInput | undefined;
   /**
-   * @param requestId The request.
-   * @returns Headers that carry its trace.
+   * Creates the headers that carry the trace context of a request.
+   *
+   * @param requestId Id of the request.
+   * @returns The headers; empty if the request is not traced.
    */
   readonly traceHeaders?: (
     requestId: string,
   ) => Readonly<Record<string, string>>;
+  /** Limits that differ from the defaults. */
   readonly limits?: Partial<TargetClientLimits>;
+  /** Timers of Node.js by default. */
   readonly timers?: Timers;
 }
 
@@ -77,74 +83,80 @@
 const REASON_STOPPED = "the instance stopped";
 const REASON_NO_RESUME = "the stream cannot be resumed";
 
-const ADAPTERS: Readonly<Record<TargetKind, TargetAdapter>> = {
+const ADAPTER_BY_KIND: Readonly<Record<TargetKind, TargetAdapter>> = {
   [TargetKind.Engine]: new EngineAdapter(),
   [TargetKind.Service]: new ServiceAdapter(),
 };
 
-/** Dispatches requests, each at most once, and reads what targets answer. */
+/**
+ * Sends requests to targets, each dispatch at most once, and emits the answers
+ * as events. Also sends cancels, and polls targets for their reports.
+ */
 export class TargetClient {
-  readonly #edge: EdgeContext;
+  readonly #context: EdgeContext;
   readonly #options: TargetClientOptions;
   readonly #limits: TargetClientLimits;
   readonly #connections: TargetConnections;
   readonly #polls: TargetPolls;
-  readonly #queues: SendQueues;
-  /** Open attempts by request id. */
-  readonly #open = new Map<string, TargetAttempt>();
-  readonly #kinds = new Map<string, TargetKind>();
-  #stopped = false;
+  readonly #sendQueues: SendQueues;
+  /** Open attempts by request id; an attempt is one try to run a request. */
+  readonly #attempts = new Map<string, TargetAttempt>();
+  readonly #kindByTarget = new Map<string, TargetKind>();
+  #isStopped = false;
 
   /**
-   * @param edge The instance's sinks and clock.
-   * @param options Where bodies come from, and bounds.
+   * @param context Clock, event sink, log and counters of the instance.
+   * @param options Source of the data to send, and limits.
    */
-  constructor(edge: EdgeContext, options: TargetClientOptions) {
-    this.#edge = edge;
+  constructor(context: EdgeContext, options: TargetClientOptions) {
+    this.#context = context;
     this.#options = options;
     this.#limits = { ...DEFAULT_LIMITS, ...options.limits };
-    this.#queues = new SendQueues(this.#limits);
+    this.#sendQueues = new SendQueues(this.#limits);
     this.#connections = new TargetConnections(this.#limits);
-    this.#polls = new TargetPolls(edge, this.#connections);
+    this.#polls = new TargetPolls(context, this.#connections);
   }
 
-  /** @returns Attempts that wait to be sent or are in progress. */
+  /** Number of attempts that are queued or in progress. */
   get openAttempts(): number {
-    return this.#open.size;
+    return this.#attempts.size;
   }
 
   /**
-   * Sends a request to its target, once, in the order of its pool's queue.
+   * Queues a request, and sends it once, in the order of its pool's queue.
    *
-   * @param effect The dispatch.
+   * @param effect Request, target and rank of the dispatch.
    */
   dispatch(effect: DispatchEffect): void {
-    if (this.#refuseSecond(effect)) {
+    if (this.#rejectDuplicate(effect)) {
       return;
     }
-    if (this.#stopped) {
+    if (this.#isStopped) {
       this.#emitNotSent(effect, REASON_STOPPED);
       return;
     }
     const input = this.#options.dispatchInput(effect.requestId);
-    const link = input &&
-      this.#connections.link(effect.targetId, input.address);
-    if (input === undefined || link === undefined) {
+    const pools = input &&
+      this.#connections.getOrCreate(effect.targetId, input.address);
+    if (input === undefined || pools === undefined) {
       this.#emitNotSent(effect, REASON_NO_ADDRESS);
       return;
     }
-    if (this.#queues.isFull(effect.pool)) {
+    if (this.#sendQueues.isFull(effect.pool)) {
       this.#emitNotSent(effect, REASON_QUEUE_FULL);
       return;
     }
-    this.#kinds.set(effect.targetId, input.kind);
-    const attempt = this.#openAttempt(effect, {
+    this.#kindByTarget.set(effect.targetId, input.kind);
+    const attempt = this.#createAttempt(effect, {
       kind: input.kind,
       maySoFarHaveRun: false,
-      timeToSendMs: effect.timeLeftMs,
+      sendTimeoutMs: effect.timeLeftMs,
+    });
+    const request = ADAPTER_BY_KIND[input.kind].dispatchRequest({
+      ...effect,
+      input,
     });
-    const request = ADAPTERS[input.kind].dispatch({ ...effect, input });
-    this.#queues.add(() => this.#send(attempt, link, request), {
+    this.#sendQueues.add(() => this.#send(attempt, pools, request), {
       pool: effect.pool,
       tierRank: effect.tierRank,
       value: effect.value,
@@ -152,144 +164,158 @@
   }
 
   /**
-   * Reads on an engine's stream from a token; a stream that is still open for
-   * the request is closed without a word.
+   * Resumes reading an engine's stream from a token. A stream that is still
+   * open for the request is closed without an event.
    *
-   * @param effect The attempt, and where to go on.
+   * @param effect Attempt to resume, and index of the first token to read.
    */
   resumeStream(effect: ResumeEffect): void {
-    this.#open.get(effect.requestId)?.supersede();
-    const kind = this.#kindOf(effect);
-    const link = this.#linkOf(effect);
-    const request = kind && ADAPTERS[kind].resume(effect, effect.fromToken);
+    this.#attempts.get(effect.requestId)?.supersede();
+    const kind = this.#findKind(effect);
+    const pools = this.#findPools(effect);
+    const request = kind &&
+      ADAPTER_BY_KIND[kind].resumeRequest(effect, effect.fromToken);
     if (
-      this.#stopped || kind === undefined || link === undefined ||
+      this.#isStopped || kind === undefined || pools === undefined ||
       request === undefined
     ) {
       this.#emitClosed(effect, REASON_NO_RESUME);
       return;
     }
-    const attempt = this.#openAttempt(effect, {
+    const attempt = this.#createAttempt(effect, {
       kind,
       maySoFarHaveRun: true,
-      timeToSendMs: effect.answerTimeLeftMs,
+      sendTimeoutMs: effect.answerTimeLeftMs,
     });
-    void this.#send(attempt, link, request);
+    void this.#send(attempt, pools, request);
   }
 
   /**
-   * Cuts an attempt off. One that has been sent is cancelled at its target,
-   * where the target can; one that still waits is never sent.
+   * Aborts an attempt. A queued attempt is never sent; one that has been sent
+   * is also cancelled at its target, if targets of its kind support that.
    *
-   * @param effect The attempt.
+   * @param effect Attempt to cancel.
    */
   cancelStream(effect: CancelEffect): void {
-    const attempt = this.#open.get(effect.requestId);
+    const attempt = this.#attempts.get(effect.requestId);
     if (attempt?.ref.attemptNonce === effect.attemptNonce) {
-      attempt.stop(REASON_CANCELLED);
+      attempt.abort(REASON_CANCELLED);
     }
-    const kind = this.#kindOf(effect);
-    const request = kind && ADAPTERS[kind].cancel(effect);
-    const link = this.#linkOf(effect);
-    if (request !== undefined && link !== undefined && !this.#stopped) {
-      const traced = this.#traced(effect, request);
-      void sendCancel(this.#edge, { link, request: traced });
+    const kind = this.#findKind(effect);
+    const request = kind && ADAPTER_BY_KIND[kind].cancelRequest(effect);
+    const pools = this.#findPools(effect);
+    if (request !== undefined && pools !== undefined && !this.#isStopped) {
+      const tracedRequest = this.#withTraceHeaders(effect, request);
+      void sendCancel(this.#context, { pools, request: tracedRequest });
     }
   }
 
-  /** @param effect Whose load to read. */
+  /**
+   * Reads the load of a target and emits it as an event.
+   *
+   * @param effect Target to poll.
+   */
   pollLoad(effect: EffectOf<EffectKind.PollLoad>): void {
     void this.#polls.pollLoad(effect);
   }
 
-  /** @param effect Whose cache events to read. */
+  /**
+   * Reads the cache events of an engine and emits them as an event.
+   *
+   * @param effect Target to poll, and the last event read before.
+   */
   pollCacheEvents(effect: EffectOf<EffectKind.PollCacheEvents>): void {
     void this.#polls.pollCacheEvents(effect);
   }
 
-  /** Ends every attempt and closes all connections. */
+  /** Aborts every attempt and closes all connections. */
   async stop(): Promise<void> {
-    this.#stopped = true;
-    for (const attempt of [...this.#open.values()]) {
-      attempt.stop(REASON_STOPPED);
+    this.#isStopped = true;
+    for (const attempt of [...this.#attempts.values()]) {
+      attempt.abort(REASON_STOPPED);
     }
     await this.#connections.stop();
   }
 
   #send(
     attempt: TargetAttempt,
-    link: TargetLink,
+    pools: TargetPools,
     request: HttpRequest,
   ): Promise<void> {
-    // Waiting for a connection here would hold up the pool's other targets.
-    if (this.#connections.isFull(link)) {
-      attempt.stop(REASON_NO_CONNECTION);
+    // Waiting for a connection here would block dispatches of the same pool to
+    // other targets.
+    if (this.#connections.isStreamPoolFull(pools)) {
+      attempt.abort(REASON_NO_CONNECTION);
       return Promise.resolve();
     }
-    this.#edge.count(EdgeCounterName.TargetCalls, { call: "attempt" }, 1);
-    return attempt.send(link.streams, this.#traced(attempt.ref, request));
+    this.#context.count(EdgeCounterName.TargetCalls, { call: "attempt" }, 1);
+    return attempt.send(
+      pools.streamPool,
+      this.#withTraceHeaders(attempt.ref, request),
+    );
   }
 
-  #traced(ref: AttemptRef, request: HttpRequest): HttpRequest {
+  #withTraceHeaders(ref: AttemptRef, request: HttpRequest): HttpRequest {
     const headers = this.#options.traceHeaders?.(ref.requestId);
     return headers === undefined ? request : { ...request, headers };
   }
 
-  #openAttempt(
+  #createAttempt(
     effect: DispatchEffect | ResumeEffect,
     options: {
       kind: TargetKind;
       maySoFarHaveRun: boolean;
-      timeToSendMs: number;
+      sendTimeoutMs: number;
     },
   ): TargetAttempt {
     const { requestId, attemptNonce, answerTimeLeftMs } = effect;
-    const nowMs = this.#edge.clock.nowMs();
+    const nowMs = this.#context.clock.nowMs();
     const attempt = new TargetAttempt({ requestId, attemptNonce }, {
-      adapter: ADAPTERS[options.kind],
+      adapter: ADAPTER_BY_KIND[options.kind],
       limits: this.#limits,
-      emit: this.#edge.emit,
-      clock: this.#edge.clock,
+      emit: this.#context.emit,
+      clock: this.#context.clock,
       timers: this.#options.timers,
       deadlineAtMs: nowMs + answerTimeLeftMs,
       sendByAtMs: nowMs +
-        Math.min(this.#limits.maxSendWaitMs, options.timeToSendMs),
-      maySoFarHaveRun: options.maySoFarHaveRun,
-      onEnd: () => this.#open.delete(requestId),
+        Math.min(this.#limits.maxSendWaitMs, options.sendTimeoutMs),
+      mayHaveRun: options.maySoFarHaveRun,
+      onEnd: () => this.#attempts.delete(requestId),
     });
-    this.#open.set(requestId, attempt);
+    this.#attempts.set(requestId, attempt);
     return attempt;
   }
 
-  /** The last guard of "at most once": one open attempt for each request. */
-  #refuseSecond(effect: DispatchEffect): boolean {
-    if (!this.#open.has(effect.requestId)) {
+  /** Allows one open attempt per request, so that none is sent twice. */
+  #rejectDuplicate(effect: DispatchEffect): boolean {
+    if (!this.#attempts.has(effect.requestId)) {
       return false;
     }
-    this.#edge.log(
+    this.#context.log(
       LogLevel.Error,
       LogPart.Targets,
-      `Request ${effect.requestId} is at a target already; not sent again.`,
+      `Request ${effect.requestId} is already being sent; duplicate dispatch ignored.`,
     );
     return true;
   }
 
-  #kindOf(effect: ResumeEffect | CancelEffect): TargetKind | undefined {
+  #findKind(effect: ResumeEffect | CancelEffect): TargetKind | undefined {
     return this.#options.dispatchInput(effect.requestId)?.kind ??
-      this.#kinds.get(effect.targetId);
+      this.#kindByTarget.get(effect.targetId);
   }
 
-  #linkOf(effect: ResumeEffect | CancelEffect): TargetLink | undefined {
-    const known = this.#connections.known(effect.targetId);
-    if (known !== undefined) {
-      return known;
+  #findPools(effect: ResumeEffect | CancelEffect): TargetPools | undefined {
+    const pools = this.#connections.find(effect.targetId);
+    if (pools !== undefined) {
+      return pools;
     }
     const input = this.#options.dispatchInput(effect.requestId);
-    return input && this.#connections.link(effect.targetId, input.address);
+    return input &&
+      this.#connections.getOrCreate(effect.targetId, input.address);
   }
 
   #emitNotSent({ requestId, attemptNonce }: AttemptRef, reason: string): void {
-    this.#emitLater({
+    this.#emitDeferred({
       kind: EventKind.DispatchNotSent,
       requestId,
       attemptNonce,
@@ -300,11 +326,11 @@
 
   #emitClosed({ requestId, attemptNonce }: AttemptRef, reason: string): void {
     const kind = EventKind.StreamClosed;
-    this.#emitLater({ kind, requestId, attemptNonce, reason });
+    this.#emitDeferred({ kind, requestId, attemptNonce, reason });
   }
 
-  /** Later, so that no event arises inside the effect that caused it. */
-  #emitLater(event: UntimedEvent): void {
-    queueMicrotask(() => this.#edge.emit(event));
+  /** Deferred, so that no event is emitted while its cause is executed. */
+  #emitDeferred(event: UntimedEvent): void {
+    queueMicrotask(() => this.#context.emit(event));
   }
 }
--- a/packages/daemon/src/target_client_test.ts
+++ b/packages/daemon/src/target_client_test.ts
@@ -6,7 +6,11 @@
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { type SeenRequest, TestEdge, TestServer } from "./edge_test_support.ts";
+import {
+  type ReceivedRequest,
+  TestEdgeContext,
+  TestServer,
+} from "./edge_test_support.ts";
 import { ManualTimers } from "./manual_timers.ts";
 import type { DispatchInput } from "./target_adapter.ts";
 import { TargetClient, type TargetClientLimits } from "./target_client.ts";
@@ -22,7 +26,7 @@
 const TOKEN = { kind: EngineEventKind.Token, ...REF, index: 0, text: "mähen" };
 const END = { kind: EngineEventKind.End, ...REF, outputTokens: 1 };
 
-function dispatchOf(
+function dispatchEffect(
   changes: Partial<EffectOf<EffectKind.Dispatch>> = {},
 ): EffectOf<EffectKind.Dispatch> {
   return {
@@ -39,8 +43,8 @@
   };
 }
 
-class Bench {
-  readonly edge = new TestEdge();
+class TargetClientHarness {
+  readonly edge = new TestEdgeContext();
   readonly timers = new ManualTimers();
   readonly client: TargetClient;
   input: DispatchInput | undefined;
@@ -67,15 +71,15 @@
 }
 
 async function withServer(
-  answer: (seen: SeenRequest) => void,
-  run: (bench: Bench, server: TestServer) => Promise<void>,
+  answer: (seen: ReceivedRequest) => void,
+  run: (harness: TargetClientHarness, server: TestServer) => Promise<void>,
 ): Promise<void> {
   const server = await new TestServer(answer).start();
-  const bench = new Bench(server.address);
+  const harness = new TargetClientHarness(server.address);
   try {
-    await run(bench, server);
+    await run(harness, server);
   } finally {
-    await bench.client.stop();
+    await harness.client.stop();
     await server.stop();
   }
 }
@@ -87,53 +91,53 @@
   return address;
 }
 
-async function turnsUntil(isReached: () => boolean): Promise<void> {
+async function waitUntil(isReached: () => boolean): Promise<void> {
   for (let turns = 0; !isReached(); turns++) {
-    assert.ok(turns < MAX_TURNS, "waited for too many turns");
+    assert.ok(turns < MAX_TURNS, "the condition was never met");
     await nextTurn();
   }
 }
 
-function lines(...events: unknown[]): string {
+function toLines(...events: unknown[]): string {
   return events.map((event) => `${JSON.stringify(event)}\n`).join("");
 }
 
-test("should say not sent when the connection is refused", async () => {
-  const bench = new Bench(await closedAddress());
-  bench.client.dispatch(dispatchOf());
-  const end = await bench.edge.until(EventKind.DispatchNotSent);
+test("should report not sent when the connection is refused", async () => {
+  const harness = new TargetClientHarness(await closedAddress());
+  harness.client.dispatch(dispatchEffect());
+  const end = await harness.edge.waitForEvent(EventKind.DispatchNotSent);
   assert.is(end.reason, "ECONNREFUSED");
-  assert.equal(bench.kinds(), [EventKind.DispatchNotSent]);
-  assert.is(bench.client.openAttempts, 0);
-  await bench.client.stop();
+  assert.equal(harness.kinds(), [EventKind.DispatchNotSent]);
+  assert.is(harness.client.openAttempts, 0);
+  await harness.client.stop();
 });
 
-test("should say not sent when the address is unknown", async () => {
-  const bench = new Bench("not an address");
-  bench.client.dispatch(dispatchOf());
-  await bench.edge.until(EventKind.DispatchNotSent);
-  bench.input = undefined;
-  bench.client.dispatch(dispatchOf());
+test("should report not sent when the address is unknown", async () => {
+  const harness = new TargetClientHarness("not an address");
+  harness.client.dispatch(dispatchEffect());
+  await harness.edge.waitForEvent(EventKind.DispatchNotSent);
+  harness.input = undefined;
+  harness.client.dispatch(dispatchEffect());
   await nextTurn();
-  assert.is(bench.kinds().length, 2);
-  await bench.client.stop();
+  assert.is(harness.kinds().length, 2);
+  await harness.client.stop();
 });
 
-test("should pass a whole stream, cut anywhere", async () => {
-  const bytes = Buffer.from(lines(START, TOKEN, END).trimEnd());
+test("should pass on a complete stream that arrives in single bytes", async () => {
+  const bytes = Buffer.from(toLines(START, TOKEN, END).trimEnd());
   await withServer(({ response }) => {
     for (const byte of bytes) {
       response.write(Buffer.of(byte));
     }
     response.end();
   }, async ({ client, edge }, server) => {
-    client.dispatch(dispatchOf());
-    assert.is((await edge.until(EventKind.StreamClosed)).reason, "");
+    client.dispatch(dispatchEffect());
+    assert.is((await edge.waitForEvent(EventKind.StreamClosed)).reason, "");
     const events = edge.events.flatMap((event) =>
       event.kind === EventKind.StreamEvent ? [event.event] : []
     );
     assert.equal(events, [START, TOKEN, END]);
-    assert.equal(JSON.parse(server.seen[0].body), {
+    assert.equal(JSON.parse(server.received[0].body), {
       ...REF,
       model: "m",
       prompt: "prompt",
@@ -144,16 +148,16 @@
   });
 });
 
-test("should pass ids through as received when answers are crossed", async () => {
-  const stray = { ...TOKEN, requestId: "r2", attemptNonce: "n2" };
+test("should pass on the ids of an event that names another attempt", async () => {
+  const otherEvent = { ...TOKEN, requestId: "r2", attemptNonce: "n2" };
   await withServer(
-    ({ response }) => response.end(lines(stray)),
+    ({ response }) => response.end(toLines(otherEvent)),
     async ({ client, edge }) => {
-      client.dispatch(dispatchOf());
-      const event = await edge.until(EventKind.StreamEvent);
+      client.dispatch(dispatchEffect());
+      const event = await edge.waitForEvent(EventKind.StreamEvent);
       assert.is(event.requestId, "r1");
-      assert.equal(event.event, stray);
-      await edge.until(EventKind.StreamClosed);
+      assert.equal(event.event, otherEvent);
+      await edge.waitForEvent(EventKind.StreamClosed);
     },
   );
 });
@@ -170,29 +174,29 @@
     await withServer(
       ({ response }) => response.end(body),
       async ({ client, edge }) => {
-        client.dispatch(dispatchOf());
-        const closed = await edge.until(EventKind.StreamClosed);
+        client.dispatch(dispatchEffect());
+        const closed = await edge.waitForEvent(EventKind.StreamClosed);
         assert.is(closed.reason, reason);
       },
     );
   });
 }
 
-test("should close with a reason and send once when reset after the request", async () => {
+test("should close with a reason and send once when the connection is reset after the request", async () => {
   await withServer(
     ({ request }) => request.socket.resetAndDestroy(),
     async ({ client, edge }, server) => {
-      client.dispatch(dispatchOf());
-      const closed = await edge.until(EventKind.StreamClosed);
+      client.dispatch(dispatchEffect());
+      const closed = await edge.waitForEvent(EventKind.StreamClosed);
       assert.is.not(closed.reason, "");
       await nextTurn();
-      assert.is(server.seen.length, 1);
+      assert.is(server.received.length, 1);
       assert.is(edge.events.length, 1);
     },
   );
 });
 
-test("should close with a reason when a kept connection breaks under a request", async () => {
+test("should close with a reason when a reused connection breaks during a request", async () => {
   await withServer(({ request, response, body }) => {
     if (body.includes("r2")) {
       request.socket.destroy();
@@ -200,17 +204,19 @@
       response.end();
     }
   }, async ({ client, edge }, server) => {
-    client.dispatch(dispatchOf());
-    assert.is((await edge.until(EventKind.StreamClosed)).reason, "");
+    client.dispatch(dispatchEffect());
+    assert.is((await edge.waitForEvent(EventKind.StreamClosed)).reason, "");
     edge.events.length = 0;
-    // The connection is free for the next request two turns later.
+    // The connection can be reused two turns of the event loop later.
     await nextTurn();
     await nextTurn();
-    client.dispatch(dispatchOf({ requestId: "r2" }));
-    assert.is.not((await edge.until(EventKind.StreamClosed)).reason, "");
+    client.dispatch(dispatchEffect({ requestId: "r2" }));
+    assert.is.not((await edge.waitForEvent(EventKind.StreamClosed)).reason, "");
     await nextTurn();
-    assert.is(server.seen.length, 2);
-    const [first, second] = server.seen.map(({ request }) => request.socket);
+    assert.is(server.received.length, 2);
+    const [first, second] = server.received.map(({ request }) =>
+      request.socket
+    );
     assert.ok(first === second);
   });
 });
@@ -218,42 +224,47 @@
 test("should never send twice over keep-alive connections that the target closes", async () => {
   const CALLS = 20;
   await withServer(({ request, response }) => {
-    response.end(lines(END), () => request.socket.destroy());
+    response.end(toLines(END), () => request.socket.destroy());
   }, async ({ client, edge }, server) => {
     for (let call = 0; call < CALLS; call++) {
       const requestId = `r${call}`;
-      client.dispatch(dispatchOf({ requestId }));
+      client.dispatch(dispatchEffect({ requestId }));
       edge.events.length = 0;
       // The next call may find the closing connection still in the pool.
-      await edge.until(EventKind.StreamClosed, EventKind.DispatchNotSent);
+      await edge.waitForEvent(
+        EventKind.StreamClosed,
+        EventKind.DispatchNotSent,
+      );
       for (let turns = 0; turns < call % 4; turns++) {
         await nextTurn();
       }
     }
-    const ids = server.seen.map(({ body }) => JSON.parse(body).requestId);
+    const ids = server.received.map(({ body }) => JSON.parse(body).requestId);
     assert.is(new Set(ids).size, ids.length);
   });
 });
 
 test("should send no request that was cancelled or timed out in the queue", async () => {
   await withServer(() => {}, async (_bench, server) => {
-    const bench = new Bench(server.address, { maxConcurrentSends: 1 });
-    // The queue's only turn is taken until the first connection is open.
-    bench.client.dispatch(dispatchOf({ requestId: "first" }));
-    bench.client.dispatch(dispatchOf({ requestId: "second" }));
-    bench.client.dispatch(dispatchOf({ requestId: "third" }));
-    bench.client.cancelStream({
+    const harness = new TargetClientHarness(server.address, {
+      maxConcurrentSends: 1,
+    });
+    // The queue's only slot is in use until the first connection is open.
+    harness.client.dispatch(dispatchEffect({ requestId: "first" }));
+    harness.client.dispatch(dispatchEffect({ requestId: "second" }));
+    harness.client.dispatch(dispatchEffect({ requestId: "third" }));
+    harness.client.cancelStream({
       kind: EffectKind.CancelStream,
       ...REF,
       requestId: "second",
       targetId: "t1",
     });
-    bench.edge.clock.atMs = 5000;
-    bench.client.dispatch(dispatchOf({ requestId: "fourth" }));
-    await turnsUntil(() => server.seen.length > 0);
-    await bench.client.stop();
+    harness.edge.clock.atMs = 5000;
+    harness.client.dispatch(dispatchEffect({ requestId: "fourth" }));
+    await waitUntil(() => server.received.length > 0);
+    await harness.client.stop();
     await nextTurn();
-    const ends = bench.edge.events.map((event) =>
+    const ends = harness.edge.events.map((event) =>
       "reason" in event && "requestId" in event
         ? `${event.requestId} ${event.kind}: ${event.reason}`
         : event.kind
@@ -267,25 +278,25 @@
   });
 });
 
-test("should close a stream whose time is over", async () => {
+test("should close a stream at its deadline", async () => {
   await withServer(() => {}, async ({ client, edge, timers }, server) => {
-    client.dispatch(dispatchOf({ answerTimeLeftMs: 50 }));
-    await turnsUntil(() => server.seen.length > 0);
+    client.dispatch(dispatchEffect({ answerTimeLeftMs: 50 }));
+    await waitUntil(() => server.received.length > 0);
     timers.fire(50);
-    const closed = await edge.until(EventKind.StreamClosed);
+    const closed = await edge.waitForEvent(EventKind.StreamClosed);
     assert.is(closed.reason, "timed out");
   });
 });
 
 test("should resume at the same target and close the stream it replaces", async () => {
   await withServer(({ path, response }) => {
-    response.write(lines(START));
+    response.write(toLines(START));
     if (path.startsWith("/v1/resume")) {
-      response.end(lines(END));
+      response.end(toLines(END));
     }
   }, async ({ client, edge }, server) => {
-    client.dispatch(dispatchOf());
-    await edge.until(EventKind.StreamEvent);
+    client.dispatch(dispatchEffect());
+    await edge.waitForEvent(EventKind.StreamEvent);
     client.resumeStream({
       kind: EffectKind.ResumeStream,
       ...REF,
@@ -293,7 +304,7 @@
       fromToken: 4,
       answerTimeLeftMs: 10_000,
     });
-    assert.is((await edge.until(EventKind.StreamClosed)).reason, "");
+    assert.is((await edge.waitForEvent(EventKind.StreamClosed)).reason, "");
     assert.is(
       server.paths()[1],
       "/v1/resume?requestId=r1&attemptNonce=n1&fromToken=4",
@@ -302,22 +313,22 @@
       kind === EventKind.StreamClosed
     );
     assert.is(ends.length, 1);
-    await turnsUntil(() => server.seen[0].response.destroyed);
+    await waitUntil(() => server.received[0].response.destroyed);
   });
 });
 
-test("should never call a resume that cannot connect not sent", async () => {
-  const bench = new Bench(await closedAddress());
-  bench.client.resumeStream({
+test("should never report a resume that cannot connect as not sent", async () => {
+  const harness = new TargetClientHarness(await closedAddress());
+  harness.client.resumeStream({
     kind: EffectKind.ResumeStream,
     ...REF,
     targetId: "t1",
     fromToken: 0,
     answerTimeLeftMs: 10_000,
   });
-  const closed = await bench.edge.until(EventKind.StreamClosed);
+  const closed = await harness.edge.waitForEvent(EventKind.StreamClosed);
   assert.is(closed.reason, "ECONNREFUSED");
-  await bench.client.stop();
+  await harness.client.stop();
 });
 
 test("should cancel an open stream at its engine", async () => {
@@ -325,33 +336,33 @@
     if (path === "/v1/cancel") {
       response.end('{"cancelled":true}');
     } else {
-      response.write(lines(START));
+      response.write(toLines(START));
     }
   }, async ({ client, edge }, server) => {
-    client.dispatch(dispatchOf());
-    await edge.until(EventKind.StreamEvent);
+    client.dispatch(dispatchEffect());
+    await edge.waitForEvent(EventKind.StreamEvent);
     client.cancelStream({
       kind: EffectKind.CancelStream,
       ...REF,
       targetId: "t1",
     });
-    const closed = await edge.until(EventKind.StreamClosed);
+    const closed = await edge.waitForEvent(EventKind.StreamClosed);
     assert.is(closed.reason, "cancelled");
-    await turnsUntil(() => server.seen.length === 2);
-    assert.equal(JSON.parse(server.seen[1].body), REF);
+    await waitUntil(() => server.received.length === 2);
+    assert.equal(JSON.parse(server.received[1].body), REF);
   });
 });
 
 const { ServiceAnswered, StreamClosed } = EventKind;
 const ANSWER = { ...REF, body: "sent", complete: true };
-const CROSSED = { ...ANSWER, requestId: "r2", attemptNonce: "n2" };
+const OTHER_ATTEMPT_ANSWER = { ...ANSWER, requestId: "r2", attemptNonce: "n2" };
 for (
   const [title, status, answer, kinds, reason] of [
     ["its answer", 200, ANSWER, [ServiceAnswered], undefined],
     [
-      "a crossed answer",
+      "an answer to another attempt",
       200,
-      CROSSED,
+      OTHER_ATTEMPT_ANSWER,
       [ServiceAnswered, StreamClosed],
       "the answer names another attempt",
     ],
@@ -365,21 +376,21 @@
     ["an error", 503, {}, [StreamClosed], "status 503"],
   ] as const
 ) {
-  test(`should tell of a service's call: ${title}`, async () => {
+  test(`should report the end of a service's call: ${title}`, async () => {
     await withServer(({ response }) => {
       response.writeHead(status).end(JSON.stringify(answer));
-    }, async (bench) => {
-      bench.input = { ...bench.input!, kind: TargetKind.Service };
-      bench.client.dispatch(dispatchOf());
-      await bench.edge.until(kinds.at(-1)!);
-      assert.equal(bench.kinds(), [...kinds]);
-      const end = bench.edge.events.at(-1) as { reason?: string };
+    }, async (harness) => {
+      harness.input = { ...harness.input!, kind: TargetKind.Service };
+      harness.client.dispatch(dispatchEffect());
+      await harness.edge.waitForEvent(kinds.at(-1)!);
+      assert.equal(harness.kinds(), [...kinds]);
+      const end = harness.edge.events.at(-1) as { reason?: string };
       assert.is(end.reason, reason);
     });
   });
 }
 
-test("should poll load once at a time and tell failures", async () => {
+test("should poll load without overlap and report failures", async () => {
   const bounds = { slotsTotal: 8, kvTotalTokens: 0, leaving: false };
   const used = { slotsUsed: 1, kvUsedTokens: 0, waitingRequests: 0 };
   const load = { targetId: "t1", ageMs: 5, ...bounds, ...used };
@@ -390,11 +401,11 @@
       const kind = EffectKind.PollLoad;
       client.pollLoad({ kind, targetId: "t1", address });
       client.pollLoad({ kind, targetId: "t1", address });
-      const event = await edge.until(EventKind.LoadReported);
+      const event = await edge.waitForEvent(EventKind.LoadReported);
       assert.equal(event.load, load);
-      assert.is(server.seen.length, 1);
+      assert.is(server.received.length, 1);
       client.pollLoad({ kind, targetId: "t2", address });
-      const failed = await edge.until(EventKind.LoadReportFailed);
+      const failed = await edge.waitForEvent(EventKind.LoadReportFailed);
       assert.is(failed.targetId, "t2");
     },
   );
--- a/packages/daemon/src/target_connections.ts
+++ b/packages/daemon/src/target_connections.ts
@@ -1,133 +1,139 @@
-/** Bounded HTTP connections to each target. */
+/** HTTP connection pools of each target. */
 
 import { Pool } from "undici";
 
-/** Bounds of the connections to one target. */
+/** Limits of the connections to one target. */
 export interface ConnectionLimits {
-  /** Streams and calls open at a time. */
-  readonly streamConnections: number;
+  /** Maximum number of dispatches and resumes open at a time. */
+  readonly maxStreamConnections: number;
+  /** Time within which a connection must be established. */
   readonly connectTimeoutMs: number;
-  /** How long an unused connection is kept. */
-  readonly keepAliveMs: number;
+  /** Time after which an idle connection is closed. */
+  readonly keepAliveTimeoutMs: number;
 }
 
-/** Connections used unless told otherwise. */
+/** Default limits of the connections to one target. */
 export const DEFAULT_CONNECTION_LIMITS: ConnectionLimits = {
-  streamConnections: 256,
+  maxStreamConnections: 256,
   connectTimeoutMs: 1000,
-  keepAliveMs: 4000,
+  keepAliveTimeoutMs: 4000,
 };
 
-const CONTROL_CONNECTIONS = 4;
+const MAX_CONTROL_CONNECTIONS = 4;
 const MAX_TARGETS = 4096;
 
-/** The connections to one target. */
-export interface TargetLink {
+/** Connection pools of one target. */
+export interface TargetPools {
+  /** `host:port` of the target. */
   readonly address: string;
   /** For dispatches and resumes. */
-  readonly streams: Pool;
-  /** For polls, cancels and orders, which must not wait behind streams. */
-  readonly control: Pool;
+  readonly streamPool: Pool;
+  /** For polls, cancels and orders, so that streams cannot block them. */
+  readonly controlPool: Pool;
 }
 
-/** Opens, keeps and closes the links to targets. */
+/** Creates, stores and closes the connection pools of targets. */
 export class TargetConnections {
   readonly #limits: ConnectionLimits;
-  readonly #links = new Map<string, TargetLink>();
+  readonly #poolsByTarget = new Map<string, TargetPools>();
 
-  /** @param limits Bounds for each target. */
+  /** @param limits Limits of the connections to each target. */
   constructor(limits: ConnectionLimits = DEFAULT_CONNECTION_LIMITS) {
     this.#limits = limits;
   }
 
   /**
-   * Finds or opens the link to a target.
+   * Finds or creates the pools of a target. Creating pools may evict those of
+   * the target that was added first, if there are more than 4096 targets.
    *
-   * @param targetId The target.
-   * @param address Its `host:port`; a changed one makes a new link.
-   * @returns The link, or nothing when the address is none.
+   * @param targetId Id of the target.
+   * @param address Its `host:port`; a changed address replaces the pools.
+   * @returns The pools, or `undefined` if the address is invalid.
    */
-  link(targetId: string, address: string): TargetLink | undefined {
-    const known = this.#links.get(targetId);
-    if (known?.address === address) {
-      return known;
+  getOrCreate(targetId: string, address: string): TargetPools | undefined {
+    const current = this.#poolsByTarget.get(targetId);
+    if (current?.address === address) {
+      return current;
     }
-    const link = this.#open(address);
-    if (link === undefined) {
+    const pools = this.#createPools(address);
+    if (pools === undefined) {
       return undefined;
     }
-    this.#retire(targetId);
-    this.#links.set(targetId, link);
+    this.#closePools(targetId);
+    this.#poolsByTarget.set(targetId, pools);
     this.#evictOldest();
-    return link;
+    return pools;
   }
 
   /**
-   * Finds a link made earlier.
+   * Finds the pools of a target without creating them.
    *
-   * @param targetId The target.
-   * @returns Its link, if there is one.
+   * @param targetId Id of the target.
+   * @returns The pools, or `undefined` if there are none.
    */
-  known(targetId: string): TargetLink | undefined {
-    return this.#links.get(targetId);
+  find(targetId: string): TargetPools | undefined {
+    return this.#poolsByTarget.get(targetId);
   }
 
   /**
    * Tells whether one more stream would have to wait for a connection.
    *
-   * @param link The link.
-   * @returns True when all its connections are taken.
+   * @param pools Pools of the target.
+   * @returns Whether all connections for streams are in use.
    */
-  isFull(link: TargetLink): boolean {
-    return link.streams.stats.size >= this.#limits.streamConnections;
+  isStreamPoolFull(pools: TargetPools): boolean {
+    return pools.streamPool.stats.size >= this.#limits.maxStreamConnections;
   }
 
-  /** Cuts all connections. */
+  /** Destroys all connections and aborts the exchanges in progress. */
   async stop(): Promise<void> {
-    const links = [...this.#links.values()];
-    this.#links.clear();
+    const targets = [...this.#poolsByTarget.values()];
+    this.#poolsByTarget.clear();
     await Promise.all(
-      links.flatMap(({ streams, control }) => [
+      targets.flatMap(({ streamPool: streams, controlPool: control }) => [
         streams.destroy(),
         control.destroy(),
       ]),
     );
   }
 
-  #open(address: string): TargetLink | undefined {
+  #createPools(address: string): TargetPools | undefined {
     try {
       return {
         address,
-        streams: this.#pool(address, this.#limits.streamConnections),
-        control: this.#pool(address, CONTROL_CONNECTIONS),
+        streamPool: this.#createPool(
+          address,
+          this.#limits.maxStreamConnections,
+        ),
+        controlPool: this.#createPool(address, MAX_CONTROL_CONNECTIONS),
       };
     } catch {
       return undefined;
     }
   }
 
-  #pool(address: string, connections: number): Pool {
+  #createPool(address: string, connections: number): Pool {
     return new Pool(`http://${address}`, {
       connections,
       pipelining: 1,
       connectTimeout: this.#limits.connectTimeoutMs,
-      keepAliveTimeout: this.#limits.keepAliveMs,
+      keepAliveTimeout: this.#limits.keepAliveTimeoutMs,
     });
   }
 
-  #retire(targetId: string): void {
-    const link = this.#links.get(targetId);
-    this.#links.delete(targetId);
-    // Closing lets streams in progress run to their end.
-    void link?.streams.close();
-    void link?.control.close();
+  #closePools(targetId: string): void {
+    const pools = this.#poolsByTarget.get(targetId);
+    this.#poolsByTarget.delete(targetId);
+    // close() lets streams in progress finish.
+    void pools?.streamPool.close();
+    void pools?.controlPool.close();
   }
 
   #evictOldest(): void {
-    if (this.#links.size <= MAX_TARGETS) {
+    if (this.#poolsByTarget.size <= MAX_TARGETS) {
       return;
     }
-    const [oldest] = this.#links.keys();
-    this.#retire(oldest);
+    const [oldestTargetId] = this.#poolsByTarget.keys();
+    this.#closePools(oldestTargetId);
   }
 }
--- a/packages/daemon/src/target_polls.ts
+++ b/packages/daemon/src/target_polls.ts
@@ -1,4 +1,4 @@
-/** Reads of targets' own reports: load, and cache events. */
+/** Polling of targets for their reports of load and of cache events. */
 
 import { EventKind } from "@chestnuthatch/core/events";
 import {
@@ -18,7 +18,8 @@
 import { type EdgeContext, EdgeCounterName } from "./ports.ts";
 import type { TargetConnections } from "./target_connections.ts";
 
-interface Poll {
+interface ReportPoll {
+  /** Kind of the report, as a label of the call counter. */
   readonly call: string;
   readonly targetId: string;
   readonly address: string;
@@ -26,48 +27,49 @@
 }
 
 const POLL_TIMEOUT_MS = 1000;
-const MAX_POLL_BYTES = 1024 * 1024;
+const MAX_REPORT_BYTES = 1024 * 1024;
 const STATUS_OK = 200;
 
-/** Polls targets, with one poll of each kind in flight for each. */
+/** Polls targets, with at most one poll of each kind in flight per target. */
 export class TargetPolls {
-  readonly #edge: EdgeContext;
+  readonly #context: EdgeContext;
   readonly #connections: TargetConnections;
   readonly #inFlight = new Set<string>();
 
   /**
-   * @param edge The instance's sinks and clock.
-   * @param connections Links to targets.
+   * @param context Clock, event sink, log and counters of the instance.
+   * @param connections Connections to targets.
    */
-  constructor(edge: EdgeContext, connections: TargetConnections) {
-    this.#edge = edge;
+  constructor(context: EdgeContext, connections: TargetConnections) {
+    this.#context = context;
     this.#connections = connections;
   }
 
   /**
-   * Reads a target's load: LoadReported, or LoadReportFailed.
+   * Reads the load of a target and emits `LoadReported` or `LoadReportFailed`.
    *
-   * @param effect Which target.
+   * @param effect Id and address of the target.
    */
   async pollLoad(effect: EffectOf<EffectKind.PollLoad>): Promise<void> {
     const { targetId, address } = effect;
     const poll = { call: "load", targetId, address, path: "/v1/load" };
-    await this.#onceAtATime(poll, async () => {
-      const load = await this.#read(poll, loadAnswerSchema);
+    await this.#withoutOverlap(poll, async () => {
+      const load = await this.#readReport(poll, loadAnswerSchema);
       if (load.isOk() && load.value.targetId === targetId) {
-        this.#edge.emit({ kind: EventKind.LoadReported, load: load.value });
+        this.#context.emit({ kind: EventKind.LoadReported, load: load.value });
         return;
       }
       const reason = load.isErr() ? load.error : "another target answered";
       this.#logFailure(poll, reason);
-      this.#edge.emit({ kind: EventKind.LoadReportFailed, targetId });
+      this.#context.emit({ kind: EventKind.LoadReportFailed, targetId });
     });
   }
 
   /**
-   * Reads an engine's cache events: CacheEventsRead, or nothing.
+   * Reads the cache events of an engine and emits `CacheEventsRead`; a failure
+   * is only logged.
    *
-   * @param effect Which target, and after which event.
+   * @param effect Id and address of the target, and the last event read before.
    */
   async pollCacheEvents(
     effect: EffectOf<EffectKind.PollCacheEvents>,
@@ -75,13 +77,13 @@
     const { targetId, address, after } = effect;
     const path = `/v1/cache-events?after=${after}`;
     const poll = { call: "cache_events", targetId, address, path };
-    await this.#onceAtATime(poll, async () => {
-      const answer = await this.#read(poll, cacheEventsAnswerSchema);
+    await this.#withoutOverlap(poll, async () => {
+      const answer = await this.#readReport(poll, cacheEventsAnswerSchema);
       if (answer.isErr()) {
         this.#logFailure(poll, answer.error);
         return;
       }
-      this.#edge.emit({
+      this.#context.emit({
         kind: EventKind.CacheEventsRead,
         targetId,
         answer: answer.value,
@@ -89,32 +91,35 @@
     });
   }
 
-  async #onceAtATime(poll: Poll, run: () => Promise<void>): Promise<void> {
-    const name = `${poll.call} ${poll.targetId}`;
-    if (this.#inFlight.has(name)) {
+  async #withoutOverlap(
+    poll: ReportPoll,
+    run: () => Promise<void>,
+  ): Promise<void> {
+    const pollKey = `${poll.call} ${poll.targetId}`;
+    if (this.#inFlight.has(pollKey)) {
       return;
     }
-    this.#inFlight.add(name);
+    this.#inFlight.add(pollKey);
     await run();
-    this.#inFlight.delete(name);
+    this.#inFlight.delete(pollKey);
   }
 
-  async #read<T>(
-    poll: Poll,
+  async #readReport<T>(
+    poll: ReportPoll,
     schema: z.ZodType<T>,
   ): Promise<Result<T, string>> {
-    const link = this.#connections.link(poll.targetId, poll.address);
-    if (link === undefined) {
-      return err("bad address");
+    const pools = this.#connections.getOrCreate(poll.targetId, poll.address);
+    if (pools === undefined) {
+      return err("invalid address");
     }
-    this.#edge.count(EdgeCounterName.TargetCalls, { call: poll.call }, 1);
+    this.#context.count(EdgeCounterName.TargetCalls, { call: poll.call }, 1);
     const answer = await callHttp(
-      link.control,
+      pools.controlPool,
       { method: "GET", path: poll.path },
       {
-        clock: this.#edge.clock,
+        clock: this.#context.clock,
         timeoutMs: POLL_TIMEOUT_MS,
-        maxAnswerBytes: MAX_POLL_BYTES,
+        maxAnswerBytes: MAX_REPORT_BYTES,
       },
     );
     if (answer.isErr()) {
@@ -125,11 +130,11 @@
     }
     const json = parseJson(answer.value.body.toString("utf8"));
     const parsed = schema.safeParse(json.unwrapOr(undefined));
-    return parsed.success ? ok(parsed.data) : err("bad answer");
+    return parsed.success ? ok(parsed.data) : err("invalid answer");
   }
 
-  #logFailure(poll: Poll, reason: string): void {
-    this.#edge.log(
+  #logFailure(poll: ReportPoll, reason: string): void {
+    this.#context.log(
       LogLevel.Debug,
       LogPart.Targets,
       `Poll of ${poll.call} at ${poll.targetId} failed: ${reason}.`,
--- a/packages/daemon/src/trace_context.ts
+++ b/packages/daemon/src/trace_context.ts
@@ -1,4 +1,4 @@
-/** The W3C `traceparent` header. */
+/** Parsing and formatting of the W3C `traceparent` header. */
 
 import {
   isSpanContextValid,
@@ -6,12 +6,12 @@
   type TraceFlags,
 } from "@opentelemetry/api";
 
-/** The header's name. */
+/** Name of the header that carries the trace context. */
 export const TRACEPARENT_HEADER = "traceparent";
 
 const VERSION = "00";
 const INVALID_VERSION = "ff";
-const TRACEPARENT =
+const TRACEPARENT_PATTERN =
   /^([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?$/;
 const HEX_RADIX = 16;
 const FLAGS_DIGITS = 2;
@@ -19,17 +19,17 @@
 /**
  * Parses a `traceparent` header.
  *
- * @param header The header's value.
- * @returns The caller's span, or nothing where the header is not valid.
+ * @param header Value of the header.
+ * @returns Context of the caller's span; `undefined` if the value is invalid.
  */
 export function parseTraceparent(header: string): SpanContext | undefined {
-  const match = TRACEPARENT.exec(header);
+  const match = TRACEPARENT_PATTERN.exec(header);
   if (match === null) {
     return undefined;
   }
-  const [, version, traceId, spanId, flags, more] = match;
-  const longerThanAllowed = version === VERSION && more !== undefined;
-  if (version === INVALID_VERSION || longerThanAllowed) {
+  const [, version, traceId, spanId, flags, extraFields] = match;
+  const hasUnexpectedFields = version === VERSION && extraFields !== undefined;
+  if (version === INVALID_VERSION || hasUnexpectedFields) {
     return undefined;
   }
   const traceFlags: TraceFlags = parseInt(flags, HEX_RADIX);
@@ -40,8 +40,8 @@
 /**
  * Formats a `traceparent` header.
  *
- * @param context The span that the receiver's spans belong under.
- * @returns The header's value.
+ * @param context Context of the parent span of the receiver's spans.
+ * @returns Value of the header.
  */
 export function formatTraceparent(context: SpanContext): string {
   const flags = context.traceFlags.toString(HEX_RADIX);
--- a/packages/daemon/src/refuse_unread.ts
+++ b/packages/daemon/src/unread_refusal.ts
@@ -1,4 +1,4 @@
-/** Refuses a call whose body has not been read, and closes its connection. */
+/** Refusal of a call whose body has not been read to its end. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Refusal } from "@chestnuthatch/core/request";
@@ -6,26 +6,26 @@
 import { refusalReply } from "./caller_reply.ts";
 import type { Timers } from "./timers.ts";
 
-/** What a call is refused with. */
-export interface RefuseUnreadOptions {
+/** Options for refusing a call with an unread body. */
+export interface UnreadRefusalOptions {
   readonly request: IncomingMessage;
   readonly limits: CallerLimits;
   readonly timers: Timers;
 }
 
 /**
- * Sends a refusal at once and closes the connection soon after. Closing it with
- * unread bytes would reset it, and the caller could lose the refusal; so a
- * bounded part of the body is dropped first.
+ * Sends a refusal at once, then discards a limited part of the body and closes
+ * the connection. Closing with unread bytes would reset the connection, and the
+ * caller could lose the refusal.
  *
- * @param response The response.
- * @param refusal The refusal.
- * @param options The request and the bounds.
+ * @param response Response of the refused call.
+ * @param refusal Refusal to send.
+ * @param options The request, and limits for discarding its body.
  */
-export function refuseUnread(
+export function refuseUnreadBody(
   response: ServerResponse,
   refusal: Refusal,
-  options: RefuseUnreadOptions,
+  options: UnreadRefusalOptions,
 ): void {
   const reply = refusalReply(refusal);
   response.setHeader("connection", "close");
@@ -34,17 +34,17 @@
   discardBody(options, () => response.end());
 }
 
-function discardBody(options: RefuseUnreadOptions, done: () => void): void {
+function discardBody(options: UnreadRefusalOptions, onDone: () => void): void {
   const { request, limits } = options;
   if (request.readableEnded || request.destroyed) {
-    done();
+    onDone();
     return;
   }
   let discardedBytes = 0;
-  const cancelTimer = options.timers.schedule(limits.discardTimeoutMs, done);
+  const cancelTimer = options.timers.schedule(limits.discardTimeoutMs, onDone);
   const finish = (): void => {
     cancelTimer();
-    done();
+    onDone();
   };
   request.on("data", (chunk) => {
     discardedBytes += chunk.length;
