--- a/packages/daemon/src/body_reader.ts
+++ b/packages/daemon/src/body_reader.ts
@@ -48,6 +48,7 @@
 }
 
 interface BodyReadOperationOptions extends BodyReaderOptions {
+  /** Called once, with the body or the fault. */
   readonly onDone: (result: Result<Buffer, BodyFault>) => void;
 }
 
--- a/packages/daemon/src/call_rate_limiter.ts
+++ b/packages/daemon/src/call_rate_limiter.ts
@@ -6,10 +6,10 @@
 export interface CallRateLimits {
   /** Rate at which calls are started. */
   readonly callsPerSecond: number;
-  /** Queueing time that bounds the queue: its length at this rate. */
+  /** Longest queueing time at this rate; sets the maximum queue length. */
   readonly maxWaitMs: number;
   /** Maximum number of calls in progress at a time. */
-  readonly concurrency: number;
+  readonly maxConcurrentCalls: number;
 }
 
 const MS_PER_SECOND = 1000;
@@ -28,7 +28,7 @@
       limits.callsPerSecond * limits.maxWaitMs / MS_PER_SECOND,
     );
     this.#queue = new PQueue({
-      concurrency: limits.concurrency,
+      concurrency: limits.maxConcurrentCalls,
       intervalCap: Math.max(1, Math.floor(callsPerInterval)),
       interval: Math.max(RATE_INTERVAL_MS, RATE_INTERVAL_MS / callsPerInterval),
     });
--- a/packages/daemon/src/caller_server.ts
+++ b/packages/daemon/src/caller_server.ts
@@ -130,8 +130,8 @@
    */
   async stop(): Promise<void> {
     this.beginShutdown();
-    // The port stays open until then, and new requests are refused. Closing it
-    // earlier would also close connections that only seem idle.
+    // Until all responses are closed, the port stays open and new requests are
+    // refused: server.close() also closes connections that only seem idle.
     await this.#whenAllResponsesClosed();
     const closed = new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
@@ -197,9 +197,9 @@
       routes.get(pattern, (request, response) => {
         const exchange = { request: request as RoutedRequest, response };
         this.startDeliveryTimeout(response);
-        answerReadRequest(handler, this.#options.reader, exchange).catch((
-          error,
-        ) => this.#onRouteError(response, error));
+        answerReadRequest(handler, this.#options.reader, exchange).catch(
+          (error) => this.#onRouteError(response, error),
+        );
       });
     }
     return (request, response) => {
--- a/packages/daemon/src/edge_test_support.ts
+++ b/packages/daemon/src/edge_test_support.ts
@@ -21,12 +21,14 @@
 
 /** Clock that tests set and that {@link TestClock.sleep} advances. */
 export class TestClock implements Clock {
+  /** Current time in milliseconds. */
   atMs = 0;
 
   nowMs(): number {
     return this.atMs;
   }
 
+  /** Advances the clock by the delay instead of waiting. */
   readonly sleep: Sleep = async (delayMs) => {
     this.atMs += delayMs;
     await new Promise((resolve) => setImmediate(resolve));
@@ -42,9 +44,9 @@
 
   readonly emit = (event: UntimedEvent): void => {
     this.events.push(event);
-    const waiting = this.#waiters;
+    const waiters = this.#waiters;
     this.#waiters = [];
-    waiting.forEach((resume) => resume());
+    waiters.forEach((resume) => resume());
   };
 
   readonly log: EdgeContext["log"] = (_level, _part, text) => {
@@ -53,6 +55,12 @@
 
   readonly count = (): void => {};
 
+  /**
+   * Waits until an event of one of some kinds has been emitted.
+   *
+   * @param kinds Kinds to wait for.
+   * @returns The first recorded event of these kinds.
+   */
   async waitForEvent<K extends EventKind>(...kinds: K[]): Promise<Emitted<K>> {
     for (;;) {
       const found = this.events.find(({ kind }) => kinds.includes(kind as K));
@@ -74,9 +82,11 @@
 
 /** HTTP server on a free port of the loopback interface. */
 export class TestServer {
+  /** Complete requests in order of arrival. */
   readonly received: ReceivedRequest[] = [];
   readonly #server: Server;
 
+  /** @param answer Answers a request; called once its body has arrived. */
   constructor(answer: (received: ReceivedRequest) => void) {
     this.#server = createServer((request, response) => {
       const chunks: Buffer[] = [];
@@ -90,15 +100,18 @@
     });
   }
 
+  /** `host:port` that the server listens on, once it has started. */
   get address(): string {
     const { port } = this.#server.address() as AddressInfo;
     return `127.0.0.1:${port}`;
   }
 
+  /** @returns Paths of the received requests, in order of arrival. */
   paths(): string[] {
     return this.received.map(({ path }) => path);
   }
 
+  /** @returns This server, once it accepts connections. */
   async start(): Promise<this> {
     await new Promise<void>((resolve) => {
       this.#server.listen(0, "127.0.0.1", resolve);
@@ -106,6 +119,7 @@
     return this;
   }
 
+  /** @returns Settles once all connections and the port are closed. */
   async stop(): Promise<void> {
     this.#server.closeAllConnections();
     await new Promise((resolve) => this.#server.close(resolve));
@@ -119,6 +133,7 @@
   AnswerLost = "answer_lost",
   /** The call has no effect, and its connection is closed. */
   CallLost = "call_lost",
+  /** The call has no effect and is answered with status 503. */
   Down = "down",
 }
 
@@ -131,16 +146,29 @@
   readonly writeFaults: TableFault[] = [];
   /** Faults of the next reads, in order; then `defaultFault` applies. */
   readonly readFaults: TableFault[] = [];
+  /** Fault of each call without a fault of its own. */
   defaultFault = TableFault.None;
   /** Called before each call is answered. */
   onCall: (path: string) => void = () => {};
   #lastVersion = 0;
 
+  /**
+   * Writes a row with a new version.
+   *
+   * @param key Key of the row.
+   * @param value Value to store as JSON.
+   */
   put(key: string, value: unknown): void {
     const text = JSON.stringify(value);
     this.rows.set(key, { key, value: text, version: ++this.#lastVersion });
   }
 
+  /**
+   * Reads the value of a row that exists.
+   *
+   * @param key Key of the row.
+   * @returns The parsed JSON value.
+   */
   value(key: string): Record<string, unknown> {
     return JSON.parse(this.rows.get(key)!.value);
   }
--- a/packages/daemon/src/engine_adapter.ts
+++ b/packages/daemon/src/engine_adapter.ts
@@ -17,7 +17,7 @@
   TargetAdapter,
 } from "./target_adapter.ts";
 
-const REASON_BAD_EVENT = "line is not an engine event";
+const REASON_INVALID_EVENT = "line is not an engine event";
 const REASON_TOO_LARGE = "stream too large";
 
 /** Adapter for engines, whose streams can be resumed and cancelled. */
@@ -35,7 +35,7 @@
       idempotencyKey: input.idempotencyKey,
       blockHashes: [...input.blockHashes],
     };
-    return post("/v1/generate", body);
+    return createPostRequest("/v1/generate", body);
   }
 
   /** @inheritdoc */
@@ -54,7 +54,7 @@
       requestId: attempt.requestId,
       attemptNonce: attempt.attemptNonce,
     };
-    return post("/v1/cancel", body);
+    return createPostRequest("/v1/cancel", body);
   }
 
   /** @inheritdoc */
@@ -81,13 +81,13 @@
     if (this.#bytesRead > this.#limits.maxBodyBytes) {
       return REASON_TOO_LARGE;
     }
-    const read = this.#lineReader.push(chunk, (value) => this.#onLine(value));
-    return this.#faultReason(read.isErr() ? read.error : "");
+    const result = this.#lineReader.push(chunk, (value) => this.#onLine(value));
+    return this.#faultReason(result.isErr() ? result.error : "");
   }
 
   end(): string {
-    const read = this.#lineReader.end((value) => this.#onLine(value));
-    return this.#faultReason(read.isErr() ? read.error : "");
+    const result = this.#lineReader.end((value) => this.#onLine(value));
+    return this.#faultReason(result.isErr() ? result.error : "");
   }
 
   #onLine(value: unknown): void {
@@ -103,10 +103,10 @@
   }
 
   #faultReason(fault: string): string {
-    return this.#hasInvalidEvent ? REASON_BAD_EVENT : fault;
+    return this.#hasInvalidEvent ? REASON_INVALID_EVENT : fault;
   }
 }
 
-function post(path: string, body: unknown): HttpRequest {
+function createPostRequest(path: string, body: unknown): HttpRequest {
   return { method: "POST", path, body: JSON.stringify(body) };
 }
--- a/packages/daemon/src/http_exchange.ts
+++ b/packages/daemon/src/http_exchange.ts
@@ -67,7 +67,7 @@
 export const REASON_TIMED_OUT = "timed out";
 /** Reason of an exchange that was queued until after `sendByAtMs`. */
 export const REASON_SENT_TOO_LATE = "waited too long to be sent";
-const REASON_RESEND = "the connection was lost";
+const REASON_RETRY = "the connection was lost";
 
 /** Maximum delay of `setTimeout`, which fires at once for longer delays. */
 const MAX_TIMER_MS = 2 ** 31 - 1;
@@ -217,7 +217,7 @@
       return REASON_TIMED_OUT;
     }
     if (this.#isSent) {
-      return REASON_RESEND;
+      return REASON_RETRY;
     }
     // The deadline timer may fire late after a pause of the process, so the
     // clock is checked as well.
--- a/packages/daemon/src/instance_edges.ts
+++ b/packages/daemon/src/instance_edges.ts
@@ -52,7 +52,7 @@
     (dependencies: EdgeDependencies, callers: CallerEdge) => number
   >
 > = {
-  [GaugeName.OpenRequests]: (_parts, callers) => callers.openRequests,
+  [GaugeName.OpenRequests]: (_dependencies, callers) => callers.openRequests,
   [GaugeName.LiveMembers]: ({ core, clock }) =>
     [...core.board.members.byId.values()]
       .filter((member) => isAlive(core.board, member, clock.nowMs()))
--- a/packages/daemon/src/open_calls.ts
+++ b/packages/daemon/src/open_calls.ts
@@ -25,7 +25,10 @@
   Ended = "ended",
 }
 
-/** A call of a caller, with its HTTP response. */
+/**
+ * One HTTP call of a caller for work, with its response. A call may join the
+ * request of an earlier call, so a request may have several calls.
+ */
 export class OpenCall {
   /** Id given to the call, sent in its `x-request-id` header. */
   readonly requestId: string;
--- a/packages/daemon/src/order_issuer.ts
+++ b/packages/daemon/src/order_issuer.ts
@@ -149,9 +149,10 @@
    */
   async issue(order: EngineOrder): Promise<OrderOutcome> {
     const orderId = this.#options.newOrderId();
-    const link = this.#connections.getOrCreate(order.targetId, order.address);
-    const initialState = link && await this.#readState(link.controlPool, order);
-    if (link === undefined || initialState === undefined) {
+    const pools = this.#connections.getOrCreate(order.targetId, order.address);
+    const initialState = pools &&
+      await this.#readState(pools.controlPool, order);
+    if (pools === undefined || initialState === undefined) {
       return { kind: OrderOutcomeKind.TargetUnreachable, orderId };
     }
     const lease = await this.#acquireLease(
@@ -161,7 +162,7 @@
     );
     return lease.isErr()
       ? leaseRefusedOutcome(orderId, lease.error)
-      : await this.#issueUnderLease(lease.value, order, link.controlPool);
+      : await this.#issueUnderLease(lease.value, order, pools.controlPool);
   }
 
   /** Closes the connections to targets. */
--- a/packages/daemon/src/platform_calls.ts
+++ b/packages/daemon/src/platform_calls.ts
@@ -126,7 +126,7 @@
     return new CallRateLimiter({
       callsPerSecond,
       maxWaitMs: this.#callTimeoutMs,
-      concurrency: MAX_CONNECTIONS,
+      maxConcurrentCalls: MAX_CONNECTIONS,
     });
   }
 
--- a/packages/daemon/src/request_span_recorder.ts
+++ b/packages/daemon/src/request_span_recorder.ts
@@ -34,19 +34,23 @@
    * @param nowMs Time on the instance's clock, in milliseconds.
    */
   onEvent(event: UntimedEvent, nowMs: number): void {
-    this.#startSpan(this.#isDisabled ? undefined : spanForEvent(event), nowMs);
+    this.#startSpan(
+      this.#isDisabled ? undefined : spanStartForEvent(event),
+      nowMs,
+    );
   }
 
   /**
    * Starts the span that an effect begins, if any, and ends the trace of a
-   * request that gets its outcome. Must be called before the effect is executed.
+   * request that gets its outcome. Must be called before the effect is
+   * executed.
    *
    * @param effect Effect to be executed.
    * @param nowMs Time on the instance's clock, in milliseconds.
    */
   onEffect(effect: Effect, nowMs: number): void {
     this.#startSpan(
-      this.#isDisabled ? undefined : spanForEffect(effect),
+      this.#isDisabled ? undefined : spanStartForEffect(effect),
       nowMs,
     );
     if (
@@ -68,7 +72,7 @@
   }
 }
 
-function spanForEvent(event: UntimedEvent): SpanStart | undefined {
+function spanStartForEvent(event: UntimedEvent): SpanStart | undefined {
   switch (event.kind) {
     case EventKind.RequestArrived:
       return { requestId: event.spec.requestId, name: SpanName.Wait };
@@ -89,7 +93,7 @@
   }
 }
 
-function spanForEffect(effect: Effect): SpanStart | undefined {
+function spanStartForEffect(effect: Effect): SpanStart | undefined {
   switch (effect.kind) {
     case EffectKind.WriteClaim:
       return { requestId: effect.requestId, name: SpanName.Claim };
--- a/packages/daemon/src/request_tracer.ts
+++ b/packages/daemon/src/request_tracer.ts
@@ -121,6 +121,7 @@
     this.#tracer = this.#provider.getTracer(TRACER_NAME);
   }
 
+  /** @inheritdoc */
   startTrace(requestId: string, traceparent?: string): void {
     const maxOpen = this.#options.maxOpenTraces ?? DEFAULT_MAX_OPEN_TRACES;
     if (this.#openTraces.size >= maxOpen) {
@@ -134,44 +135,48 @@
       createParentContext(traceparent),
     );
     const context = trace.setSpan(ROOT_CONTEXT, root);
-    const hop = this.#tracer.startSpan(
+    const currentSpan = this.#tracer.startSpan(
       SpanName.Receive,
       { startTime },
       context,
     );
-    this.#openTraces.set(requestId, { root, context, currentSpan: hop });
+    this.#openTraces.set(requestId, { root, context, currentSpan });
   }
 
+  /** @inheritdoc */
   startSpan(requestId: string, name: SpanName, atMs: number): void {
-    const open = this.#openTraces.get(requestId);
-    if (open === undefined) {
+    const openTrace = this.#openTraces.get(requestId);
+    if (openTrace === undefined) {
       return;
     }
     const startTime = this.#toUnixTime(atMs);
-    open.currentSpan.end(startTime);
-    open.currentSpan = this.#tracer.startSpan(
+    openTrace.currentSpan.end(startTime);
+    openTrace.currentSpan = this.#tracer.startSpan(
       name,
       { startTime },
-      open.context,
+      openTrace.context,
     );
   }
 
+  /** @inheritdoc */
   endTrace(requestId: string): void {
-    const open = this.#openTraces.get(requestId);
-    if (open === undefined) {
+    const openTrace = this.#openTraces.get(requestId);
+    if (openTrace === undefined) {
       return;
     }
     this.#openTraces.delete(requestId);
     const endTime = this.#toUnixTime(this.#options.clock.nowMs());
-    open.currentSpan.end(endTime);
-    open.root.end(endTime);
+    openTrace.currentSpan.end(endTime);
+    openTrace.root.end(endTime);
   }
 
+  /** @inheritdoc */
   currentTraceparent(requestId: string): string | undefined {
-    const open = this.#openTraces.get(requestId);
-    return open && formatTraceparent(open.currentSpan.spanContext());
+    const openTrace = this.#openTraces.get(requestId);
+    return openTrace && formatTraceparent(openTrace.currentSpan.spanContext());
   }
 
+  /** @inheritdoc */
   stop(): Promise<void> {
     return this.#provider.shutdown();
   }
--- a/packages/daemon/src/service_adapter.ts
+++ b/packages/daemon/src/service_adapter.ts
@@ -15,7 +15,7 @@
   TargetAdapter,
 } from "./target_adapter.ts";
 
-const REASON_BAD_ANSWER = "answer is not a service answer";
+const REASON_INVALID_ANSWER = "answer is not a service answer";
 const REASON_TOO_LARGE = "answer too large";
 
 /** Adapter for services, whose calls cannot be resumed or cancelled. */
@@ -71,7 +71,7 @@
     const json = parseJson(Buffer.concat(this.#chunks).toString("utf8"));
     const answer = serviceAnswerSchema.safeParse(json.unwrapOr(undefined));
     if (!answer.success) {
-      return REASON_BAD_ANSWER;
+      return REASON_INVALID_ANSWER;
     }
     const { requestId, attemptNonce, body } = answer.data;
     this.#sink.onServiceAnswer({ requestId, attemptNonce }, body);
--- a/packages/daemon/src/target_attempt.ts
+++ b/packages/daemon/src/target_attempt.ts
@@ -64,7 +64,7 @@
   readonly #reader: AnswerReader;
   readonly #exchange: HttpExchange;
   #hasAnswered = false;
-  #hasCrossedAnswer = false;
+  #hasMismatchedAnswer = false;
   #isSuperseded = false;
 
   /**
@@ -117,7 +117,7 @@
   /** @inheritdoc */
   onServiceAnswer(answered: AttemptRef, body: string): void {
     this.#hasAnswered = this.#isThisAttempt(answered);
-    this.#hasCrossedAnswer = !this.#hasAnswered;
+    this.#hasMismatchedAnswer = !this.#hasAnswered;
     this.#options.emit({
       kind: EventKind.ServiceAnswered,
       ...this.ref,
@@ -177,6 +177,6 @@
 
   #finishReading(): string {
     const fault = this.#reader.end();
-    return this.#hasCrossedAnswer ? REASON_OTHER_ATTEMPT : fault;
+    return this.#hasMismatchedAnswer ? REASON_OTHER_ATTEMPT : fault;
   }
 }
--- a/packages/daemon/src/target_client.ts
+++ b/packages/daemon/src/target_client.ts
@@ -33,14 +33,14 @@
 import { TargetPolls } from "./target_polls.ts";
 import type { Timers } from "./timers.ts";
 
-/** Limits of a {@pools TargetClient}. */
+/** Limits of a {@link TargetClient}. */
 export interface TargetClientLimits
   extends AnswerLimits, ConnectionLimits, SendQueueLimits {
   /** Time after which a queued dispatch is no longer sent. */
   readonly maxSendWaitMs: number;
 }
 
-/** Options of a {@pools TargetClient}. */
+/** Options of a {@link TargetClient}. */
 export interface TargetClientOptions {
   /**
    * Collects the data to send for a request.
@@ -149,7 +149,7 @@
     this.#kindByTarget.set(effect.targetId, input.kind);
     const attempt = this.#createAttempt(effect, {
       kind: input.kind,
-      maySoFarHaveRun: false,
+      mayHaveRun: false,
       sendTimeoutMs: effect.timeLeftMs,
     });
     const request = ADAPTER_BY_KIND[input.kind].dispatchRequest({
@@ -184,7 +184,7 @@
     }
     const attempt = this.#createAttempt(effect, {
       kind,
-      maySoFarHaveRun: true,
+      mayHaveRun: true,
       sendTimeoutMs: effect.answerTimeLeftMs,
     });
     void this.#send(attempt, pools, request);
@@ -264,7 +264,7 @@
     effect: DispatchEffect | ResumeEffect,
     options: {
       kind: TargetKind;
-      maySoFarHaveRun: boolean;
+      mayHaveRun: boolean;
       sendTimeoutMs: number;
     },
   ): TargetAttempt {
@@ -279,7 +279,7 @@
       deadlineAtMs: nowMs + answerTimeLeftMs,
       sendByAtMs: nowMs +
         Math.min(this.#limits.maxSendWaitMs, options.sendTimeoutMs),
-      mayHaveRun: options.maySoFarHaveRun,
+      mayHaveRun: options.mayHaveRun,
       onEnd: () => this.#attempts.delete(requestId),
     });
     this.#attempts.set(requestId, attempt);
--- a/packages/daemon/src/target_client_test.ts
+++ b/packages/daemon/src/target_client_test.ts
@@ -245,7 +245,7 @@
 });
 
 test("should send no request that was cancelled or timed out in the queue", async () => {
-  await withServer(() => {}, async (_bench, server) => {
+  await withServer(() => {}, async (_harness, server) => {
     const harness = new TargetClientHarness(server.address, {
       maxConcurrentSends: 1,
     });
--- a/packages/daemon/src/target_connections.ts
+++ b/packages/daemon/src/target_connections.ts
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Finds or creates the pools of a target. Creating pools may evict those of
-   * the target that was added first, if there are more than 4096 targets.
+   * Finds or creates the pools of a target. Above 4096 targets, the pools that
+   * were created first are closed.
    *
    * @param targetId Id of the target.
    * @param address Its `host:port`; a changed address replaces the pools.
@@ -90,9 +90,9 @@
     const targets = [...this.#poolsByTarget.values()];
     this.#poolsByTarget.clear();
     await Promise.all(
-      targets.flatMap(({ streamPool: streams, controlPool: control }) => [
-        streams.destroy(),
-        control.destroy(),
+      targets.flatMap(({ streamPool, controlPool }) => [
+        streamPool.destroy(),
+        controlPool.destroy(),
       ]),
     );
   }
