--- a/packages/daemon/src/order_issuer.ts
+++ b/packages/daemon/src/order_issuer.ts
@@ -9,7 +9,7 @@
 } from "@chestnuthatch/wire/target_protocol";
 import { err, ok, type Result } from "neverthrow";
 import type { Pool } from "undici";
-import { type CallFault, callHttp, type HttpAnswer } from "./http_call.ts";
+import { callHttp, type HttpAnswer, type HttpCallFault } from "./http_call.ts";
 import type { HttpRequest } from "./http_exchange.ts";
 import { parseJson } from "./ndjson_reader.ts";
 import {
@@ -149,9 +149,10 @@
    */
   async issue(order: EngineOrder): Promise<OrderOutcome> {
     const orderId = this.#options.newOrderId();
-    const link = this.#connections.link(order.targetId, order.address);
-    const initialState = link && await this.#readState(link.control, order);
-    if (link === undefined || initialState === undefined) {
+    const pools = this.#connections.getOrCreate(order.targetId, order.address);
+    const initialState = pools &&
+      await this.#readState(pools.controlPool, order);
+    if (pools === undefined || initialState === undefined) {
       return { kind: OrderOutcomeKind.TargetUnreachable, orderId };
     }
     const lease = await this.#acquireLease(
@@ -161,7 +162,7 @@
     );
     return lease.isErr()
       ? leaseRefusedOutcome(orderId, lease.error)
-      : await this.#issueUnderLease(lease.value, order, link.control);
+      : await this.#issueUnderLease(lease.value, order, pools.controlPool);
   }
 
   /** Closes the connections to targets. */
@@ -261,7 +262,7 @@
     pool: Pool,
     request: HttpRequest,
     timeoutMs: number,
-  ): Promise<Result<HttpAnswer, CallFault>> {
+  ): Promise<Result<HttpAnswer, HttpCallFault>> {
     return callHttp(pool, request, {
       clock: this.#options.clock,
       timeoutMs,
