--- a/packages/cli/src/embedded_fleet.ts
+++ b/packages/cli/src/embedded_fleet.ts
@@ -9,7 +9,7 @@
 import { NO_VERSION, proposeChange } from "@chestnuthatch/settings/change";
 import type { SettingsInForce } from "@chestnuthatch/settings/policy";
 import { readSettings } from "@chestnuthatch/settings/read_tree";
-import { buildSettings } from "@chestnuthatch/settings/settings_in_force";
+import { resolveSettings } from "@chestnuthatch/settings/settings_in_force";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { StandinTarget } from "@chestnuthatch/standins/deployments";
 import { StandinFleet } from "@chestnuthatch/standins/fleet";
@@ -164,7 +164,7 @@
   if (tree.isErr()) {
     throw new Error(tree.error.map(describeFault).join("\n"));
   }
-  return buildSettings(tree.value, version);
+  return resolveSettings(tree.value, version);
 }
 
 function standinTargetsOf(settings: SettingsInForce): StandinTarget[] {
--- a/packages/cli/src/settings_store.ts
+++ b/packages/cli/src/settings_store.ts
@@ -8,11 +8,11 @@
 import {
   type ChangeOutcome,
   ChangeOutcomeKind,
-  judgeAnswer,
-  keysToSettle,
+  keysToReadBack,
   NO_VERSION,
+  outcomeFromAnswer,
+  outcomeFromRows,
   type ProposedChange,
-  settleUnknown,
 } from "@chestnuthatch/settings/change";
 import {
   HEAD_KEY,
@@ -159,7 +159,7 @@
       const sent = await this.#platform.transact(change.request);
       inDoubt ||= sent.isErr() && sent.error !== PlatformFault.RateLimited;
       const judged = sent.isOk()
-        ? judgeAnswer(change, sent.value)
+        ? outcomeFromAnswer(change, sent.value)
         : await this.#readBack(change);
       if (judged.isErr()) {
         return unreadableOutcome(change, judged.error);
@@ -174,9 +174,9 @@
   async #readBack(
     change: ProposedChange,
   ): Promise<Result<ChangeOutcome, RowFault>> {
-    const answer = await this.#platform.read(keysToSettle(change));
+    const answer = await this.#platform.read(keysToReadBack(change));
     return answer.isOk()
-      ? settleUnknown(change, answer.value.rows)
+      ? outcomeFromRows(change, answer.value.rows)
       : ok({ kind: ChangeOutcomeKind.NotCommitted });
   }
 }
--- a/packages/core/src/heartbeat_gossip.ts
+++ b/packages/core/src/heartbeat_gossip.ts
@@ -1,7 +1,7 @@
 /** Heartbeats: what is told to whom, and what is learned from them. */
 
 import {
-  type MemberHeard,
+  type MemberState,
   PeerMessageKind,
 } from "@chestnuthatch/wire/peer_messages";
 import type { Blackboard, Member } from "./blackboard.ts";
@@ -118,7 +118,7 @@
   }
 }
 
-function ownWord(board: Blackboard): MemberHeard {
+function ownWord(board: Blackboard): MemberState {
   return {
     instanceId: board.self.instanceId,
     incarnation: board.self.incarnation,
@@ -129,7 +129,7 @@
 }
 
 /** Only live members are told of, so that rumours of the dead die out. */
-function makeDigest(turn: Turn): MemberHeard[] {
+function makeDigest(turn: Turn): MemberState[] {
   const { board, nowMs } = turn;
   const others = [...board.members.byId.values()]
     .filter((member) =>
@@ -149,7 +149,7 @@
   return [ownWord(board), ...[...recent, ...rest].map(wordOf)];
 }
 
-function wordOf(member: Member): MemberHeard {
+function wordOf(member: Member): MemberState {
   return {
     instanceId: member.instanceId,
     incarnation: member.incarnation,
@@ -190,7 +190,7 @@
  * @param turn The present turn.
  * @param words One word for each member.
  */
-export function hearMembers(turn: Turn, words: readonly MemberHeard[]): void {
+export function hearMembers(turn: Turn, words: readonly MemberState[]): void {
   for (const word of words) {
     if (word.instanceId === turn.board.self.instanceId) {
       hearOfSelf(turn, word);
@@ -200,7 +200,7 @@
   }
 }
 
-function hearOfOther(turn: Turn, word: MemberHeard): void {
+function hearOfOther(turn: Turn, word: MemberState): void {
   const member = ensureMember(turn.board, {
     instanceId: word.instanceId,
     failureDomain: "",
@@ -230,7 +230,7 @@
   member.settingsVersion = 0;
 }
 
-function hearOfSelf(turn: Turn, word: MemberHeard): void {
+function hearOfSelf(turn: Turn, word: MemberState): void {
   const { self, members } = turn.board;
   const isLater = word.incarnation > self.incarnation ||
     (word.incarnation === self.incarnation &&
--- a/packages/core/src/heartbeat_gossip_test.ts
+++ b/packages/core/src/heartbeat_gossip_test.ts
@@ -1,4 +1,4 @@
-import type { MemberHeard } from "@chestnuthatch/wire/peer_messages";
+import type { MemberState } from "@chestnuthatch/wire/peer_messages";
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import fc from "fast-check";
 import { test } from "uvu";
@@ -9,7 +9,7 @@
 
 const PROPERTY = { seed: 11, numRuns: 200 };
 
-function word(fields: Partial<MemberHeard>): MemberHeard {
+function word(fields: Partial<MemberState>): MemberState {
   return {
     instanceId: "njiro-2",
     incarnation: 5,
--- a/packages/core/src/settings_controller.ts
+++ b/packages/core/src/settings_controller.ts
@@ -6,7 +6,7 @@
 } from "@chestnuthatch/wire/peer_messages";
 import { readSettings } from "@chestnuthatch/settings/read_tree";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
-import { buildSettings } from "@chestnuthatch/settings/settings_in_force";
+import { resolveSettings } from "@chestnuthatch/settings/settings_in_force";
 import type { Controller, EventHandlers, Turn } from "./controller.ts";
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
 import { EventKind, type EventOf } from "./events.ts";
@@ -135,7 +135,7 @@
     refuse(turn, given, faults.join("; "));
     return;
   }
-  settings.inForce = buildSettings(tree.value, given.version);
+  settings.inForce = resolveSettings(tree.value, given.version);
   settings.content = given.content;
   settings.changeId = given.changeId;
   settings.refused = undefined;
--- a/packages/measure/src/deployments.ts
+++ b/packages/measure/src/deployments.ts
@@ -1,7 +1,7 @@
 /** The two deployments of the brief: domains, links, instances, settings. */
 
 import { readFileSync } from "node:fs";
-import { buildSettings } from "@chestnuthatch/settings/settings_in_force";
+import { resolveSettings } from "@chestnuthatch/settings/settings_in_force";
 import { readSettings } from "@chestnuthatch/settings/read_tree";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { SettingsInForce } from "@chestnuthatch/settings/policy";
@@ -100,5 +100,5 @@
   if (tree.isErr()) {
     throw new Error(tree.error.map(describeFault).join("\n"));
   }
-  return buildSettings(tree.value, 1);
+  return resolveSettings(tree.value, 1);
 }
--- a/packages/settings/src/change.ts
+++ b/packages/settings/src/change.ts
@@ -1,6 +1,8 @@
 /**
- * Changes of the settings as conditional transactions on the platform's table.
- * Everything here is pure: the caller sends the requests and reads the rows.
+ * Builds the conditional transactions that change the settings in the
+ * platform's table, and derives the outcome of a change from the table's
+ * answers. All functions are pure: their caller sends the requests and reads
+ * the rows.
  */
 
 import { err, ok, type Result } from "neverthrow";
@@ -24,35 +26,46 @@
   versionKey,
 } from "./settings_rows.ts";
 
-/** Base version of the first change of a fleet. */
+/** Base version of the first change to a fleet's settings. */
 export const NO_VERSION = 0;
 
-/** Who changes the settings, and why. */
-export interface ChangeNote {
-  /** Unique for this change; settles lost answers. */
+/** Identity, author and reason of a settings change. */
+export interface ChangeMetadata {
+  /**
+   * Unique for this change: tells its rows from those of another change when
+   * the answer to the transaction is lost.
+   */
   readonly changeId: string;
   readonly author: string;
+  /** Reason for the change, in the author's words. */
   readonly note: string;
 }
 
-/** What an operator wants to put in force. */
-export interface ChangeDraft extends ChangeNote {
-  /** The version that the content was edited from; 0 where there is none. */
+/** A change as an operator submits it, not yet checked. */
+export interface ChangeDraft extends ChangeMetadata {
+  /**
+   * Version that the content was edited from; {@link NO_VERSION} where there
+   * is none.
+   */
   readonly baseVersion: number;
-  /** The head row as last read; absent where the table has none. */
+  /** Head row as last read; absent where the table has none. */
   readonly headRow: Row | undefined;
-  /** YAML of the new settings. */
+  /** New settings tree, as YAML. */
   readonly content: string;
 }
 
-/** A change that is ready to be sent, and sent again unaltered. */
+/**
+ * A checked change with its transaction. Sending the same transaction more than
+ * once is safe.
+ */
 export interface ProposedChange {
+  /** Version that the change creates. */
   readonly version: number;
   readonly changeId: string;
   readonly request: TransactRequest;
 }
 
-/** Why a change cannot be proposed. */
+/** Reasons why no transaction can be built for a change. */
 export enum ChangeFaultKind {
   BadContent = "bad_content",
   BadRow = "bad_row",
@@ -60,7 +73,7 @@
   StaleBase = "stale_base",
 }
 
-/** A change that cannot be proposed. */
+/** Why no transaction was built for a change, with the faults found. */
 export type ChangeFault =
   | {
     readonly kind: ChangeFaultKind.BadContent;
@@ -74,52 +87,53 @@
     readonly currentVersion: number;
   };
 
-/** How a change ended. */
+/** Outcomes of a change whose transaction was sent. */
 export enum ChangeOutcomeKind {
   Committed = "committed",
-  /** Another change took this version: nothing of this one was written. */
+  /** Another change created this version; nothing of this one was written. */
   LostRace = "lost_race",
   /**
-   * Nothing is written so far. A request still on its way may yet be; sending
-   * the same request again is safe and settles it.
+   * Nothing has been written so far. A request still in flight may yet be
+   * committed; sending the same request again is safe and decides the outcome.
    */
   NotCommitted = "not_committed",
 }
 
-/** How a change ended, with what the operator needs to go on. */
+/** Outcome of a change, with the versions an operator needs to continue. */
 export type ChangeOutcome =
   | { readonly kind: ChangeOutcomeKind.Committed; readonly version: number }
   | {
     readonly kind: ChangeOutcomeKind.LostRace;
-    /** The change that took the version. */
+    /** Version and change id of the change that was committed instead. */
     readonly winner: SettingsHead;
-    /** The newest version known, from which to edit anew. */
+    /** Newest known version, the base for a new edit. */
     readonly currentVersion: number;
   }
   | { readonly kind: ChangeOutcomeKind.NotCommitted };
 
 /**
- * Checks a change and builds its transaction: on condition that the head row
- * is the one that was read and that the new version has no row.
+ * Checks a change and builds its transaction. The transaction commits only if
+ * the head row is unchanged since it was read and the new version has no row.
  *
  * @param draft The change.
- * @returns The transaction, or why there is none.
+ * @returns The change with its transaction, or why none was built.
  */
 export function proposeChange(
   draft: ChangeDraft,
 ): Result<ProposedChange, ChangeFault> {
   return currentVersion(draft.headRow)
-    .andThen((version) => checkBase(draft.baseVersion, version))
+    .andThen((version) => checkBaseVersion(draft.baseVersion, version))
     .andThen(() => checkContent(draft.content))
     .andThen(() => buildChange(draft));
 }
 
 /**
- * Puts an earlier content in force again, as a new version.
+ * Builds a change that restores the content of an earlier version, as a new
+ * version.
  *
- * @param versionRow The row of the earlier version.
- * @param options The head row as last read, the change's id and its author.
- * @returns The transaction, or why there is none.
+ * @param versionRow Row of the earlier version.
+ * @param options Head row as last read, id of the new change and its author.
+ * @returns The change with its transaction, or why none was built.
  */
 export function revertTo(
   versionRow: Row,
@@ -130,7 +144,7 @@
   },
 ): Result<ProposedChange, ChangeFault> {
   return readVersionRow(versionRow)
-    .mapErr(badRow)
+    .mapErr(badRowFault)
     .andThen(({ version, content }) =>
       currentVersion(headRow).andThen((baseVersion) =>
         proposeChange({
@@ -146,53 +160,55 @@
 }
 
 /**
- * Judges the table's answer. A request that was sent twice meets its own first
- * copy as a conflict, which counts as committed.
+ * Derives the outcome of a change from the table's answer. A request that was
+ * sent twice conflicts with the rows of its first copy; that counts as
+ * committed.
  *
  * @param change The change that was sent.
- * @param answer The answer.
- * @returns How the change ended.
+ * @param answer The table's answer to the transaction.
+ * @returns The outcome, or the conflicting row that cannot be read.
  */
-export function judgeAnswer(
+export function outcomeFromAnswer(
   change: ProposedChange,
   answer: TransactAnswer,
 ): Result<ChangeOutcome, RowFault> {
   if (answer.committed) return ok(committed(change));
-  return settleUnknown(change, answer.conflicts);
+  return outcomeFromRows(change, answer.conflicts);
 }
 
 /**
- * Names the rows to read back after a lost answer.
+ * Lists the rows to read back when the answer to a transaction is lost.
  *
  * @param change The change that was sent.
- * @returns The keys.
+ * @returns Keys of the head row and of the row of the new version.
  */
-export function keysToSettle(change: ProposedChange): string[] {
+export function keysToReadBack(change: ProposedChange): string[] {
   return [HEAD_KEY, versionKey(change.version)];
 }
 
 /**
- * Settles a lost answer by the rows read back afterwards.
+ * Derives the outcome of a change from the rows of its keys, read back after
+ * its answer was lost or returned as conflicts.
  *
  * @param change The change that was sent.
- * @param rows The rows under {@link keysToSettle} that exist.
- * @returns How the change ended, or the row that cannot be read.
+ * @param rows Existing rows among the keys of {@link keysToReadBack}.
+ * @returns The outcome, or the row that cannot be read or is missing.
  */
-export function settleUnknown(
+export function outcomeFromRows(
   change: Omit<ProposedChange, "request">,
   rows: readonly Row[],
 ): Result<ChangeOutcome, RowFault> {
   const headRow = rows.find((row) => row.key === HEAD_KEY);
   const versionRow = rows.find((row) => row.key === versionKey(change.version));
-  if (versionRow === undefined) return settleByHead(change, headRow);
-  return readVersionRow(versionRow).map((holder) => {
-    if (holder.changeId === change.changeId) return committed(change);
-    const newest = currentVersion(headRow).unwrapOr(holder.version);
-    return lostRace(holder, Math.max(newest, holder.version));
+  if (versionRow === undefined) return outcomeFromHead(change, headRow);
+  return readVersionRow(versionRow).map((stored) => {
+    if (stored.changeId === change.changeId) return committed(change);
+    const headVersion = currentVersion(headRow).unwrapOr(stored.version);
+    return lostRace(stored, Math.max(headVersion, stored.version));
   });
 }
 
-function settleByHead(
+function outcomeFromHead(
   change: Omit<ProposedChange, "request">,
   headRow: Row | undefined,
 ): Result<ChangeOutcome, RowFault> {
@@ -209,10 +225,10 @@
   headRow: Row | undefined,
 ): Result<number, ChangeFault> {
   if (headRow === undefined) return ok(NO_VERSION);
-  return readHead(headRow).map(({ version }) => version).mapErr(badRow);
+  return readHead(headRow).map(({ version }) => version).mapErr(badRowFault);
 }
 
-function checkBase(
+function checkBaseVersion(
   baseVersion: number,
   currentVersion: number,
 ): Result<number, ChangeFault> {
@@ -239,7 +255,7 @@
     contentHash: hashContent(content),
     content,
   });
-  if (!parsed.success) return err(badNote(parsed.error.issues));
+  if (!parsed.success) return err(badNoteFault(parsed.error.issues));
   const head: SettingsHead = { version, changeId };
   const key = versionKey(version);
   const request = {
@@ -273,11 +289,11 @@
   } as const;
 }
 
-function badRow(fault: RowFault): ChangeFault {
+function badRowFault(fault: RowFault): ChangeFault {
   return { kind: ChangeFaultKind.BadRow, fault };
 }
 
-function badNote(
+function badNoteFault(
   issues: readonly { path: PropertyKey[]; message: string }[],
 ): ChangeFault {
   const message = issues
--- a/packages/settings/src/change_test.ts
+++ b/packages/settings/src/change_test.ts
@@ -10,12 +10,12 @@
 import {
   ChangeFaultKind,
   ChangeOutcomeKind,
-  judgeAnswer,
-  keysToSettle,
+  keysToReadBack,
   NO_VERSION,
+  outcomeFromAnswer,
+  outcomeFromRows,
   proposeChange,
   revertTo,
-  settleUnknown,
 } from "./change.ts";
 import { settingsFromRow } from "./received_settings.ts";
 import {
@@ -36,10 +36,10 @@
 
 test("should commit a first change and read it back", () => {
   const table = new FakeTable();
-  const change = draft(table, "a");
+  const change = proposeNext(table, "a");
   assert.equal(
-    judgeAnswer(change, table.transact(change.request)),
-    committed(1),
+    outcomeFromAnswer(change, table.transact(change.request)),
+    committedOutcome(1),
   );
   const head = readHead(table.row(HEAD_KEY)!)._unsafeUnwrap();
   assert.equal(head, { version: 1, changeId: "a" });
@@ -49,19 +49,25 @@
   assert.ok(settingsFromRow(other, table.row(versionKey(1))!).isErr());
 });
 
-test("should let one of two racing operators win and tell the other", () => {
+test("should commit one of two concurrent changes and report the other", () => {
   const table = new FakeTable();
-  table.transact(draft(table, "first").request);
-  const [left, right] = [draft(table, "left"), draft(table, "right", EDITED)];
-  assert.equal(judgeAnswer(right, table.transact(right.request)), committed(2));
-  const outcome = judgeAnswer(left, table.transact(left.request));
+  table.transact(proposeNext(table, "first").request);
+  const [left, right] = [
+    proposeNext(table, "left"),
+    proposeNext(table, "right", EDITED),
+  ];
+  assert.equal(
+    outcomeFromAnswer(right, table.transact(right.request)),
+    committedOutcome(2),
+  );
+  const outcome = outcomeFromAnswer(left, table.transact(left.request));
   assert.equal(outcome._unsafeUnwrap(), {
     kind: ChangeOutcomeKind.LostRace,
     winner: { version: 2, changeId: "right" },
     currentVersion: 2,
   });
   const stale = proposeChange({
-    ...note("late"),
+    ...metadata("late"),
     baseVersion: 1,
     headRow: table.row(HEAD_KEY),
     content: CONTENT,
@@ -73,40 +79,40 @@
   });
 });
 
-test("should settle a lost answer by the change's id", () => {
+test("should resolve a lost answer by the change id", () => {
   const table = new FakeTable();
-  const change = draft(table, "mine");
-  const rows = () => table.read(keysToSettle(change));
-  assert.is(settled(change, rows()), ChangeOutcomeKind.NotCommitted);
+  const change = proposeNext(table, "mine");
+  const rows = () => table.read(keysToReadBack(change));
+  assert.is(resolvedKind(change, rows()), ChangeOutcomeKind.NotCommitted);
   table.transact(change.request);
-  assert.is(settled(change, rows()), ChangeOutcomeKind.Committed);
-  // Also after others have gone on, and when the same request is sent again.
-  table.transact(draft(table, "next").request);
-  assert.is(settled(change, rows()), ChangeOutcomeKind.Committed);
+  assert.is(resolvedKind(change, rows()), ChangeOutcomeKind.Committed);
+  // Also after later changes, and when the same request is sent again.
+  table.transact(proposeNext(table, "next").request);
+  assert.is(resolvedKind(change, rows()), ChangeOutcomeKind.Committed);
   assert.equal(
-    judgeAnswer(change, table.transact(change.request)),
-    committed(1),
+    outcomeFromAnswer(change, table.transact(change.request)),
+    committedOutcome(1),
   );
   const loser = { version: 1, changeId: "other" };
-  assert.equal(settleUnknown(loser, rows())._unsafeUnwrap(), {
+  assert.equal(outcomeFromRows(loser, rows())._unsafeUnwrap(), {
     kind: ChangeOutcomeKind.LostRace,
     winner: { version: 1, changeId: "mine" },
     currentVersion: 2,
   });
 });
 
-test("should not settle by rows that contradict one another", () => {
+test("should report rows that contradict each other after a lost answer", () => {
   const table = new FakeTable();
-  const change = draft(table, "mine");
+  const change = proposeNext(table, "mine");
   table.transact(change.request);
   const headAlone = table.read([HEAD_KEY]);
-  const fault = settleUnknown(change, headAlone)._unsafeUnwrapErr();
+  const fault = outcomeFromRows(change, headAlone)._unsafeUnwrapErr();
   assert.is(fault.kind, RowFaultKind.Missing);
 });
 
-test("should never take a torn, corrupt or misplaced row", () => {
+test("should reject a truncated, corrupt or misplaced row", () => {
   const table = new FakeTable();
-  table.transact(draft(table, "a").request);
+  table.transact(proposeNext(table, "a").request);
   const row = table.row(versionKey(1))!;
   const faulty: [RowFaultKind, Row][] = [
     [RowFaultKind.NotJson, { ...row, value: row.value.slice(0, -9) }],
@@ -121,7 +127,7 @@
     assert.is(readVersionRow(bad)._unsafeUnwrapErr().kind, kind);
     const revert = revertTo(bad, {
       headRow: table.row(HEAD_KEY)!,
-      ...note("r"),
+      ...metadata("r"),
     });
     assert.is(revert._unsafeUnwrapErr().kind, ChangeFaultKind.BadRow);
   }
@@ -129,32 +135,32 @@
   assert.is(readHead(tornHead)._unsafeUnwrapErr().kind, RowFaultKind.NotJson);
 });
 
-test("should revert to an earlier content as a new version", () => {
+test("should revert to earlier content as a new version", () => {
   const table = new FakeTable();
-  table.transact(draft(table, "a").request);
-  table.transact(draft(table, "b", EDITED).request);
+  table.transact(proposeNext(table, "a").request);
+  table.transact(proposeNext(table, "b", EDITED).request);
   const change = revertTo(table.row(versionKey(1))!, {
     headRow: table.row(HEAD_KEY)!,
-    ...note("c"),
+    ...metadata("c"),
   })._unsafeUnwrap();
   assert.equal(
-    judgeAnswer(change, table.transact(change.request)),
-    committed(3),
+    outcomeFromAnswer(change, table.transact(change.request)),
+    committedOutcome(3),
   );
   const version = readVersionRow(table.row(versionKey(3))!)._unsafeUnwrap();
   assert.is(version.content, CONTENT);
   assert.is(version.note, "Reverts to version 1");
 });
 
-test("should propose no faulty content and no faulty note", () => {
+test("should reject faulty content and faulty metadata", () => {
   const base = { baseVersion: NO_VERSION, headRow: undefined };
-  const bad = proposeChange({ ...base, ...note("a"), content: "fleet: 1" });
+  const bad = proposeChange({ ...base, ...metadata("a"), content: "fleet: 1" });
   assert.is(bad._unsafeUnwrapErr().kind, ChangeFaultKind.BadContent);
-  const unnamed = proposeChange({ ...base, ...note(""), content: CONTENT });
+  const unnamed = proposeChange({ ...base, ...metadata(""), content: CONTENT });
   assert.is(unnamed._unsafeUnwrapErr().kind, ChangeFaultKind.BadNote);
 });
 
-test("should set and remove drains and leave the rest of the text alone", () => {
+test("should start and stop draining without other edits to the text", () => {
   const target = { targetId: "msaidizi-3" };
   const instance = { instanceId: "entry-3" };
   const drained = withTargetDraining(CONTENT, { ...target, draining: true })
@@ -177,7 +183,7 @@
   assert.match(unknown._unsafeUnwrapErr()[0].message, "did you mean");
 });
 
-/** The platform's table, as far as changes of the settings use it. */
+/** In-memory substitute for the platform's table: reads and transactions. */
 class FakeTable {
   readonly #rows = new Map<string, Row>();
   #lastVersion = 0;
@@ -203,25 +209,28 @@
   }
 }
 
-function draft(table: FakeTable, changeId: string, content = CONTENT) {
+function proposeNext(table: FakeTable, changeId: string, content = CONTENT) {
   const headRow = table.row(HEAD_KEY);
   const baseVersion = headRow === undefined
     ? NO_VERSION
     : readHead(headRow)._unsafeUnwrap().version;
-  return proposeChange({ ...note(changeId), baseVersion, headRow, content })
+  return proposeChange({ ...metadata(changeId), baseVersion, headRow, content })
     ._unsafeUnwrap();
 }
 
-function note(changeId: string) {
+function metadata(changeId: string) {
   return { changeId, author: "an operator", note: "" };
 }
 
-function committed(version: number) {
+function committedOutcome(version: number) {
   return ok({ kind: ChangeOutcomeKind.Committed, version });
 }
 
-function settled(change: { version: number; changeId: string }, rows: Row[]) {
-  return settleUnknown(change, rows)._unsafeUnwrap().kind;
+function resolvedKind(
+  change: { version: number; changeId: string },
+  rows: Row[],
+) {
+  return outcomeFromRows(change, rows)._unsafeUnwrap().kind;
 }
 
 test.run();
--- a/packages/settings/src/cross_checks.ts
+++ b/packages/settings/src/cross_checks.ts
@@ -1,23 +1,23 @@
 /**
- * Checks that reach across the tree. They take a tree whose shape may still be
- * wrong, so that all faults are told at once; a value that the schema already
- * objects to is passed over here.
+ * Checks that involve several fields of the settings tree. They run on a tree
+ * that may violate the schema, so that all faults are reported at once, and
+ * skip values that the schema reports.
  */
 
-import { faultAt, type PlacedFault } from "./placed_fault.ts";
+import { faultAt, type LocatedFault } from "./placed_fault.ts";
 import { policyFaults } from "./policy_checks.ts";
 import { poolFaults } from "./pool_checks.ts";
 import { isMap, valueAt } from "./raw_view.ts";
 import { referenceFaults } from "./reference_checks.ts";
-import { repetitionFaults } from "./repetition_checks.ts";
+import { uniquenessFaults } from "./repetition_checks.ts";
 import { SettingsFaultKind } from "./settings_fault.ts";
 import { timingFaults } from "./timing_checks.ts";
 
-type Check = (root: unknown) => PlacedFault[];
+type Check = (root: unknown) => LocatedFault[];
 
 const CHECKS: readonly Check[] = [
-  emptySections,
-  repetitionFaults,
+  emptySectionFaults,
+  uniquenessFaults,
   referenceFaults,
   poolFaults,
   timingFaults,
@@ -27,19 +27,19 @@
 const REQUIRED_SECTIONS = ["regions", "tiers", "workspaces", "pools"];
 
 /**
- * Runs every check across the tree.
+ * Runs every check that involves several fields.
  *
- * @param root The parsed tree.
+ * @param root Root of the parsed tree.
  * @returns All faults found.
  */
-export function crossFaults(root: unknown): PlacedFault[] {
+export function crossFieldFaults(root: unknown): LocatedFault[] {
   return CHECKS.flatMap((check) => check(root));
 }
 
-function emptySections(root: unknown): PlacedFault[] {
+function emptySectionFaults(root: unknown): LocatedFault[] {
   if (!isMap(root ?? {})) return [];
   return REQUIRED_SECTIONS
-    .filter((section) => isEmpty(valueAt(root, [section])))
+    .filter((section) => isEmptySection(valueAt(root, [section])))
     .map((section) =>
       faultAt([section], {
         kind: SettingsFaultKind.Missing,
@@ -50,7 +50,7 @@
     );
 }
 
-function isEmpty(value: unknown): boolean {
+function isEmptySection(value: unknown): boolean {
   if (value === undefined || value === null) return true;
   return isMap(value) && Object.keys(value).length === 0;
 }
--- a/packages/settings/src/diff.ts
+++ b/packages/settings/src/diff.ts
@@ -1,29 +1,29 @@
-/** Compares two trees by path. */
+/** Differences between two settings trees, path by path. */
 
 import { isMap } from "./raw_view.ts";
 import { joinPath } from "./settings_fault.ts";
 import type { SettingsTree } from "./tree_schema.ts";
 
-/** What happened at one path. */
+/** Kinds of difference between two settings trees at one path. */
 export enum DifferenceKind {
   Added = "added",
   Removed = "removed",
   Changed = "changed",
 }
 
-/** One path at which two trees differ. */
+/** One path at which two settings trees differ, with both values. */
 export interface SettingsDifference {
   readonly kind: DifferenceKind;
-  /** The path; members of a list stand in brackets at its end. */
+  /** Path joined by dots; a list member follows in brackets at the end. */
   readonly path: string;
-  /** Absent when added. */
+  /** Value in the earlier tree; absent when added. */
   readonly before?: unknown;
-  /** Absent when removed. */
+  /** Value in the later tree; absent when removed. */
   readonly after?: unknown;
 }
 
 /**
- * Lists the differences of two trees, in the order of their paths.
+ * Lists the differences between two trees, in the order of their paths.
  *
  * @param before The earlier tree.
  * @param after The later tree.
@@ -33,98 +33,109 @@
   before: SettingsTree,
   after: SettingsTree,
 ): SettingsDifference[] {
-  return compare([], { before, after });
+  return compareValues([], { before, after });
 }
 
 /**
  * Renders a difference as one line of text.
  *
  * @param difference The difference.
- * @returns Sign, path and values.
+ * @returns `+`, `-` or `~`, then the path and the values.
  */
 export function describeDifference(difference: SettingsDifference): string {
-  return RENDERERS[difference.kind](difference);
+  return RENDER_BY_KIND[difference.kind](difference);
 }
 
-const RENDERERS: Record<
+const RENDER_BY_KIND: Record<
   DifferenceKind,
   (difference: SettingsDifference) => string
 > = {
-  [DifferenceKind.Added]: ({ path, after }) => `+ ${path}: ${show(after)}`,
-  [DifferenceKind.Removed]: ({ path, before }) => `- ${path}: ${show(before)}`,
+  [DifferenceKind.Added]: ({ path, after }) =>
+    `+ ${path}: ${renderValue(after)}`,
+  [DifferenceKind.Removed]: ({ path, before }) =>
+    `- ${path}: ${renderValue(before)}`,
   [DifferenceKind.Changed]: ({ path, before, after }) =>
-    `~ ${path}: ${show(before)} -> ${show(after)}`,
+    `~ ${path}: ${renderValue(before)} -> ${renderValue(after)}`,
 };
 
-interface Sides {
+interface ValuePair {
   readonly before: unknown;
   readonly after: unknown;
 }
 
-function compare(path: string[], sides: Sides): SettingsDifference[] {
-  const { before, after } = sides;
+function compareValues(
+  path: string[],
+  values: ValuePair,
+): SettingsDifference[] {
+  const { before, after } = values;
   if (Array.isArray(before) || Array.isArray(after)) {
-    return compareLists(path, sides);
+    return compareLists(path, values);
   }
-  if (isMap(before) || isMap(after)) return compareMaps(path, sides);
+  if (isMap(before) || isMap(after)) return compareMaps(path, values);
   if (before === after) return [];
-  return [{ kind: kindOf(sides), path: joinPath(path), ...sides }];
+  return [{ kind: differenceKind(values), path: joinPath(path), ...values }];
 }
 
-function compareMaps(path: string[], sides: Sides): SettingsDifference[] {
-  const before = isMap(sides.before) ? sides.before : {};
-  const after = isMap(sides.after) ? sides.after : {};
-  const inBoth = isMap(sides.before) && isMap(sides.after);
+function compareMaps(path: string[], values: ValuePair): SettingsDifference[] {
+  const before = isMap(values.before) ? values.before : {};
+  const after = isMap(values.after) ? values.after : {};
+  const inBoth = isMap(values.before) && isMap(values.after);
   const names = new Set([...Object.keys(before), ...Object.keys(after)]);
   return [...names].sort().flatMap((name) => {
     const entry = { before: before[name], after: after[name] };
-    if (!isHollow(entry.before) || !isHollow(entry.after)) {
-      return compare([...path, name], entry);
+    if (!setsNothing(entry.before) || !setsNothing(entry.after)) {
+      return compareValues([...path, name], entry);
     }
-    return inBoth ? compareHollow([...path, name], entry) : [];
+    return inBoth ? comparePresence([...path, name], entry) : [];
   });
 }
 
-/** An entry that is only named, such as a workspace, came or went. */
-function compareHollow(path: string[], sides: Sides): SettingsDifference[] {
-  const before = sides.before === undefined ? undefined : {};
-  const after = sides.after === undefined ? undefined : {};
+/**
+ * Compares entries that set no values: reports one that exists on one side
+ * only, such as a workspace that has a name and nothing else.
+ */
+function comparePresence(
+  path: string[],
+  values: ValuePair,
+): SettingsDifference[] {
+  const before = values.before === undefined ? undefined : {};
+  const after = values.after === undefined ? undefined : {};
   if ((before === undefined) === (after === undefined)) return [];
-  const kind = kindOf({ before, after });
+  const kind = differenceKind({ before, after });
   return [{ kind, path: joinPath(path), before, after }];
 }
 
-/** Tells values that set nothing: absent, or maps of nothing but such. */
-function isHollow(value: unknown): boolean {
+/** Whether a value is absent, or a map whose values all set nothing. */
+function setsNothing(value: unknown): boolean {
   if (value === undefined) return true;
-  return isMap(value) && Object.values(value).every(isHollow);
+  return isMap(value) && Object.values(value).every(setsNothing);
 }
 
-/** Lists of names are compared as sets: their order has no meaning. */
-function compareLists(path: string[], sides: Sides): SettingsDifference[] {
-  const before: unknown[] = Array.isArray(sides.before) ? sides.before : [];
-  const after: unknown[] = Array.isArray(sides.after) ? sides.after : [];
+/** Compares lists of names as sets, since their order has no meaning. */
+function compareLists(path: string[], values: ValuePair): SettingsDifference[] {
+  const before: unknown[] = Array.isArray(values.before) ? values.before : [];
+  const after: unknown[] = Array.isArray(values.after) ? values.after : [];
   const members = new Set([...before, ...after]);
   return [...members].flatMap((member) => {
-    const memberSides = {
+    const presence = {
       before: before.includes(member) ? member : undefined,
       after: after.includes(member) ? member : undefined,
     };
-    if (memberSides.before === memberSides.after) return [];
+    if (presence.before === presence.after) return [];
     return [{
-      kind: kindOf(memberSides),
+      kind: differenceKind(presence),
       path: `${joinPath(path)}[${member}]`,
-      ...memberSides,
+      ...presence,
     }];
   });
 }
 
-function kindOf({ before, after }: Sides): DifferenceKind {
+function differenceKind({ before, after }: ValuePair): DifferenceKind {
   if (before === undefined) return DifferenceKind.Added;
   if (after === undefined) return DifferenceKind.Removed;
   return DifferenceKind.Changed;
 }
 
-function show(value: unknown): string {
+function renderValue(value: unknown): string {
   return JSON.stringify(value);
 }
--- a/packages/settings/src/explain.ts
+++ b/packages/settings/src/explain.ts
@@ -1,34 +1,34 @@
-/** Tells for any (region, workspace, tier) where each value comes from. */
+/** Shows which level of the settings tree sets each value of a policy. */
 
 import type { PolicyScope, TierPolicy } from "./policy.ts";
 import { POLICY_FIELD_NAMES, type PolicyField } from "./policy_fields.ts";
-import { type LayerValue, layerValues, PolicyLevel } from "./policy_layers.ts";
+import { type LevelValue, levelValues, PolicyLevel } from "./policy_layers.ts";
 import type { SettingsTree } from "./tree_schema.ts";
 
-/** One value in force, and what it overrode. */
+/** One policy value in force, its origin and the values it overrides. */
 export interface ExplainedValue {
   readonly field: PolicyField;
   readonly value: TierPolicy[PolicyField];
   readonly level: PolicyLevel;
   /** Path of the value in the tree; empty for the shipped default. */
   readonly path: string;
-  /** Values that lost, the strongest first. */
-  readonly overridden: readonly LayerValue[];
+  /** Overridden values, in descending precedence. */
+  readonly overridden: readonly LevelValue[];
 }
 
 /**
- * Explains every value of one policy.
+ * Lists every value of one policy with its origin.
  *
- * @param tree The checked tree.
- * @param scope Where the policy is asked for.
- * @returns One entry a field, in a fixed order.
+ * @param tree The checked settings tree.
+ * @param scope Region, workspace and tier of the policy.
+ * @returns One entry per field, in the order of {@link POLICY_FIELD_NAMES}.
  */
 export function explainPolicy(
   tree: SettingsTree,
   scope: PolicyScope,
 ): ExplainedValue[] {
   return POLICY_FIELD_NAMES.map((field) => {
-    const [inForce, ...overridden] = layerValues(tree, field, { scope })
+    const [inForce, ...overridden] = levelValues(tree, field, { scope })
       .reverse();
     return { field, ...inForce, overridden };
   });
@@ -38,16 +38,20 @@
  * Renders an explained value as one line of text.
  *
  * @param explained The value.
- * @returns Field, value, origin and what it overrode.
+ * @returns Field, value, origin and the overridden values.
  */
 export function describeExplained(explained: ExplainedValue): string {
   const { field, value, overridden } = explained;
-  const losers = overridden
-    .map((loser) => `${loser.value} from ${describeOrigin(loser)}`);
-  const over = losers.length === 0 ? "" : `, overrides ${losers.join(", ")}`;
-  return `${field} = ${value} from ${describeOrigin(explained)}${over}`;
+  const overriddenTexts = overridden
+    .map((levelValue) =>
+      `${levelValue.value} from ${describeOrigin(levelValue)}`
+    );
+  const overrideText = overriddenTexts.length === 0
+    ? ""
+    : `, overrides ${overriddenTexts.join(", ")}`;
+  return `${field} = ${value} from ${describeOrigin(explained)}${overrideText}`;
 }
 
-function describeOrigin({ level, path }: LayerValue): string {
+function describeOrigin({ level, path }: LevelValue): string {
   return level === PolicyLevel.Default ? "the shipped default" : path;
 }
--- a/packages/settings/src/explain_test.ts
+++ b/packages/settings/src/explain_test.ts
@@ -4,9 +4,9 @@
 import { describeExplained, explainPolicy } from "./explain.ts";
 import { PolicyLevel } from "./policy_layers.ts";
 import { readSettings } from "./read_tree.ts";
-import { buildSettings } from "./settings_in_force.ts";
+import { resolveSettings } from "./settings_in_force.ts";
 
-// Each level sets `value` to its place in the order, from 1.
+// Each level sets `value` to its position in ascending precedence, from 1.
 const LEVELS = [
   "fleet: {value: 1}",
   "regions: {r: {failureDomains: [d], value: 2}, other: {failureDomains: [e]}}",
@@ -20,17 +20,17 @@
 
 const SCOPE = { region: "r", workspace: "w", tier: "high" };
 
-test("should let each level override the one above it", () => {
+test("should let each level override the one before it", () => {
   LEVELS.forEach((level, index) => {
-    const tree = treeOf(level);
+    const tree = completeTree(level);
     const [value] = explainPolicy(tree, SCOPE);
     assert.is(value.value, index + 1);
-    assert.is(buildSettings(tree, 1).policyFor(SCOPE).value, index + 1);
+    assert.is(resolveSettings(tree, 1).policyFor(SCOPE).value, index + 1);
   });
 });
 
-test("should let a stronger level win over all weaker ones", () => {
-  const tree = treeOf(`
+test("should apply the value of the highest precedence", () => {
+  const tree = completeTree(`
 fleet: {value: 1}
 regions:
   r:
@@ -57,9 +57,9 @@
   assert.is(lowValue.value, 4);
 });
 
-test("should build what the rest of the system reads", () => {
-  const settings = buildSettings(
-    treeOf("fleet: {timing: {askTimeoutMs: 99}}"),
+test("should resolve a tree with defaults and indexes", () => {
+  const settings = resolveSettings(
+    completeTree("fleet: {timing: {askTimeoutMs: 99}}"),
     7,
   );
   assert.is(settings.version, 7);
@@ -73,11 +73,11 @@
   assert.throws(() => settings.policyFor({ ...SCOPE, tier: "toString" }));
 });
 
-test("should tell the differences of two trees by path", () => {
-  const before = treeOf(
+test("should list the differences of two trees by path", () => {
+  const before = completeTree(
     "workspaces: {w: {value: 3}, gone: }\ndrainingInstances: [a, b]",
   );
-  const after = treeOf(
+  const after = completeTree(
     "workspaces: {w: {value: 4}, new: {value: 1}}\ndrainingInstances: [b, c]",
   );
   assert.equal(diffTrees(before, after).map(describeDifference), [
@@ -90,8 +90,8 @@
   assert.equal(diffTrees(after, after), []);
 });
 
-/** Completes a part of a tree with the least that a tree needs. */
-function treeOf(part: string) {
+/** Completes a partial tree with the smallest valid sections. */
+function completeTree(part: string) {
   const defaults = {
     regions: "regions: {r: {failureDomains: [d]}}",
     tiers: "tiers: {low: {rank: 9}, high: {rank: 0}}",
--- a/packages/settings/src/nearest_name.ts
+++ b/packages/settings/src/nearest_name.ts
@@ -1,48 +1,53 @@
-/** Finds the name that a mistyped one was probably meant to be. */
+/** Suggests the known name that a mistyped one most likely stands for. */
 
-/** Share of the word's length that may differ. */
+/** Largest edit distance of a suggestion, as a share of the name's length. */
 const MAX_DISTANCE_SHARE = 0.4;
 
 /**
- * Picks the known name closest to a given one.
+ * Finds the known name with the smallest edit distance to a given name,
+ * ignoring case.
  *
  * @param name The name as written.
- * @param known Names that would have been right.
- * @returns The closest known name, or `undefined` where none is close.
+ * @param known The valid names.
+ * @returns The nearest name, or `undefined` where none is close enough.
  */
 export function nearestName(
   name: string,
   known: Iterable<string>,
 ): string | undefined {
-  let best: string | undefined;
-  let bestDistance = Math.max(1, Math.floor(name.length * MAX_DISTANCE_SHARE));
+  let nearest: string | undefined;
+  let nearestDistance = Math.max(
+    1,
+    Math.floor(name.length * MAX_DISTANCE_SHARE),
+  );
   for (const candidate of known) {
     const distance = editDistance(name.toLowerCase(), candidate.toLowerCase());
-    if (distance > bestDistance) continue;
-    if (distance === bestDistance && best !== undefined) continue;
-    best = candidate;
-    bestDistance = distance;
+    if (distance > nearestDistance) continue;
+    if (distance === nearestDistance && nearest !== undefined) continue;
+    nearest = candidate;
+    nearestDistance = distance;
   }
-  return best;
+  return nearest;
 }
 
 /**
- * Counts the single-letter edits between two words (Levenshtein distance).
+ * Computes the Levenshtein distance between two words.
  *
- * @param left One word.
- * @param right The other word.
- * @returns The smallest number of insertions, deletions and replacements.
+ * @param left The first word.
+ * @param right The second word.
+ * @returns The smallest number of single-character insertions, deletions and
+ * replacements that turn one word into the other.
  */
 export function editDistance(left: string, right: string): number {
   let previous = Array.from({ length: right.length + 1 }, (_, i) => i);
   for (let row = 1; row <= left.length; row++) {
     const current = [row];
     for (let column = 1; column <= right.length; column++) {
-      const replaced = left[row - 1] === right[column - 1] ? 0 : 1;
+      const replacementCost = left[row - 1] === right[column - 1] ? 0 : 1;
       current[column] = Math.min(
         previous[column] + 1,
         current[column - 1] + 1,
-        previous[column - 1] + replaced,
+        previous[column - 1] + replacementCost,
       );
     }
     previous = current;
--- a/packages/settings/src/policy.ts
+++ b/packages/settings/src/policy.ts
@@ -1,94 +1,109 @@
 /**
- * What the rest of the system reads of the settings: everything resolved,
- * checked and typed.
+ * Types of the resolved settings that the other packages read: policies, pools,
+ * targets and timing, checked and with defaults filled in.
  */
 
 import type { TargetKind } from "@chestnuthatch/wire/work";
 
-/** What holds for one (region, workspace, tier) after inheritance. */
+/**
+ * Limits and defaults for the requests of one (region, workspace, tier), after
+ * the levels of the settings tree are merged.
+ */
 export interface TierPolicy {
   readonly tier: string;
-  /** 0 is the highest tier. */
+  /** Priority of the tier; 0 is the highest. */
   readonly rank: number;
-  /** Worth of one answered request, in the operators' own unit. */
+  /** Value of one answered request, in a unit that the operators choose. */
   readonly value: number;
-  /** Deadline of a request that names none, in milliseconds. */
+  /** Deadline of a request that states none, in milliseconds. */
   readonly deadlineMs: number;
-  /** Longest deadline a caller may name, in milliseconds. */
+  /** Longest deadline that a caller may request, in milliseconds. */
   readonly maxDeadlineMs: number;
-  /** Bound on generated tokens where the request names none. */
+  /** Limit of generated tokens for a request that states none. */
   readonly maxOutputTokens: number;
-  /** Expected generated tokens until something has been learned. */
+  /** Estimate of generated tokens until there are measurements. */
   readonly expectedOutputTokens: number;
   /** Share (0 to 1) of a target's slots that this tier must leave free. */
   readonly headroomShare: number;
-  /** Weight of the workspace among workspaces of the same tier. */
+  /** Weight of the workspace in fair sharing among those of the same tier. */
   readonly fairShareWeight: number;
-  /** Requests a second accepted on one instance. */
+  /** Most requests accepted by one instance per second. */
   readonly maxRequestsPerSecond: number;
-  /** Open requests accepted on one instance. */
+  /** Most requests open on one instance at once. */
   readonly maxOpenRequests: number;
-  /** Longest wait for the platform's table before a refusal. */
+  /** Longest wait for the platform's table before a refusal, in ms. */
   readonly claimWaitMs: number;
-  /** Smallest retry hint of a refusal. */
+  /** Lower bound of the retry delay that a refusal states, in milliseconds. */
   readonly retryAfterMs: number;
-  /** Whether running streams of this tier may be cancelled for higher tiers. */
+  /** Whether a running stream may be cancelled in favour of a higher tier. */
   readonly preemptible: boolean;
 }
 
-/** A pool of targets that can stand in for one another. */
+/** A pool of interchangeable targets. */
 export interface PoolSettings {
   readonly name: string;
   readonly kind: TargetKind;
-  /** Model the pool's engines serve; empty for services. */
+  /** Model that the pool's engines serve; empty for services. */
   readonly model: string;
-  /** Most tokens of prompt and answer together; 0 for services. */
+  /** Maximum tokens of prompt and answer together; 0 for services. */
   readonly contextTokens: number;
-  /** False where a call of this pool may not be repeated unless it says so. */
+  /** Whether a call that does not state it counts as idempotent. */
   readonly idempotentByDefault: boolean;
 }
 
-/** One target as the operators describe it. */
+/** One target as the settings tree describes it. */
 export interface TargetSettings {
   readonly id: string;
   readonly pool: string;
   readonly failureDomain: string;
   /** `host:port` of its HTTP interface. */
   readonly address: string;
+  /** Requests that the target serves at once. */
   readonly slots: number;
-  /** Bound of its KV memory in tokens; 0 for services. */
+  /** Capacity of its KV cache in tokens; 0 for services. */
   readonly kvTokens: number;
-  /** Hardware generation or kind, for comparing like with like. */
+  /** Hardware type, so that only targets of the same type are compared. */
   readonly hardware: string;
-  /** Whether it refuses orders with an old fencing number. */
+  /** Whether it refuses orders with an outdated fencing number. */
   readonly checksFencing: boolean;
-  /** Rates assumed until some have been learned. */
+  /** Prompt processing rate assumed until there are measurements. */
   readonly prefillTokensPerSecond: number;
+  /** Token generation rate assumed until there are measurements. */
   readonly decodeTokensPerSecond: number;
-  /** Time of one call on a service until learned, in milliseconds. */
+  /**
+   * Duration of one call of a service in milliseconds, assumed until there are
+   * measurements.
+   */
   readonly callMs: number;
-  /** Set by `drain target`. */
+  /** Whether the target gets no new work; set by `drain target`. */
   readonly draining: boolean;
 }
 
-/** Times that govern the system's own working, in milliseconds. */
+/** Intervals and timeouts between instances, in milliseconds. */
 export interface TimingSettings {
+  /** Interval between two heartbeats of an instance. */
   readonly heartbeatMs: number;
-  /** Silence after which a member counts as gone. */
+  /** Time without a new heartbeat after which a member counts as gone. */
   readonly memberTimeoutMs: number;
-  /** An ask unanswered this long goes to the next coordinator. */
+  /** Time after which an unanswered ask goes to the next coordinator. */
   readonly askTimeoutMs: number;
+  /** Time within which a grant must be used, from the beat that it echoes. */
   readonly grantLifetimeMs: number;
-  /** An ask not renewed this long is dropped by its coordinator. */
+  /** Time after which a coordinator drops an ask that was not renewed. */
   readonly askExpiryMs: number;
+  /** Interval between two reports of a holder to a coordinator. */
   readonly holderReportMs: number;
+  /** Interval between two reads of a target's load. */
   readonly loadPollMs: number;
+  /** Interval between two reads of the settings head row. */
   readonly settingsPollMs: number;
+  /** Interval between two reads of the platform's instance list. */
   readonly listPollMs: number;
 }
 
-/** A fleet's settings at one version, ready for use. */
+/** A fleet's settings at one version, resolved and indexed for lookups. */
 export interface SettingsInForce {
+  /** Version in the platform's table. */
   readonly version: number;
   /** Region of each failure domain. */
   readonly regionOfDomain: ReadonlyMap<string, string>;
@@ -97,19 +112,22 @@
   readonly workspaces: ReadonlySet<string>;
   /** Tier names, highest first. */
   readonly tiers: readonly string[];
-  /** Entry instances that operators are draining. */
+  /** Ids of the entry instances that operators are draining. */
   readonly drainingInstances: ReadonlySet<string>;
   readonly timing: TimingSettings;
   /**
-   * Resolves the tree for one request.
+   * Returns the policy for the requests of one region, workspace and tier.
    *
-   * @param scope Names that {@link SettingsInForce} knows.
-   * @returns The policy in force there.
+   * @param scope Region, workspace and tier; the tier must be one of the
+   * settings.
+   * @returns The policy; an unknown region or workspace gets the values of the
+   * levels that do not name it.
+   * @throws {RangeError} When the tier is unknown.
    */
   policyFor(scope: PolicyScope): TierPolicy;
 }
 
-/** Where a policy is asked for. */
+/** The region, workspace and tier that a policy applies to. */
 export interface PolicyScope {
   readonly region: string;
   readonly workspace: string;
--- a/packages/settings/src/policy_checks.ts
+++ b/packages/settings/src/policy_checks.ts
@@ -1,39 +1,40 @@
-/** Checks that the values in force for each policy fit one another. */
+/** Checks that the resolved values of each policy are consistent. */
 
 import type { PolicyScope } from "./policy.ts";
 import type { PolicyField } from "./policy_fields.ts";
-import { type LayerValue, layerValues, LEVEL_ORDER } from "./policy_layers.ts";
+import { LEVEL_ORDER, type LevelValue, levelValues } from "./policy_layers.ts";
 import { namesAt } from "./raw_view.ts";
-import type { PlacedFault } from "./placed_fault.ts";
+import type { LocatedFault } from "./placed_fault.ts";
 import { SettingsFaultKind } from "./settings_fault.ts";
 
+/** Requires one policy field to be at most as large as another. */
 interface OrderRule {
   readonly smaller: PolicyField;
   readonly larger: PolicyField;
 }
 
-const RULES: readonly OrderRule[] = [
+const ORDER_RULES: readonly OrderRule[] = [
   { smaller: "deadlineMs", larger: "maxDeadlineMs" },
   { smaller: "expectedOutputTokens", larger: "maxOutputTokens" },
 ];
 
-/** Fields of a workspace that can change what is checked here. */
-const CHECKED_FIELDS: ReadonlySet<string> = new Set([
-  ...RULES.flatMap(({ smaller, larger }) => [smaller, larger]),
+/** Keys of a workspace that can change the result of {@link ORDER_RULES}. */
+const RULE_RELEVANT_KEYS: ReadonlySet<string> = new Set([
+  ...ORDER_RULES.flatMap(({ smaller, larger }) => [smaller, larger]),
   "tiers",
 ]);
 
 /**
- * Checks every policy that the tree can resolve to.
+ * Checks {@link ORDER_RULES} for every policy that the tree can resolve to.
  *
- * @param root The parsed tree.
- * @returns One fault a place, told for the first policy that it breaks.
+ * @param root Root of the parsed tree.
+ * @returns At most one fault per path, for the first policy affected.
  */
-export function policyFaults(root: unknown): PlacedFault[] {
-  const byPath = new Map<string, PlacedFault>();
-  for (const scope of scopesOf(root)) {
-    for (const rule of RULES) {
-      const found = ruleFault(root, rule, { scope });
+export function policyFaults(root: unknown): LocatedFault[] {
+  const byPath = new Map<string, LocatedFault>();
+  for (const scope of distinctScopes(root)) {
+    for (const rule of ORDER_RULES) {
+      const found = orderFault(root, rule, { scope });
       if (found === undefined || byPath.has(found.fault.path)) continue;
       byPath.set(found.fault.path, found);
     }
@@ -41,9 +42,9 @@
   return [...byPath.values()];
 }
 
-function* scopesOf(root: unknown): Generator<PolicyScope> {
+function* distinctScopes(root: unknown): Generator<PolicyScope> {
   const regions = namesAt(root, ["regions"]);
-  const workspaces = unlikeWorkspaces(root, regions);
+  const workspaces = distinctWorkspaces(root, regions);
   const tiers = namesAt(root, ["tiers"]);
   for (const region of regions) {
     for (const workspace of workspaces) {
@@ -52,55 +53,62 @@
   }
 }
 
-/** Workspaces that set nothing checked here are alike: the first stands for all. */
-function unlikeWorkspaces(root: unknown, regions: string[]): string[] {
+/**
+ * Lists the workspaces to check. Workspaces that set none of the checked fields
+ * resolve to the same values, so only the first of them is listed.
+ */
+function distinctWorkspaces(root: unknown, regions: string[]): string[] {
   const maps = regions.map((region) => ["regions", region, "workspaces"]);
-  const setsChecked = (workspace: string) =>
+  const setsRuleField = (workspace: string) =>
     [["workspaces"], ...maps].some((path) =>
       namesAt(root, [...path, workspace])
-        .some((field) => CHECKED_FIELDS.has(field))
+        .some((field) => RULE_RELEVANT_KEYS.has(field))
     );
   const workspaces = namesAt(root, ["workspaces"]);
-  const plain = workspaces.find((workspace) => !setsChecked(workspace));
+  const representative = workspaces.find((workspace) =>
+    !setsRuleField(workspace)
+  );
   return workspaces
-    .filter((workspace) => workspace === plain || setsChecked(workspace));
+    .filter((workspace) =>
+      workspace === representative || setsRuleField(workspace)
+    );
 }
 
-function ruleFault(
+function orderFault(
   root: unknown,
   { smaller, larger }: OrderRule,
   { scope }: { readonly scope: PolicyScope },
-): PlacedFault | undefined {
-  const low = inForce(root, smaller, { scope });
-  const high = inForce(root, larger, { scope });
-  if (typeof low.value !== "number") return undefined;
-  if (typeof high.value !== "number") return undefined;
-  if (low.value <= high.value) return undefined;
-  const culprit = strongerOf(low, high);
+): LocatedFault | undefined {
+  const smallerValue = effectiveValue(root, smaller, { scope });
+  const largerValue = effectiveValue(root, larger, { scope });
+  if (typeof smallerValue.value !== "number") return undefined;
+  if (typeof largerValue.value !== "number") return undefined;
+  if (smallerValue.value <= largerValue.value) return undefined;
+  const overriding = higherPrecedence(smallerValue, largerValue);
   return {
-    steps: culprit.path.split("."),
+    steps: overriding.path.split("."),
     fault: {
       kind: SettingsFaultKind.Conflict,
-      path: culprit.path,
-      found: String(culprit.value),
+      path: overriding.path,
+      found: String(overriding.value),
       allowed: `${smaller} of at most ${larger}`,
       message: `in region ${scope.region}, workspace ${scope.workspace}, ` +
-        `tier ${scope.tier}, ${smaller} is ${low.value} and ` +
-        `${larger} is ${high.value}`,
+        `tier ${scope.tier}, ${smaller} is ${smallerValue.value} and ` +
+        `${larger} is ${largerValue.value}`,
     },
   };
 }
 
-function inForce(
+function effectiveValue(
   root: unknown,
   field: PolicyField,
   { scope }: { readonly scope: PolicyScope },
-): LayerValue {
-  return layerValues(root, field, { scope }).at(-1) as LayerValue;
+): LevelValue {
+  return levelValues(root, field, { scope }).at(-1) as LevelValue;
 }
 
-/** The value set at the stronger level is the one that broke the order. */
-function strongerOf(left: LayerValue, right: LayerValue): LayerValue {
+/** The value of higher precedence overrode the other, so the fault is there. */
+function higherPrecedence(left: LevelValue, right: LevelValue): LevelValue {
   const leftLevel = LEVEL_ORDER.indexOf(left.level);
   const rightLevel = LEVEL_ORDER.indexOf(right.level);
   return leftLevel >= rightLevel ? left : right;
--- a/packages/settings/src/policy_layers.ts
+++ b/packages/settings/src/policy_layers.ts
@@ -1,9 +1,9 @@
 /**
- * The levels of the tree that speak for one (region, workspace, tier), lowest
- * first. A level overrides all before it. Levels that name no tier come first
- * (fleet, region, workspace, workspace in that region); then those that name
- * the tier, in the same order. So what is said of a tier always beats what is
- * said without naming one.
+ * The levels of the settings tree that apply to one (region, workspace, tier),
+ * in ascending precedence: each level overrides all before it. Levels that name
+ * no tier come first (fleet, region, workspace, workspace in that region); then
+ * the levels that name the tier, in the same order. A value set for a tier
+ * therefore always overrides a value set without one.
  */
 
 import type { PolicyScope, TierPolicy } from "./policy.ts";
@@ -11,7 +11,7 @@
 import { joinPath } from "./settings_fault.ts";
 import { type TreePath, valueAt } from "./raw_view.ts";
 
-/** A level of the tree at which a value can be set. */
+/** Levels of the settings tree at which a policy field can be set. */
 export enum PolicyLevel {
   Default = "default",
   Fleet = "fleet",
@@ -24,20 +24,20 @@
   RegionWorkspaceTier = "region_workspace_tier",
 }
 
-/** A value as one level sets it. */
-export interface LayerValue {
+/** The value of a policy field at one level of the settings tree. */
+export interface LevelValue {
   readonly value: TierPolicy[PolicyField];
   readonly level: PolicyLevel;
   /** Path of the value in the tree; empty for the shipped default. */
   readonly path: string;
 }
 
-interface PolicyLayer {
+interface LevelLookup {
   readonly level: PolicyLevel;
   readonly pathFor: (scope: PolicyScope) => TreePath;
 }
 
-const LAYERS: readonly PolicyLayer[] = [
+const LEVEL_LOOKUPS: readonly LevelLookup[] = [
   { level: PolicyLevel.Fleet, pathFor: () => ["fleet"] },
   {
     level: PolicyLevel.Region,
@@ -83,31 +83,32 @@
   },
 ];
 
-/** Levels from the weakest to the strongest. */
+/** All levels in ascending precedence. */
 export const LEVEL_ORDER: readonly PolicyLevel[] = [
   PolicyLevel.Default,
-  ...LAYERS.map(({ level }) => level),
+  ...LEVEL_LOOKUPS.map(({ level }) => level),
 ];
 
 /**
- * Lists every value set for one field, weakest first. The last is in force.
+ * Lists the values that the levels set for one policy field, in ascending
+ * precedence. The last one is in force.
  *
- * @param root A checked tree, or one whose shape may still be wrong.
- * @param field The field.
- * @param scope Where the field is asked for.
+ * @param root Root of a settings tree, checked or not.
+ * @param field The policy field.
+ * @param options The region, workspace and tier to resolve the field for.
  * @returns The values; the first is the shipped default.
  */
-export function layerValues(
+export function levelValues(
   root: unknown,
   field: PolicyField,
   { scope }: { readonly scope: PolicyScope },
-): LayerValue[] {
-  const values: LayerValue[] = [{
+): LevelValue[] {
+  const values: LevelValue[] = [{
     value: POLICY_FIELDS[field].initial,
     level: PolicyLevel.Default,
     path: "",
   }];
-  for (const { level, pathFor } of LAYERS) {
+  for (const { level, pathFor } of LEVEL_LOOKUPS) {
     const path = [...pathFor(scope), field];
     const value = valueAt(root, path);
     if (value === undefined) continue;
--- a/packages/settings/src/pool_checks.ts
+++ b/packages/settings/src/pool_checks.ts
@@ -1,42 +1,42 @@
-/** Checks that pools have targets, and that both fit the pool's kind. */
+/** Checks that pools have targets and that the fields of both fit the kind. */
 
 import { TargetKind } from "@chestnuthatch/wire/work";
-import { faultAt, type PlacedFault } from "./placed_fault.ts";
+import { faultAt, type LocatedFault } from "./placed_fault.ts";
 import {
   isMap,
   namesAt,
   numberAt,
-  textAt,
+  stringAt,
   type TreePath,
   valueAt,
 } from "./raw_view.ts";
 import { describeValue, SettingsFaultKind } from "./settings_fault.ts";
 
-/** What an engine must have and a service cannot have. */
-const ENGINE_FIELDS = [
+/** Target fields that engines require and services must not set. */
+const ENGINE_ONLY_FIELDS = [
   "kvTokens",
   "prefillTokensPerSecond",
   "decodeTokensPerSecond",
 ];
 
 /**
- * Checks every pool and every target against its pool's kind.
+ * Checks every pool, and the fields of every target against its pool's kind.
  *
- * @param root The parsed tree.
+ * @param root Root of the parsed tree.
  * @returns All faults found.
  */
-export function poolFaults(root: unknown): PlacedFault[] {
+export function poolFaults(root: unknown): LocatedFault[] {
   const pools = namesAt(root, ["pools"]).flatMap((pool) => [
-    ...poolWithoutTargets(root, pool),
-    ...engineWithoutModel(root, pool),
-    ...contextThatFitsNowhere(root, pool),
+    ...emptyPoolFaults(root, pool),
+    ...incompleteEnginePoolFaults(root, pool),
+    ...oversizedContextFaults(root, pool),
   ]);
   return [...pools, ...targetKindFaults(root)];
 }
 
-function poolWithoutTargets(root: unknown, pool: string): PlacedFault[] {
+function emptyPoolFaults(root: unknown, pool: string): LocatedFault[] {
   const targets = valueAt(root, ["targets"]) ?? {};
-  if (!isMap(targets) || targetsOf(root, pool).length > 0) return [];
+  if (!isMap(targets) || targetsInPool(root, pool).length > 0) return [];
   return [faultAt(["pools", pool], {
     kind: SettingsFaultKind.Missing,
     found: "no target in this pool",
@@ -45,57 +45,65 @@
   })];
 }
 
-function engineWithoutModel(root: unknown, pool: string): PlacedFault[] {
-  if (kindOf(root, pool) !== TargetKind.Engine) return [];
+function incompleteEnginePoolFaults(
+  root: unknown,
+  pool: string,
+): LocatedFault[] {
+  if (poolKind(root, pool) !== TargetKind.Engine) return [];
   const model = valueAt(root, ["pools", pool, "model"]) ?? "";
-  const context = valueAt(root, ["pools", pool, "contextTokens"]) ?? 0;
-  const faults: PlacedFault[] = [];
+  const contextTokens = valueAt(root, ["pools", pool, "contextTokens"]) ?? 0;
+  const faults: LocatedFault[] = [];
   if (model === "") {
-    faults.push(missingForEngine(["pools", pool, "model"], "a model's name"));
+    faults.push(
+      missingForEngineFault(["pools", pool, "model"], "a model's name"),
+    );
   }
-  if (context === 0) {
+  if (contextTokens === 0) {
     faults.push(
-      missingForEngine(["pools", pool, "contextTokens"], "a number above 0"),
+      missingForEngineFault(
+        ["pools", pool, "contextTokens"],
+        "a number above 0",
+      ),
     );
   }
   return faults;
 }
 
-function contextThatFitsNowhere(root: unknown, pool: string): PlacedFault[] {
-  if (kindOf(root, pool) !== TargetKind.Engine) return [];
+function oversizedContextFaults(root: unknown, pool: string): LocatedFault[] {
+  if (poolKind(root, pool) !== TargetKind.Engine) return [];
   const steps = ["pools", pool, "contextTokens"];
   const contextTokens = numberAt(root, steps) ?? 0;
-  const sizes = targetsOf(root, pool)
+  const kvTokens = targetsInPool(root, pool)
     .map((target) => numberAt(root, ["targets", target, "kvTokens"]) ?? 0);
-  const largest = Math.max(0, ...sizes);
-  if (largest === 0 || contextTokens <= largest) return [];
+  const maxKvTokens = Math.max(0, ...kvTokens);
+  if (maxKvTokens === 0 || contextTokens <= maxKvTokens) return [];
   return [faultAt(steps, {
     kind: SettingsFaultKind.Conflict,
     found: String(contextTokens),
-    allowed: `at most ${largest}, the largest kvTokens in the pool`,
+    allowed: `at most ${maxKvTokens}, the largest kvTokens in the pool`,
     message: "no target of the pool can hold a request of this size",
   })];
 }
 
-function targetKindFaults(root: unknown): PlacedFault[] {
+function targetKindFaults(root: unknown): LocatedFault[] {
   return namesAt(root, ["targets"]).flatMap((target) => {
-    const pool = textAt(root, ["targets", target, "pool"]);
-    const kind = pool === undefined ? undefined : kindOf(root, pool);
+    const pool = stringAt(root, ["targets", target, "pool"]);
+    const kind = pool === undefined ? undefined : poolKind(root, pool);
     if (kind === TargetKind.Engine) return engineTargetFaults(root, target);
     if (kind === TargetKind.Service) return serviceTargetFaults(root, target);
     return [];
   });
 }
 
-function engineTargetFaults(root: unknown, target: string): PlacedFault[] {
-  return ENGINE_FIELDS
+function engineTargetFaults(root: unknown, target: string): LocatedFault[] {
+  return ENGINE_ONLY_FIELDS
     .map((field) => ["targets", target, field])
     .filter((steps) => (valueAt(root, steps) ?? 0) === 0)
-    .map((steps) => missingForEngine(steps, "a number above 0"));
+    .map((steps) => missingForEngineFault(steps, "a number above 0"));
 }
 
-function serviceTargetFaults(root: unknown, target: string): PlacedFault[] {
-  return ENGINE_FIELDS
+function serviceTargetFaults(root: unknown, target: string): LocatedFault[] {
+  return ENGINE_ONLY_FIELDS
     .map((field) => ["targets", target, field])
     .filter((steps) => (numberAt(root, steps) ?? 0) > 0)
     .map((steps) =>
@@ -108,7 +116,7 @@
     );
 }
 
-function missingForEngine(steps: TreePath, allowed: string): PlacedFault {
+function missingForEngineFault(steps: TreePath, allowed: string): LocatedFault {
   return faultAt(steps, {
     kind: SettingsFaultKind.Missing,
     found: "nothing",
@@ -117,11 +125,11 @@
   });
 }
 
-function targetsOf(root: unknown, pool: string): string[] {
+function targetsInPool(root: unknown, pool: string): string[] {
   return namesAt(root, ["targets"])
-    .filter((target) => textAt(root, ["targets", target, "pool"]) === pool);
+    .filter((target) => stringAt(root, ["targets", target, "pool"]) === pool);
 }
 
-function kindOf(root: unknown, pool: string): string | undefined {
-  return textAt(root, ["pools", pool, "kind"]);
+function poolKind(root: unknown, pool: string): string | undefined {
+  return stringAt(root, ["pools", pool, "kind"]);
 }
--- a/packages/settings/src/raw_view.ts
+++ b/packages/settings/src/raw_view.ts
@@ -1,13 +1,13 @@
 /**
- * Reads values out of a parsed YAML tree whose shape may still be wrong, so
- * that checks across the tree run even where single fields are faulty.
+ * Reads values from a parsed YAML tree that has not passed the schema, so that
+ * checks across fields run even where single fields are faulty.
  */
 
-/** A path from the root of the tree. */
+/** Keys that lead from the root of the settings tree to a value. */
 export type TreePath = readonly string[];
 
 /**
- * Tells a map from every other value.
+ * Checks whether a value is a map: an object other than a list.
  *
  * @param value Any value.
  * @returns Whether it is a map.
@@ -17,11 +17,11 @@
 }
 
 /**
- * Reads the value at a path, looking at own fields only.
+ * Reads the value at a path. Inherited properties are ignored.
  *
- * @param root The parsed tree.
- * @param path Steps from the root.
- * @returns The value, or `undefined` where the path leads nowhere.
+ * @param root Root of the parsed tree.
+ * @param path Keys from the root.
+ * @returns The value, or `undefined` where the path does not exist.
  */
 export function valueAt(root: unknown, path: TreePath): unknown {
   let value = root;
@@ -35,9 +35,9 @@
 /**
  * Lists the entries of the map at a path.
  *
- * @param root The parsed tree.
- * @param path Steps from the root.
- * @returns The entries; none where no map stands there.
+ * @param root Root of the parsed tree.
+ * @param path Keys from the root.
+ * @returns Names and values; none where the value is not a map.
  */
 export function entriesAt(root: unknown, path: TreePath): [string, unknown][] {
   const value = valueAt(root, path);
@@ -47,32 +47,32 @@
 /**
  * Lists the names in the map at a path.
  *
- * @param root The parsed tree.
- * @param path Steps from the root.
- * @returns The names; none where no map stands there.
+ * @param root Root of the parsed tree.
+ * @param path Keys from the root.
+ * @returns The names; none where the value is not a map.
  */
 export function namesAt(root: unknown, path: TreePath): string[] {
   return entriesAt(root, path).map(([name]) => name);
 }
 
 /**
- * Reads a text at a path.
+ * Reads the string at a path.
  *
- * @param root The parsed tree.
- * @param path Steps from the root.
- * @returns The text, or `undefined` where none stands there.
+ * @param root Root of the parsed tree.
+ * @param path Keys from the root.
+ * @returns The string, or `undefined` where the value is not a string.
  */
-export function textAt(root: unknown, path: TreePath): string | undefined {
+export function stringAt(root: unknown, path: TreePath): string | undefined {
   const value = valueAt(root, path);
   return typeof value === "string" ? value : undefined;
 }
 
 /**
- * Reads a number at a path.
+ * Reads the number at a path.
  *
- * @param root The parsed tree.
- * @param path Steps from the root.
- * @returns The number, or `undefined` where none stands there.
+ * @param root Root of the parsed tree.
+ * @param path Keys from the root.
+ * @returns The number, or `undefined` where the value is not a number.
  */
 export function numberAt(root: unknown, path: TreePath): number | undefined {
   const value = valueAt(root, path);
@@ -80,13 +80,13 @@
 }
 
 /**
- * Lists the texts of the list at a path.
+ * Lists the strings in the list at a path.
  *
- * @param root The parsed tree.
- * @param path Steps from the root.
- * @returns The texts; none where no list stands there.
+ * @param root Root of the parsed tree.
+ * @param path Keys from the root.
+ * @returns The strings; none where the value is not a list.
  */
-export function textsAt(root: unknown, path: TreePath): string[] {
+export function stringsAt(root: unknown, path: TreePath): string[] {
   const value = valueAt(root, path);
   if (!Array.isArray(value)) return [];
   return value.filter((item) => typeof item === "string");
--- a/packages/settings/src/read_tree.ts
+++ b/packages/settings/src/read_tree.ts
@@ -1,36 +1,37 @@
-/** Reads a settings text, and tells all its faults at once. */
+/** Parses and validates a settings text, reporting all its faults at once. */
 
 import { err, ok, Result } from "neverthrow";
-import { crossFaults } from "./cross_checks.ts";
-import type { PlacedFault } from "./placed_fault.ts";
+import { crossFieldFaults } from "./cross_checks.ts";
+import type { LocatedFault } from "./placed_fault.ts";
 import { schemaFaults } from "./schema_faults.ts";
 import { type SettingsFault, SettingsFaultKind } from "./settings_fault.ts";
 import { type SettingsTree, settingsTreeSchema } from "./tree_schema.ts";
 import {
+  findLine,
   keyFaults,
-  lineOf,
   MAX_SETTINGS_BYTES,
-  parseSource,
+  parseYaml,
   syntaxFaults,
   type YamlSource,
 } from "./yaml_source.ts";
 
 /**
- * Reads and checks a settings text. A text that is not YAML gets the parser's
- * faults alone, since nothing certain is known of its tree; otherwise faults of
- * keys, fields and names across the tree are told together.
+ * Parses and validates a settings text. For text that is not valid YAML only
+ * the parser's errors are reported, since its tree is unreliable; otherwise
+ * faults of keys, fields and references are reported together.
  *
- * @param yamlText The text.
- * @returns The checked tree, or all its faults in the order of their lines.
+ * @param yamlText The settings text, as YAML.
+ * @returns The checked settings tree, or all faults in the order of their
+ * lines.
  */
 export function readSettings(
   yamlText: string,
 ): Result<SettingsTree, SettingsFault[]> {
-  const bytes = Buffer.byteLength(yamlText);
-  if (bytes > MAX_SETTINGS_BYTES) return err([tooLarge(bytes)]);
-  const source = parseSource(yamlText);
-  const syntax = syntaxFaults(source);
-  if (syntax.length > 0) return err(syntax);
+  const sizeBytes = Buffer.byteLength(yamlText);
+  if (sizeBytes > MAX_SETTINGS_BYTES) return err([oversizedFault(sizeBytes)]);
+  const source = parseYaml(yamlText);
+  const syntaxErrors = syntaxFaults(source);
+  if (syntaxErrors.length > 0) return err(syntaxErrors);
   return toPlainValue(source).andThen((root) => checkRoot(source, root));
 }
 
@@ -39,50 +40,50 @@
   root: unknown,
 ): Result<SettingsTree, SettingsFault[]> {
   const parsed = settingsTreeSchema.safeParse(root);
-  const placed = [
+  const located = [
     ...schemaFaults(root, parsed.error?.issues ?? []),
-    ...crossFaults(root),
+    ...crossFieldFaults(root),
   ];
   const faults = [
     ...keyFaults(source),
-    ...placed.map((fault) => withLine(source, fault)),
+    ...located.map((fault) => withLine(source, fault)),
   ];
   if (faults.length === 0 && parsed.success) return ok(parsed.data);
-  return err(inLineOrder(faults));
+  return err(sortByLine(faults));
 }
 
 function toPlainValue(source: YamlSource): Result<unknown, SettingsFault[]> {
   const convert = Result.fromThrowable(
     () => source.document.toJS() as unknown,
-    (error) => [unreadable(error)],
+    (error) => [aliasFault(error)],
   );
   return convert();
 }
 
 function withLine(
   source: YamlSource,
-  { steps, fault }: PlacedFault,
+  { steps, fault }: LocatedFault,
 ): SettingsFault {
-  return { ...fault, line: lineOf(source, steps) };
+  return { ...fault, line: findLine(source, steps) };
 }
 
-function inLineOrder(faults: readonly SettingsFault[]): SettingsFault[] {
+function sortByLine(faults: readonly SettingsFault[]): SettingsFault[] {
   return [...faults].sort((left, right) =>
     (left.line ?? 0) - (right.line ?? 0)
   );
 }
 
-function tooLarge(bytes: number): SettingsFault {
+function oversizedFault(sizeBytes: number): SettingsFault {
   return {
     kind: SettingsFaultKind.BadValue,
     path: "",
-    found: `${bytes} bytes`,
+    found: `${sizeBytes} bytes`,
     allowed: `at most ${MAX_SETTINGS_BYTES} bytes`,
     message: "the text is too large",
   };
 }
 
-function unreadable(error: unknown): SettingsFault {
+function aliasFault(error: unknown): SettingsFault {
   return {
     kind: SettingsFaultKind.Syntax,
     path: "",
--- a/packages/settings/src/read_tree_test.ts
+++ b/packages/settings/src/read_tree_test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  describeAllowed,
+  describeAllowedValues,
   POLICY_FIELDS,
   TIMING_FIELDS,
 } from "./policy_fields.ts";
@@ -13,28 +13,28 @@
 const ROOT = new URL("../../../", import.meta.url);
 const GOLDEN = "tests/golden/settings_faults/";
 
-test("should tell all faults of a file at once", () => {
-  const faults = readSettings(textOf(`${GOLDEN}broken.yaml`))
+test("should report all faults of a file at once", () => {
+  const faults = readSettings(readText(`${GOLDEN}broken.yaml`))
     ._unsafeUnwrapErr();
-  const told = faults.map(describeFault).join("\n") + "\n";
-  assert.snapshot(told, textOf(`${GOLDEN}faults.txt`));
+  const rendered = faults.map(describeFault).join("\n") + "\n";
+  assert.snapshot(rendered, readText(`${GOLDEN}faults.txt`));
 });
 
 for (const example of ["shamba-safi", "sunu-registrs"]) {
   test(`should read the example ${example} clean`, () => {
-    const read = readSettings(textOf(`examples/${example}/settings.yaml`));
+    const read = readSettings(readText(`examples/${example}/settings.yaml`));
     assert.equal(read.isErr() ? read.error.map(describeFault) : [], []);
   });
 }
 
-test("should place syntax errors by line and column", () => {
+test("should report syntax errors with line and column", () => {
   const faults = readSettings("fleet:\n  value: [1\n")._unsafeUnwrapErr();
   assert.ok(faults.length > 0);
   assert.ok(faults.every(({ kind }) => kind === SettingsFaultKind.Syntax));
   assert.ok(faults.every(({ line, column }) => line! > 0 && column! > 0));
 });
 
-test("should refuse text that is no single tree of plain values", () => {
+test("should refuse text that is not a single tree of plain values", () => {
   const many = Array.from({ length: 200 }, () => "*a").join(", ");
   const texts = [
     "",
@@ -48,27 +48,27 @@
   for (const text of texts) assert.ok(readSettings(text).isErr(), text);
 });
 
-test("should not take names for fields that every object has", () => {
-  const text = textOf("examples/shamba-safi/settings.yaml")
+test("should not resolve names to inherited object properties", () => {
+  const text = readText("examples/shamba-safi/settings.yaml")
     .replace("pool: kazi-desk\n", "pool: constructor\n");
   const [fault] = readSettings(text)._unsafeUnwrapErr();
   assert.is(fault.kind, SettingsFaultKind.UnknownReference);
   assert.is(fault.path, "targets.kazi-desk-1.pool");
 });
 
-test("should list every field in the operators' page", () => {
-  // The formatter pads the cells of tables.
-  const page = textOf("docs/operators/settings.md").replace(/ +/g, " ");
+test("should find every field documented on the operators' page", () => {
+  // The formatter pads table cells with spaces.
+  const page = readText("docs/operators/settings.md").replace(/ +/g, " ");
   const fields = { ...POLICY_FIELDS, ...TIMING_FIELDS };
   for (const [name, field] of Object.entries(fields)) {
     const row = `| \`${name}\` | ${field.initial} | ${
-      describeAllowed(field)
+      describeAllowedValues(field)
     } |`;
     assert.ok(page.includes(row), row);
   }
 });
 
-function textOf(path: string): string {
+function readText(path: string): string {
   return readFileSync(new URL(path, ROOT), "utf8");
 }
 
--- a/packages/settings/src/received_settings.ts
+++ b/packages/settings/src/received_settings.ts
@@ -1,11 +1,11 @@
-/** Settings as they come from the table or a peer, checked before use. */
+/** Validates settings received from the platform's table or from a peer. */
 
 import { err, ok, type Result } from "neverthrow";
 import type { Row } from "@chestnuthatch/wire/platform_protocol";
 import type { SettingsInForce } from "./policy.ts";
 import { readSettings } from "./read_tree.ts";
 import type { SettingsFault } from "./settings_fault.ts";
-import { buildSettings } from "./settings_in_force.ts";
+import { resolveSettings } from "./settings_in_force.ts";
 import {
   readVersionRow,
   type RowFault,
@@ -14,72 +14,74 @@
   type SettingsVersion,
 } from "./settings_rows.ts";
 
-/** A version with what it resolves to. */
+/** A received version of the settings that passed all checks. */
 export interface ReceivedSettings {
   readonly version: number;
   readonly changeId: string;
+  /** Settings tree, as YAML. */
   readonly content: string;
+  /** Resolved settings of the content. */
   readonly settings: SettingsInForce;
 }
 
-/** Why settings that came in are not taken. */
-export interface ReceivedFault {
-  /** Set where the row itself cannot be read. */
+/** Why received settings were rejected. */
+export interface SettingsRejection {
+  /** Fault of the row; absent where the row is valid or was not involved. */
   readonly row?: RowFault;
-  /** Faults of the content. */
+  /** Faults of the content; empty where the row is at fault. */
   readonly faults: readonly SettingsFault[];
 }
 
-/** A version as the table or a peer names it. */
+/** A version of the settings as the table or a peer sends it, unchecked. */
 export type OfferedSettings = Pick<
   SettingsVersion,
   "version" | "changeId" | "content"
 >;
 
 /**
- * Takes the row of the version that the head names.
+ * Validates the row of the version that the head names, and its content.
  *
- * @param head The head that was read.
- * @param row The row of its version.
- * @returns The settings, or why they are not taken.
+ * @param head Value of the head row.
+ * @param row Row of the version that the head names.
+ * @returns The resolved settings, or why they are rejected.
  */
 export function settingsFromRow(
   head: SettingsHead,
   row: Row,
-): Result<ReceivedSettings, ReceivedFault> {
+): Result<ReceivedSettings, SettingsRejection> {
   return readVersionRow(row)
-    .andThen((version) => checkHead(version, { head, row }))
-    .mapErr((fault): ReceivedFault => ({ row: fault, faults: [] }))
+    .andThen((version) => checkAgainstHead(version, { head, row }))
+    .mapErr((fault): SettingsRejection => ({ row: fault, faults: [] }))
     .andThen(settingsFromOffer);
 }
 
 /**
- * Takes settings that a peer offers.
+ * Validates settings that a peer offers.
  *
- * @param offer Version, change and content.
- * @returns The settings, or why they are not taken.
+ * @param offer Version, change id and content.
+ * @returns The resolved settings, or why they are rejected.
  */
 export function settingsFromOffer(
   offer: OfferedSettings,
-): Result<ReceivedSettings, ReceivedFault> {
+): Result<ReceivedSettings, SettingsRejection> {
   const { version, changeId, content } = offer;
   return readSettings(content)
     .map((tree) => ({
       version,
       changeId,
       content,
-      settings: buildSettings(tree, version),
+      settings: resolveSettings(tree, version),
     }))
     .mapErr((faults) => ({ faults }));
 }
 
-function checkHead(
+function checkAgainstHead(
   version: SettingsVersion,
   { head, row }: { readonly head: SettingsHead; readonly row: Row },
 ): Result<SettingsVersion, RowFault> {
-  const agrees = version.version === head.version &&
+  const matches = version.version === head.version &&
     version.changeId === head.changeId;
-  if (agrees) return ok(version);
+  if (matches) return ok(version);
   return err({
     kind: RowFaultKind.WrongKey,
     key: row.key,
--- a/packages/settings/src/reference_checks.ts
+++ b/packages/settings/src/reference_checks.ts
@@ -1,21 +1,22 @@
-/** Checks that names used in one part of the tree are described in another. */
+/** Checks that every name that the settings tree refers to is defined in it. */
 
 import { nearestName } from "./nearest_name.ts";
-import { faultAt, type PlacedFault } from "./placed_fault.ts";
-import { namesAt, textAt, textsAt, type TreePath } from "./raw_view.ts";
+import { faultAt, type LocatedFault } from "./placed_fault.ts";
+import { namesAt, stringAt, stringsAt, type TreePath } from "./raw_view.ts";
 import { describeValue, SettingsFaultKind } from "./settings_fault.ts";
 
 /**
- * Finds names that nothing describes.
+ * Finds references to tiers, workspaces, pools and failure domains that the
+ * tree does not define.
  *
- * @param root The parsed tree.
- * @returns One fault for each use of such a name.
+ * @param root Root of the parsed tree.
+ * @returns One fault for each undefined reference.
  */
-export function referenceFaults(root: unknown): PlacedFault[] {
-  return [...refinementFaults(root), ...targetFaults(root)];
+export function referenceFaults(root: unknown): LocatedFault[] {
+  return [...overrideReferenceFaults(root), ...targetReferenceFaults(root)];
 }
 
-function refinementFaults(root: unknown): PlacedFault[] {
+function overrideReferenceFaults(root: unknown): LocatedFault[] {
   const tiers = namesAt(root, ["tiers"]);
   const workspaces = namesAt(root, ["workspaces"]);
   const regionPaths = namesAt(root, ["regions"])
@@ -27,61 +28,65 @@
     .map((path) => [...path, "tiers"]);
   return [
     ...workspaceMaps.flatMap((path) =>
-      unknownNames(root, { path, known: workspaces, what: "workspace" })
+      unknownKeyFaults(root, {
+        path,
+        known: workspaces,
+        entryKind: "workspace",
+      })
     ),
     ...tierMaps.flatMap((path) =>
-      unknownNames(root, { path, known: tiers, what: "tier" })
+      unknownKeyFaults(root, { path, known: tiers, entryKind: "tier" })
     ),
   ];
 }
 
-function unknownNames(
+function unknownKeyFaults(
   root: unknown,
-  { path, known, what }: {
+  { path, known, entryKind }: {
     readonly path: TreePath;
     readonly known: readonly string[];
-    readonly what: string;
+    readonly entryKind: string;
   },
-): PlacedFault[] {
+): LocatedFault[] {
   return namesAt(root, path)
     .flatMap((name) =>
-      unknownName({ steps: [...path, name], name, known, what })
+      unknownReferenceFaults({ steps: [...path, name], name, known, entryKind })
     );
 }
 
-function targetFaults(root: unknown): PlacedFault[] {
+function targetReferenceFaults(root: unknown): LocatedFault[] {
   const pools = namesAt(root, ["pools"]);
   const domains = namesAt(root, ["regions"]).flatMap((region) =>
-    textsAt(root, ["regions", region, "failureDomains"])
+    stringsAt(root, ["regions", region, "failureDomains"])
   );
   return namesAt(root, ["targets"]).flatMap((target) => {
     const poolSteps = ["targets", target, "pool"];
     const domainSteps = ["targets", target, "failureDomain"];
     return [
-      ...unknownName({
+      ...unknownReferenceFaults({
         steps: poolSteps,
-        name: textAt(root, poolSteps),
+        name: stringAt(root, poolSteps),
         known: pools,
-        what: "pool",
+        entryKind: "pool",
       }),
-      ...unknownName({
+      ...unknownReferenceFaults({
         steps: domainSteps,
-        name: textAt(root, domainSteps),
+        name: stringAt(root, domainSteps),
         known: domains,
-        what: "failure domain",
+        entryKind: "failure domain",
       }),
     ];
   });
 }
 
-function unknownName({ steps, name, known, what }: {
+function unknownReferenceFaults({ steps, name, known, entryKind }: {
   readonly steps: TreePath;
   readonly name: string | undefined;
   readonly known: readonly string[];
-  readonly what: string;
-}): PlacedFault[] {
+  readonly entryKind: string;
+}): LocatedFault[] {
   if (name === undefined || known.includes(name)) return [];
-  // With nothing to refer to, the empty or faulty section is told instead.
+  // Where no names are defined, the empty or faulty section is the fault.
   if (known.length === 0) return [];
   const nearest = nearestName(name, known);
   const hint = nearest === undefined ? "" : `, did you mean "${nearest}"?`;
@@ -89,6 +94,6 @@
     kind: SettingsFaultKind.UnknownReference,
     found: describeValue(name),
     allowed: [...new Set(known)].join(", "),
-    message: `unknown ${what} "${name}"${hint}`,
+    message: `unknown ${entryKind} "${name}"${hint}`,
   })];
 }
--- a/packages/settings/src/repetition_checks.ts
+++ b/packages/settings/src/repetition_checks.ts
@@ -1,96 +1,99 @@
-/** Checks for entries that exclude one another because they are alike. */
+/** Checks that values which must be unique occur only once. */
 
-import { faultAt, type PlacedFault } from "./placed_fault.ts";
+import { faultAt, type LocatedFault } from "./placed_fault.ts";
 import {
   namesAt,
   numberAt,
-  textAt,
-  textsAt,
+  stringAt,
+  stringsAt,
   type TreePath,
 } from "./raw_view.ts";
 import { SettingsFaultKind } from "./settings_fault.ts";
 
-interface NamedPlace {
+/** One occurrence of a value that must be unique. */
+interface NameUse {
   readonly name: string;
   readonly steps: TreePath;
-  readonly holder: string;
+  /** Entry that uses the name, as the fault message shows it. */
+  readonly usedBy: string;
 }
 
 /**
- * Finds what stands twice: failure domains, ranks, addresses and drains.
+ * Finds failure domains, tier ranks, target addresses and draining instances
+ * that occur more than once.
  *
- * @param root The parsed tree.
- * @returns One fault for each second entry.
+ * @param root Root of the parsed tree.
+ * @returns One fault for each occurrence after the first.
  */
-export function repetitionFaults(root: unknown): PlacedFault[] {
+export function uniquenessFaults(root: unknown): LocatedFault[] {
   return [
-    ...domainsInTwoRegions(root),
+    ...duplicateFailureDomains(root),
     ...duplicateRanks(root),
     ...duplicateAddresses(root),
-    ...repeatedDrains(root),
+    ...duplicateDrainingInstances(root),
   ];
 }
 
-function domainsInTwoRegions(root: unknown): PlacedFault[] {
-  const places = namesAt(root, ["regions"]).flatMap((region) =>
-    textsAt(root, ["regions", region, "failureDomains"]).map((name) => ({
+function duplicateFailureDomains(root: unknown): LocatedFault[] {
+  const uses = namesAt(root, ["regions"]).flatMap((region) =>
+    stringsAt(root, ["regions", region, "failureDomains"]).map((name) => ({
       name,
       steps: ["regions", region, "failureDomains"],
-      holder: `region ${region}`,
+      usedBy: `region ${region}`,
     }))
   );
-  return repeated(places, "a failure domain in one region, once");
+  return duplicateFaults(uses, "a failure domain in one region, once");
 }
 
-function duplicateRanks(root: unknown): PlacedFault[] {
-  const places = namesAt(root, ["tiers"]).flatMap((tier) => {
+function duplicateRanks(root: unknown): LocatedFault[] {
+  const uses = namesAt(root, ["tiers"]).flatMap((tier) => {
     const rank = numberAt(root, ["tiers", tier, "rank"]);
     if (rank === undefined) return [];
     return [{
       name: String(rank),
       steps: ["tiers", tier, "rank"],
-      holder: `tier ${tier}`,
+      usedBy: `tier ${tier}`,
     }];
   });
-  return repeated(places, "a rank of its own for each tier");
+  return duplicateFaults(uses, "a rank of its own for each tier");
 }
 
-function duplicateAddresses(root: unknown): PlacedFault[] {
-  const places = namesAt(root, ["targets"]).flatMap((target) => {
-    const name = textAt(root, ["targets", target, "address"]);
+function duplicateAddresses(root: unknown): LocatedFault[] {
+  const uses = namesAt(root, ["targets"]).flatMap((target) => {
+    const name = stringAt(root, ["targets", target, "address"]);
     if (name === undefined) return [];
     return [{
       name,
       steps: ["targets", target, "address"],
-      holder: `target ${target}`,
+      usedBy: `target ${target}`,
     }];
   });
-  return repeated(places, "an address of its own for each target");
+  return duplicateFaults(uses, "an address of its own for each target");
 }
 
-function repeatedDrains(root: unknown): PlacedFault[] {
-  const places = textsAt(root, ["drainingInstances"]).map((name) => ({
+function duplicateDrainingInstances(root: unknown): LocatedFault[] {
+  const uses = stringsAt(root, ["drainingInstances"]).map((name) => ({
     name,
     steps: ["drainingInstances"],
-    holder: "an earlier entry",
+    usedBy: "an earlier entry",
   }));
-  return repeated(places, "each instance once");
+  return duplicateFaults(uses, "each instance once");
 }
 
-function repeated(
-  places: readonly NamedPlace[],
+function duplicateFaults(
+  uses: readonly NameUse[],
   allowed: string,
-): PlacedFault[] {
-  const holders = new Map<string, string>();
-  return places.flatMap(({ name, steps, holder }) => {
-    const first = holders.get(name);
-    if (first === undefined) holders.set(name, holder);
-    if (first === undefined) return [];
+): LocatedFault[] {
+  const firstUserByName = new Map<string, string>();
+  return uses.flatMap(({ name, steps, usedBy }) => {
+    const firstUser = firstUserByName.get(name);
+    if (firstUser === undefined) firstUserByName.set(name, usedBy);
+    if (firstUser === undefined) return [];
     return [faultAt(steps, {
       kind: SettingsFaultKind.Conflict,
       found: name,
       allowed,
-      message: `${name} is already used by ${first}`,
+      message: `${name} is already used by ${firstUser}`,
     })];
   });
 }
--- a/packages/settings/src/schema_faults.ts
+++ b/packages/settings/src/schema_faults.ts
@@ -1,40 +1,44 @@
-/** Turns what the schema found into faults that operators can act on. */
+/** Converts the issues of the schema into faults for operators. */
 
 import type * as z from "zod";
 import { nearestName } from "./nearest_name.ts";
-import { faultAt, type PlacedFault } from "./placed_fault.ts";
+import { faultAt, type LocatedFault } from "./placed_fault.ts";
 import { describeValue, SettingsFaultKind } from "./settings_fault.ts";
 import { KNOWN_FIELDS_PREFIX } from "./tree_schema.ts";
 
 type Issue = z.core.$ZodIssue;
-type IssueOf<C extends Issue["code"]> = Extract<Issue, { code: C }>;
+type IssueWithCode<C extends Issue["code"]> = Extract<Issue, { code: C }>;
 
 /**
- * Turns issues of the schema into faults.
+ * Converts issues of the schema into settings faults.
  *
- * @param root The parsed tree the schema was applied to.
- * @param issues What the schema found.
- * @returns One fault a place, however many rules the value breaks.
+ * @param root Root of the parsed tree that the schema was applied to.
+ * @param issues The issues that the schema reported.
+ * @returns One fault per path, even where a value violates several rules.
  */
 export function schemaFaults(
   root: unknown,
   issues: readonly Issue[],
-): PlacedFault[] {
-  const faults = issues.flatMap((issue) => faultsOfIssue(root, issue));
-  const byPath = new Map(faults.map((placed) => [placed.fault.path, placed]));
+): LocatedFault[] {
+  const faults = issues.flatMap((issue) => issueFaults(root, issue));
+  const byPath = new Map(
+    faults.map((located) => [located.fault.path, located]),
+  );
   return [...byPath.values()];
 }
 
-function faultsOfIssue(root: unknown, issue: Issue): PlacedFault[] {
-  if (issue.code === "unrecognized_keys") return unknownFields(root, issue);
-  if (issue.code === "invalid_key") return [badName(issue)];
-  return [badValue(root, issue)];
+function issueFaults(root: unknown, issue: Issue): LocatedFault[] {
+  if (issue.code === "unrecognized_keys") {
+    return unknownFieldFaults(root, issue);
+  }
+  if (issue.code === "invalid_key") return [invalidNameFault(issue)];
+  return [invalidValueFault(root, issue)];
 }
 
-function unknownFields(
+function unknownFieldFaults(
   root: unknown,
-  issue: IssueOf<"unrecognized_keys">,
-): PlacedFault[] {
+  issue: IssueWithCode<"unrecognized_keys">,
+): LocatedFault[] {
   const known = issue.message.slice(KNOWN_FIELDS_PREFIX.length).split(", ");
   return issue.keys.map((key) => {
     const steps = [...issue.path, key];
@@ -42,14 +46,14 @@
     const hint = nearest === undefined ? "" : `, did you mean "${nearest}"?`;
     return faultAt(steps, {
       kind: SettingsFaultKind.UnknownField,
-      found: describeValue(lookUp(root, steps)),
+      found: describeValue(valueAtSteps(root, steps)),
       allowed: issue.message,
       message: `unknown field "${key}"${hint}`,
     });
   });
 }
 
-function badName(issue: IssueOf<"invalid_key">): PlacedFault {
+function invalidNameFault(issue: IssueWithCode<"invalid_key">): LocatedFault {
   const name = issue.path.at(-1);
   return faultAt(issue.path, {
     kind: SettingsFaultKind.BadName,
@@ -59,8 +63,8 @@
   });
 }
 
-function badValue(root: unknown, issue: Issue): PlacedFault {
-  const value = lookUp(root, issue.path);
+function invalidValueFault(root: unknown, issue: Issue): LocatedFault {
+  const value = valueAtSteps(root, issue.path);
   const missing = value === undefined || value === null;
   return faultAt(issue.path, {
     kind: missing ? SettingsFaultKind.Missing : SettingsFaultKind.BadValue,
@@ -70,8 +74,8 @@
   });
 }
 
-/** Also walks into lists, where the path holds positions. */
-function lookUp(root: unknown, steps: readonly PropertyKey[]): unknown {
+/** Reads the value at a path that may include positions in lists. */
+function valueAtSteps(root: unknown, steps: readonly PropertyKey[]): unknown {
   return steps.reduce<unknown>((value, step) => {
     if (typeof value !== "object" || value === null) return undefined;
     if (!Object.hasOwn(value, step)) return undefined;
--- a/packages/settings/src/settings_fault.ts
+++ b/packages/settings/src/settings_fault.ts
@@ -1,6 +1,6 @@
-/** Faults found in a settings file, and how they are told to operators. */
+/** Faults of a settings file and their rendering for operators. */
 
-/** What kind of fault a settings file has. */
+/** Kinds of fault in a settings file. */
 export enum SettingsFaultKind {
   Syntax = "syntax",
   DuplicateKey = "duplicate_key",
@@ -12,14 +12,14 @@
   Conflict = "conflict",
 }
 
-/** One fault, with enough to find it and mend it. */
+/** One fault of a settings file: where it is, what it is and how to fix it. */
 export interface SettingsFault {
   readonly kind: SettingsFaultKind;
   /** Path from the root joined by dots; empty for the file as a whole. */
   readonly path: string;
-  /** What stands there. */
+  /** The faulty value, rendered as text. */
   readonly found: string;
-  /** What may stand there. */
+  /** The values allowed at this path, in words. */
   readonly allowed: string;
   readonly message: string;
   /** Line of the file, from 1. */
@@ -31,9 +31,9 @@
 const MAX_SHOWN_CHARACTERS = 60;
 
 /**
- * Joins the steps of a path.
+ * Joins the keys of a path with dots.
  *
- * @param steps Field names and list positions from the root.
+ * @param steps Keys and list positions from the root of the settings tree.
  * @returns The path as faults and `explain` show it.
  */
 export function joinPath(steps: readonly PropertyKey[]): string {
@@ -41,10 +41,11 @@
 }
 
 /**
- * Shows a value of the file in a few words.
+ * Renders a value of a settings file for a fault.
  *
- * @param value A value as read from YAML.
- * @returns The value, cut where it is long.
+ * @param value A value as parsed from YAML.
+ * @returns The value as JSON, truncated where it is long; for a list or a map
+ * only a summary.
  */
 export function describeValue(value: unknown): string {
   if (value === undefined || value === null) return "nothing";
@@ -56,10 +57,10 @@
 }
 
 /**
- * Renders a fault as one line of text.
+ * Renders a settings fault as one line of text.
  *
  * @param fault The fault.
- * @returns Place, path, reason, what was found and what is allowed.
+ * @returns Line and column, path, message, found value and allowed values.
  */
 export function describeFault(fault: SettingsFault): string {
   const place = describePlace(fault);
--- a/packages/settings/src/settings_in_force.ts
+++ b/packages/settings/src/settings_in_force.ts
@@ -1,4 +1,4 @@
-/** Builds what the rest of the system reads from a checked tree. */
+/** Resolves a checked settings tree into {@link SettingsInForce}. */
 
 import type {
   PolicyScope,
@@ -8,19 +8,20 @@
   TierPolicy,
 } from "./policy.ts";
 import { POLICY_FIELD_NAMES } from "./policy_fields.ts";
-import { layerValues } from "./policy_layers.ts";
+import { levelValues } from "./policy_layers.ts";
 import type { SettingsTree } from "./tree_schema.ts";
 
 /**
- * Resolves a tree.
+ * Resolves a settings tree: indexes its entries by name and merges the levels
+ * of its policies.
  *
- * @param tree The checked tree.
- * @param version Its version in the platform's table.
- * @returns The settings, ready for use. `policyFor` throws a `RangeError` for
- * an unknown tier only; a region or workspace that the tree does not name gets
- * what holds for the fleet.
+ * @param tree The checked settings tree.
+ * @param version Version of the tree in the platform's table.
+ * @returns The resolved settings. `policyFor` throws a `RangeError` for an
+ * unknown tier only; a region or workspace that the tree does not name gets
+ * the values of the levels that do not name it.
  */
-export function buildSettings(
+export function resolveSettings(
   tree: SettingsTree,
   version: number,
 ): SettingsInForce {
@@ -38,7 +39,7 @@
   };
 }
 
-/** Resolved policies, at most one for each combination of known names. */
+/** Caches one resolved policy for each combination of known names. */
 class PolicyCache {
   readonly #tree: SettingsTree;
   readonly #policies = new Map<string, TierPolicy>();
@@ -49,15 +50,15 @@
 
   policyFor(scope: PolicyScope): TierPolicy {
     const key = `${scope.region}/${scope.workspace}/${scope.tier}`;
-    const known = this.#policies.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#policies.get(key);
+    if (cached !== undefined) return cached;
     const policy = resolvePolicy(this.#tree, scope);
-    if (this.#isNamed(scope)) this.#policies.set(key, policy);
+    if (this.#isCacheable(scope)) this.#policies.set(key, policy);
     return policy;
   }
 
-  /** Only named scopes are kept, so that callers cannot grow the cache. */
-  #isNamed({ region, workspace }: PolicyScope): boolean {
+  /** Caches known names only, so that callers cannot grow the cache. */
+  #isCacheable({ region, workspace }: PolicyScope): boolean {
     return Object.hasOwn(this.#tree.regions, region) &&
       Object.hasOwn(this.#tree.workspaces, workspace);
   }
@@ -70,7 +71,7 @@
   const { rank } = tree.tiers[scope.tier];
   const fields = POLICY_FIELD_NAMES.map((field) => [
     field,
-    layerValues(tree, field, { scope }).at(-1)?.value,
+    levelValues(tree, field, { scope }).at(-1)?.value,
   ]);
   return Object.freeze({
     tier: scope.tier,
--- a/packages/settings/src/settings_rows.ts
+++ b/packages/settings/src/settings_rows.ts
@@ -1,7 +1,7 @@
 /**
- * The rows of the platform's table that keep the settings: one head row that
- * names the version in force, and one row for each version ever accepted.
- * A row that is torn, corrupt or under the wrong key is a fault, never taken.
+ * The rows of the platform's table that store the settings: one head row that
+ * names the version in force, and one row for each version ever committed.
+ * A row that is truncated, corrupt or stored under the wrong key is rejected.
  */
 
 import { createHash } from "node:crypto";
@@ -12,43 +12,45 @@
 /** Key of the row that names the version in force. */
 export const HEAD_KEY = "settings/head";
 
-/** Start of the keys of the rows that keep the versions. */
+/** Prefix of the keys of the rows that store the versions. */
 export const VERSION_KEY_PREFIX = "settings/version/";
 
-/** Digits of a version in its key, so that scans are in order of versions. */
+/** Digits of a version in its key; padding makes scans return version order. */
 const VERSION_DIGITS = 12;
 
-/** Highest version that has a key. */
-export const MAX_VERSION = 10 ** VERSION_DIGITS - 1;
+/** Highest version that fits the digits of a key. */
+export const MAX_SETTINGS_VERSION = 10 ** VERSION_DIGITS - 1;
 
-const MAX_ID_CHARACTERS = 128;
+const MAX_CHANGE_ID_CHARACTERS = 128;
 const MAX_AUTHOR_CHARACTERS = 200;
 const MAX_NOTE_CHARACTERS = 2000;
 
-const versionSchema = z.number().int().min(1).max(MAX_VERSION);
-const changeIdSchema = z.string().min(1).max(MAX_ID_CHARACTERS);
+const versionSchema = z.number().int().min(1).max(MAX_SETTINGS_VERSION);
+const changeIdSchema = z.string().min(1).max(MAX_CHANGE_ID_CHARACTERS);
 
-/** Value of the head row. */
+/** Value of the head row, which names the version in force. */
 export const settingsHeadSchema = z.strictObject({
   version: versionSchema,
   changeId: changeIdSchema,
 });
+/** The version in force and the id of the change that created it. */
 export type SettingsHead = z.infer<typeof settingsHeadSchema>;
 
-/** Value of a version's row. */
+/** Value of the row that stores one version of the settings. */
 export const settingsVersionSchema = z.strictObject({
   version: versionSchema,
   changeId: changeIdSchema,
   author: z.string().max(MAX_AUTHOR_CHARACTERS),
   note: z.string().max(MAX_NOTE_CHARACTERS),
-  /** SHA-256 of the content in hexadecimal. */
+  /** SHA-256 of the content, in hexadecimal. */
   contentHash: z.string(),
-  /** YAML of the settings tree. */
+  /** Settings tree, as YAML. */
   content: z.string(),
 });
+/** One version of the settings, with its content and its author. */
 export type SettingsVersion = z.infer<typeof settingsVersionSchema>;
 
-/** Why a row is not taken. */
+/** Reasons why a settings row is rejected. */
 export enum RowFaultKind {
   WrongKey = "wrong_key",
   NotJson = "not_json",
@@ -57,7 +59,7 @@
   Missing = "missing",
 }
 
-/** A row that is not taken. */
+/** Why a settings row was rejected. */
 export interface RowFault {
   readonly kind: RowFaultKind;
   readonly key: string;
@@ -65,10 +67,10 @@
 }
 
 /**
- * Builds the key of a version's row.
+ * Builds the key of the row that stores a version.
  *
  * @param version The version, from 1.
- * @returns The key; keys sort as versions do.
+ * @returns The key; keys sort in the order of their versions.
  */
 export function versionKey(version: number): string {
   const digits = String(version).padStart(VERSION_DIGITS, "0");
@@ -76,20 +78,20 @@
 }
 
 /**
- * Hashes a content as version rows carry it.
+ * Computes the content hash that a version row stores.
  *
- * @param content YAML of the settings.
- * @returns SHA-256 in hexadecimal.
+ * @param content Settings tree, as YAML.
+ * @returns SHA-256 of the UTF-8 text, in hexadecimal.
  */
 export function hashContent(content: string): string {
   return createHash("sha256").update(content, "utf8").digest("hex");
 }
 
 /**
- * Reads the head row.
+ * Reads the head row and checks its key and shape.
  *
- * @param row The row as the table gave it.
- * @returns The version in force and the change that set it.
+ * @param row The row as the table returned it.
+ * @returns The version in force and its change id, or why the row is rejected.
  */
 export function readHead(row: Row): Result<SettingsHead, RowFault> {
   if (row.key !== HEAD_KEY) {
@@ -99,22 +101,22 @@
       message: `not ${HEAD_KEY}`,
     });
   }
-  return parseValue(row, settingsHeadSchema);
+  return parseRowValue(row, settingsHeadSchema);
 }
 
 /**
- * Reads a version's row.
+ * Reads the row of a version and checks its key, shape and content hash.
  *
- * @param row The row as the table gave it.
- * @returns The version with its content.
+ * @param row The row as the table returned it.
+ * @returns The version with its content, or why the row is rejected.
  */
 export function readVersionRow(row: Row): Result<SettingsVersion, RowFault> {
-  return parseValue(row, settingsVersionSchema)
+  return parseRowValue(row, settingsVersionSchema)
     .andThen((version) => checkKey(row, version))
     .andThen((version) => checkHash(row, version));
 }
 
-function parseValue<T>(
+function parseRowValue<T>(
   row: Row,
   schema: z.ZodType<T>,
 ): Result<T, RowFault> {
--- a/packages/settings/src/timing_checks.ts
+++ b/packages/settings/src/timing_checks.ts
@@ -1,68 +1,70 @@
-/** Checks that the times of `fleet.timing` fit one another. */
+/** Checks the ratios between the times of `fleet.timing`. */
 
 import { TIMING_FIELDS, type TimingField } from "./policy_fields.ts";
 import { numberAt, type TreePath } from "./raw_view.ts";
-import type { PlacedFault } from "./placed_fault.ts";
+import type { LocatedFault } from "./placed_fault.ts";
 import { joinPath, SettingsFaultKind } from "./settings_fault.ts";
 
+/** A lower bound of one time as a multiple of another. */
 interface TimingRule {
   readonly longer: TimingField;
   readonly shorter: TimingField;
-  /** How many times the shorter must fit into the longer. */
-  readonly times: number;
-  readonly reason: string;
+  /** Smallest ratio of the longer time to the shorter one. */
+  readonly minRatio: number;
+  readonly message: string;
 }
 
-const RULES: readonly TimingRule[] = [
+const TIMING_RULES: readonly TimingRule[] = [
   {
     longer: "memberTimeoutMs",
     shorter: "heartbeatMs",
-    times: 3,
-    reason: "two lost heartbeats must not make a member count as gone",
+    minRatio: 3,
+    message: "two lost heartbeats must not make a member count as gone",
   },
   {
     longer: "grantLifetimeMs",
     shorter: "askTimeoutMs",
-    times: 2,
-    reason: "a grant must outlive the ask that it answers",
+    minRatio: 2,
+    message: "a grant must outlive the ask that it answers",
   },
   {
     longer: "askExpiryMs",
     shorter: "holderReportMs",
-    times: 2,
-    reason: "one lost report must not drop a waiting ask",
+    minRatio: 2,
+    message: "one lost report must not drop a waiting ask",
   },
 ];
 
 /**
- * Checks the times against one another.
+ * Checks the times of `fleet.timing` against {@link TIMING_RULES}.
  *
- * @param root The parsed tree.
- * @returns One fault for each rule that is broken.
+ * @param root Root of the parsed tree.
+ * @returns One fault for each violated rule.
  */
-export function timingFaults(root: unknown): PlacedFault[] {
-  return RULES.flatMap((rule) => {
-    const longerMs = timeOf(root, rule.longer);
-    const leastMs = timeOf(root, rule.shorter) * rule.times;
-    if (longerMs >= leastMs) return [];
-    const steps = pathOf(rule.longer);
+export function timingFaults(root: unknown): LocatedFault[] {
+  return TIMING_RULES.flatMap((rule) => {
+    const longerMs = timingValueMs(root, rule.longer);
+    const minMs = timingValueMs(root, rule.shorter) * rule.minRatio;
+    if (longerMs >= minMs) return [];
+    const steps = timingPath(rule.longer);
     return [{
       steps,
       fault: {
         kind: SettingsFaultKind.Conflict,
         path: joinPath(steps),
         found: String(longerMs),
-        allowed: `at least ${rule.times} times ${rule.shorter} (${leastMs} ms)`,
-        message: rule.reason,
+        allowed:
+          `at least ${rule.minRatio} times ${rule.shorter} (${minMs} ms)`,
+        message: rule.message,
       },
     }];
   });
 }
 
-function timeOf(root: unknown, field: TimingField): number {
-  return numberAt(root, pathOf(field)) ?? TIMING_FIELDS[field].initial;
+function timingValueMs(root: unknown, field: TimingField): number {
+  return numberAt(root, timingPath(field)) ?? TIMING_FIELDS[field].initial;
 }
 
-function pathOf(field: TimingField): TreePath {
+function timingPath(field: TimingField): TreePath {
   return ["fleet", "timing", field];
 }
--- a/packages/settings/src/tree_schema.ts
+++ b/packages/settings/src/tree_schema.ts
@@ -1,14 +1,14 @@
 /**
- * The shape of the settings tree as operators write it. Every message of this
- * schema says what is allowed at that place; `schema_faults.ts` builds the
- * faults from them.
+ * The schema of the settings tree as operators write it. Each error message of
+ * the schema states what is allowed at that path; `schema_faults.ts` builds the
+ * faults from these messages.
  */
 
 import * as z from "zod";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import type { TierPolicy, TimingSettings } from "./policy.ts";
 import {
-  describeAllowed,
+  describeAllowedValues,
   type FieldSpec,
   FieldType,
   type NumberField,
@@ -26,16 +26,19 @@
 const DEFAULT_CALL_MS = 200;
 const DEFAULT_HARDWARE = "standard";
 
-/** What a name of a region, domain, tier, workspace, pool or target may be. */
+/**
+ * Rule for names of regions, failure domains, tiers, workspaces, pools and
+ * targets, as shown to operators.
+ */
 export const NAME_RULE =
   "1 to 63 lower-case letters, digits and hyphens, no hyphen at either end";
 
-/** Prefix of the message that lists the fields of a map. */
+/** Prefix of the error message that lists the known fields of a map. */
 export const KNOWN_FIELDS_PREFIX = "one of the fields ";
 
 const nameSchema = z.string({ error: NAME_RULE })
   .regex(NAME_PATTERN, { error: NAME_RULE });
-const instanceIdSchema = patternText(
+const instanceIdSchema = patternSchema(
   INSTANCE_ID_PATTERN,
   "1 to 128 letters, digits, dots, colons, underscores and hyphens",
 );
@@ -44,77 +47,80 @@
     error: `a text of at most ${MAX_LABEL_CHARACTERS} characters`,
   });
 const flagSchema = z.boolean({ error: FieldType.Flag });
-const addressRule = "host:port with a port from 1 to 65535";
-const addressSchema = z.string({ error: addressRule })
-  .refine(isAddress, { error: addressRule });
+const ADDRESS_RULE = "host:port with a port from 1 to 65535";
+const addressSchema = z.string({ error: ADDRESS_RULE })
+  .refine(isAddress, { error: ADDRESS_RULE });
 
-const overridesShape = policyShape();
-const tierOverridesSchema = closedMap(overridesShape);
-const tierRefinementsSchema = mapOf(tierOverridesSchema);
+const policyOverridesShape = policyFieldsShape();
+const tierOverridesSchema = strictMapSchema(policyOverridesShape);
+const tierOverridesByNameSchema = nameMapSchema(tierOverridesSchema);
 
-const workspaceSchema = closedMap({
-  ...overridesShape,
-  tiers: tierRefinementsSchema,
+const workspaceSchema = strictMapSchema({
+  ...policyOverridesShape,
+  tiers: tierOverridesByNameSchema,
 });
 
-const regionSchema = closedMap({
-  ...overridesShape,
+const regionSchema = strictMapSchema({
+  ...policyOverridesShape,
   failureDomains: z.array(nameSchema, { error: "a list of failure domains" })
     .min(1, { error: "a list of at least one failure domain" }),
-  tiers: tierRefinementsSchema,
-  workspaces: mapOf(workspaceSchema),
+  tiers: tierOverridesByNameSchema,
+  workspaces: nameMapSchema(workspaceSchema),
 });
 
-const tierSchema = closedMap({
-  ...overridesShape,
-  rank: wholeFrom(0, MAX_RANK),
+const tierSchema = strictMapSchema({
+  ...policyOverridesShape,
+  rank: wholeNumberSchema(0, MAX_RANK),
 });
 
-const poolSchema = closedMap({
+const poolSchema = strictMapSchema({
   kind: z.enum(TargetKind, {
     error: Object.values(TargetKind).join(" or "),
   }),
   model: labelSchema.default(""),
-  contextTokens: wholeFrom(0, 10_000_000).default(0),
+  contextTokens: wholeNumberSchema(0, 10_000_000).default(0),
   idempotentByDefault: flagSchema.default(false),
 });
 
-const targetSchema = closedMap({
+const targetSchema = strictMapSchema({
   pool: nameSchema,
   failureDomain: nameSchema,
   address: addressSchema,
-  slots: wholeFrom(1, 4096),
-  kvTokens: wholeFrom(0, 100_000_000).default(0),
+  slots: wholeNumberSchema(1, 4096),
+  kvTokens: wholeNumberSchema(0, 100_000_000).default(0),
   hardware: labelSchema.default(DEFAULT_HARDWARE),
   checksFencing: flagSchema.default(false),
-  prefillTokensPerSecond: decimalFrom(0, 10_000_000).default(0),
-  decodeTokensPerSecond: decimalFrom(0, 1_000_000).default(0),
-  callMs: decimalFrom(1, 3_600_000).default(DEFAULT_CALL_MS),
+  prefillTokensPerSecond: decimalNumberSchema(0, 10_000_000).default(0),
+  decodeTokensPerSecond: decimalNumberSchema(0, 1_000_000).default(0),
+  callMs: decimalNumberSchema(1, 3_600_000).default(DEFAULT_CALL_MS),
   draining: flagSchema.default(false),
 });
 
-/** Schema of the whole tree. */
-export const settingsTreeSchema = closedMap({
-  fleet: closedMap({ ...overridesShape, timing: closedMap(timingShape()) }),
-  regions: mapOf(regionSchema),
-  tiers: mapOf(tierSchema),
-  workspaces: mapOf(workspaceSchema),
-  pools: mapOf(poolSchema),
-  targets: mapOf(targetSchema),
+/** Schema of the whole settings tree. */
+export const settingsTreeSchema = strictMapSchema({
+  fleet: strictMapSchema({
+    ...policyOverridesShape,
+    timing: strictMapSchema(timingFieldsShape()),
+  }),
+  regions: nameMapSchema(regionSchema),
+  tiers: nameMapSchema(tierSchema),
+  workspaces: nameMapSchema(workspaceSchema),
+  pools: nameMapSchema(poolSchema),
+  targets: nameMapSchema(targetSchema),
   drainingInstances: z.preprocess(
     (value) => value ?? [],
     z.array(instanceIdSchema, { error: "a list of instance ids" }),
   ).prefault([]),
 });
 
-/** The settings as operators write them, checked. */
+/** A settings tree that passed the schema, with defaults filled in. */
 export type SettingsTree = z.infer<typeof settingsTreeSchema>;
 
-/** What one level of the tree sets. */
+/** Policy fields that one level of the settings tree sets. */
 export type PolicyOverrides = { readonly [K in PolicyField]?: TierPolicy[K] };
 
-/** A map with a fixed set of fields; one written with no value is empty. */
-function closedMap<S extends z.ZodRawShape>(shape: S) {
+/** A map with a fixed set of fields; null or absent counts as empty. */
+function strictMapSchema<S extends z.ZodRawShape>(shape: S) {
   const fields = Object.keys(shape).join(", ");
   const schema = z.strictObject(shape, {
     error: (issue) =>
@@ -125,8 +131,8 @@
   return z.preprocess(emptyIfNull, schema).prefault({} as never);
 }
 
-/** A map from names to one kind of value; absent counts as empty. */
-function mapOf<S extends z.ZodType>(valueSchema: S) {
+/** A map from names to values of one schema; null or absent counts as empty. */
+function nameMapSchema<S extends z.ZodType>(valueSchema: S) {
   const schema = z.record(nameSchema, valueSchema, {
     error: "a map from names to values",
   });
@@ -137,7 +143,7 @@
   return value ?? {};
 }
 
-function policyShape() {
+function policyFieldsShape() {
   const entries = Object.entries(POLICY_FIELDS)
     .map(([name, field]) => [name, fieldSchema(field).optional()]);
   return Object.fromEntries(entries) as {
@@ -145,7 +151,7 @@
   };
 }
 
-function timingShape() {
+function timingFieldsShape() {
   const entries = Object.entries(TIMING_FIELDS)
     .map(([name, field]) => [
       name,
@@ -161,22 +167,22 @@
 }
 
 function numberSchema(field: Omit<NumberField, "initial">): z.ZodNumber {
-  const error = describeAllowed(field);
+  const error = describeAllowedValues(field);
   const schema = z.number({ error })
     .min(field.min, { error })
     .max(field.max, { error });
   return field.type === FieldType.Whole ? schema.int({ error }) : schema;
 }
 
-function wholeFrom(min: number, max: number): z.ZodNumber {
+function wholeNumberSchema(min: number, max: number): z.ZodNumber {
   return numberSchema({ type: FieldType.Whole, unit: "", min, max });
 }
 
-function decimalFrom(min: number, max: number): z.ZodNumber {
+function decimalNumberSchema(min: number, max: number): z.ZodNumber {
   return numberSchema({ type: FieldType.Decimal, unit: "", min, max });
 }
 
-function patternText(pattern: RegExp, error: string): z.ZodString {
+function patternSchema(pattern: RegExp, error: string): z.ZodString {
   return z.string({ error }).regex(pattern, { error });
 }
 
--- a/packages/settings/src/with_drain.ts
+++ b/packages/settings/src/with_drain.ts
@@ -1,4 +1,7 @@
-/** Edits a settings text so that a target or an instance drains, or no more. */
+/**
+ * Edits of a settings text that start or stop draining a target or an
+ * instance, preserving comments and layout.
+ */
 
 import { err, ok, Result } from "neverthrow";
 import { type Document, isSeq } from "yaml";
@@ -6,21 +9,21 @@
 import { readSettings } from "./read_tree.ts";
 import { type SettingsFault, SettingsFaultKind } from "./settings_fault.ts";
 import type { SettingsTree } from "./tree_schema.ts";
-import { parseSource } from "./yaml_source.ts";
+import { parseYaml } from "./yaml_source.ts";
 
-type Edit = (document: Document) => void;
+type DocumentEdit = (document: Document) => void;
 
-/** Keeps the text as it stands: no folded lines, no padding in lists. */
-const TEXT_OPTIONS = { lineWidth: 0, flowCollectionPadding: false };
+/** Preserves the file's layout: no folded lines, no padding in lists. */
+const STRINGIFY_OPTIONS = { lineWidth: 0, flowCollectionPadding: false };
 
-const DRAINING_INSTANCES = "drainingInstances";
+const DRAINING_INSTANCES_KEY = "drainingInstances";
 
 /**
- * Sets or removes the draining mark of a target, keeping the file's comments.
+ * Sets or removes the `draining` flag of a target, preserving comments.
  *
- * @param yamlText The settings in force.
+ * @param yamlText Settings tree in force, as YAML.
  * @param change The target, and whether it is to drain.
- * @returns The new text, or the faults that keep it from being one.
+ * @returns The new YAML text, or the faults of the old or the new text.
  */
 export function withTargetDraining(
   yamlText: string,
@@ -30,9 +33,9 @@
   },
 ): Result<string, SettingsFault[]> {
   return readSettings(yamlText)
-    .andThen((tree) => knownTarget(tree, targetId))
+    .andThen((tree) => checkTargetExists(tree, targetId))
     .andThen(() =>
-      edited(yamlText, (document) => {
+      applyEdit(yamlText, (document) => {
         const path = ["targets", targetId, "draining"];
         if (draining) document.setIn(path, true);
         else document.deleteIn(path);
@@ -41,12 +44,12 @@
 }
 
 /**
- * Puts an instance on the draining list or takes it off, keeping the file's
- * comments. Instances are not described in the settings, so any id is taken.
+ * Adds an instance to the list `drainingInstances` or removes it, preserving
+ * comments. The settings do not list instances, so every id is accepted.
  *
- * @param yamlText The settings in force.
+ * @param yamlText Settings tree in force, as YAML.
  * @param change The instance, and whether it is to drain.
- * @returns The new text, or the faults that keep it from being one.
+ * @returns The new YAML text, or the faults of the old or the new text.
  */
 export function withInstanceDraining(
   yamlText: string,
@@ -56,9 +59,9 @@
   },
 ): Result<string, SettingsFault[]> {
   return readSettings(yamlText).andThen((tree) => {
-    const listed = tree.drainingInstances.includes(instanceId);
-    if (listed === draining) return ok(yamlText);
-    return edited(yamlText, (document) => {
+    const isDraining = tree.drainingInstances.includes(instanceId);
+    if (isDraining === draining) return ok(yamlText);
+    return applyEdit(yamlText, (document) => {
       if (draining) addInstance(document, instanceId);
       else removeInstance(document, instanceId);
     });
@@ -66,31 +69,34 @@
 }
 
 function addInstance(document: Document, instanceId: string): void {
-  const list = document.get(DRAINING_INSTANCES);
+  const list = document.get(DRAINING_INSTANCES_KEY);
   if (isSeq(list)) list.add(document.createNode(instanceId));
-  else document.set(DRAINING_INSTANCES, document.createNode([instanceId]));
+  else document.set(DRAINING_INSTANCES_KEY, document.createNode([instanceId]));
 }
 
 function removeInstance(document: Document, instanceId: string): void {
-  const list = document.get(DRAINING_INSTANCES);
+  const list = document.get(DRAINING_INSTANCES_KEY);
   if (!isSeq(list)) return;
   const names = list.toJSON() as unknown[];
   list.delete(names.indexOf(instanceId));
 }
 
-/** The edited text is read again: an edit must never give a faulty file. */
-function edited(yamlText: string, edit: Edit): Result<string, SettingsFault[]> {
-  const document = parseSource(yamlText).document as unknown as Document;
+/** Applies an edit and validates the resulting text. */
+function applyEdit(
+  yamlText: string,
+  edit: DocumentEdit,
+): Result<string, SettingsFault[]> {
+  const document = parseYaml(yamlText).document as unknown as Document;
   const apply = Result.fromThrowable(
     () => edit(document),
-    (error) => [notEditable(error)],
+    (error) => [aliasEditFault(error)],
   );
   return apply()
-    .map(() => document.toString(TEXT_OPTIONS))
+    .map(() => document.toString(STRINGIFY_OPTIONS))
     .andThen((newText) => readSettings(newText).map(() => newText));
 }
 
-function knownTarget(
+function checkTargetExists(
   tree: SettingsTree,
   targetId: string,
 ): Result<string, SettingsFault[]> {
@@ -107,8 +113,8 @@
   }]);
 }
 
-/** The parser refuses to change what an alias stands for. */
-function notEditable(error: unknown): SettingsFault {
+/** The YAML library refuses to edit a node through an alias. */
+function aliasEditFault(error: unknown): SettingsFault {
   return {
     kind: SettingsFaultKind.Conflict,
     path: "",
--- a/packages/settings/src/yaml_source.ts
+++ b/packages/settings/src/yaml_source.ts
@@ -1,4 +1,4 @@
-/** Parses the YAML text, and knows on which line each path stands. */
+/** Parses a settings text as YAML and finds the line of each path. */
 
 import {
   type Document,
@@ -21,35 +21,35 @@
   SettingsFaultKind,
 } from "./settings_fault.ts";
 
-/** Largest settings text that is read, in bytes of UTF-8. */
+/** Largest settings text accepted, in bytes of UTF-8. */
 export const MAX_SETTINGS_BYTES = 262_144;
 
-/** A parsed settings text. */
+/** A settings text parsed as YAML, with the offsets of its lines. */
 export interface YamlSource {
   readonly document: Document<ParsedNode>;
-  readonly lines: LineCounter;
+  readonly lineCounter: LineCounter;
 }
 
 /**
- * Parses a YAML text without judging it.
+ * Parses a text as YAML. Errors are recorded in the document, not thrown.
  *
- * @param text The text.
- * @returns The document with the positions of its lines.
+ * @param text The settings text.
+ * @returns The document with the offsets of its lines.
  */
-export function parseSource(text: string): YamlSource {
-  const lines = new LineCounter();
+export function parseYaml(text: string): YamlSource {
+  const lineCounter = new LineCounter();
   const document = parseDocument(text, {
-    lineCounter: lines,
+    lineCounter,
     prettyErrors: false,
-    // Duplicates are looked for in the whole tree instead, to tell their path.
+    // `keyFaults` reports duplicate keys instead, together with their path.
     uniqueKeys: false,
     stringKeys: true,
   });
-  return { document, lines };
+  return { document, lineCounter };
 }
 
 /**
- * Lists everything the YAML parser objected to.
+ * Lists the errors and warnings of the YAML parser.
  *
  * @param source The parsed text.
  * @returns One fault for each error or warning.
@@ -60,7 +60,7 @@
 }
 
 /**
- * Lists keys that stand twice in one map, and keys no map can hold.
+ * Lists keys that occur twice in one map, and the reserved key `__proto__`.
  *
  * @param source The parsed text.
  * @returns One fault for each such key.
@@ -69,7 +69,7 @@
   const faults: SettingsFault[] = [];
   visit(source.document, {
     Map(_, map, ancestors) {
-      const path = pathOf(map, ancestors as Node[]);
+      const path = nodePath(map, ancestors as Node[]);
       faults.push(...mapKeyFaults(source, { map, path }));
     },
   });
@@ -77,71 +77,79 @@
 }
 
 /**
- * Finds the line of a path, or of its closest parent that exists.
+ * Finds the line of a path, or of its closest existing ancestor.
  *
  * @param source The parsed text.
- * @param path Steps from the root.
+ * @param path Keys from the root.
  * @returns The line number from 1, or `undefined` for an empty text.
  */
-export function lineOf(
+export function findLine(
   source: YamlSource,
   path: readonly PropertyKey[],
 ): number | undefined {
   let node: unknown = source.document.contents;
-  let offset = startOf(node);
+  let offset = startOffset(node);
   for (const step of path) {
-    const child = childOf(node, step);
+    const child = findChild(node, step);
     if (child === undefined) break;
     offset = child.offset ?? offset;
     node = child.value;
   }
-  return offset === undefined ? undefined : source.lines.linePos(offset).line;
+  return offset === undefined
+    ? undefined
+    : source.lineCounter.linePos(offset).line;
 }
 
-function childOf(node: unknown, step: PropertyKey) {
+function findChild(node: unknown, step: PropertyKey) {
   if (isSeq(node)) {
     const value = node.items[Number(step)];
-    return value === undefined ? undefined : { value, offset: startOf(value) };
+    return value === undefined
+      ? undefined
+      : { value, offset: startOffset(value) };
   }
   if (!isMap(node)) return undefined;
-  const pair = node.items.findLast((item) => keyText(item.key) === step);
+  const pair = node.items.findLast((item) => keyToString(item.key) === step);
   if (pair === undefined) return undefined;
-  return { value: pair.value, offset: startOf(pair.key) };
+  return { value: pair.value, offset: startOffset(pair.key) };
 }
 
 function mapKeyFaults(
   source: YamlSource,
   { map, path }: { map: YAMLMap; path: string[] },
 ): SettingsFault[] {
-  const seen = new Map<string, number | undefined>();
+  const firstLineByName = new Map<string, number | undefined>();
   const faults: SettingsFault[] = [];
   for (const { key } of map.items) {
-    const name = keyText(key);
-    const line = lineAt(source, startOf(key));
-    const at = { path: joinPath([...path, name]), line };
-    if (name === "__proto__") faults.push(reservedName(at));
-    if (seen.has(name)) faults.push(duplicateKey(at, seen.get(name)));
-    else seen.set(name, line);
+    const name = keyToString(key);
+    const line = lineAtOffset(source, startOffset(key));
+    const position = { path: joinPath([...path, name]), line };
+    if (name === "__proto__") faults.push(reservedNameFault(position));
+    if (firstLineByName.has(name)) {
+      faults.push(duplicateKeyFault(position, firstLineByName.get(name)));
+    } else firstLineByName.set(name, line);
   }
   return faults;
 }
 
-type Place = Pick<SettingsFault, "path" | "line">;
+type FaultPosition = Pick<SettingsFault, "path" | "line">;
 
-function duplicateKey(at: Place, firstLine?: number): SettingsFault {
+function duplicateKeyFault(
+  position: FaultPosition,
+  firstLine?: number,
+): SettingsFault {
   return {
     kind: SettingsFaultKind.DuplicateKey,
-    ...at,
+    ...position,
     found: "a second entry of this name",
     allowed: "each name once in a map",
     message: `stands twice, first on line ${firstLine}`,
   };
 }
 
-function reservedName(at: Place): SettingsFault {
+function reservedNameFault(position: FaultPosition): SettingsFault {
   return {
     kind: SettingsFaultKind.BadName,
-    ...at,
+    ...position,
     found: '"__proto__"',
     allowed: NAME_RULE,
     message: "this name cannot be used",
@@ -149,35 +157,37 @@
 }
 
 function syntaxFault(source: YamlSource, error: YAMLError): SettingsFault {
-  const place = source.lines.linePos(error.pos[0]);
+  const position = source.lineCounter.linePos(error.pos[0]);
   return {
     kind: SettingsFaultKind.Syntax,
     path: "",
-    line: place.line,
-    column: place.col,
+    line: position.line,
+    column: position.col,
     found: error.code,
     allowed: "one valid YAML document",
     message: error.message,
   };
 }
 
-function pathOf(node: Node, ancestors: readonly unknown[]): string[] {
-  const chain = [...ancestors, node];
-  return chain.flatMap((ancestor, index) => {
-    if (isPair(ancestor)) return [keyText(ancestor.key)];
+function nodePath(node: Node, ancestors: readonly unknown[]): string[] {
+  const nodes = [...ancestors, node];
+  return nodes.flatMap((ancestor, index) => {
+    if (isPair(ancestor)) return [keyToString(ancestor.key)];
     if (!isSeq(ancestor)) return [];
-    return [String(ancestor.items.indexOf(chain[index + 1]))];
+    return [String(ancestor.items.indexOf(nodes[index + 1]))];
   });
 }
 
-function keyText(key: unknown): string {
+function keyToString(key: unknown): string {
   return String(isScalar(key) ? key.value : key);
 }
 
-function startOf(node: unknown): number | undefined {
+function startOffset(node: unknown): number | undefined {
   return (node as Node | null | undefined)?.range?.[0];
 }
 
-function lineAt(source: YamlSource, offset?: number): number | undefined {
-  return offset === undefined ? undefined : source.lines.linePos(offset).line;
+function lineAtOffset(source: YamlSource, offset?: number): number | undefined {
+  return offset === undefined
+    ? undefined
+    : source.lineCounter.linePos(offset).line;
 }
--- a/packages/wire/src/caller_protocol.ts
+++ b/packages/wire/src/caller_protocol.ts
@@ -1,10 +1,10 @@
 /**
- * The HTTP protocol of callers.
+ * The HTTP protocol between callers and entry instances.
  *
- * `POST /v1/requests` sends a request; `GET /v1/requests/{requestId}` tells its
- * state; `GET /healthz` and `GET /readyz` tell health and readiness.
+ * `POST /v1/requests` sends a request; `GET /v1/requests/{requestId}` returns
+ * its state; `GET /healthz` and `GET /readyz` return health and readiness.
  * A whole answer is one JSON body; with `stream: true` it is NDJSON that always
- * ends in one `final` or one `error` event.
+ * ends with one `final` or one `error` event.
  */
 
 import * as z from "zod";
@@ -20,18 +20,19 @@
   /** Length in tokens; estimated from the body where absent. */
   promptTokens: z.number().int().positive().optional(),
   maxOutputTokens: z.number().int().positive().optional(),
-  /** Time the caller will wait, from when the request is received. */
+  /** Deadline of the answer, counted from receipt of the request. */
   deadlineMs: z.number().int().positive().optional(),
-  /** False for work that must not run twice. */
+  /** False where the work must not run twice. */
   idempotent: z.boolean().optional(),
   idempotencyKey: z.string().min(1).max(200).optional(),
-  /** True where the caller has never sent this key before. */
+  /** True where the caller has never sent this idempotency key before. */
   firstAttempt: z.boolean().optional(),
   stream: z.boolean().optional(),
 });
+/** A request as its caller sent it, validated. */
 export type CallerRequest = z.infer<typeof callerRequestSchema>;
 
-/** A whole answer. */
+/** A whole answer to a request. */
 export const callerAnswerSchema = z.strictObject({
   requestId: z.string(),
   text: z.string(),
@@ -40,30 +41,34 @@
   waitedMs: z.number().nonnegative(),
   totalMs: z.number().nonnegative(),
 });
+/** The answer to a request that ran, with its timing. */
 export type CallerAnswer = z.infer<typeof callerAnswerSchema>;
 
-/** A refusal: always truthful about whether the request ran. */
+/** Body of a refusal; `ran` always states whether the request ran. */
 export const callerRefusalSchema = z.strictObject({
   requestId: z.string(),
   error: z.enum(ErrorKind),
   ran: z.enum(RunState),
-  /** What failed, on what, and what to do. */
+  /** What failed, for which value, and what the caller can do. */
   message: z.string(),
-  /** Path of the field at fault, for bad input. */
+  /** Path of the invalid field, for invalid input. */
   path: z.string().optional(),
   mayRetry: z.boolean(),
   retryAfterMs: z.number().nonnegative().optional(),
-  /** What happened to the request, step by step. */
+  /** Steps of the request's processing, in order. */
   callLog: z.array(z.string()),
 });
+/** A refusal of a request, with its reason and whether a retry is allowed. */
 export type CallerRefusal = z.infer<typeof callerRefusalSchema>;
 
-/** One NDJSON line of a streamed answer. */
+/** Kinds of event in a streamed answer. */
 export enum CallerEventKind {
   Text = "text",
   Final = "final",
   Error = "error",
 }
+
+/** One event of a streamed answer, sent as one NDJSON line. */
 export const callerEventSchema = z.discriminatedUnion("kind", [
   z.strictObject({ kind: z.literal(CallerEventKind.Text), text: z.string() }),
   z.strictObject({
@@ -75,7 +80,8 @@
     refusal: callerRefusalSchema,
   }),
 ]);
+/** One event of a streamed answer: text, the final answer or an error. */
 export type CallerEvent = z.infer<typeof callerEventSchema>;
 
-/** The response header that carries the request's id. */
+/** Name of the response header that carries the request's id. */
 export const REQUEST_ID_HEADER = "x-request-id";
--- a/packages/wire/src/field_codes.ts
+++ b/packages/wire/src/field_codes.ts
@@ -1,9 +1,9 @@
 /**
- * Short codes that stand for field names in frames between instances.
+ * Numeric codes that replace field names in frames between instances.
  *
  * The order is part of the peer protocol: append only, or raise
- * `PEER_PROTOCOL_VERSION`. The first 24 take one byte each, the rest two. A
- * field that is missing here travels by its name.
+ * `PEER_PROTOCOL_VERSION`. The first 24 codes take one byte each, the others
+ * two. A field that is not listed is sent under its name.
  */
 
 const FIELDS_BY_CODE = [
@@ -68,9 +68,9 @@
 ] as const;
 
 /**
- * The table in the shape that the codec takes.
+ * Builds the key map of the CBOR codec.
  *
- * @returns A fresh map from field name to code.
+ * @returns A new object that maps each field name to its code.
  */
 export function fieldCodes(): Record<string, number> {
   return Object.fromEntries(
--- a/packages/wire/src/frame_codec.ts
+++ b/packages/wire/src/frame_codec.ts
@@ -1,10 +1,10 @@
 /**
- * Frames between entry instances.
+ * Encoding and decoding of the frames between entry instances.
  *
- * A frame is a length (4 bytes, big-endian, counting what follows), the
- * protocol version (1 byte) and a CBOR body. A frame without a body only says
- * that the sender is alive. Frames depend on no frame before them, so a sender
- * may drop any of them, or move them to another connection.
+ * A frame consists of a length (4 bytes, big-endian, counting the bytes that
+ * follow), the protocol version (1 byte) and a CBOR body. A frame without a
+ * body is a keep-alive. Each frame can be decoded on its own, so a sender may
+ * drop any frame or send it on another connection.
  */
 
 import { Buffer } from "node:buffer";
@@ -15,22 +15,28 @@
 import { PEER_PROTOCOL_VERSION } from "./peer_messages.ts";
 import { isPlainCbor } from "./plain_cbor.ts";
 
-/** Bytes of the length at the head of a frame. */
+/** Size of the length field at the start of a frame, in bytes. */
 export const FRAME_LENGTH_BYTES = 4;
 
-/** The largest frame, without its length; settings travel in one frame. */
+/**
+ * Largest frame, without its length field. It bounds the settings too, which
+ * are sent in one frame.
+ */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
 const VERSION_BYTES = 1;
-const RETAINED_BUFFER_BYTES = 64 * 1024;
+/** An empty buffer larger than this is released. */
+const MAX_RETAINED_BUFFER_BYTES = 64 * 1024;
 
-/** Why bytes were not accepted as a frame. The list is closed. */
+/** Reasons why bytes are rejected as a frame. */
 export enum FrameFault {
+  /** Larger than the limit for the next frame. */
   Oversized = "oversized",
   /** Not plain CBOR, or cut off by the end of the connection. */
   Malformed = "malformed",
-  /** Plain CBOR that is none of the messages expected. */
+  /** Plain CBOR that does not match the schema of the next message. */
   UnknownMessage = "unknown_message",
+  /** Sent by a peer with another protocol version. */
   WrongVersion = "wrong_version",
 }
 
@@ -44,100 +50,106 @@
 /**
  * Encodes one message as a frame.
  *
- * @param message A peer message or a message of the handshake.
- * @returns The whole frame, or `Oversized`.
+ * @param message A peer message or a handshake message.
+ * @returns The whole frame, or `Oversized` when it exceeds
+ * {@link MAX_FRAME_BYTES}.
  */
 export function encodeFrame(message: object): Result<Buffer, FrameFault> {
   const body = encoder.encode(message);
   if (VERSION_BYTES + body.length > MAX_FRAME_BYTES) {
     return err(FrameFault.Oversized);
   }
-  return ok(frameOf(body));
+  return ok(buildFrame(body));
 }
 
 /**
- * Encodes the frame that only says that the sender is alive.
+ * Encodes a keep-alive: a frame without a body.
  *
  * @returns The whole frame.
  */
 export function encodeKeepAlive(): Buffer {
-  return frameOf(Buffer.alloc(0));
+  return buildFrame(Buffer.alloc(0));
 }
 
-function frameOf(body: Uint8Array): Buffer {
-  const headBytes = FRAME_LENGTH_BYTES + VERSION_BYTES;
-  const frame = Buffer.allocUnsafe(headBytes + body.length);
+function buildFrame(body: Uint8Array): Buffer {
+  const headerBytes = FRAME_LENGTH_BYTES + VERSION_BYTES;
+  const frame = Buffer.allocUnsafe(headerBytes + body.length);
   frame.writeUInt32BE(VERSION_BYTES + body.length);
   frame.writeUInt8(PEER_PROTOCOL_VERSION, FRAME_LENGTH_BYTES);
-  frame.set(body, headBytes);
+  frame.set(body, headerBytes);
   return frame;
 }
 
-/** What the decoder should make of the next frame. */
+/** Schema and size limit of the next frame to decode. */
 export interface FrameExpectation<T> {
+  /** Schema that the body must match. */
   readonly schema: z.ZodType<T>;
-  /** Longest frame taken, without its length. */
+  /**
+   * Largest frame accepted, without its length field;
+   * {@link MAX_FRAME_BYTES} where absent.
+   */
   readonly maxFrameBytes?: number;
 }
 
-/** Takes a connection's bytes in any pieces and gives back its messages. */
+/** Decodes a connection's byte stream, split in any way, into messages. */
 export class FrameDecoder {
   #buffer = Buffer.alloc(0);
   #start = 0;
   #end = 0;
   #fault: FrameFault | null = null;
 
-  /** @returns Bytes received that belong to no frame given back yet. */
+  /** @returns Number of bytes received but not decoded yet. */
   get bufferedBytes(): number {
     return this.#end - this.#start;
   }
 
   /**
-   * Takes the next bytes of the connection.
+   * Appends the next bytes of the connection to the buffer.
    *
    * @param chunk The bytes; they are copied.
    */
   push(chunk: Uint8Array): void {
     if (this.bufferedBytes === 0) this.#reset();
-    if (this.#end + chunk.length > this.#buffer.length) this.#grow(chunk);
+    if (this.#end + chunk.length > this.#buffer.length) this.#makeSpace(chunk);
     this.#buffer.set(chunk, this.#end);
     this.#end += chunk.length;
   }
 
   /**
-   * Gives back the next message. After a fault every call gives that fault.
+   * Decodes the next message, skipping keep-alives. After a fault every call
+   * returns that fault.
    *
-   * @param expectation The schema and limit of the next frame.
-   * @returns The message, null while no whole frame is here, or the fault.
+   * @param expectation Schema and size limit of the next frame.
+   * @returns The message, null until a whole frame is buffered, or the fault.
    */
   next<T>(expectation: FrameExpectation<T>): Result<T | null, FrameFault> {
     if (this.#fault) return err(this.#fault);
-    const result = this.#take(expectation);
+    const result = this.#decodeNext(expectation);
     if (result.isErr()) this.#fault = result.error;
     return result;
   }
 
   /**
-   * Tells that the connection has ended.
+   * Checks that the connection did not end inside a frame.
    *
-   * @returns `Malformed` when it ended inside a frame.
+   * @returns The earlier fault, `Malformed` for an incomplete frame, or null.
    */
   end(): Result<null, FrameFault> {
     if (this.#fault) return err(this.#fault);
     return this.bufferedBytes === 0 ? ok(null) : err(FrameFault.Malformed);
   }
 
-  #take<T>(
+  #decodeNext<T>(
     { schema, maxFrameBytes = MAX_FRAME_BYTES }: FrameExpectation<T>,
   ): Result<T | null, FrameFault> {
     while (this.bufferedBytes >= FRAME_LENGTH_BYTES) {
       const frameBytes = this.#buffer.readUInt32BE(this.#start);
       if (frameBytes > maxFrameBytes) return err(FrameFault.Oversized);
       if (frameBytes < VERSION_BYTES) return err(FrameFault.Malformed);
-      const bodyAt = this.#start + FRAME_LENGTH_BYTES;
-      if (bodyAt + frameBytes > this.#end) return ok(null);
-      const frame = this.#buffer.subarray(bodyAt, bodyAt + frameBytes);
-      this.#start = bodyAt + frameBytes;
+      const frameStart = this.#start + FRAME_LENGTH_BYTES;
+      if (frameStart + frameBytes > this.#end) return ok(null);
+      const frame = this.#buffer.subarray(frameStart, frameStart + frameBytes);
+      this.#start = frameStart + frameBytes;
       const isKeepAlive = frameBytes === VERSION_BYTES;
       const decoded = decodeFrame(frame, schema);
       if (!isKeepAlive || decoded.isErr()) return decoded;
@@ -148,12 +160,12 @@
   #reset(): void {
     this.#start = 0;
     this.#end = 0;
-    if (this.#buffer.length > RETAINED_BUFFER_BYTES) {
+    if (this.#buffer.length > MAX_RETAINED_BUFFER_BYTES) {
       this.#buffer = Buffer.alloc(0);
     }
   }
 
-  #grow(chunk: Uint8Array): void {
+  #makeSpace(chunk: Uint8Array): void {
     const neededBytes = this.bufferedBytes + chunk.length;
     const grown = neededBytes <= this.#buffer.length
       ? this.#buffer
@@ -173,7 +185,7 @@
   const body = frame.subarray(VERSION_BYTES);
   if (body.length === 0) return ok(null);
   if (!isPlainCbor(body)) return err(FrameFault.Malformed);
-  return decodeBody(body).andThen((value) => validate(value, schema));
+  return decodeBody(body).andThen((value) => validateMessage(value, schema));
 }
 
 function decodeBody(body: Buffer): Result<unknown, FrameFault> {
@@ -184,7 +196,7 @@
   }
 }
 
-function validate<T>(
+function validateMessage<T>(
   value: unknown,
   schema: z.ZodType<T>,
 ): Result<T, FrameFault> {
--- a/packages/wire/src/handshake.ts
+++ b/packages/wire/src/handshake.ts
@@ -1,135 +1,137 @@
 /**
  * The handshake that opens a connection between two entry instances.
  *
- * Each side sends a `Hello` with a fresh nonce, then proves that it knows the
+ * Each side sends a `Hello` with a new nonce, then proves that it knows the
  * shared secret by an HMAC over both hellos and its own role. The acceptor
- * proves itself only after the dialler did.
+ * sends its proof only after the proof of the dialler was verified.
  *
- * The proof says who opened the connection, and nothing about what follows.
- * Nothing is encrypted or signed after the handshake: whoever is on the path
- * can read every message, and can alter, add or drop messages of a connection
- * that two honest instances opened. Whoever knows the secret can claim any
- * instance id. Whoever records a handshake can test guesses of the secret
- * against it, so the secret has to be long and random.
+ * The proof authenticates the peer when the connection opens, and nothing that
+ * follows. Messages after the handshake are neither encrypted nor signed: an
+ * attacker on the path can read every message, and can alter, add or drop
+ * messages of an authenticated connection. Anyone who knows the secret can
+ * claim any instance id. Anyone who records a handshake can test guesses of
+ * the secret against it offline, so the secret must be long and random.
  */
 
 import { Buffer } from "node:buffer";
 import { createHmac, randomBytes, timingSafeEqual } from "node:crypto";
 import * as z from "zod";
 
-/** The largest frame taken from a peer that has not proved itself. */
+/** Largest frame accepted from a peer that is not authenticated yet. */
 export const MAX_HANDSHAKE_FRAME_BYTES = 1024;
 
-/** The shortest shared secret taken, in bytes. */
+/** Shortest shared secret accepted, in bytes. */
 export const MIN_SECRET_BYTES = 16;
 
 const NONCE_BYTES = 32;
-const MAX_NAME_CHARACTERS = 128;
+const MAX_ID_CHARACTERS = 128;
 const HMAC_ALGORITHM = "sha256";
-/** Keeps proofs apart from any other use of the same secret. */
+/** Separates these proofs from any other HMAC made with the same secret. */
 const PROOF_CONTEXT = "chestnuthatch peer handshake";
 
-/** Which side of the connection a peer is. */
+/** The two sides of a connection between instances. */
 export enum HandshakeRole {
   Dialler = "dialler",
   Acceptor = "acceptor",
 }
 
-/** Kinds of handshake message. */
+/** Kinds of message in the handshake between instances. */
 export enum HandshakeMessageKind {
   Hello = "hello",
   Proof = "proof",
 }
 
-const digestSchema = z.string().regex(/^[0-9a-f]{64}$/);
-const nameSchema = z.string().min(1).max(MAX_NAME_CHARACTERS);
+const hex32BytesSchema = z.string().regex(/^[0-9a-f]{64}$/);
+const idSchema = z.string().min(1).max(MAX_ID_CHARACTERS);
 
-/** The first message of each side. */
+/** Schema of the first handshake message of each side. */
 export const helloSchema = z.strictObject({
   kind: z.literal(HandshakeMessageKind.Hello),
   protocolVersion: z.number().int().nonnegative(),
-  instanceId: nameSchema,
-  /** Rises with each start of the same instance id. */
+  instanceId: idSchema,
+  /** Increases with each start under the same instance id. */
   incarnation: z.number().int().nonnegative(),
-  failureDomain: nameSchema,
-  /** Fresh for each connection. */
-  nonce: digestSchema,
+  failureDomain: idSchema,
+  /** 32 random bytes in hexadecimal, new for each connection. */
+  nonce: hex32BytesSchema,
 });
+/** First handshake message: protocol version, identity and nonce of a side. */
 export type Hello = z.infer<typeof helloSchema>;
 
-/** The second message of each side. */
+/** Schema of the second handshake message of each side. */
 export const proofSchema = z.strictObject({
   kind: z.literal(HandshakeMessageKind.Proof),
-  proof: digestSchema,
+  proof: hex32BytesSchema,
 });
+/** Second handshake message: the HMAC that proves knowledge of the secret. */
 export type Proof = z.infer<typeof proofSchema>;
 
-/** The two hellos of one connection. */
+/** The hellos of both sides of one connection. */
 export interface HandshakeTranscript {
   readonly dialler: Hello;
   readonly acceptor: Hello;
 }
 
-/** One side's claim to know the secret. */
+/** What a proof is computed over: both hellos and the role of its sender. */
 export interface ProofClaim {
   readonly transcript: HandshakeTranscript;
-  /** The side that proves itself. */
+  /** The side that sends the proof. */
   readonly role: HandshakeRole;
 }
 
 /**
- * Makes a nonce from the system's secure randomness.
+ * Creates a nonce from the operating system's secure random source.
  *
- * @returns The nonce in hex.
+ * @returns 32 random bytes in hexadecimal.
  */
 export function createNonce(): string {
   return randomBytes(NONCE_BYTES).toString("hex");
 }
 
 /**
- * Makes one side's proof.
+ * Creates the proof of one side.
  *
  * @param secret The shared secret.
- * @param claim The connection's hellos and the side that proves itself.
- * @returns The message to send.
+ * @param claim Both hellos of the connection and the role of the sender.
+ * @returns The handshake message to send.
  */
 export function createProof(secret: string, claim: ProofClaim): Proof {
   return {
     kind: HandshakeMessageKind.Proof,
-    proof: digestOf(secret, claim).toString("hex"),
+    proof: computeDigest(secret, claim).toString("hex"),
   };
 }
 
 /**
- * Checks the other side's proof in constant time.
+ * Verifies the proof of the other side in constant time.
  *
- * @param proof The message received.
- * @param options The secret, and the claim that the proof has to match.
- * @returns True when the sender knows the secret.
+ * @param proof The handshake message received.
+ * @param options The shared secret, and the claim that the proof must match.
+ * @returns Whether the sender knows the secret.
  */
 export function isProofValid(
   proof: Proof,
   options: ProofClaim & { readonly secret: string },
 ): boolean {
-  const expected = digestOf(options.secret, options);
+  const expected = computeDigest(options.secret, options);
   const received = Buffer.from(proof.proof, "hex");
   return received.length === expected.length &&
     timingSafeEqual(received, expected);
 }
 
-function digestOf(secret: string, claim: ProofClaim): Buffer {
+function computeDigest(secret: string, claim: ProofClaim): Buffer {
   const { dialler, acceptor } = claim.transcript;
-  // JSON of a list is unambiguous: no field can run into the next one.
-  const signed = JSON.stringify([
+  // A JSON list is unambiguous: different fields never give the same text.
+  const signedPayload = JSON.stringify([
     PROOF_CONTEXT,
     claim.role,
-    ...helloFields(dialler),
-    ...helloFields(acceptor),
+    ...signedHelloFields(dialler),
+    ...signedHelloFields(acceptor),
   ]);
-  return createHmac(HMAC_ALGORITHM, secret).update(signed).digest();
+  return createHmac(HMAC_ALGORITHM, secret).update(signedPayload).digest();
 }
 
-function helloFields(hello: Hello): readonly (string | number)[] {
+function signedHelloFields(hello: Hello): readonly (string | number)[] {
   return [
     hello.protocolVersion,
     hello.instanceId,
--- a/packages/wire/src/handshake_test.ts
+++ b/packages/wire/src/handshake_test.ts
@@ -31,12 +31,12 @@
 const claim = { transcript, role: HandshakeRole.Dialler };
 const proof = createProof(SECRET, claim);
 
-test("should accept the proof of a side that knows the secret", () => {
+test("should accept the proof of a peer that knows the secret", () => {
   assert.ok(isProofValid(proof, { ...claim, secret: SECRET }));
   assert.ok(proofSchema.safeParse(proof).success);
 });
 
-test("should refuse another secret and a proof sent back", () => {
+test("should refuse the wrong secret and a reflected proof", () => {
   const role = HandshakeRole.Acceptor;
   assert.not(isProofValid(proof, { ...claim, secret: "another secret here" }));
   assert.not(isProofValid(proof, { ...claim, secret: SECRET, role }));
@@ -65,12 +65,12 @@
   }
 });
 
-test("should refuse a proof of another length without a throw", () => {
+test("should refuse a proof of the wrong length without throwing", () => {
   const short = { ...proof, proof: "ab" };
   assert.not(isProofValid(short, { ...claim, secret: SECRET }));
 });
 
-test("should make nonces that differ and that the schema takes", () => {
+test("should create distinct nonces that match the schema", () => {
   const nonce = createNonce();
   assert.is.not(nonce, createNonce());
   assert.ok(helloSchema.safeParse({ ...hello("entry-1", "a"), nonce }).success);
--- a/packages/wire/src/peer_messages.ts
+++ b/packages/wire/src/peer_messages.ts
@@ -1,76 +1,108 @@
 /**
- * Messages between entry instances, declared once and validated at the edge.
+ * Schemas of the messages between entry instances; received messages are
+ * validated against them.
  *
- * No message carries a machine's clock: deadlines travel as time left.
+ * A holder is the instance that received a caller's request and answers it. A
+ * coordinator is the instance that schedules the targets of one shard: the
+ * targets of a pool in one failure domain. A holder sends an ask to a
+ * coordinator to get a slot on a target; the coordinator answers with a grant,
+ * a predicted wait or a refusal.
+ *
+ * No message carries a wall-clock time: deadlines are sent as time left, since
+ * the clocks of instances differ.
  */
 
 import * as z from "zod";
 import { ErrorKind, targetLoadSchema } from "./work.ts";
 
-/** Version of the peer protocol; peers of another version are turned away. */
+/** Version of the peer protocol; peers with another version are rejected. */
 export const PEER_PROTOCOL_VERSION = 1;
 
-/** Kinds of peer message. */
+/** Kinds of message between entry instances. */
 export enum PeerMessageKind {
+  /** Gossip about members: which are alive, and their settings version. */
   Heartbeat = "heartbeat",
+  /** Holder to coordinator: requests a slot for a request. */
   Ask = "ask",
+  /** Holder to coordinator: cancels an ask. */
   AskWithdrawn = "ask_withdrawn",
+  /** Coordinator to holder: the ask waits in the queue. */
   AskQueued = "ask_queued",
+  /** Coordinator to holder: the ask gets no slot. */
   AskRefused = "ask_refused",
+  /** Coordinator to holder: reserves a slot on a target for a request. */
   Grant = "grant",
+  /** Holder to coordinator: releases a grant that was not used. */
   GrantReturned = "grant_returned",
+  /** Holder to coordinator: the request was dispatched under its grant. */
   GrantUsed = "grant_used",
+  /** Holder to coordinator: the target has processed the prompt. */
   PromptRead = "prompt_read",
+  /** Holder to coordinator: the work ended, with its measurements. */
   WorkDone = "work_done",
+  /** Coordinator to holder: cancel a stream in favour of a higher tier. */
   Preempt = "preempt",
+  /** To the coordinator of a shard: shed the load of lower tiers. */
   ShedBelow = "shed_below",
+  /** Holder to coordinator: snapshot of its waiting asks and running work. */
   HolderReport = "holder_report",
+  /** Coordinator to holder: reported asks that the coordinator has not. */
   AsksUnknown = "asks_unknown",
+  /** Gossip about targets: signs that they leave, and their loads. */
   TargetsHeard = "targets_heard",
+  /** Sends a version of the settings to a peer. */
   SettingsOffer = "settings_offer",
+  /** Requests a version of the settings newer than the sender's. */
   SettingsWanted = "settings_wanted",
 }
 
 const countSchema = z.number().int().nonnegative();
 const durationMsSchema = z.number().nonnegative();
 
-/** Names one grant: unique for a coordinator's incarnation. */
-const grantRefSchema = {
+/** Identifies a grant; its id is unique per incarnation of a coordinator. */
+const grantRefFields = {
   requestId: z.string(),
   grantId: z.string(),
 };
 
-/** What a coordinator must know of a request to place it. */
+/**
+ * An ask: the properties of a request that a coordinator needs to schedule it.
+ */
 export const askDetailSchema = z.strictObject({
   requestId: z.string(),
-  /** Rises with each ask of the same request; older answers are dropped. */
+  /**
+   * Increases with each ask for the same request; answers to earlier asks are
+   * dropped.
+   */
   askNumber: countSchema,
   pool: z.string(),
   workspace: z.string(),
-  /** 0 is the highest tier. */
+  /** Priority of the request's tier; 0 is the highest. */
   tierRank: countSchema,
+  /** Value of an answer, in the unit of the settings. */
   value: z.number().nonnegative(),
   promptTokens: countSchema,
   expectedOutputTokens: countSchema,
   maxOutputTokens: countSchema,
-  /** Time left until the caller's deadline when the message was sent. */
+  /** Time until the caller's deadline when the message was sent. */
   timeLeftMs: durationMsSchema,
-  /** Whether a running stream of it may be cancelled to make room. */
+  /** Whether its running stream may be cancelled in favour of other work. */
   cancellable: z.boolean(),
-  /** Targets that refused the connection for this request. */
+  /** Targets that refused a connection for this request. */
   excludedTargetIds: z.array(z.string()),
-  /** Fingerprints of the prompt's leading blocks, first block first. */
+  /** Hashes of the prompt's leading blocks, first block first. */
   blockHashes: z.array(z.string()),
-  /** Domains that the request may be asked at, this one included. */
+  /** Number of failure domains that the holder may ask, including this one. */
   spreadOver: z.number().int().positive(),
-  /** This domain's place among them, the nearest being 0. */
+  /** Position of this failure domain in the order of asking, from 0. */
   spreadIndex: countSchema,
 });
+/** An ask: a holder's request for a slot on a target, as sent. */
 export type AskDetail = z.infer<typeof askDetailSchema>;
 
-/** One request that a holder has running on a target. */
+/** One request that runs on a target under a grant. */
 export const runningWorkSchema = z.strictObject({
-  ...grantRefSchema,
+  ...grantRefFields,
   targetId: z.string(),
   pool: z.string(),
   workspace: z.string(),
@@ -80,39 +112,45 @@
   maxOutputTokens: countSchema,
   cancellable: z.boolean(),
 });
+/** A request in flight on a target, as a holder's report lists it. */
 export type RunningWork = z.infer<typeof runningWorkSchema>;
 
-/** What one instance says of a member: its own word, or passed on. */
-export const memberHeardSchema = z.strictObject({
+/** State of a member, as the member itself or a peer that forwards it sends. */
+export const memberStateSchema = z.strictObject({
   instanceId: z.string(),
   incarnation: countSchema,
-  /** Rises with each heartbeat of that incarnation. */
+  /** Increases with each heartbeat of the incarnation. */
   heartbeat: countSchema,
   leaving: z.boolean(),
   settingsVersion: countSchema,
 });
-export type MemberHeard = z.infer<typeof memberHeardSchema>;
+/** State of one member of the fleet, as heartbeats carry it. */
+export type MemberState = z.infer<typeof memberStateSchema>;
 
-/** A sign that a target is leaving or gone, passed to peers at once. */
+/**
+ * A sign: the report of one instance whether a target is leaving or gone, sent
+ * to peers without delay.
+ */
 export const targetSignSchema = z.strictObject({
   targetId: z.string(),
   leaving: z.boolean(),
-  /** Rises on each change by the instance that saw it; the higher one counts. */
+  /** Raised by the instance that observes a change; the highest applies. */
   signNumber: countSchema,
 });
+/** Report that a target is leaving or gone, or no longer so. */
 export type TargetSign = z.infer<typeof targetSignSchema>;
 
-/** Every peer message. */
+/** Schema of every message between entry instances. */
 export const peerMessageSchema = z.discriminatedUnion("kind", [
   z.strictObject({
     kind: z.literal(PeerMessageKind.Heartbeat),
-    members: z.array(memberHeardSchema),
+    members: z.array(memberStateSchema),
   }),
   z.strictObject({
     kind: z.literal(PeerMessageKind.Ask),
-    /** The failure domain whose targets are asked for. */
+    /** Failure domain of the targets that the holder asks for. */
     failureDomain: z.string(),
-    /** The holder's beat when it sent the ask; grants echo it. */
+    /** The holder's beat, a counter it raises regularly; grants echo it. */
     holderBeat: countSchema,
     ask: askDetailSchema,
   }),
@@ -140,42 +178,42 @@
   }),
   z.strictObject({
     kind: z.literal(PeerMessageKind.Grant),
-    ...grantRefSchema,
+    ...grantRefFields,
     failureDomain: z.string(),
     askNumber: countSchema,
     targetId: z.string(),
-    /** The latest beat the coordinator had from the holder when it granted. */
+    /** Latest beat that the coordinator had received from the holder. */
     holderBeat: countSchema,
-    /** Counted by the holder from when it sent that beat. */
+    /** Lifetime of the grant, counted from when the holder began that beat. */
     lifetimeMs: durationMsSchema,
-    /** Targets passed over and why, for `why`. */
+    /** Targets not chosen, each with the reason that `why` shows. */
     passedOver: z.array(
       z.strictObject({ targetId: z.string(), reason: z.string() }),
     ),
   }),
   z.strictObject({
     kind: z.literal(PeerMessageKind.GrantReturned),
-    ...grantRefSchema,
+    ...grantRefFields,
     pool: z.string(),
     failureDomain: z.string(),
-    /** True when the target refused the connection. */
+    /** Whether the target refused the connection. */
     targetUnreachable: z.boolean(),
   }),
   z.strictObject({
     kind: z.literal(PeerMessageKind.GrantUsed),
-    ...grantRefSchema,
+    ...grantRefFields,
     pool: z.string(),
     failureDomain: z.string(),
   }),
   z.strictObject({
     kind: z.literal(PeerMessageKind.PromptRead),
-    ...grantRefSchema,
+    ...grantRefFields,
     pool: z.string(),
     failureDomain: z.string(),
   }),
   z.strictObject({
     kind: z.literal(PeerMessageKind.WorkDone),
-    ...grantRefSchema,
+    ...grantRefFields,
     pool: z.string(),
     failureDomain: z.string(),
     targetId: z.string(),
@@ -183,22 +221,22 @@
     promptTokens: countSchema,
     cachedTokens: countSchema,
     outputTokens: countSchema,
-    /** Dispatch to first token; 0 where none came. */
+    /** Time from dispatch to the first token; 0 where none came. */
     firstTokenMs: durationMsSchema,
-    /** First token to end; 0 where none came. */
+    /** Time from the first token to the end; 0 where none came. */
     decodeMs: durationMsSchema,
     blockHashes: z.array(z.string()),
   }),
   z.strictObject({
     kind: z.literal(PeerMessageKind.Preempt),
-    ...grantRefSchema,
+    ...grantRefFields,
   }),
   z.strictObject({
     kind: z.literal(PeerMessageKind.ShedBelow),
     pool: z.string(),
-    /** The domain whose shard is told. */
+    /** Failure domain of the shard that is to shed load. */
     failureDomain: z.string(),
-    /** Tiers of a greater rank are not to be served for a while. */
+    /** Tiers of a greater rank get no slots for a while. */
     tierRank: countSchema,
   }),
   z.strictObject({
@@ -206,9 +244,9 @@
     pool: z.string(),
     failureDomain: z.string(),
     holderBeat: countSchema,
-    /** Every request whose ask this coordinator should still hold. */
+    /** Requests whose asks this coordinator should have queued. */
     waitingRequestIds: z.array(z.string()),
-    /** Everything the holder runs on targets of this pool and domain. */
+    /** All work of the holder on targets of this pool and failure domain. */
     running: z.array(runningWorkSchema),
   }),
   z.strictObject({
@@ -225,7 +263,7 @@
   z.strictObject({
     kind: z.literal(PeerMessageKind.SettingsOffer),
     version: countSchema,
-    /** YAML of the settings tree at that version. */
+    /** Settings tree at that version, as YAML. */
     content: z.string(),
     changeId: z.string(),
   }),
@@ -234,9 +272,10 @@
     haveVersion: countSchema,
   }),
 ]);
+/** A message between entry instances, told apart by `kind`. */
 export type PeerMessage = z.infer<typeof peerMessageSchema>;
 
-/** The peer message of one kind. */
+/** The peer message whose kind is `K`. */
 export type PeerMessageOf<K extends PeerMessageKind> = Extract<
   PeerMessage,
   { kind: K }
--- a/packages/wire/src/plain_cbor.ts
+++ b/packages/wire/src/plain_cbor.ts
@@ -1,18 +1,20 @@
 /**
- * Checks that bytes hold one plain CBOR item before a decoder sees them.
+ * Checks that a buffer holds one plain CBOR item, before it is decoded.
  *
- * A CBOR library reads tags (big numbers, shared values, records) whose cost
- * can grow far faster than their size. Frames between instances need none.
+ * CBOR libraries decode tags (big numbers, shared values, records) at a cost
+ * that can grow far faster than their size. Frames between instances use none.
+ * Terms are those of RFC 8949: the head of an item is its initial byte (major
+ * type and additional information) and its argument.
  */
 
-const MAX_DEPTH = 16;
-const HEAD_BYTES = 1;
-const ARGUMENT_MASK = 0x1f;
+const MAX_NESTING_DEPTH = 16;
+const INITIAL_BYTES = 1;
+const ADDITIONAL_INFO_MASK = 0x1f;
 const MAJOR_TYPE_SHIFT = 5;
-const LARGEST_INLINE_ARGUMENT = 23;
-const FIRST_SIMPLE_VALUE = 20;
-const FIRST_FLOAT = 25;
-const LAST_FLOAT = 27;
+const MAX_INLINE_ARGUMENT = 23;
+const MIN_SIMPLE_VALUE = 20;
+const MIN_FLOAT_INFO = 25;
+const MAX_FLOAT_INFO = 27;
 
 enum MajorType {
   UnsignedInteger,
@@ -25,15 +27,18 @@
   Simple,
 }
 
-/** Bytes that follow the head for each argument code above the inline ones. */
-const ARGUMENT_BYTES: ReadonlyMap<number, number> = new Map([
+/**
+ * Bytes of the argument for each additional information above the inline
+ * arguments.
+ */
+const ARGUMENT_BYTES_BY_INFO: ReadonlyMap<number, number> = new Map([
   [24, 1],
   [25, 2],
   [26, 4],
   [27, 8],
 ]);
 
-const READ_LENGTH: ReadonlyMap<
+const READ_LENGTH_BY_INFO: ReadonlyMap<
   number,
   (view: DataView, at: number) => number
 > = new Map([
@@ -42,48 +47,49 @@
   [26, (view, at) => view.getUint32(at)],
 ]);
 
-interface Item {
-  readonly argumentCode: number;
-  /** The count or length that the head carries; 0 where it has none. */
+/** The decoded head of a CBOR item. */
+interface ItemHead {
+  readonly additionalInfo: number;
+  /** Argument as a count or length; Infinity where it takes eight bytes. */
   readonly length: number;
 }
 
-/** How each major type moves the walk on; false refuses the item. */
-const STEP: Readonly<
-  Record<MajorType, (walk: PlainCborWalk, item: Item) => boolean>
+/** Skips or enters the content of each major type; false rejects the item. */
+const SKIP_CONTENT_BY_TYPE: Readonly<
+  Record<MajorType, (checker: PlainCborChecker, head: ItemHead) => boolean>
 > = {
   [MajorType.UnsignedInteger]: () => true,
   [MajorType.NegativeInteger]: () => true,
   [MajorType.Bytes]: () => false,
-  [MajorType.Text]: (walk, item) => walk.skip(item.length),
-  [MajorType.Array]: (walk, item) => walk.enter(item.length),
-  [MajorType.Map]: (walk, item) => walk.enter(2 * item.length),
+  [MajorType.Text]: (checker, head) => checker.skip(head.length),
+  [MajorType.Array]: (checker, head) => checker.enterContainer(head.length),
+  [MajorType.Map]: (checker, head) => checker.enterContainer(2 * head.length),
   [MajorType.Tag]: () => false,
-  [MajorType.Simple]: (_walk, { argumentCode }) =>
-    argumentCode >= FIRST_FLOAT && argumentCode <= LAST_FLOAT ||
-    argumentCode >= FIRST_SIMPLE_VALUE &&
-      argumentCode <= LARGEST_INLINE_ARGUMENT,
+  [MajorType.Simple]: (_checker, { additionalInfo }) =>
+    additionalInfo >= MIN_FLOAT_INFO && additionalInfo <= MAX_FLOAT_INFO ||
+    additionalInfo >= MIN_SIMPLE_VALUE &&
+      additionalInfo <= MAX_INLINE_ARGUMENT,
 };
 
-/** One walk over the items of a buffer. */
-class PlainCborWalk {
+/** Checks the items of one buffer, from its start to its end. */
+class PlainCborChecker {
   readonly #view: DataView;
-  /** Items still to come at each open depth. */
-  readonly #pending = [1];
+  /** Items not read yet in each open container, outermost first. */
+  readonly #remainingItems = [1];
   #position = 0;
 
   constructor(bytes: Uint8Array) {
     this.#view = new DataView(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   }
 
-  run(): boolean {
-    while (this.#pending.length > 0) {
-      if (this.#pending[this.#pending.length - 1] === 0) {
-        this.#pending.pop();
+  check(): boolean {
+    while (this.#remainingItems.length > 0) {
+      if (this.#remainingItems[this.#remainingItems.length - 1] === 0) {
+        this.#remainingItems.pop();
         continue;
       }
-      this.#pending[this.#pending.length - 1] -= 1;
-      if (!this.#step()) return false;
+      this.#remainingItems[this.#remainingItems.length - 1] -= 1;
+      if (!this.#readItem()) return false;
     }
     return this.#position === this.#view.byteLength;
   }
@@ -93,43 +99,51 @@
     return this.#position <= this.#view.byteLength;
   }
 
-  enter(items: number): boolean {
-    this.#pending.push(items);
-    return this.#pending.length <= MAX_DEPTH &&
+  enterContainer(items: number): boolean {
+    this.#remainingItems.push(items);
+    return this.#remainingItems.length <= MAX_NESTING_DEPTH &&
       items <= this.#view.byteLength - this.#position;
   }
 
-  #step(): boolean {
-    const headAt = this.#position;
-    if (!this.skip(HEAD_BYTES)) return false;
-    const head = this.#view.getUint8(headAt);
-    const majorType: MajorType = head >> MAJOR_TYPE_SHIFT;
-    const argumentCode = head & ARGUMENT_MASK;
-    if (!this.#skipArgument(argumentCode)) return false;
-    const length = this.#lengthOf(argumentCode, headAt + HEAD_BYTES);
-    return STEP[majorType](this, { argumentCode, length });
+  #readItem(): boolean {
+    const headStart = this.#position;
+    if (!this.skip(INITIAL_BYTES)) return false;
+    const initialByte = this.#view.getUint8(headStart);
+    const majorType: MajorType = initialByte >> MAJOR_TYPE_SHIFT;
+    const additionalInfo = initialByte & ADDITIONAL_INFO_MASK;
+    if (!this.#skipArgument(additionalInfo)) return false;
+    const length = this.#readArgument(
+      additionalInfo,
+      headStart + INITIAL_BYTES,
+    );
+    return SKIP_CONTENT_BY_TYPE[majorType](this, {
+      additionalInfo,
+      length,
+    });
   }
 
-  #skipArgument(argumentCode: number): boolean {
-    if (argumentCode <= LARGEST_INLINE_ARGUMENT) return true;
-    const bytes = ARGUMENT_BYTES.get(argumentCode);
+  #skipArgument(additionalInfo: number): boolean {
+    if (additionalInfo <= MAX_INLINE_ARGUMENT) return true;
+    const bytes = ARGUMENT_BYTES_BY_INFO.get(additionalInfo);
     return bytes !== undefined && this.skip(bytes);
   }
 
-  #lengthOf(argumentCode: number, at: number): number {
-    if (argumentCode <= LARGEST_INLINE_ARGUMENT) return argumentCode;
-    // A length of eight bytes is beyond any frame, so it fails the walk.
-    return READ_LENGTH.get(argumentCode)?.(this.#view, at) ?? Infinity;
+  #readArgument(additionalInfo: number, at: number): number {
+    if (additionalInfo <= MAX_INLINE_ARGUMENT) return additionalInfo;
+    // An eight-byte length exceeds every frame, so that the check fails.
+    return READ_LENGTH_BY_INFO.get(additionalInfo)?.(this.#view, at) ??
+      Infinity;
   }
 }
 
 /**
- * Checks the shape of a CBOR buffer in one pass, without building values.
+ * Checks the structure of a CBOR buffer in one pass, without building values.
  *
  * @param bytes The buffer.
- * @returns True when it is exactly one item made of numbers, text, booleans,
- * null, undefined, arrays and maps of definite length, at a modest depth.
+ * @returns Whether the buffer is exactly one item made of numbers, text,
+ * booleans, null, undefined, and arrays and maps of definite length, nested at
+ * most {@link MAX_NESTING_DEPTH} deep.
  */
 export function isPlainCbor(bytes: Uint8Array): boolean {
-  return new PlainCborWalk(bytes).run();
+  return new PlainCborChecker(bytes).check();
 }
--- a/packages/wire/src/work.ts
+++ b/packages/wire/src/work.ts
@@ -1,29 +1,32 @@
 /**
- * Vocabulary shared by every protocol: kinds of work, kinds of target, and how
- * a request may end.
+ * Types shared by all protocols: kinds of target, run states, reasons for a
+ * refusal, and the load report of a target.
  */
 
 import * as z from "zod";
 
-/** What kind of back end a target is. */
+/** Kinds of back end that a target can be. */
 export enum TargetKind {
-  /** A model engine: tokens, streams, cancel, resume, prefix cache, orders. */
+  /**
+   * A model engine: it streams tokens, supports cancel and resume, has a prefix
+   * cache and accepts orders.
+   */
   Engine = "engine",
-  /** A plain service: one call, one answer, no cancel. */
+  /** A plain service: one call with one answer, without cancel. */
   Service = "service",
 }
 
-/** Whether a request's work was done, as far as the caller may rely on it. */
+/** Whether a target ran a request, as reported to its caller. */
 export enum RunState {
   /** The request certainly did not run and will not run. */
   NotRun = "not_run",
-  /** The request was sent to a target and its outcome is unknown. */
+  /** The request was sent to a target, and its outcome is unknown. */
   MayHaveRun = "may_have_run",
   /** The request ran. */
   Ran = "ran",
 }
 
-/** Every way a request can be refused. The list is closed. */
+/** Reasons for refusing a request. Callers receive no other values. */
 export enum ErrorKind {
   BadRequest = "bad_request",
   UnknownWorkspace = "unknown_workspace",
@@ -54,7 +57,7 @@
   Internal = "internal",
 }
 
-/** One target as the platform's list, load reports and gossip describe it. */
+/** The load of one target, as load reports and gossip carry it. */
 export const targetLoadSchema = z.strictObject({
   targetId: z.string(),
   /** Age of the figures when the target sent them, in milliseconds. */
@@ -67,5 +70,5 @@
   leaving: z.boolean(),
 });
 
-/** A target's own report of its load. It is always stale. */
+/** A target's report of its own load, always out of date by `ageMs` or more. */
 export type TargetLoad = z.infer<typeof targetLoadSchema>;
