--- a/packages/settings/src/schema_faults.ts
+++ b/packages/settings/src/schema_faults.ts
@@ -28,14 +28,12 @@
 }
 
 function issueFaults(root: unknown, issue: Issue): LocatedFault[] {
-  if (issue.code === "unrecognized_keys") {
-    return unknownFieldFaults(root, issue);
-  }
+  if (issue.code === "unrecognized_keys") return fieldNameFaults(root, issue);
   if (issue.code === "invalid_key") return [invalidNameFault(issue)];
   return [invalidValueFault(root, issue)];
 }
 
-function unknownFieldFaults(
+function fieldNameFaults(
   root: unknown,
   issue: IssueWithCode<"unrecognized_keys">,
 ): LocatedFault[] {
--- a/packages/settings/src/yaml_source.ts
+++ b/packages/settings/src/yaml_source.ts
@@ -117,16 +117,15 @@
   source: YamlSource,
   { map, path }: { map: YAMLMap; path: string[] },
 ): SettingsFault[] {
-  const firstLineByName = new Map<string, number | undefined>();
+  const lines = new Map<string, number | undefined>();
   const faults: SettingsFault[] = [];
   for (const { key } of map.items) {
     const name = keyToString(key);
     const line = lineAtOffset(source, startOffset(key));
-    const position = { path: joinPath([...path, name]), line };
-    if (name === "__proto__") faults.push(reservedNameFault(position));
-    if (firstLineByName.has(name)) {
-      faults.push(duplicateKeyFault(position, firstLineByName.get(name)));
-    } else firstLineByName.set(name, line);
+    const place = { path: joinPath([...path, name]), line };
+    if (name === "__proto__") faults.push(reservedNameFault(place));
+    if (lines.has(name)) faults.push(duplicateKeyFault(place, lines.get(name)));
+    else lines.set(name, line);
   }
   return faults;
 }
--- a/packages/wire/src/plain_cbor.ts
+++ b/packages/wire/src/plain_cbor.ts
@@ -40,11 +40,11 @@
 
 const READ_LENGTH_BY_INFO: ReadonlyMap<
   number,
-  (view: DataView, at: number) => number
+  (view: DataView, offset: number) => number
 > = new Map([
-  [24, (view, at) => view.getUint8(at)],
-  [25, (view, at) => view.getUint16(at)],
-  [26, (view, at) => view.getUint32(at)],
+  [24, (view, offset) => view.getUint8(offset)],
+  [25, (view, offset) => view.getUint16(offset)],
+  [26, (view, offset) => view.getUint32(offset)],
 ]);
 
 /** The decoded head of a CBOR item. */
@@ -128,10 +128,10 @@
     return bytes !== undefined && this.skip(bytes);
   }
 
-  #readArgument(additionalInfo: number, at: number): number {
+  #readArgument(additionalInfo: number, offset: number): number {
     if (additionalInfo <= MAX_INLINE_ARGUMENT) return additionalInfo;
     // An eight-byte length exceeds every frame, so that the check fails.
-    return READ_LENGTH_BY_INFO.get(additionalInfo)?.(this.#view, at) ??
+    return READ_LENGTH_BY_INFO.get(additionalInfo)?.(this.#view, offset) ??
       Infinity;
   }
 }
