--- a/packages/cli/src/drain_command.ts
+++ b/packages/cli/src/drain_command.ts
@@ -1,12 +1,12 @@
 /** `chestnuthatch drain`: lets a target or an instance finish its work. */
 
-import { ChangeOutcomeKind } from "@chestnuthatch/settings/change";
+import { ChangeOutcomeKind } from "@chestnuthatch/settings/settings_change";
 import type { SettingsFault } from "@chestnuthatch/settings/settings_fault";
 import type { SettingsTree } from "@chestnuthatch/settings/tree_schema";
 import {
   withInstanceDraining,
   withTargetDraining,
-} from "@chestnuthatch/settings/with_drain";
+} from "@chestnuthatch/settings/draining_edits";
 import { Argument, type Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
 import {
--- a/packages/cli/src/embedded_fleet.ts
+++ b/packages/cli/src/embedded_fleet.ts
@@ -6,10 +6,13 @@
   checkStartSettings,
   type StartSettingsInput,
 } from "@chestnuthatch/daemon/start_settings";
-import { NO_VERSION, proposeChange } from "@chestnuthatch/settings/change";
-import type { SettingsInForce } from "@chestnuthatch/settings/policy";
-import { readSettings } from "@chestnuthatch/settings/read_tree";
-import { resolveSettings } from "@chestnuthatch/settings/settings_in_force";
+import {
+  NO_VERSION,
+  proposeChange,
+} from "@chestnuthatch/settings/settings_change";
+import type { SettingsInForce } from "@chestnuthatch/settings/settings_types";
+import { readSettings } from "@chestnuthatch/settings/read_settings";
+import { resolveSettings } from "@chestnuthatch/settings/resolve_settings";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { StandinTarget } from "@chestnuthatch/standins/deployments";
 import { StandinFleet } from "@chestnuthatch/standins/fleet";
--- a/packages/cli/src/settings_change.ts
+++ b/packages/cli/src/settings_change.ts
@@ -8,12 +8,12 @@
   NO_VERSION,
   proposeChange,
   type ProposedChange,
-} from "@chestnuthatch/settings/change";
+} from "@chestnuthatch/settings/settings_change";
 import {
   describeDifference,
   diffTrees,
   type SettingsDifference,
-} from "@chestnuthatch/settings/diff";
+} from "@chestnuthatch/settings/tree_diff";
 import type { SettingsVersion } from "@chestnuthatch/settings/settings_rows";
 import { err, ok, type Result } from "neverthrow";
 import {
--- a/packages/cli/src/settings_diff_command.ts
+++ b/packages/cli/src/settings_diff_command.ts
@@ -1,6 +1,6 @@
 /** `chestnuthatch settings diff`: compares versions or files. */
 
-import { diffTrees } from "@chestnuthatch/settings/diff";
+import { diffTrees } from "@chestnuthatch/settings/tree_diff";
 import type { SettingsTree } from "@chestnuthatch/settings/tree_schema";
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
--- a/packages/cli/src/settings_explain_command.ts
+++ b/packages/cli/src/settings_explain_command.ts
@@ -5,7 +5,7 @@
   explainPolicy,
 } from "@chestnuthatch/settings/explain";
 import { nearestName } from "@chestnuthatch/settings/nearest_name";
-import type { PolicyScope } from "@chestnuthatch/settings/policy";
+import type { PolicyScope } from "@chestnuthatch/settings/settings_types";
 import type { SettingsTree } from "@chestnuthatch/settings/tree_schema";
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
--- a/packages/cli/src/settings_propose_command.ts
+++ b/packages/cli/src/settings_propose_command.ts
@@ -1,6 +1,9 @@
 /** `chestnuthatch settings propose`: puts an edited file in force. */
 
-import { ChangeOutcomeKind, NO_VERSION } from "@chestnuthatch/settings/change";
+import {
+  ChangeOutcomeKind,
+  NO_VERSION,
+} from "@chestnuthatch/settings/settings_change";
 import type { Command } from "commander";
 import { err, ok } from "neverthrow";
 import type { CommandResult } from "./command_result.ts";
--- a/packages/cli/src/settings_revert_command.ts
+++ b/packages/cli/src/settings_revert_command.ts
@@ -1,6 +1,6 @@
 /** `chestnuthatch settings revert`: puts an earlier content in force again. */
 
-import { revertTo } from "@chestnuthatch/settings/change";
+import { revertTo } from "@chestnuthatch/settings/settings_change";
 import type { Command } from "commander";
 import { err, ok } from "neverthrow";
 import type { CommandResult } from "./command_result.ts";
--- a/packages/cli/src/settings_store.ts
+++ b/packages/cli/src/settings_store.ts
@@ -13,7 +13,7 @@
   outcomeFromAnswer,
   outcomeFromRows,
   type ProposedChange,
-} from "@chestnuthatch/settings/change";
+} from "@chestnuthatch/settings/settings_change";
 import {
   HEAD_KEY,
   readHead,
--- a/packages/cli/src/settings_text.ts
+++ b/packages/cli/src/settings_text.ts
@@ -1,6 +1,6 @@
 /** Reads a settings text and words its faults for operators. */
 
-import { readSettings } from "@chestnuthatch/settings/read_tree";
+import { readSettings } from "@chestnuthatch/settings/read_settings";
 import {
   describeFault,
   type SettingsFault,
--- a/packages/core/src/admission.ts
+++ b/packages/core/src/admission.ts
@@ -5,7 +5,7 @@
   PoolSettings,
   SettingsInForce,
   TierPolicy,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import type { RateBucket } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import type { RefusalCause } from "./refusals.ts";
--- a/packages/core/src/blackboard.ts
+++ b/packages/core/src/blackboard.ts
@@ -9,7 +9,7 @@
 import type {
   SettingsInForce,
   TierPolicy,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import type { ClaimRow } from "./events.ts";
 import type { DecisionLog } from "./decision_log.ts";
 import type { PrefixIndex } from "./prefix_index.ts";
--- a/packages/core/src/capacity.ts
+++ b/packages/core/src/capacity.ts
@@ -1,6 +1,6 @@
 /** What each target of a shard can still take, by the coordinator's account. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { type GrantAccount, type Target, TargetHealth } from "./blackboard.ts";
 import {
--- a/packages/core/src/fake_shard.ts
+++ b/packages/core/src/fake_shard.ts
@@ -4,7 +4,7 @@
   SettingsInForce,
   TargetSettings,
   TierPolicy,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import {
   type AskDetail,
   type PeerMessage,
--- a/packages/core/src/learned_rates.ts
+++ b/packages/core/src/learned_rates.ts
@@ -1,6 +1,6 @@
 /** Learns a target's speed from the work that ended there. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type {
   PeerMessageKind,
   PeerMessageOf,
--- a/packages/core/src/pace_watch.ts
+++ b/packages/core/src/pace_watch.ts
@@ -1,6 +1,6 @@
 /** Watches how fast each target works, and adjusts its slots. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type { GrantAccount, Shard, Target } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
--- a/packages/core/src/settings_controller.ts
+++ b/packages/core/src/settings_controller.ts
@@ -4,9 +4,9 @@
   PeerMessageKind,
   type PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
-import { readSettings } from "@chestnuthatch/settings/read_tree";
+import { readSettings } from "@chestnuthatch/settings/read_settings";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
-import { resolveSettings } from "@chestnuthatch/settings/settings_in_force";
+import { resolveSettings } from "@chestnuthatch/settings/resolve_settings";
 import type { Controller, EventHandlers, Turn } from "./controller.ts";
 import { EffectKind, LogLevel, LogPart } from "./effects.ts";
 import { EventKind, type EventOf } from "./events.ts";
--- a/packages/core/src/settings_index.ts
+++ b/packages/core/src/settings_index.ts
@@ -4,7 +4,7 @@
   SettingsInForce,
   TargetSettings,
   TierPolicy,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import { shardKey } from "./blackboard.ts";
 
 /** One pool's targets in one failure domain, as the settings have them. */
--- a/packages/core/src/shard_domains.ts
+++ b/packages/core/src/shard_domains.ts
@@ -1,6 +1,6 @@
 /** Which failure domains hold targets of a pool, nearest first. */
 
-import type { SettingsInForce } from "@chestnuthatch/settings/policy";
+import type { SettingsInForce } from "@chestnuthatch/settings/settings_types";
 import type { SelfSection } from "./blackboard.ts";
 import { domainsOfPool } from "./settings_index.ts";
 
--- a/packages/core/src/shard_view.ts
+++ b/packages/core/src/shard_view.ts
@@ -3,7 +3,7 @@
 import type {
   SettingsInForce,
   TierPolicy,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import type { AskDetail } from "@chestnuthatch/wire/peer_messages";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import {
--- a/packages/core/src/status.ts
+++ b/packages/core/src/status.ts
@@ -7,7 +7,7 @@
   Target,
   TargetHealth,
 } from "./blackboard.ts";
-import type { SettingsInForce } from "@chestnuthatch/settings/policy";
+import type { SettingsInForce } from "@chestnuthatch/settings/settings_types";
 import { isAlive, isEligible } from "./coordinators.ts";
 import { type Readiness, readinessOf } from "./readiness.ts";
 import { RequestState } from "./request.ts";
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -1,6 +1,6 @@
 /** Finds targets that have become slow, cuts their slots, lets them recover. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type { GrantAccount, Target } from "./blackboard.ts";
 import { paceOf } from "./learned_rates.ts";
 
--- a/packages/core/src/target_controller.ts
+++ b/packages/core/src/target_controller.ts
@@ -3,7 +3,7 @@
 import type {
   SettingsInForce,
   TargetSettings,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import {
   type PeerMessage,
   PeerMessageKind,
--- a/packages/core/src/target_polls.ts
+++ b/packages/core/src/target_polls.ts
@@ -3,7 +3,7 @@
 import type {
   SettingsInForce,
   TargetSettings,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { shardKey, type Target } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
--- a/packages/core/src/target_usage.ts
+++ b/packages/core/src/target_usage.ts
@@ -1,6 +1,6 @@
 /** What is in use on a target: own account against a stale report. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type { TargetKind } from "@chestnuthatch/wire/work";
 import type { EndedWork, GrantAccount, Target } from "./blackboard.ts";
 
--- a/packages/core/src/timing.ts
+++ b/packages/core/src/timing.ts
@@ -1,6 +1,6 @@
 /** The times in force, also before the instance has any settings. */
 
-import type { TimingSettings } from "@chestnuthatch/settings/policy";
+import type { TimingSettings } from "@chestnuthatch/settings/settings_types";
 import { TIMING_FIELDS } from "@chestnuthatch/settings/policy_fields";
 import type { Blackboard } from "./blackboard.ts";
 import type { Randomness } from "./randomness.ts";
--- a/packages/core/src/work_cost.ts
+++ b/packages/core/src/work_cost.ts
@@ -1,6 +1,6 @@
 /** Predicts how long a target takes for a piece of work. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import type { LearnedRates } from "./blackboard.ts";
 
--- a/packages/measure/src/capacity.ts
+++ b/packages/measure/src/capacity.ts
@@ -1,6 +1,6 @@
 /** How many requests a second a deployment can serve, from rates and mix. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import {
   generateWorkload,
   type KindMix,
--- a/packages/measure/src/deployments.ts
+++ b/packages/measure/src/deployments.ts
@@ -1,10 +1,10 @@
 /** The two deployments of the brief: domains, links, instances, settings. */
 
 import { readFileSync } from "node:fs";
-import { resolveSettings } from "@chestnuthatch/settings/settings_in_force";
-import { readSettings } from "@chestnuthatch/settings/read_tree";
+import { resolveSettings } from "@chestnuthatch/settings/resolve_settings";
+import { readSettings } from "@chestnuthatch/settings/read_settings";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
-import type { SettingsInForce } from "@chestnuthatch/settings/policy";
+import type { SettingsInForce } from "@chestnuthatch/settings/settings_types";
 import { Deployment } from "@chestnuthatch/standins/workload_kinds";
 import type { InstancePlace } from "./entry_instance.ts";
 import type { LinkDelays } from "./network.ts";
--- a/packages/measure/src/engine_host.ts
+++ b/packages/measure/src/engine_host.ts
@@ -1,7 +1,7 @@
 /** A model engine of the measured world. */
 
 import type { AttemptRef } from "@chestnuthatch/core/events";
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import { EngineModel } from "@chestnuthatch/standins/engine_model";
 import type { EngineOutput } from "@chestnuthatch/standins/engine_model";
 import {
--- a/packages/measure/src/scaled_plan.ts
+++ b/packages/measure/src/scaled_plan.ts
@@ -1,6 +1,6 @@
 /** A deployment grown to other numbers of instances and targets. */
 
-import { readSettings } from "@chestnuthatch/settings/read_tree";
+import { readSettings } from "@chestnuthatch/settings/read_settings";
 import { Deployment } from "@chestnuthatch/standins/workload_kinds";
 import { type DeploymentPlan, planOf, settingsOf } from "./deployments.ts";
 
--- a/packages/measure/src/service_host.ts
+++ b/packages/measure/src/service_host.ts
@@ -1,7 +1,7 @@
 /** A plain service of the measured world. */
 
 import type { AttemptRef } from "@chestnuthatch/core/events";
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import { ServiceModel } from "@chestnuthatch/standins/service_model";
 import type { CacheEventsAnswer } from "@chestnuthatch/wire/target_protocol";
 import type { TargetLoad } from "@chestnuthatch/wire/work";
--- a/packages/measure/src/target_host.ts
+++ b/packages/measure/src/target_host.ts
@@ -1,6 +1,6 @@
 /** A target of the measured world: a stand-in behind links that can break. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type {
   CacheEventsAnswer,
   EngineEvent,
--- a/packages/measure/src/work_items.ts
+++ b/packages/measure/src/work_items.ts
@@ -1,6 +1,6 @@
 /** Turns the generated workload into what callers of the world want done. */
 
-import type { SettingsInForce } from "@chestnuthatch/settings/policy";
+import type { SettingsInForce } from "@chestnuthatch/settings/settings_types";
 import {
   generateWorkload,
   type WorkItem as GeneratedItem,
--- a/packages/settings/src/cross_checks.ts
+++ b/packages/settings/src/cross_field_checks.ts
@@ -4,12 +4,12 @@
  * skip values that the schema reports.
  */
 
-import { faultAt, type LocatedFault } from "./placed_fault.ts";
+import { faultAt, type LocatedFault } from "./located_fault.ts";
 import { policyFaults } from "./policy_checks.ts";
 import { poolFaults } from "./pool_checks.ts";
-import { isMap, valueAt } from "./raw_view.ts";
+import { isMap, valueAt } from "./unchecked_tree.ts";
 import { referenceFaults } from "./reference_checks.ts";
-import { uniquenessFaults } from "./repetition_checks.ts";
+import { uniquenessFaults } from "./uniqueness_checks.ts";
 import { SettingsFaultKind } from "./settings_fault.ts";
 import { timingFaults } from "./timing_checks.ts";
 
--- a/packages/settings/src/with_drain.ts
+++ b/packages/settings/src/draining_edits.ts
@@ -6,7 +6,7 @@
 import { err, ok, Result } from "neverthrow";
 import { type Document, isSeq } from "yaml";
 import { nearestName } from "./nearest_name.ts";
-import { readSettings } from "./read_tree.ts";
+import { readSettings } from "./read_settings.ts";
 import { type SettingsFault, SettingsFaultKind } from "./settings_fault.ts";
 import type { SettingsTree } from "./tree_schema.ts";
 import { parseYaml } from "./yaml_source.ts";
--- a/packages/settings/src/explain.ts
+++ b/packages/settings/src/explain.ts
@@ -1,8 +1,8 @@
 /** Shows which level of the settings tree sets each value of a policy. */
 
-import type { PolicyScope, TierPolicy } from "./policy.ts";
+import type { PolicyScope, TierPolicy } from "./settings_types.ts";
 import { POLICY_FIELD_NAMES, type PolicyField } from "./policy_fields.ts";
-import { type LevelValue, levelValues, PolicyLevel } from "./policy_layers.ts";
+import { type LevelValue, levelValues, PolicyLevel } from "./policy_levels.ts";
 import type { SettingsTree } from "./tree_schema.ts";
 
 /** One policy value in force, its origin and the values it overrides. */
--- a/packages/settings/src/explain_test.ts
+++ b/packages/settings/src/explain_test.ts
@@ -1,10 +1,10 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { describeDifference, diffTrees } from "./diff.ts";
+import { describeDifference, diffTrees } from "./tree_diff.ts";
 import { describeExplained, explainPolicy } from "./explain.ts";
-import { PolicyLevel } from "./policy_layers.ts";
-import { readSettings } from "./read_tree.ts";
-import { resolveSettings } from "./settings_in_force.ts";
+import { PolicyLevel } from "./policy_levels.ts";
+import { readSettings } from "./read_settings.ts";
+import { resolveSettings } from "./resolve_settings.ts";
 
 // Each level sets `value` to its position in ascending precedence, from 1.
 const LEVELS = [
--- a/packages/settings/src/policy_checks.ts
+++ b/packages/settings/src/policy_checks.ts
@@ -1,10 +1,10 @@
 /** Checks that the resolved values of each policy are consistent. */
 
-import type { PolicyScope } from "./policy.ts";
+import type { PolicyScope } from "./settings_types.ts";
 import type { PolicyField } from "./policy_fields.ts";
-import { LEVEL_ORDER, type LevelValue, levelValues } from "./policy_layers.ts";
-import { namesAt } from "./raw_view.ts";
-import type { LocatedFault } from "./placed_fault.ts";
+import { LEVEL_ORDER, type LevelValue, levelValues } from "./policy_levels.ts";
+import { namesAt } from "./unchecked_tree.ts";
+import type { LocatedFault } from "./located_fault.ts";
 import { SettingsFaultKind } from "./settings_fault.ts";
 
 /** Requires one policy field to be at most as large as another. */
--- a/packages/settings/src/policy_fields.ts
+++ b/packages/settings/src/policy_fields.ts
@@ -3,7 +3,7 @@
  * schema, the defaults and the checks are derived from these tables.
  */
 
-import type { TierPolicy, TimingSettings } from "./policy.ts";
+import type { TierPolicy, TimingSettings } from "./settings_types.ts";
 
 /** Fields of a {@link TierPolicy} that a level of the tree may set. */
 export type PolicyField = Exclude<keyof TierPolicy, "tier" | "rank">;
--- a/packages/settings/src/policy_layers.ts
+++ b/packages/settings/src/policy_levels.ts
@@ -6,10 +6,10 @@
  * therefore always overrides a value set without one.
  */
 
-import type { PolicyScope, TierPolicy } from "./policy.ts";
+import type { PolicyScope, TierPolicy } from "./settings_types.ts";
 import { POLICY_FIELDS, type PolicyField } from "./policy_fields.ts";
 import { joinPath } from "./settings_fault.ts";
-import { type TreePath, valueAt } from "./raw_view.ts";
+import { type TreePath, valueAt } from "./unchecked_tree.ts";
 
 /** Levels of the settings tree at which a policy field can be set. */
 export enum PolicyLevel {
--- a/packages/settings/src/pool_checks.ts
+++ b/packages/settings/src/pool_checks.ts
@@ -1,7 +1,7 @@
 /** Checks that pools have targets and that the fields of both fit the kind. */
 
 import { TargetKind } from "@chestnuthatch/wire/work";
-import { faultAt, type LocatedFault } from "./placed_fault.ts";
+import { faultAt, type LocatedFault } from "./located_fault.ts";
 import {
   isMap,
   namesAt,
@@ -9,7 +9,7 @@
   stringAt,
   type TreePath,
   valueAt,
-} from "./raw_view.ts";
+} from "./unchecked_tree.ts";
 import { describeValue, SettingsFaultKind } from "./settings_fault.ts";
 
 /** Target fields that engines require and services must not set. */
--- a/packages/settings/src/read_tree.ts
+++ b/packages/settings/src/read_settings.ts
@@ -1,8 +1,8 @@
 /** Parses and validates a settings text, reporting all its faults at once. */
 
 import { err, ok, Result } from "neverthrow";
-import { crossFieldFaults } from "./cross_checks.ts";
-import type { LocatedFault } from "./placed_fault.ts";
+import { crossFieldFaults } from "./cross_field_checks.ts";
+import type { LocatedFault } from "./located_fault.ts";
 import { schemaFaults } from "./schema_faults.ts";
 import { type SettingsFault, SettingsFaultKind } from "./settings_fault.ts";
 import { type SettingsTree, settingsTreeSchema } from "./tree_schema.ts";
--- a/packages/settings/src/read_tree_test.ts
+++ b/packages/settings/src/read_settings_test.ts
@@ -6,7 +6,7 @@
   POLICY_FIELDS,
   TIMING_FIELDS,
 } from "./policy_fields.ts";
-import { readSettings } from "./read_tree.ts";
+import { readSettings } from "./read_settings.ts";
 import { describeFault, SettingsFaultKind } from "./settings_fault.ts";
 import { MAX_SETTINGS_BYTES } from "./yaml_source.ts";
 
--- a/packages/settings/src/received_settings.ts
+++ b/packages/settings/src/received_settings.ts
@@ -2,10 +2,10 @@
 
 import { err, ok, type Result } from "neverthrow";
 import type { Row } from "@chestnuthatch/wire/platform_protocol";
-import type { SettingsInForce } from "./policy.ts";
-import { readSettings } from "./read_tree.ts";
+import type { SettingsInForce } from "./settings_types.ts";
+import { readSettings } from "./read_settings.ts";
 import type { SettingsFault } from "./settings_fault.ts";
-import { resolveSettings } from "./settings_in_force.ts";
+import { resolveSettings } from "./resolve_settings.ts";
 import {
   readVersionRow,
   type RowFault,
--- a/packages/settings/src/reference_checks.ts
+++ b/packages/settings/src/reference_checks.ts
@@ -1,8 +1,13 @@
 /** Checks that every name that the settings tree refers to is defined in it. */
 
 import { nearestName } from "./nearest_name.ts";
-import { faultAt, type LocatedFault } from "./placed_fault.ts";
-import { namesAt, stringAt, stringsAt, type TreePath } from "./raw_view.ts";
+import { faultAt, type LocatedFault } from "./located_fault.ts";
+import {
+  namesAt,
+  stringAt,
+  stringsAt,
+  type TreePath,
+} from "./unchecked_tree.ts";
 import { describeValue, SettingsFaultKind } from "./settings_fault.ts";
 
 /**
--- a/packages/settings/src/settings_in_force.ts
+++ b/packages/settings/src/resolve_settings.ts
@@ -6,9 +6,9 @@
   SettingsInForce,
   TargetSettings,
   TierPolicy,
-} from "./policy.ts";
+} from "./settings_types.ts";
 import { POLICY_FIELD_NAMES } from "./policy_fields.ts";
-import { levelValues } from "./policy_layers.ts";
+import { levelValues } from "./policy_levels.ts";
 import type { SettingsTree } from "./tree_schema.ts";
 
 /**
--- a/packages/settings/src/schema_faults.ts
+++ b/packages/settings/src/schema_faults.ts
@@ -2,7 +2,7 @@
 
 import type * as z from "zod";
 import { nearestName } from "./nearest_name.ts";
-import { faultAt, type LocatedFault } from "./placed_fault.ts";
+import { faultAt, type LocatedFault } from "./located_fault.ts";
 import { describeValue, SettingsFaultKind } from "./settings_fault.ts";
 import { KNOWN_FIELDS_PREFIX } from "./tree_schema.ts";
 
--- a/packages/settings/src/change.ts
+++ b/packages/settings/src/settings_change.ts
@@ -12,7 +12,7 @@
   type TransactAnswer,
   type TransactRequest,
 } from "@chestnuthatch/wire/platform_protocol";
-import { readSettings } from "./read_tree.ts";
+import { readSettings } from "./read_settings.ts";
 import type { SettingsFault } from "./settings_fault.ts";
 import {
   hashContent,
--- a/packages/settings/src/change_test.ts
+++ b/packages/settings/src/settings_change_test.ts
@@ -16,7 +16,7 @@
   outcomeFromRows,
   proposeChange,
   revertTo,
-} from "./change.ts";
+} from "./settings_change.ts";
 import { settingsFromRow } from "./received_settings.ts";
 import {
   HEAD_KEY,
@@ -25,7 +25,7 @@
   RowFaultKind,
   versionKey,
 } from "./settings_rows.ts";
-import { withInstanceDraining, withTargetDraining } from "./with_drain.ts";
+import { withInstanceDraining, withTargetDraining } from "./draining_edits.ts";
 
 const EXAMPLE = new URL(
   "../../../examples/shamba-safi/settings.yaml",
--- a/packages/settings/src/timing_checks.ts
+++ b/packages/settings/src/timing_checks.ts
@@ -1,8 +1,8 @@
 /** Checks the ratios between the times of `fleet.timing`. */
 
 import { TIMING_FIELDS, type TimingField } from "./policy_fields.ts";
-import { numberAt, type TreePath } from "./raw_view.ts";
-import type { LocatedFault } from "./placed_fault.ts";
+import { numberAt, type TreePath } from "./unchecked_tree.ts";
+import type { LocatedFault } from "./located_fault.ts";
 import { joinPath, SettingsFaultKind } from "./settings_fault.ts";
 
 /** A lower bound of one time as a multiple of another. */
--- a/packages/settings/src/diff.ts
+++ b/packages/settings/src/tree_diff.ts
@@ -1,6 +1,6 @@
 /** Differences between two settings trees, path by path. */
 
-import { isMap } from "./raw_view.ts";
+import { isMap } from "./unchecked_tree.ts";
 import { joinPath } from "./settings_fault.ts";
 import type { SettingsTree } from "./tree_schema.ts";
 
--- a/packages/settings/src/tree_schema.ts
+++ b/packages/settings/src/tree_schema.ts
@@ -6,7 +6,7 @@
 
 import * as z from "zod";
 import { TargetKind } from "@chestnuthatch/wire/work";
-import type { TierPolicy, TimingSettings } from "./policy.ts";
+import type { TierPolicy, TimingSettings } from "./settings_types.ts";
 import {
   describeAllowedValues,
   type FieldSpec,
--- a/packages/settings/src/repetition_checks.ts
+++ b/packages/settings/src/uniqueness_checks.ts
@@ -1,13 +1,13 @@
 /** Checks that values which must be unique occur only once. */
 
-import { faultAt, type LocatedFault } from "./placed_fault.ts";
+import { faultAt, type LocatedFault } from "./located_fault.ts";
 import {
   namesAt,
   numberAt,
   stringAt,
   stringsAt,
   type TreePath,
-} from "./raw_view.ts";
+} from "./unchecked_tree.ts";
 import { SettingsFaultKind } from "./settings_fault.ts";
 
 /** One occurrence of a value that must be unique. */
--- a/tests/process_fleet.ts
+++ b/tests/process_fleet.ts
@@ -7,7 +7,7 @@
 import {
   proposeChange,
   type ProposedChange,
-} from "@chestnuthatch/settings/change";
+} from "@chestnuthatch/settings/settings_change";
 import { HEAD_KEY, readHead } from "@chestnuthatch/settings/settings_rows";
 import { ListChangeKind } from "@chestnuthatch/standins/platform_server";
 import type { TargetFault } from "@chestnuthatch/standins/target_faults";
