--- a/packages/cli/src/order_command.ts
+++ b/packages/cli/src/order_command.ts
@@ -10,7 +10,7 @@
 import { nearestName } from "@chestnuthatch/settings/nearest_name";
 import type { SettingsTree } from "@chestnuthatch/settings/tree_schema";
 import { OrderKind } from "@chestnuthatch/wire/target_protocol";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { Argument, type Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
 import {
--- a/packages/cli/src/send_command.ts
+++ b/packages/cli/src/send_command.ts
@@ -5,7 +5,7 @@
   CallerRefusal,
   CallerRequest,
 } from "@chestnuthatch/wire/caller_protocol";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { type Command, Option } from "commander";
 import { err, ok, type Result } from "neverthrow";
 import {
--- a/packages/core/src/admission.ts
+++ b/packages/core/src/admission.ts
@@ -1,6 +1,10 @@
 /** What is checked at the door before a request is held. */
 
-import { ErrorKind, RunState, TargetKind } from "@chestnuthatch/wire/work";
+import {
+  ErrorKind,
+  RunState,
+  TargetKind,
+} from "@chestnuthatch/wire/shared_types";
 import type {
   PoolSettings,
   SettingsInForce,
--- a/packages/core/src/ask_flow.ts
+++ b/packages/core/src/ask_flow.ts
@@ -4,7 +4,7 @@
   type PeerMessageKind,
   type PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import { domainsOf, newAsk, sendAsk, withdrawAsk } from "./ask_messages.ts";
 import { refuseForAsks } from "./ask_refusals.ts";
 import {
--- a/packages/core/src/ask_refusals.ts
+++ b/packages/core/src/ask_refusals.ts
@@ -1,7 +1,7 @@
 /** Which of several coordinators' refusals a caller is told. */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import type { HeldRequest } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { endRequest } from "./outcomes.ts";
--- a/packages/core/src/blackboard.ts
+++ b/packages/core/src/blackboard.ts
@@ -5,7 +5,7 @@
 
 import type { LRUCache } from "lru-cache";
 import type { AskDetail, RunningWork } from "@chestnuthatch/wire/peer_messages";
-import type { ErrorKind, TargetLoad } from "@chestnuthatch/wire/work";
+import type { ErrorKind, TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type {
   SettingsInForce,
   TierPolicy,
--- a/packages/core/src/capacity.ts
+++ b/packages/core/src/capacity.ts
@@ -1,7 +1,7 @@
 /** What each target of a shard can still take, by the coordinator's account. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { type GrantAccount, type Target, TargetHealth } from "./blackboard.ts";
 import {
   reconciledUsage,
--- a/packages/core/src/capacity_test.ts
+++ b/packages/core/src/capacity_test.ts
@@ -1,4 +1,4 @@
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { GrantAccount, Target } from "./blackboard.ts";
--- a/packages/core/src/claim_flow.ts
+++ b/packages/core/src/claim_flow.ts
@@ -1,6 +1,6 @@
 /** Claims: a non-idempotent request with a key runs under a row of its own. */
 
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { startAsking } from "./ask_flow.ts";
 import type { HeldRequest } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
--- a/packages/core/src/coordinator_controller.ts
+++ b/packages/core/src/coordinator_controller.ts
@@ -9,7 +9,7 @@
   type PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
 import { CacheEventKind } from "@chestnuthatch/wire/target_protocol";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { onAsk } from "./ask_intake.ts";
 import { type GrantAccount, type Shard, shardKey } from "./blackboard.ts";
 import type { Controller, EventHandlers, Turn } from "./controller.ts";
--- a/packages/core/src/dispatch_flow.ts
+++ b/packages/core/src/dispatch_flow.ts
@@ -4,7 +4,7 @@
   PeerMessageKind,
   type PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { askDomain } from "./ask_flow.ts";
 import { withdrawAsks } from "./ask_messages.ts";
 import type { HeldRequest } from "./blackboard.ts";
--- a/packages/core/src/error_table.ts
+++ b/packages/core/src/error_table.ts
@@ -1,6 +1,6 @@
 /** The closed table from error kind to what a caller is told. */
 
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 
 /** How one kind of error is answered. */
 export interface ErrorEntry {
--- a/packages/core/src/error_table_test.ts
+++ b/packages/core/src/error_table_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { ERROR_TABLE } from "./error_table.ts";
 
 test("should have one entry for every error kind and no other", () => {
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -6,7 +6,7 @@
   CacheEventsAnswer,
   EngineEvent,
 } from "@chestnuthatch/wire/target_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type { RequestSpec } from "./request.ts";
 
 /** Kinds of event. */
--- a/packages/core/src/fake_shard.ts
+++ b/packages/core/src/fake_shard.ts
@@ -12,7 +12,7 @@
   type PeerMessageOf,
   type RunningWork,
 } from "@chestnuthatch/wire/peer_messages";
-import { TargetKind, type TargetLoad } from "@chestnuthatch/wire/work";
+import { TargetKind, type TargetLoad } from "@chestnuthatch/wire/shared_types";
 import { type Blackboard, type Shard, shardKey } from "./blackboard.ts";
 import { type Controller, runController, Turn } from "./controller.ts";
 import { CoordinatorController } from "./coordinator_controller.ts";
--- a/packages/core/src/grant_account.ts
+++ b/packages/core/src/grant_account.ts
@@ -1,7 +1,7 @@
 /** Opens and closes grants in a coordinator's account, and answers asks. */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
-import type { ErrorKind } from "@chestnuthatch/wire/work";
+import type { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import type { GrantAccount, Shard, WaitingAsk } from "./blackboard.ts";
 import { CounterName, LogLevel, LogPart } from "./effects.ts";
 import { chargeWork, refundWork } from "./fair_share.ts";
--- a/packages/core/src/held_requests.ts
+++ b/packages/core/src/held_requests.ts
@@ -1,6 +1,6 @@
 /** The table of requests on their holder: limits, keys, forgetting. */
 
-import { RunState } from "@chestnuthatch/wire/work";
+import { RunState } from "@chestnuthatch/wire/shared_types";
 import { scopeKey } from "./admission.ts";
 import type { HeldRequest } from "./blackboard.ts";
 import { keyName } from "./claim_rows.ts";
--- a/packages/core/src/learned_rates.ts
+++ b/packages/core/src/learned_rates.ts
@@ -5,7 +5,7 @@
   PeerMessageKind,
   PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { GrantAccount, Target, TargetPace } from "./blackboard.ts";
 import { priorRates } from "./work_cost.ts";
 
--- a/packages/core/src/orphaned_work.ts
+++ b/packages/core/src/orphaned_work.ts
@@ -1,6 +1,6 @@
 /** Work whose holder is gone: kept until its target or time shows it ended. */
 
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import { closeGrant } from "./grant_account.ts";
 import type { ShardView } from "./shard_view.ts";
 
--- a/packages/core/src/outcomes.ts
+++ b/packages/core/src/outcomes.ts
@@ -1,6 +1,6 @@
 /** How requests end, and what is kept of them afterwards. */
 
-import { type ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { type ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { withdrawAsks } from "./ask_messages.ts";
 import { cancelAttempt, countWaste, reportWorkDone } from "./attempts.ts";
 import type { HeldRequest, WaitingCall } from "./blackboard.ts";
--- a/packages/core/src/overload_refusal.ts
+++ b/packages/core/src/overload_refusal.ts
@@ -1,6 +1,6 @@
 /** Refuses an ask for overload, with a hint that grows with the backlog. */
 
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import type { WaitingAsk } from "./blackboard.ts";
 import { refuseAsk } from "./grant_account.ts";
 import { spreadRetryHint } from "./retry_hint.ts";
--- a/packages/core/src/refusals.ts
+++ b/packages/core/src/refusals.ts
@@ -1,6 +1,6 @@
 /** Builds truthful refusals and ends requests. */
 
-import { type ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { type ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import type { HeldRequest, WaitingCall } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { ERROR_TABLE } from "./error_table.ts";
--- a/packages/core/src/request.ts
+++ b/packages/core/src/request.ts
@@ -1,6 +1,6 @@
 /** A request as its holder keeps it, and how it may end. */
 
-import type { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import type { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 
 /** The life of a request on its holder. */
 export enum RequestState {
--- a/packages/core/src/request_controller.ts
+++ b/packages/core/src/request_controller.ts
@@ -1,7 +1,11 @@
 /** The holder: every request's life, from its arrival to its one outcome. */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind, RunState, TargetKind } from "@chestnuthatch/wire/work";
+import {
+  ErrorKind,
+  RunState,
+  TargetKind,
+} from "@chestnuthatch/wire/shared_types";
 import {
   type Admitted,
   checkLimits,
--- a/packages/core/src/shard_view.ts
+++ b/packages/core/src/shard_view.ts
@@ -5,7 +5,7 @@
   TierPolicy,
 } from "@chestnuthatch/settings/settings_types";
 import type { AskDetail } from "@chestnuthatch/wire/peer_messages";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import {
   type Blackboard,
   type GrantAccount,
--- a/packages/core/src/shedding.ts
+++ b/packages/core/src/shedding.ts
@@ -5,7 +5,7 @@
  * the shard and nothing of a lower tier that may be cancelled runs there.
  */
 
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import type { WaitingAsk } from "./blackboard.ts";
 import { refuseAsk } from "./grant_account.ts";
 import { refuseOverloaded } from "./overload_refusal.ts";
--- a/packages/core/src/shedding_test.ts
+++ b/packages/core/src/shedding_test.ts
@@ -2,7 +2,7 @@
   type PeerMessage,
   PeerMessageKind,
 } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import fc from "fast-check";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
--- a/packages/core/src/stream_flow.ts
+++ b/packages/core/src/stream_flow.ts
@@ -5,7 +5,7 @@
   EngineEventKind,
 } from "@chestnuthatch/wire/target_protocol";
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import type { Attempt, HeldRequest } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { CounterName, EffectKind } from "./effects.ts";
--- a/packages/core/src/target_controller.ts
+++ b/packages/core/src/target_controller.ts
@@ -10,7 +10,7 @@
   type PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import {
   type Shard,
   shardKey,
--- a/packages/core/src/target_health.ts
+++ b/packages/core/src/target_health.ts
@@ -1,6 +1,6 @@
 /** Takes load reports, and tells whether targets can be reached. */
 
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import { type Target, TargetHealth } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
--- a/packages/core/src/target_polls.ts
+++ b/packages/core/src/target_polls.ts
@@ -4,7 +4,7 @@
   SettingsInForce,
   TargetSettings,
 } from "@chestnuthatch/settings/settings_types";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { shardKey, type Target } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { rankCoordinators } from "./coordinators.ts";
--- a/packages/core/src/target_signs.ts
+++ b/packages/core/src/target_signs.ts
@@ -4,7 +4,7 @@
   PeerMessageKind,
   type TargetSign,
 } from "@chestnuthatch/wire/peer_messages";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type { Member, Target } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { isAlive } from "./coordinators.ts";
--- a/packages/core/src/target_usage.ts
+++ b/packages/core/src/target_usage.ts
@@ -1,7 +1,7 @@
 /** What is in use on a target: own account against a stale report. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
-import type { TargetKind } from "@chestnuthatch/wire/work";
+import type { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { EndedWork, GrantAccount, Target } from "./blackboard.ts";
 
 /** Slots and KV memory. */
--- a/packages/core/src/work_cost.ts
+++ b/packages/core/src/work_cost.ts
@@ -1,7 +1,7 @@
 /** Predicts how long a target takes for a piece of work. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { LearnedRates } from "./blackboard.ts";
 
 /** By how much a full target stretches a decode, over an idle one. */
--- a/packages/daemon/src/body_reader.ts
+++ b/packages/daemon/src/body_reader.ts
@@ -2,7 +2,7 @@
 
 import { Buffer } from "node:buffer";
 import type { IncomingMessage } from "node:http";
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import { err, ok, type Result } from "neverthrow";
 import type { ByteBudget } from "./byte_budget.ts";
 import type { CallerLimits } from "./caller_limits.ts";
--- a/packages/daemon/src/caller_front.ts
+++ b/packages/daemon/src/caller_front.ts
@@ -11,7 +11,7 @@
   type CallerRequest,
   REQUEST_ID_HEADER,
 } from "@chestnuthatch/wire/caller_protocol";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { type BodyFault, readBody } from "./body_reader.ts";
 import { ByteBudget } from "./byte_budget.ts";
 import { parseCallerRequest } from "./caller_input.ts";
--- a/packages/daemon/src/caller_front_test.ts
+++ b/packages/daemon/src/caller_front_test.ts
@@ -11,7 +11,7 @@
   callerEventSchema,
   callerRefusalSchema,
 } from "@chestnuthatch/wire/caller_protocol";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { CallerFront } from "./caller_front.ts";
--- a/packages/daemon/src/caller_server.ts
+++ b/packages/daemon/src/caller_server.ts
@@ -9,7 +9,7 @@
 import type { AddressInfo } from "node:net";
 import type { Duplex } from "node:stream";
 import { LogLevel, LogPart } from "@chestnuthatch/core/effects";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import polka from "polka";
 import type { CallerLimits } from "./caller_limits.ts";
 import { refusalReply, sendReply } from "./caller_reply.ts";
--- a/packages/daemon/src/edge_refusal.ts
+++ b/packages/daemon/src/edge_refusal.ts
@@ -2,7 +2,7 @@
 
 import { ERROR_TABLE } from "@chestnuthatch/core/error_table";
 import type { Refusal } from "@chestnuthatch/core/request";
-import type { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import type { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 
 /** Why the edge turns a call away. */
 export interface EdgeFault {
--- a/packages/daemon/src/malformed_http.ts
+++ b/packages/daemon/src/malformed_http.ts
@@ -3,7 +3,7 @@
 import { STATUS_CODES } from "node:http";
 import type { Duplex } from "node:stream";
 import type { Refusal } from "@chestnuthatch/core/request";
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import { refusalReply } from "./caller_reply.ts";
 import type { EdgeFault } from "./edge_refusal.ts";
 
--- a/packages/daemon/src/read_routes.ts
+++ b/packages/daemon/src/read_routes.ts
@@ -1,7 +1,7 @@
 /** What callers and operators may read of an instance over HTTP. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import {
   jsonReply,
   refusalReply,
--- a/packages/daemon/src/target_adapter.ts
+++ b/packages/daemon/src/target_adapter.ts
@@ -3,7 +3,7 @@
 import type { Buffer } from "node:buffer";
 import type { AttemptRef } from "@chestnuthatch/core/events";
 import type { EngineEvent } from "@chestnuthatch/wire/target_protocol";
-import type { TargetKind } from "@chestnuthatch/wire/work";
+import type { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { HttpRequest } from "./http_exchange.ts";
 
 /** What is sent for a request, apart from what the core's effect says. */
--- a/packages/daemon/src/target_client.ts
+++ b/packages/daemon/src/target_client.ts
@@ -7,7 +7,7 @@
   LogLevel,
   LogPart,
 } from "@chestnuthatch/core/effects";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { EngineAdapter } from "./engine_adapter.ts";
 import type { HttpRequest } from "./http_exchange.ts";
 import {
--- a/packages/daemon/src/target_client_test.ts
+++ b/packages/daemon/src/target_client_test.ts
@@ -3,7 +3,7 @@
 import { EffectKind, type EffectOf } from "@chestnuthatch/core/effects";
 import { EventKind } from "@chestnuthatch/core/events";
 import { EngineEventKind } from "@chestnuthatch/wire/target_protocol";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { type SeenRequest, TestEdge, TestServer } from "./edge_test_support.ts";
--- a/packages/measure/src/baseline_instance.ts
+++ b/packages/measure/src/baseline_instance.ts
@@ -10,7 +10,11 @@
 } from "@chestnuthatch/core/randomness";
 import type { Refusal } from "@chestnuthatch/core/request";
 import { EngineEventKind } from "@chestnuthatch/wire/target_protocol";
-import { ErrorKind, RunState, type TargetLoad } from "@chestnuthatch/wire/work";
+import {
+  ErrorKind,
+  RunState,
+  type TargetLoad,
+} from "@chestnuthatch/wire/shared_types";
 import type {
   EntryInstance,
   HeldWork,
--- a/packages/measure/src/engine_host.ts
+++ b/packages/measure/src/engine_host.ts
@@ -9,7 +9,7 @@
   type EngineEvent,
   EngineEventKind,
 } from "@chestnuthatch/wire/target_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type { ScheduledEvent } from "./event_queue.ts";
 import {
   type HolderEnd,
--- a/packages/measure/src/manual_world.ts
+++ b/packages/measure/src/manual_world.ts
@@ -6,7 +6,7 @@
 import { hash32 } from "@chestnuthatch/core/text_hash";
 import { seededRandomness } from "@chestnuthatch/core/randomness";
 import { shardKey } from "@chestnuthatch/core/blackboard";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
 import { BaselineInstance } from "./baseline_instance.ts";
 import { Callers } from "./callers.ts";
--- a/packages/measure/src/promises.ts
+++ b/packages/measure/src/promises.ts
@@ -3,7 +3,7 @@
  * what callers were told.
  */
 
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 
 /** What can be broken. */
 export enum PromiseKind {
--- a/packages/measure/src/promises_test.ts
+++ b/packages/measure/src/promises_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import {
   type CallRecord,
   LEAVING_GRACE_MS,
--- a/packages/measure/src/scenarios.ts
+++ b/packages/measure/src/scenarios.ts
@@ -1,6 +1,6 @@
 /** What is measured: loads and faults, by name. */
 
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import {
   EVENING_MIX,
   type KindMix,
--- a/packages/measure/src/service_host.ts
+++ b/packages/measure/src/service_host.ts
@@ -4,7 +4,7 @@
 import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import { ServiceModel } from "@chestnuthatch/standins/service_model";
 import type { CacheEventsAnswer } from "@chestnuthatch/wire/target_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type { ScheduledEvent } from "./event_queue.ts";
 import {
   type HolderEnd,
--- a/packages/measure/src/target_host.ts
+++ b/packages/measure/src/target_host.ts
@@ -6,7 +6,7 @@
   EngineEvent,
   ServiceAnswer,
 } from "@chestnuthatch/wire/target_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type { AttemptRef } from "@chestnuthatch/core/events";
 import type { EventQueue } from "./event_queue.ts";
 import type { Network } from "./network.ts";
--- a/packages/measure/src/target_port.ts
+++ b/packages/measure/src/target_port.ts
@@ -2,7 +2,7 @@
 
 import type { AttemptRef } from "@chestnuthatch/core/events";
 import type { CacheEventsAnswer } from "@chestnuthatch/wire/target_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type { InstanceContext } from "./entry_instance.ts";
 import { CONNECT_TIMEOUT_MS } from "./network.ts";
 import type { HolderEnd, TargetHost, TargetWork } from "./target_host.ts";
--- a/packages/settings/src/pool_checks.ts
+++ b/packages/settings/src/pool_checks.ts
@@ -1,6 +1,6 @@
 /** Checks that pools have targets and that the fields of both fit the kind. */
 
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { faultAt, type LocatedFault } from "./located_fault.ts";
 import {
   isMap,
--- a/packages/settings/src/settings_types.ts
+++ b/packages/settings/src/settings_types.ts
@@ -3,7 +3,7 @@
  * targets and timing, checked and with defaults filled in.
  */
 
-import type { TargetKind } from "@chestnuthatch/wire/work";
+import type { TargetKind } from "@chestnuthatch/wire/shared_types";
 
 /**
  * Limits and defaults for the requests of one (region, workspace, tier), after
--- a/packages/settings/src/tree_schema.ts
+++ b/packages/settings/src/tree_schema.ts
@@ -5,7 +5,7 @@
  */
 
 import * as z from "zod";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { TierPolicy, TimingSettings } from "./settings_types.ts";
 import {
   describeAllowedValues,
--- a/packages/standins/src/deployments.ts
+++ b/packages/standins/src/deployments.ts
@@ -1,6 +1,6 @@
 /** The targets of the two deployments, and what stand-ins make of them. */
 
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { EngineModelOptions } from "./engine_options.ts";
 import { hash32 } from "@chestnuthatch/core/text_hash";
 import type { ServiceModelOptions } from "./service_model.ts";
--- a/packages/standins/src/fleet.ts
+++ b/packages/standins/src/fleet.ts
@@ -1,7 +1,7 @@
 /** A platform and a set of targets, all on loopback in one process. */
 
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import {
   DEFAULT_TRAITS,
   engineOptionsOf,
--- a/packages/standins/src/load_history.ts
+++ b/packages/standins/src/load_history.ts
@@ -1,6 +1,6 @@
 /** Past load of a target, so that its reports can lag. */
 
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 
 /** Load at one moment, and how it grew from then on. */
 export interface LoadSample {
--- a/packages/standins/src/standin_main.ts
+++ b/packages/standins/src/standin_main.ts
@@ -1,7 +1,7 @@
 /** Runs one stand-in as a process of its own. */
 
 import process from "node:process";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { Command, InvalidArgumentError } from "commander";
 import {
   DEFAULT_TRAITS,
--- a/packages/standins/src/target_model.ts
+++ b/packages/standins/src/target_model.ts
@@ -1,6 +1,6 @@
 /** What the models of engines and services share: life, clock, load, counts. */
 
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import {
   LoadHistory,
   type LoadHistoryOptions,
--- a/packages/wire/src/caller_protocol.ts
+++ b/packages/wire/src/caller_protocol.ts
@@ -8,7 +8,7 @@
  */
 
 import * as z from "zod";
-import { ErrorKind, RunState } from "./work.ts";
+import { ErrorKind, RunState } from "./shared_types.ts";
 
 /** Body of `POST /v1/requests`. */
 export const callerRequestSchema = z.strictObject({
--- a/packages/wire/src/peer_messages.ts
+++ b/packages/wire/src/peer_messages.ts
@@ -13,7 +13,7 @@
  */
 
 import * as z from "zod";
-import { ErrorKind, targetLoadSchema } from "./work.ts";
+import { ErrorKind, targetLoadSchema } from "./shared_types.ts";
 
 /** Version of the peer protocol; peers with another version are rejected. */
 export const PEER_PROTOCOL_VERSION = 1;
--- a/packages/wire/src/target_protocol.ts
+++ b/packages/wire/src/target_protocol.ts
@@ -11,7 +11,7 @@
  */
 
 import * as z from "zod";
-import { targetLoadSchema } from "./work.ts";
+import { targetLoadSchema } from "./shared_types.ts";
 
 /** Body of `POST /v1/generate`. */
 export const generateRequestSchema = z.strictObject({
--- a/tests/fleet_settings.ts
+++ b/tests/fleet_settings.ts
@@ -1,7 +1,7 @@
 /** Settings of a test fleet: the shipped example with targets of the test. */
 
 import { readExample } from "@chestnuthatch/cli/embedded_fleet";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { parseDocument } from "yaml";
 
 /** The example's pools. */
--- a/tests/outcome_checks.ts
+++ b/tests/outcome_checks.ts
@@ -7,7 +7,7 @@
   CallerRequest,
 } from "@chestnuthatch/wire/caller_protocol";
 import { CallerEventKind } from "@chestnuthatch/wire/caller_protocol";
-import { type ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { type ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import * as assert from "uvu/assert";
 import type { StreamedCall } from "./streamed_call.ts";
 import type { TargetCounts } from "./target_counts.ts";
--- a/tests/process_broken_targets_test.ts
+++ b/tests/process_broken_targets_test.ts
@@ -8,7 +8,7 @@
   MemberLiveness,
 } from "@chestnuthatch/core/status";
 import { TargetFaultKind } from "@chestnuthatch/standins/target_faults";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { engineRequest, serviceRequest } from "./fleet_requests.ts";
--- a/tests/process_partition_test.ts
+++ b/tests/process_partition_test.ts
@@ -1,6 +1,6 @@
 /** An instance cut off from the platform and the other failure domain. */
 
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import type { FleetInstance } from "./fleet_instance.ts";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
--- a/tests/process_paused_holder_test.ts
+++ b/tests/process_paused_holder_test.ts
@@ -2,7 +2,7 @@
 
 import type { SentOutcome } from "@chestnuthatch/cli/send_request";
 import type { CallerRequest } from "@chestnuthatch/wire/caller_protocol";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { serviceRequest } from "./fleet_requests.ts";
--- a/tests/process_settings_test.ts
+++ b/tests/process_settings_test.ts
@@ -1,6 +1,6 @@
 /** Settings that reach instances which the platform does not. */
 
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { engineRequest } from "./fleet_requests.ts";
--- a/tests/process_shutdown_test.ts
+++ b/tests/process_shutdown_test.ts
@@ -1,7 +1,7 @@
 /** SIGTERM while long streams run and requests wait. */
 
 import { RequestState } from "@chestnuthatch/core/request";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { FleetInstance } from "./fleet_instance.ts";
--- a/tests/process_stray_answers_test.ts
+++ b/tests/process_stray_answers_test.ts
@@ -5,7 +5,7 @@
   type TargetFault,
   TargetFaultKind,
 } from "@chestnuthatch/standins/target_faults";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { engineRequest, serviceRequest } from "./fleet_requests.ts";
--- a/tests/promise_sessions_test.ts
+++ b/tests/promise_sessions_test.ts
@@ -8,7 +8,7 @@
 } from "@chestnuthatch/core/effects";
 import { EventKind } from "@chestnuthatch/core/events";
 import type { Refusal, RequestSpec } from "@chestnuthatch/core/request";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { UntimedEvent } from "./core_net.ts";
--- a/tests/session_driver.ts
+++ b/tests/session_driver.ts
@@ -16,7 +16,7 @@
   type EngineEvent,
   EngineEventKind,
 } from "@chestnuthatch/wire/target_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import * as assert from "uvu/assert";
 import { parse } from "yaml";
 import { z } from "zod";
--- a/tests/standin_processes.ts
+++ b/tests/standin_processes.ts
@@ -1,6 +1,6 @@
 /** Starts stand-ins, each as a process of its own. */
 
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import {
   CALL_MS,
   DECODE_TOKENS_PER_SECOND,
