--- a/packages/settings/src/policy_levels.ts
+++ b/packages/settings/src/policy_levels.ts
@@ -32,6 +32,7 @@
   readonly path: string;
 }
 
+/** Where the settings tree stores the fields of one level. */
 interface LevelLookup {
   readonly level: PolicyLevel;
   readonly pathFor: (scope: PolicyScope) => TreePath;
--- a/packages/settings/src/settings_rows.ts
+++ b/packages/settings/src/settings_rows.ts
@@ -33,6 +33,7 @@
   version: versionSchema,
   changeId: changeIdSchema,
 });
+
 /** The version in force and the id of the change that created it. */
 export type SettingsHead = z.infer<typeof settingsHeadSchema>;
 
@@ -47,6 +48,7 @@
   /** Settings tree, as YAML. */
   content: z.string(),
 });
+
 /** One version of the settings, with its content and its author. */
 export type SettingsVersion = z.infer<typeof settingsVersionSchema>;
 
--- a/packages/wire/src/caller_protocol.ts
+++ b/packages/wire/src/caller_protocol.ts
@@ -29,6 +29,7 @@
   firstAttempt: z.boolean().optional(),
   stream: z.boolean().optional(),
 });
+
 /** A request as its caller sent it, validated. */
 export type CallerRequest = z.infer<typeof callerRequestSchema>;
 
@@ -41,6 +42,7 @@
   waitedMs: z.number().nonnegative(),
   totalMs: z.number().nonnegative(),
 });
+
 /** The answer to a request that ran, with its timing. */
 export type CallerAnswer = z.infer<typeof callerAnswerSchema>;
 
@@ -58,6 +60,7 @@
   /** Steps of the request's processing, in order. */
   callLog: z.array(z.string()),
 });
+
 /** A refusal of a request, with its reason and whether a retry is allowed. */
 export type CallerRefusal = z.infer<typeof callerRefusalSchema>;
 
@@ -80,6 +83,7 @@
     refusal: callerRefusalSchema,
   }),
 ]);
+
 /** One event of a streamed answer: text, the final answer or an error. */
 export type CallerEvent = z.infer<typeof callerEventSchema>;
 
--- a/packages/wire/src/frame_codec.ts
+++ b/packages/wire/src/frame_codec.ts
@@ -28,7 +28,7 @@
 /** An empty buffer larger than this is released. */
 const MAX_RETAINED_BUFFER_BYTES = 64 * 1024;
 
-/** Reasons why bytes are rejected as a frame. */
+/** Reasons why bytes are rejected as a frame. The list is complete. */
 export enum FrameFault {
   /** Larger than the limit for the next frame. */
   Oversized = "oversized",
--- a/packages/wire/src/handshake.ts
+++ b/packages/wire/src/handshake.ts
@@ -55,6 +55,7 @@
   /** 32 random bytes in hexadecimal, new for each connection. */
   nonce: hex32BytesSchema,
 });
+
 /** First handshake message: protocol version, identity and nonce of a side. */
 export type Hello = z.infer<typeof helloSchema>;
 
@@ -63,6 +64,7 @@
   kind: z.literal(HandshakeMessageKind.Proof),
   proof: hex32BytesSchema,
 });
+
 /** Second handshake message: the HMAC that proves knowledge of the secret. */
 export type Proof = z.infer<typeof proofSchema>;
 
--- a/packages/wire/src/peer_messages.ts
+++ b/packages/wire/src/peer_messages.ts
@@ -30,9 +30,9 @@
   AskQueued = "ask_queued",
   /** Coordinator to holder: the ask gets no slot. */
   AskRefused = "ask_refused",
-  /** Coordinator to holder: reserves a slot on a target for a request. */
+  /** Coordinator to holder: a lease on a slot of a target for a request. */
   Grant = "grant",
-  /** Holder to coordinator: releases a grant that was not used. */
+  /** Holder to coordinator: returns a grant that was not used. */
   GrantReturned = "grant_returned",
   /** Holder to coordinator: the request was dispatched under its grant. */
   GrantUsed = "grant_used",
@@ -42,11 +42,11 @@
   WorkDone = "work_done",
   /** Coordinator to holder: cancel a stream in favour of a higher tier. */
   Preempt = "preempt",
-  /** To the coordinator of a shard: shed the load of lower tiers. */
+  /** To the coordinator of a shard: give lower tiers no slots for a while. */
   ShedBelow = "shed_below",
   /** Holder to coordinator: snapshot of its waiting asks and running work. */
   HolderReport = "holder_report",
-  /** Coordinator to holder: reported asks that the coordinator has not. */
+  /** Coordinator to holder: asks in a report that it does not have queued. */
   AsksUnknown = "asks_unknown",
   /** Gossip about targets: signs that they leave, and their loads. */
   TargetsHeard = "targets_heard",
@@ -97,6 +97,7 @@
   /** Position of this failure domain in the order of asking, from 0. */
   spreadIndex: countSchema,
 });
+
 /** An ask: a holder's request for a slot on a target, as sent. */
 export type AskDetail = z.infer<typeof askDetailSchema>;
 
@@ -112,6 +113,7 @@
   maxOutputTokens: countSchema,
   cancellable: z.boolean(),
 });
+
 /** A request in flight on a target, as a holder's report lists it. */
 export type RunningWork = z.infer<typeof runningWorkSchema>;
 
@@ -124,6 +126,7 @@
   leaving: z.boolean(),
   settingsVersion: countSchema,
 });
+
 /** State of one member of the fleet, as heartbeats carry it. */
 export type MemberState = z.infer<typeof memberStateSchema>;
 
@@ -137,6 +140,7 @@
   /** Raised by the instance that observes a change; the highest applies. */
   signNumber: countSchema,
 });
+
 /** Report that a target is leaving or gone, or no longer so. */
 export type TargetSign = z.infer<typeof targetSignSchema>;
 
@@ -272,6 +276,7 @@
     haveVersion: countSchema,
   }),
 ]);
+
 /** A message between entry instances, told apart by `kind`. */
 export type PeerMessage = z.infer<typeof peerMessageSchema>;
 
--- a/packages/wire/src/platform_protocol.ts
+++ b/packages/wire/src/platform_protocol.ts
@@ -27,6 +27,7 @@
   puts: z.array(z.strictObject({ key: z.string(), value: z.string() })),
   deletes: z.array(z.string()),
 });
+
 /** A transaction on the table: conditions, rows to write, keys to delete. */
 export type TransactRequest = z.infer<typeof transactRequestSchema>;
 
@@ -36,6 +37,7 @@
   value: z.string(),
   version: z.number().int().positive(),
 });
+
 /** One row of the platform's table, with its version. */
 export type Row = z.infer<typeof rowSchema>;
 
@@ -47,16 +49,19 @@
   /** Existing rows whose conditions failed, when not committed. */
   conflicts: z.array(rowSchema),
 });
+
 /** Outcome of a transaction: the rows written, or the conflicting rows. */
 export type TransactAnswer = z.infer<typeof transactAnswerSchema>;
 
 /** Body of `POST /table/read`. The answer omits rows that do not exist. */
 export const readRequestSchema = z.strictObject({ keys: z.array(z.string()) });
+
 /** Keys of the rows to read from the platform's table. */
 export type ReadRequest = z.infer<typeof readRequestSchema>;
 
 /** Answer to a read, or to a scan (in key order). */
 export const rowsAnswerSchema = z.strictObject({ rows: z.array(rowSchema) });
+
 /** Rows that a read or a scan of the platform's table returned. */
 export type RowsAnswer = z.infer<typeof rowsAnswerSchema>;
 
@@ -66,7 +71,7 @@
   Target = "target",
 }
 
-/** Answer of `GET /instances`. */
+/** Answer to `GET /instances`. */
 export const instanceListSchema = z.strictObject({
   /** Lag of the list in milliseconds, as the platform reports it. */
   lagMs: z.number().nonnegative(),
@@ -79,5 +84,6 @@
     leaving: z.boolean(),
   })),
 });
+
 /** The platform's list of entry instances and targets, with its lag. */
 export type InstanceList = z.infer<typeof instanceListSchema>;
--- a/packages/wire/src/shared_types.ts
+++ b/packages/wire/src/shared_types.ts
@@ -26,7 +26,7 @@
   Ran = "ran",
 }
 
-/** Reasons for refusing a request. Callers receive no other values. */
+/** Reasons for refusing a request. The list is complete. */
 export enum ErrorKind {
   BadRequest = "bad_request",
   UnknownWorkspace = "unknown_workspace",
--- a/packages/wire/src/target_protocol.ts
+++ b/packages/wire/src/target_protocol.ts
@@ -5,8 +5,7 @@
  * Engine paths: `POST /v1/generate` (NDJSON stream of {@link EngineEvent}),
  * `GET /v1/resume?requestId=&attemptNonce=&fromToken=` (the same stream from a
  * given token on), `POST /v1/cancel`, `GET /v1/load`,
- * `GET /v1/cache-events?after=`,
- * `POST /v1/orders`, `GET /v1/state`.
+ * `GET /v1/cache-events?after=`, `POST /v1/orders`, `GET /v1/state`.
  * Service paths: `POST /v1/call`, `GET /v1/load`.
  */
 
@@ -21,11 +20,12 @@
   prompt: z.string(),
   promptTokens: z.number().int().nonnegative(),
   maxOutputTokens: z.number().int().positive(),
-  /** Idempotency key, so that a target can detect repeated runs. */
+  /** Idempotency key, by which a target can count the runs of a request. */
   idempotencyKey: z.string().optional(),
   /** Hashes of the prompt's leading blocks, first block first. */
   blockHashes: z.array(z.string()),
 });
+
 /** A request for an engine to generate an answer to a prompt. */
 export type GenerateRequest = z.infer<typeof generateRequestSchema>;
 
@@ -36,6 +36,7 @@
   idempotencyKey: z.string().optional(),
   body: z.string(),
 });
+
 /** A call of a plain service. */
 export type ServiceCall = z.infer<typeof serviceCallSchema>;
 
@@ -46,6 +47,7 @@
   body: z.string(),
   complete: z.literal(true),
 });
+
 /** The answer of a plain service, naming the attempt it answers. */
 export type ServiceAnswer = z.infer<typeof serviceAnswerSchema>;
 
@@ -89,11 +91,13 @@
     notRun: z.boolean(),
   }),
 ]);
+
 /** One event of an engine's stream: start, token, end or error. */
 export type EngineEvent = z.infer<typeof engineEventSchema>;
 
 /** Body of `POST /v1/cancel`, whose answer is `{cancelled: boolean}`. */
 export const cancelRequestSchema = z.strictObject(attemptFields);
+
 /** A request to cancel one attempt on an engine. */
 export type CancelRequest = z.infer<typeof cancelRequestSchema>;
 
@@ -113,9 +117,10 @@
     kind: z.enum(CacheEventKind),
     blockHash: z.string(),
   })),
-  /** Value of `after` for the next call. */
+  /** Value to pass as `after` in the next call. */
   lastSequence: z.number().int().nonnegative(),
 });
+
 /** Changes of an engine's prefix cache since an earlier sequence number. */
 export type CacheEventsAnswer = z.infer<typeof cacheEventsAnswerSchema>;
 
@@ -134,6 +139,7 @@
   kind: z.enum(OrderKind),
   value: z.string(),
 });
+
 /** An order to an engine, with the fencing number of its sender. */
 export type OrderRequest = z.infer<typeof orderRequestSchema>;
 
@@ -151,6 +157,7 @@
   fencingNumber: z.number().int().nonnegative(),
   lastOrderId: z.string(),
 });
+
 /** What an engine has loaded, and the last order it obeyed. */
 export type EngineState = z.infer<typeof engineStateSchema>;
 
@@ -162,5 +169,6 @@
   obeyed: z.boolean(),
   state: engineStateSchema,
 });
+
 /** Whether an engine obeyed an order, and its state afterwards. */
 export type OrderAnswer = z.infer<typeof orderAnswerSchema>;
