--- a/packages/core/src/admission.ts
+++ b/packages/core/src/admission.ts
@@ -1,11 +1,15 @@
 /** Admission control: the checks a request passes before it is held. */
 
-import { ErrorKind, RunState, TargetKind } from "@chestnuthatch/wire/work";
+import {
+  ErrorKind,
+  RunState,
+  TargetKind,
+} from "@chestnuthatch/wire/shared_types";
 import type {
   PoolSettings,
   SettingsInForce,
   TierPolicy,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import type { RateBucket } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import type { RefusalCause } from "./refusals.ts";
--- a/packages/core/src/ask_flow.ts
+++ b/packages/core/src/ask_flow.ts
@@ -8,7 +8,7 @@
   type PeerMessageKind,
   type PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import {
   createOutgoingAsk,
   getCandidateDomains,
--- a/packages/core/src/ask_refusals.ts
+++ b/packages/core/src/ask_refusals.ts
@@ -4,7 +4,7 @@
  */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import type { HeldRequest } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { endWithRefusal } from "./outcomes.ts";
--- a/packages/core/src/blackboard.ts
+++ b/packages/core/src/blackboard.ts
@@ -9,11 +9,11 @@
 
 import type { LRUCache } from "lru-cache";
 import type { AskDetail, RunningWork } from "@chestnuthatch/wire/peer_messages";
-import type { ErrorKind, TargetLoad } from "@chestnuthatch/wire/work";
+import type { ErrorKind, TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type {
   SettingsInForce,
   TierPolicy,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import type { ClaimRow } from "./events.ts";
 import type { DecisionLog } from "./decision_log.ts";
 import type { PrefixIndex } from "./prefix_index.ts";
--- a/packages/core/src/capacity.ts
+++ b/packages/core/src/capacity.ts
@@ -3,8 +3,8 @@
  * recorded grants and the target's load report.
  */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { type GrantRecord, type Target, TargetHealth } from "./blackboard.ts";
 import {
   type CapacityInputs,
--- a/packages/core/src/claim_flow.ts
+++ b/packages/core/src/claim_flow.ts
@@ -3,7 +3,7 @@
  * row in the platform's table confirms that its key is its own.
  */
 
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { startAsking } from "./ask_flow.ts";
 import type { HeldRequest } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
--- a/packages/core/src/error_table.ts
+++ b/packages/core/src/error_table.ts
@@ -1,6 +1,6 @@
 /** The table of all error kinds: how each is answered to a caller. */
 
-import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 
 /** How one kind of error is answered to a caller. */
 export interface ErrorEntry {
--- a/packages/core/src/grant_lifecycle.ts
+++ b/packages/core/src/grant_lifecycle.ts
@@ -4,7 +4,7 @@
  */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
-import type { ErrorKind } from "@chestnuthatch/wire/work";
+import type { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import type { GrantRecord, Shard, WaitingAsk } from "./blackboard.ts";
 import { CounterName, LogLevel, LogPart } from "./effects.ts";
 import { chargeWork, refundWork } from "./fair_share.ts";
--- a/packages/core/src/heartbeat_gossip.ts
+++ b/packages/core/src/heartbeat_gossip.ts
@@ -1,7 +1,7 @@
 /** Heartbeat gossip: builds, sends and merges digests of member entries. */
 
 import {
-  type MemberHeard,
+  type MemberState,
   PeerMessageKind,
 } from "@chestnuthatch/wire/peer_messages";
 import type { Blackboard, Member } from "./blackboard.ts";
@@ -123,7 +123,7 @@
   }
 }
 
-function createOwnEntry(board: Blackboard): MemberHeard {
+function createOwnEntry(board: Blackboard): MemberState {
   return {
     instanceId: board.self.instanceId,
     incarnation: board.self.incarnation,
@@ -134,7 +134,7 @@
 }
 
 /** Includes live members only, so that entries of dead ones expire. */
-function buildDigest(turn: Turn): MemberHeard[] {
+function buildDigest(turn: Turn): MemberState[] {
   const { board, nowMs } = turn;
   const others = [...board.members.byId.values()]
     .filter((member) =>
@@ -154,7 +154,7 @@
   return [createOwnEntry(board), ...[...recent, ...rest].map(toEntry)];
 }
 
-function toEntry(member: Member): MemberHeard {
+function toEntry(member: Member): MemberState {
   return {
     instanceId: member.instanceId,
     incarnation: member.incarnation,
@@ -199,7 +199,7 @@
  */
 export function mergeHeartbeat(
   turn: Turn,
-  entries: readonly MemberHeard[],
+  entries: readonly MemberState[],
 ): void {
   for (const entry of entries) {
     if (entry.instanceId === turn.board.self.instanceId) {
@@ -210,7 +210,7 @@
   }
 }
 
-function mergePeerEntry(turn: Turn, entry: MemberHeard): void {
+function mergePeerEntry(turn: Turn, entry: MemberState): void {
   const member = ensureMember(turn.board, {
     instanceId: entry.instanceId,
     failureDomain: "",
@@ -240,7 +240,7 @@
   member.settingsVersion = 0;
 }
 
-function detectReplacement(turn: Turn, entry: MemberHeard): void {
+function detectReplacement(turn: Turn, entry: MemberState): void {
   const { self, members } = turn.board;
   const isNewer = entry.incarnation > self.incarnation ||
     (entry.incarnation === self.incarnation &&
--- a/packages/core/src/heartbeat_gossip_test.ts
+++ b/packages/core/src/heartbeat_gossip_test.ts
@@ -1,4 +1,4 @@
-import type { MemberHeard } from "@chestnuthatch/wire/peer_messages";
+import type { MemberState } from "@chestnuthatch/wire/peer_messages";
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import fc from "fast-check";
 import { test } from "uvu";
@@ -18,7 +18,7 @@
 
 const PROPERTY = { seed: 11, numRuns: 200 };
 
-function createEntry(fields: Partial<MemberHeard>): MemberHeard {
+function createEntry(fields: Partial<MemberState>): MemberState {
   return {
     instanceId: "njiro-2",
     incarnation: 5,
--- a/packages/core/src/held_requests.ts
+++ b/packages/core/src/held_requests.ts
@@ -3,7 +3,7 @@
  * keys and evicts them.
  */
 
-import { RunState } from "@chestnuthatch/wire/work";
+import { RunState } from "@chestnuthatch/wire/shared_types";
 import { scopeKey } from "./admission.ts";
 import type { HeldRequest } from "./blackboard.ts";
 import { scopedKey } from "./claim_rows.ts";
--- a/packages/core/src/learned_rates.ts
+++ b/packages/core/src/learned_rates.ts
@@ -1,11 +1,11 @@
 /** Estimates of a target's speed from the work that ended there. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type {
   PeerMessageKind,
   PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { GrantRecord, StragglerState, Target } from "./blackboard.ts";
 import { priorRates } from "./service_prediction.ts";
 
--- a/packages/core/src/orphaned_work.ts
+++ b/packages/core/src/orphaned_work.ts
@@ -3,7 +3,7 @@
  * target's load reports or the time passed show that the work has ended.
  */
 
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import { closeGrant } from "./grant_lifecycle.ts";
 import type { ShardView } from "./shard_view.ts";
 
--- a/packages/core/src/outcomes.ts
+++ b/packages/core/src/outcomes.ts
@@ -1,6 +1,6 @@
 /** Ends requests with an answer or a refusal, and releases what they used. */
 
-import { type ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import { type ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { withdrawAsks } from "./ask_messages.ts";
 import { cancelAttempt, countWastedTokens, sendWorkDone } from "./attempts.ts";
 import type { HeldRequest, WaitingCall } from "./blackboard.ts";
--- a/packages/core/src/overload_refusal.ts
+++ b/packages/core/src/overload_refusal.ts
@@ -1,6 +1,6 @@
 /** Refusals for overload, whose retry hint grows with the backlog. */
 
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import type { WaitingAsk } from "./blackboard.ts";
 import { refuseAsk } from "./grant_lifecycle.ts";
 import { jitteredRetryAfterMs } from "./retry_hint.ts";
--- a/packages/core/src/request.ts
+++ b/packages/core/src/request.ts
@@ -1,6 +1,6 @@
 /** Types of a request, its states and its outcomes. */
 
-import type { ErrorKind, RunState } from "@chestnuthatch/wire/work";
+import type { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 
 /** State of a request on its holder, the instance that accepted it. */
 export enum RequestState {
--- a/packages/core/src/request_controller.ts
+++ b/packages/core/src/request_controller.ts
@@ -4,7 +4,11 @@
  */
 
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
-import { ErrorKind, RunState, TargetKind } from "@chestnuthatch/wire/work";
+import {
+  ErrorKind,
+  RunState,
+  TargetKind,
+} from "@chestnuthatch/wire/shared_types";
 import {
   type Admission,
   checkRequest,
--- a/packages/core/src/service_prediction.ts
+++ b/packages/core/src/service_prediction.ts
@@ -1,7 +1,7 @@
 /** Predictions of the time that a target takes for a piece of work. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
-import { TargetKind } from "@chestnuthatch/wire/work";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { LearnedRates } from "./blackboard.ts";
 
 /**
--- a/packages/core/src/settings_index.ts
+++ b/packages/core/src/settings_index.ts
@@ -4,7 +4,7 @@
   SettingsInForce,
   TargetSettings,
   TierPolicy,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import { shardKey } from "./blackboard.ts";
 
 /** A shard as the settings define it: a pool's targets in a failure domain. */
--- a/packages/core/src/shard_domains.ts
+++ b/packages/core/src/shard_domains.ts
@@ -1,6 +1,6 @@
 /** The failure domains that have targets of a pool, sorted by distance. */
 
-import type { SettingsInForce } from "@chestnuthatch/settings/policy";
+import type { SettingsInForce } from "@chestnuthatch/settings/settings_types";
 import type { SelfSection } from "./blackboard.ts";
 import { domainsOfPool } from "./settings_index.ts";
 
--- a/packages/core/src/slot_shares.ts
+++ b/packages/core/src/slot_shares.ts
@@ -1,6 +1,6 @@
 /** Adjusts the slot share of each target to its measured slowdown. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type { GrantRecord, Shard, Target } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -1,6 +1,6 @@
 /** Straggler detection: measures slowdowns and adjusts slot shares by them. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type { GrantRecord, Target } from "./blackboard.ts";
 import { ensurePace } from "./learned_rates.ts";
 
--- a/packages/core/src/target_controller.ts
+++ b/packages/core/src/target_controller.ts
@@ -3,14 +3,14 @@
 import type {
   SettingsInForce,
   TargetSettings,
-} from "@chestnuthatch/settings/policy";
+} from "@chestnuthatch/settings/settings_types";
 import {
   type PeerMessage,
   PeerMessageKind,
   type PeerMessageOf,
 } from "@chestnuthatch/wire/peer_messages";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import {
   type Shard,
   shardKey,
--- a/packages/core/src/target_health.ts
+++ b/packages/core/src/target_health.ts
@@ -1,6 +1,6 @@
 /** Applies load reports, and marks targets reachable or unreachable. */
 
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import { type Target, TargetHealth } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { LogLevel, LogPart } from "./effects.ts";
--- a/packages/core/src/target_polls.ts
+++ b/packages/core/src/target_polls.ts
@@ -3,8 +3,8 @@
 import type {
   SettingsInForce,
   TargetSettings,
-} from "@chestnuthatch/settings/policy";
-import { TargetKind } from "@chestnuthatch/wire/work";
+} from "@chestnuthatch/settings/settings_types";
+import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import { shardKey, type Target } from "./blackboard.ts";
 import type { Turn } from "./controller.ts";
 import { rankCoordinators } from "./coordinators.ts";
--- a/packages/core/src/target_usage.ts
+++ b/packages/core/src/target_usage.ts
@@ -3,8 +3,8 @@
  * grants and the target's load report, which is stale.
  */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
-import type { TargetKind } from "@chestnuthatch/wire/work";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
+import type { TargetKind } from "@chestnuthatch/wire/shared_types";
 import type { EndedWork, GrantRecord, Target } from "./blackboard.ts";
 
 /** Slots and KV memory in use on a target. */
--- a/packages/core/src/timing.ts
+++ b/packages/core/src/timing.ts
@@ -1,6 +1,6 @@
 /** Intervals and timeouts in force, with defaults until settings arrive. */
 
-import type { TimingSettings } from "@chestnuthatch/settings/policy";
+import type { TimingSettings } from "@chestnuthatch/settings/settings_types";
 import { TIMING_FIELDS } from "@chestnuthatch/settings/policy_fields";
 import type { Blackboard } from "./blackboard.ts";
 import type { RandomSource } from "./random_source.ts";
--- a/packages/daemon/src/read_routes.ts
+++ b/packages/daemon/src/read_routes.ts
@@ -1,7 +1,7 @@
 /** HTTP routes on which callers and operators read the state of an instance. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { ErrorKind } from "@chestnuthatch/wire/work";
+import { ErrorKind } from "@chestnuthatch/wire/shared_types";
 import {
   type CallerReply,
   createReply,
--- a/packages/measure/src/target_host.ts
+++ b/packages/measure/src/target_host.ts
@@ -1,12 +1,12 @@
 /** A target of the measured world: a stand-in behind links that can break. */
 
-import type { TargetSettings } from "@chestnuthatch/settings/policy";
+import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type {
   CacheEventsAnswer,
   EngineEvent,
   ServiceAnswer,
 } from "@chestnuthatch/wire/target_protocol";
-import type { TargetLoad } from "@chestnuthatch/wire/work";
+import type { TargetLoad } from "@chestnuthatch/wire/shared_types";
 import type { AttemptRef } from "@chestnuthatch/core/events";
 import type { EventQueue } from "./event_queue.ts";
 import type { Network } from "./network.ts";
