--- a/packages/cli/src/embedded_fleet.ts
+++ b/packages/cli/src/embedded_fleet.ts
@@ -12,7 +12,7 @@
 import { buildSettings } from "@chestnuthatch/settings/settings_in_force";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { StandinTarget } from "@chestnuthatch/standins/deployments";
-import { StandinFleet } from "@chestnuthatch/standins/fleet";
+import { StandinFleet } from "@chestnuthatch/standins/standin_fleet";
 import { ListChangeKind } from "@chestnuthatch/standins/platform_server";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
 import { LogLevel } from "@chestnuthatch/core/effects";
--- a/packages/cli/src/load_command.ts
+++ b/packages/cli/src/load_command.ts
@@ -3,10 +3,10 @@
 import type { KindMix } from "@chestnuthatch/standins/workload";
 import {
   Deployment,
-  kindsOf,
-  PROFILES,
+  listWorkKinds,
+  WORK_KIND_PROFILES,
   type WorkKind,
-} from "@chestnuthatch/standins/workload_kinds";
+} from "@chestnuthatch/standins/work_kinds";
 import { type Command, InvalidArgumentError, Option } from "commander";
 import { err, ok, type Result } from "neverthrow";
 import {
@@ -141,7 +141,7 @@
 function mixOf(
   { mix, deployment }: LoadOptions,
 ): Result<KindMix, CommandFailure> {
-  const kinds = kindsOf(deployment);
+  const kinds = listWorkKinds(deployment);
   const unknown = mix.find(({ kind }) => !kinds.includes(kind as WorkKind));
   if (unknown !== undefined) {
     return badInput({
@@ -153,7 +153,7 @@
     mix.map(({ kind, weight }) => [kind, weight]),
   );
   const isEmpty = kinds.every((kind) =>
-    (weights[kind] ?? PROFILES[kind].weight) === 0
+    (weights[kind] ?? WORK_KIND_PROFILES[kind].weight) === 0
   );
   return isEmpty
     ? badInput({
--- a/packages/cli/src/load_items.ts
+++ b/packages/cli/src/load_items.ts
@@ -6,7 +6,7 @@
   type KindMix,
   type WorkItem,
 } from "@chestnuthatch/standins/workload";
-import type { Deployment } from "@chestnuthatch/standins/workload_kinds";
+import type { Deployment } from "@chestnuthatch/standins/work_kinds";
 
 /** What to generate. */
 export interface LoadItemsOptions {
--- a/packages/cli/src/load_tally.ts
+++ b/packages/cli/src/load_tally.ts
@@ -189,7 +189,7 @@
   }
 
   #checkText(item: WorkItem, text: string): void {
-    const own = item.seedText.slice(-QUOTED_CHARACTERS);
+    const own = item.uniqueText.slice(-QUOTED_CHARACTERS);
     if (this.#options.answersQuotePrompt && !text.includes(own)) {
       this.#faults.push(`${item.kind} got an answer that is not its own`);
     }
--- a/packages/cli/src/paced_sender.ts
+++ b/packages/cli/src/paced_sender.ts
@@ -1,7 +1,10 @@
 /** Sends generated requests at their times, whatever becomes of them. */
 
 import type { Sleep } from "@chestnuthatch/daemon/sleep";
-import { bodyOf, type WorkItem } from "@chestnuthatch/standins/workload";
+import {
+  createRequestBody,
+  type WorkItem,
+} from "@chestnuthatch/standins/workload";
 import type { CommandOutput } from "./command_runner.ts";
 import type { LoadTally } from "./load_tally.ts";
 import { sendRequest } from "./send_request.ts";
@@ -75,7 +78,7 @@
     workspace: item.workspace,
     tier: item.tier,
     pool: item.pool,
-    body: bodyOf(item),
+    body: createRequestBody(item),
     promptTokens: item.promptTokens,
     maxOutputTokens: item.maxOutputTokens,
     deadlineMs: item.deadlineMs,
--- a/packages/cli/src/try_command.ts
+++ b/packages/cli/src/try_command.ts
@@ -1,8 +1,11 @@
 /** `chestnuthatch try`: a whole fleet on stand-ins, under the brief's load. */
 
 import type { Sleep } from "@chestnuthatch/daemon/sleep";
-import { calmPhases, generateWorkload } from "@chestnuthatch/standins/workload";
-import { Deployment } from "@chestnuthatch/standins/workload_kinds";
+import {
+  constantRatePhases,
+  generateWorkload,
+} from "@chestnuthatch/standins/workload";
+import { Deployment } from "@chestnuthatch/standins/work_kinds";
 import type { Command } from "commander";
 import { ok } from "neverthrow";
 import { type CommandResult, failed } from "./command_result.ts";
@@ -106,7 +109,7 @@
     deployment: options.deployment,
     seed: options.seed,
     durationMs: options.seconds * MS_PER_SECOND,
-    phases: calmPhases(options.rate),
+    phases: constantRatePhases(options.rate),
     repeats: REPEATS,
   });
   const addresses = fleet.callerAddresses;
--- a/packages/measure/src/deployments.ts
+++ b/packages/measure/src/deployments.ts
@@ -5,7 +5,7 @@
 import { readSettings } from "@chestnuthatch/settings/read_tree";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { SettingsInForce } from "@chestnuthatch/settings/policy";
-import { Deployment } from "@chestnuthatch/standins/workload_kinds";
+import { Deployment } from "@chestnuthatch/standins/work_kinds";
 import type { InstancePlace } from "./entry_instance.ts";
 import type { LinkDelays } from "./network.ts";
 
--- a/packages/measure/src/engine_host.ts
+++ b/packages/measure/src/engine_host.ts
@@ -85,7 +85,7 @@
 
   /** @inheritdoc */
   get alive(): boolean {
-    return this.#model.alive;
+    return this.#model.isRunning;
   }
 
   /** @inheritdoc */
@@ -93,7 +93,7 @@
     this.#context.journal.received(work, this.settings.id);
     const attempt = this.#remember(work, holder);
     this.#checkKv(attempt);
-    this.#model.admit(
+    this.#model.submit(
       {
         requestId: work.requestId,
         attemptNonce: work.attemptNonce,
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -3,7 +3,7 @@
 import { mkdirSync, writeFileSync } from "node:fs";
 import { dirname } from "node:path";
 import process from "node:process";
-import { Deployment } from "@chestnuthatch/standins/workload_kinds";
+import { Deployment } from "@chestnuthatch/standins/work_kinds";
 import { Command, InvalidArgumentError, Option } from "commander";
 import { measure, type ScenarioMeasurement } from "./measurement.ts";
 import { measurePlacement } from "./placement_costs.ts";
--- a/packages/measure/src/measurement.ts
+++ b/packages/measure/src/measurement.ts
@@ -1,6 +1,6 @@
 /** Runs scenarios with the scheduler and the baseline, on the same seeds. */
 
-import type { Deployment } from "@chestnuthatch/standins/workload_kinds";
+import type { Deployment } from "@chestnuthatch/standins/work_kinds";
 import { planOf } from "./deployments.ts";
 import { Variant } from "./manual_world.ts";
 import { type RunOptions, runScenario } from "./run_scenario.ts";
--- a/packages/measure/src/platform_host.ts
+++ b/packages/measure/src/platform_host.ts
@@ -42,9 +42,9 @@
   readonly #random: Randomness;
   readonly #model = new PlatformModel({
     listLagMs: LIST_LAG_MS,
-    writeLimit: { perSecond: WRITES_PER_SECOND, burst: WRITES_PER_SECOND },
-    readLimit: { perSecond: READS_PER_SECOND, burst: READS_PER_SECOND },
-    weightLimit: { perSecond: 1, burst: 1 },
+    writeLimit: { ratePerSecond: WRITES_PER_SECOND, burst: WRITES_PER_SECOND },
+    readLimit: { ratePerSecond: READS_PER_SECOND, burst: READS_PER_SECOND },
+    weightLimit: { ratePerSecond: 1, burst: 1 },
   });
   #lostAnswerShare = 0;
 
@@ -78,7 +78,7 @@
     options: { atOnce: boolean },
   ): void {
     const atMs = options.atOnce ? -Infinity : this.#queue.nowMs;
-    this.#model.list.put(
+    this.#model.instanceList.put(
       { ...listed, address: `${listed.id}:1`, leaving: false },
       atMs,
     );
@@ -86,12 +86,12 @@
 
   /** @param id What the list will show as leaving. */
   listLeaving(id: string): void {
-    this.#model.list.markLeaving(id, this.#queue.nowMs);
+    this.#model.instanceList.markLeaving(id, this.#queue.nowMs);
   }
 
   /** @param id What the list will show no longer. */
   unlist(id: string): void {
-    this.#model.list.remove(id, this.#queue.nowMs);
+    this.#model.instanceList.remove(id, this.#queue.nowMs);
   }
 
   /**
@@ -133,7 +133,7 @@
    * @param reply Told the list, or nothing.
    */
   readList(failureDomain: string, reply: Reply<InstanceList>): void {
-    const read = (nowMs: number) => this.#model.instances(nowMs);
+    const read = (nowMs: number) => this.#model.listInstances(nowMs);
     this.#call(failureDomain, { isWrite: false, run: read, reply });
   }
 
--- a/packages/measure/src/run_scenario_test.ts
+++ b/packages/measure/src/run_scenario_test.ts
@@ -1,4 +1,4 @@
-import { Deployment } from "@chestnuthatch/standins/workload_kinds";
+import { Deployment } from "@chestnuthatch/standins/work_kinds";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { planOf } from "./deployments.ts";
--- a/packages/measure/src/scaled_plan.ts
+++ b/packages/measure/src/scaled_plan.ts
@@ -1,7 +1,7 @@
 /** A deployment grown to other numbers of instances and targets. */
 
 import { readSettings } from "@chestnuthatch/settings/read_tree";
-import { Deployment } from "@chestnuthatch/standins/workload_kinds";
+import { Deployment } from "@chestnuthatch/standins/work_kinds";
 import { type DeploymentPlan, planOf, settingsOf } from "./deployments.ts";
 
 /** How large it is to be. */
--- a/packages/measure/src/scenarios.ts
+++ b/packages/measure/src/scenarios.ts
@@ -7,7 +7,7 @@
   RAIN_MIX,
   type RatePhase,
 } from "@chestnuthatch/standins/workload";
-import { Deployment, WorkKind } from "@chestnuthatch/standins/workload_kinds";
+import { Deployment, WorkKind } from "@chestnuthatch/standins/work_kinds";
 import { capacityPerSecond } from "./capacity.ts";
 import type { DeploymentPlan } from "./deployments.ts";
 import type { ManualWorld } from "./manual_world.ts";
--- a/packages/measure/src/service_host.ts
+++ b/packages/measure/src/service_host.ts
@@ -48,7 +48,7 @@
 
   /** @inheritdoc */
   get alive(): boolean {
-    return this.#model.alive;
+    return this.#model.isRunning;
   }
 
   /** @inheritdoc */
@@ -61,7 +61,7 @@
     });
     const { requestId, attemptNonce, idempotencyKey, prompt } = work;
     this.#open.set(attemptNonce, { requestId, connection, started: false });
-    this.#model.admit(
+    this.#model.submit(
       { requestId, attemptNonce, idempotencyKey, body: prompt },
       queue.nowMs,
     );
--- a/packages/measure/src/work_items.ts
+++ b/packages/measure/src/work_items.ts
@@ -46,8 +46,8 @@
     deadlineMs: item.deadlineMs,
     idempotent: item.idempotent,
     idempotencyKey: item.idempotencyKey,
-    prompt: item.seedText,
-    contentHash: item.seedText,
+    prompt: item.uniqueText,
+    contentHash: item.uniqueText,
     blockHashes: blockHashesOf(item),
   };
 }
@@ -60,6 +60,6 @@
     (_, index) =>
       index < shared
         ? `${item.prefixId}#${index}`
-        : `${item.seedText}#${index}`,
+        : `${item.uniqueText}#${index}`,
   );
 }
--- a/packages/standins/src/admission_queue.ts
+++ b/packages/standins/src/admission_queue.ts
@@ -1,39 +1,39 @@
-/** The streams of an engine before their prompt work, and the slots taken. */
+/** Queue of an engine's streams before their prefill, with slot accounting. */
 
 import { type EngineStream, StreamPhase } from "./engine_stream.ts";
 
-/** What an engine has room for. */
+/** Slots and KV memory of an engine. */
 export interface AdmissionLimits {
   readonly slots: number;
   readonly kvTokens: number;
 }
 
-/** Admits streams in the order they come, as slots and KV memory allow. */
+/** Admits streams in order of arrival as slots and KV memory become free. */
 export class AdmissionQueue {
   readonly #limits: AdmissionLimits;
-  /** In the order they came. */
+  /** Streams without a slot, in order of arrival. */
   #waiting: EngineStream[] = [];
-  /** Hold a slot and await their prompt work, in order. */
+  /** Streams with a slot whose prefill has not started, in order. */
   #admitted: EngineStream[] = [];
   #slotsUsed = 0;
   #reservedKvTokens = 0;
 
-  /** @param limits What the engine has room for. */
+  /** @param limits Slots and KV memory of the engine. */
   constructor(limits: AdmissionLimits) {
     this.#limits = limits;
   }
 
-  /** @returns Number of streams without a slot. */
+  /** @returns Number of queued streams without a slot. */
   get waitingRequests(): number {
     return this.#waiting.length;
   }
 
-  /** @returns Number of slots taken by streams in any phase. */
+  /** @returns Number of slots in use by streams in any phase. */
   get slotsUsed(): number {
     return this.#slotsUsed;
   }
 
-  /** @returns KV memory that the prompts of admitted streams take. */
+  /** @returns KV memory in tokens used by the prompts of admitted streams. */
   get admittedPromptTokens(): number {
     return this.#admitted.reduce(
       (sum, { promptTokens }) => sum + promptTokens,
@@ -41,15 +41,15 @@
     );
   }
 
-  /** @param stream A stream that waits from now on. */
+  /** @param stream A new stream, which is queued. */
   add(stream: EngineStream): void {
     this.#waiting.push(stream);
   }
 
-  /** Admits waiting streams until one finds no room. */
+  /** Admits waiting streams in order until the first that does not fit. */
   admitWaiting(): void {
     let next = this.#waiting.at(0);
-    while (next !== undefined && this.#hasRoomFor(next)) {
+    while (next !== undefined && this.#hasCapacityFor(next)) {
       this.#waiting.shift();
       next.phase = StreamPhase.Admitted;
       this.#slotsUsed += 1;
@@ -59,8 +59,12 @@
     }
   }
 
-  /** @returns The admitted stream whose prompt work is to begin, if any. */
-  takeAdmitted(): EngineStream | undefined {
+  /**
+   * Removes the first admitted stream, whose prefill starts next.
+   *
+   * @returns The stream, or undefined if none is admitted.
+   */
+  dequeueAdmitted(): EngineStream | undefined {
     return this.#admitted.shift();
   }
 
@@ -74,7 +78,7 @@
     this.#admitted = this.#admitted.filter((other) => other !== stream);
   }
 
-  /** Forgets all streams. */
+  /** Discards all streams and frees their slots and KV memory. */
   clear(): void {
     this.#waiting = [];
     this.#admitted = [];
@@ -82,7 +86,7 @@
     this.#reservedKvTokens = 0;
   }
 
-  #hasRoomFor(stream: EngineStream): boolean {
+  #hasCapacityFor(stream: EngineStream): boolean {
     const reserved = this.#reservedKvTokens + stream.reservedKvTokens;
     return this.#slotsUsed < this.#limits.slots &&
       reserved <= this.#limits.kvTokens;
--- a/packages/standins/src/answer_text.ts
+++ b/packages/standins/src/answer_text.ts
@@ -1,7 +1,7 @@
-/** The text stand-ins answer with; it shows whose answer it is. */
+/** Answer texts of the stand-ins; each names the request that it answers. */
 
-/** What an answer belongs to. */
-export interface AnswerSubject {
+/** The parts of a request that its answer quotes. */
+export interface AnsweredRequest {
   readonly requestId: string;
   /** End of the prompt or body, quoted in the answer. */
   readonly promptTail: string;
@@ -9,63 +9,73 @@
 
 const PROMPT_TAIL_CHARS = 48;
 
-/** Later tokens are the same for all requests; kept so that texts are slices. */
-let laterText = "";
-const laterEnds: number[] = [0];
+/**
+ * Cached text of all tokens after the first. It is the same for every request,
+ * so an answer is a slice of it.
+ */
+let textAfterFirstToken = "";
+/** For each token index, the offset in the cached text at which it ends. */
+const tokenEndOffsets: number[] = [0];
 
 /**
- * Cuts the part of a prompt that its answer quotes.
+ * Cuts off the end of a prompt, which the answer quotes.
  *
  * @param prompt Prompt of an engine or body of a service call.
  * @returns The end of the prompt.
  */
-export function promptTailOf(prompt: string): string {
+export function cutPromptTail(prompt: string): string {
   return prompt.slice(-PROMPT_TAIL_CHARS);
 }
 
 /**
- * Writes one token of an answer.
+ * Renders one token of an answer.
  *
- * @param subject What the answer belongs to.
- * @param index Position of the token, from 0.
+ * @param request The request that the answer names.
+ * @param index Index of the token, from 0.
  * @returns The token's text.
  */
-export function answerTokenOf(subject: AnswerSubject, index: number): string {
+export function renderAnswerToken(
+  request: AnsweredRequest,
+  index: number,
+): string {
   if (index === 0) {
-    return `[${subject.requestId}|${subject.promptTail}]`;
+    return `[${request.requestId}|${request.promptTail}]`;
   }
   return ` w${index}`;
 }
 
 /**
- * Writes a whole answer.
+ * Renders a whole answer.
  *
- * @param subject What the answer belongs to.
+ * @param request The request that the answer names.
  * @param outputTokens Length of the answer in tokens.
- * @returns The text, the same as all its tokens joined.
+ * @returns The texts of all its tokens, joined.
  */
-export function answerTextOf(
-  subject: AnswerSubject,
+export function renderAnswerText(
+  request: AnsweredRequest,
   outputTokens: number,
 ): string {
   if (outputTokens === 0) {
     return "";
   }
-  growLaterText(outputTokens - 1);
-  const later = laterText.slice(0, laterEnds[outputTokens - 1]);
-  return answerTokenOf(subject, 0) + later;
+  extendTextAfterFirstToken(outputTokens - 1);
+  const remainingText = textAfterFirstToken.slice(
+    0,
+    tokenEndOffsets[outputTokens - 1],
+  );
+  return renderAnswerToken(request, 0) + remainingText;
 }
 
-function growLaterText(tokens: number): void {
-  const parts: string[] = [];
-  let end = laterText.length;
-  while (laterEnds.length <= tokens) {
-    const part = ` w${laterEnds.length}`;
-    parts.push(part);
-    end += part.length;
-    laterEnds.push(end);
+function extendTextAfterFirstToken(tokenCount: number): void {
+  const tokenTexts: string[] = [];
+  let endOffset = textAfterFirstToken.length;
+  while (tokenEndOffsets.length <= tokenCount) {
+    const tokenText = ` w${tokenEndOffsets.length}`;
+    tokenTexts.push(tokenText);
+    endOffset += tokenText.length;
+    tokenEndOffsets.push(endOffset);
   }
-  if (parts.length > 0) {
-    laterText += parts.join("");
+  if (tokenTexts.length > 0) {
+    textAfterFirstToken += tokenTexts.join("");
   }
 }
--- a/packages/standins/src/cache_event_log.ts
+++ b/packages/standins/src/cache_event_log.ts
@@ -1,4 +1,4 @@
-/** Cache events as an engine publishes them: late and with gaps. */
+/** Log of an engine's cache events, published with a delay and with gaps. */
 
 import type {
   CacheEventKind,
@@ -9,9 +9,9 @@
   seededRandomness,
 } from "@chestnuthatch/core/randomness";
 
-/** How late and how gappy the events are. */
+/** Delay and loss of published events. */
 export interface CacheEventLogOptions {
-  /** Age an event must have before it is published. */
+  /** Delay until an event is published. */
   readonly lagMs: number;
   /** Share of events (0 to 1) that are never published. */
   readonly lossShare: number;
@@ -28,24 +28,25 @@
 const MAX_LOGGED_EVENTS = 20_000;
 const MAX_EVENTS_PER_ANSWER = 2_000;
 
-/** Bounded log of cache events. */
+/** Bounded log of cache events in order of their sequence numbers. */
 export class CacheEventLog {
   readonly #options: CacheEventLogOptions;
   readonly #randomness: Randomness;
   #events: LoggedEvent[] = [];
   #lastSequence = 0;
 
-  /** @param options How late and how gappy the events are. */
+  /** @param options Delay and loss of published events, and the loss's seed. */
   constructor(options: CacheEventLogOptions) {
     this.#options = options;
     this.#randomness = seededRandomness(options.seed);
   }
 
   /**
-   * Logs one event, or loses it.
+   * Records an event, or drops it at random. A dropped event still uses a
+   * sequence number, so that readers can detect the gap.
    *
-   * @param event What happened.
-   * @param nowMs When it happened.
+   * @param event Kind of the event and fingerprint of the block.
+   * @param nowMs Time of the event.
    */
   record(
     event: { readonly kind: CacheEventKind; readonly blockHash: string },
@@ -65,18 +66,18 @@
   /**
    * Reads published events.
    *
-   * @param after Sequence number read last, 0 for none.
+   * @param afterSequence Sequence number of the last event read; 0 for none.
    * @param nowMs The time now.
-   * @returns The next events that are old enough.
+   * @returns The following events whose delay has passed.
    */
-  read(after: number, nowMs: number): CacheEventsAnswer {
-    const latestMs = nowMs - this.#options.lagMs;
-    const from = this.#firstIndexAfter(after);
+  read(afterSequence: number, nowMs: number): CacheEventsAnswer {
+    const latestPublishedMs = nowMs - this.#options.lagMs;
+    const fromIndex = this.#firstIndexAfter(afterSequence);
     const events = this.#events
-      .slice(from, from + MAX_EVENTS_PER_ANSWER)
-      .filter((event) => event.atMs <= latestMs)
+      .slice(fromIndex, fromIndex + MAX_EVENTS_PER_ANSWER)
+      .filter((event) => event.atMs <= latestPublishedMs)
       .map(({ sequence, kind, blockHash }) => ({ sequence, kind, blockHash }));
-    return { events, lastSequence: events.at(-1)?.sequence ?? after };
+    return { events, lastSequence: events.at(-1)?.sequence ?? afterSequence };
   }
 
   #firstIndexAfter(sequence: number): number {
--- a/packages/standins/src/decode_batch.ts
+++ b/packages/standins/src/decode_batch.ts
@@ -1,161 +1,165 @@
 /**
  * The streams of an engine that decode together.
  *
- * All of them advance at the same rate, so one decode clock, counted in tokens,
- * serves them all.
+ * All streams decode at the same rate, so one decode clock, counted in tokens,
+ * measures the progress of all of them.
  */
 
 import type { EngineStream } from "./engine_stream.ts";
 
-/** How fast a batch decodes. */
+/** Decode rate of a batch, and the granularity of its events. */
 export interface DecodeBatchOptions {
-  /** Rate of one stream that is alone. */
+  /** Rate of a stream that decodes alone. */
   readonly decodeTokensPerSecond: number;
-  /** Slowdown of every stream for each further stream. */
+  /** Slowdown of every stream for each further stream; 0.02 is 2 %. */
   readonly decodeSlowdownPerStream: number;
-  /** Whether a stream's only event is its last. */
+  /** Whether a stream emits its whole text as one token event. */
   readonly coalesceTokens: boolean;
 }
 
-/** A stream's next event. */
+/** The next event of a decoding stream, and the time until it is due. */
 export interface DecodeStep {
-  readonly inMs: number;
+  readonly delayMs: number;
   readonly stream: EngineStream;
 }
 
 const MS_PER_SECOND = 1_000;
-/** Forgives rounding of the decode clock when whole tokens are counted. */
+/** Compensates rounding of the decode clock when counting whole tokens. */
 const CLOCK_TOLERANCE_TOKENS = 1e-6;
 
-/** Keeps the decode clock and finds the stream whose event comes next. */
+/** The decoding streams and the decode clock that they share. */
 export class DecodeBatch {
   readonly #options: DecodeBatchOptions;
   readonly #streams = new Set<EngineStream>();
-  /** The stream whose next event comes first, once looked up. */
-  #soonest: EngineStream | undefined;
+  /** Cached stream whose event comes next; undefined until looked up. */
+  #nextStream: EngineStream | undefined;
   #clockTokens = 0;
 
-  /** @param options How fast it decodes. */
+  /** @param options Decode rate and granularity of events. */
   constructor(options: DecodeBatchOptions) {
     this.#options = options;
   }
 
-  /** @returns Number of streams. */
+  /** @returns Number of decoding streams. */
   get size(): number {
     return this.#streams.size;
   }
 
-  /** @param stream A stream that begins to decode now. */
+  /** @param stream A stream that starts to decode now. */
   add(stream: EngineStream): void {
-    stream.startClockTokens = this.#clockTokens;
+    stream.decodeStartClockTokens = this.#clockTokens;
     this.#streams.add(stream);
-    this.#soonest = undefined;
+    this.#nextStream = undefined;
   }
 
-  /** @param stream A stream that decodes no longer. */
+  /** @param stream A stream that stops decoding. */
   delete(stream: EngineStream): void {
     this.#streams.delete(stream);
-    this.#soonest = undefined;
+    this.#nextStream = undefined;
   }
 
-  /** Forgets all streams. */
+  /** Discards all streams. */
   clear(): void {
     this.#streams.clear();
-    this.#soonest = undefined;
+    this.#nextStream = undefined;
   }
 
   /**
-   * Tells the rate of each stream.
+   * Computes the decode rate of each stream.
    *
-   * @param share Share of the full rate that is left for decoding.
-   * @returns Tokens in a millisecond.
+   * @param rateShare Share of the full rate that is available for decoding.
+   * @returns Tokens per millisecond and stream.
    */
-  tokensPerMs(share: number): number {
+  tokensPerMs(rateShare: number): number {
     const { decodeTokensPerSecond, decodeSlowdownPerStream } = this.#options;
-    const others = Math.max(0, this.#streams.size - 1);
-    const crowding = 1 + decodeSlowdownPerStream * others;
-    return decodeTokensPerSecond / MS_PER_SECOND * share / crowding;
+    const otherStreams = Math.max(0, this.#streams.size - 1);
+    const batchSlowdown = 1 + decodeSlowdownPerStream * otherStreams;
+    return decodeTokensPerSecond / MS_PER_SECOND * rateShare / batchSlowdown;
   }
 
   /**
-   * Lets time pass.
+   * Advances the decode clock.
    *
-   * @param passedMs How much.
-   * @param share Share of the full rate that was left for decoding.
+   * @param elapsedMs Time to advance by.
+   * @param rateShare Share of the full rate that was available for decoding.
    */
-  advance(passedMs: number, share: number): void {
+  advance(elapsedMs: number, rateShare: number): void {
     if (this.#streams.size > 0) {
-      this.#clockTokens += passedMs * this.tokensPerMs(share);
+      this.#clockTokens += elapsedMs * this.tokensPerMs(rateShare);
     }
   }
 
   /**
-   * Finds the next event.
+   * Finds the stream whose event comes next.
    *
-   * @param share Share of the full rate that is left for decoding.
-   * @returns Whose event comes next and when, or undefined for none.
+   * @param rateShare Share of the full rate that is available for decoding.
+   * @returns The stream and the time until its event, or undefined if no stream
+   * decodes.
    */
-  nextStep(share: number): DecodeStep | undefined {
-    const stream = this.#soonest ??= this.#findSoonest();
+  findNextStep(rateShare: number): DecodeStep | undefined {
+    const stream = this.#nextStream ??= this.#findNextStream();
     if (stream === undefined) {
       return undefined;
     }
-    const left = Math.max(0, this.#nextClockOf(stream) - this.#clockTokens);
-    return { inMs: left / this.tokensPerMs(share), stream };
+    const remainingTokens = Math.max(
+      0,
+      this.#nextEventClockTokens(stream) - this.#clockTokens,
+    );
+    return { delayMs: remainingTokens / this.tokensPerMs(rateShare), stream };
   }
 
   /**
-   * Counts a stream's next event as given.
+   * Records that a stream's next event is emitted now.
    *
    * @param stream The stream whose event is due.
    */
-  take(stream: EngineStream): void {
-    const clock = this.#nextClockOf(stream);
-    this.#clockTokens = Math.max(this.#clockTokens, clock);
-    this.#soonest = undefined;
+  recordStep(stream: EngineStream): void {
+    const nextClockTokens = this.#nextEventClockTokens(stream);
+    this.#clockTokens = Math.max(this.#clockTokens, nextClockTokens);
+    this.#nextStream = undefined;
     stream.emittedTokens = this.#options.coalesceTokens
       ? stream.outputTokens
       : stream.emittedTokens + 1;
   }
 
   /**
-   * Counts a decoding stream's tokens.
+   * Counts the whole tokens that a decoding stream has generated.
    *
    * @param stream The stream.
-   * @returns Whole tokens generated so far.
+   * @returns Number of tokens.
    */
-  generatedTokensOf(stream: EngineStream): number {
-    const passed = this.#clockTokens - stream.startClockTokens;
-    const whole = Math.floor(passed + CLOCK_TOLERANCE_TOKENS);
-    return Math.min(stream.outputTokens, whole);
+  countGeneratedTokens(stream: EngineStream): number {
+    const elapsedTokens = this.#clockTokens - stream.decodeStartClockTokens;
+    const wholeTokens = Math.floor(elapsedTokens + CLOCK_TOLERANCE_TOKENS);
+    return Math.min(stream.outputTokens, wholeTokens);
   }
 
-  /** @returns KV memory that the streams' prompts and answers take. */
-  kvUsedTokens(): number {
-    let used = 0;
+  /** @returns KV memory in tokens used by the streams' prompts and answers. */
+  countKvUsedTokens(): number {
+    let usedTokens = 0;
     for (const stream of this.#streams) {
-      used += stream.promptTokens + this.generatedTokensOf(stream);
+      usedTokens += stream.promptTokens + this.countGeneratedTokens(stream);
     }
-    return used;
+    return usedTokens;
   }
 
-  #findSoonest(): EngineStream | undefined {
-    let soonest: EngineStream | undefined;
-    let soonestClock = Infinity;
+  #findNextStream(): EngineStream | undefined {
+    let next: EngineStream | undefined;
+    let nextClockTokens = Infinity;
     for (const stream of this.#streams) {
-      const clock = this.#nextClockOf(stream);
-      if (clock < soonestClock) {
-        soonest = stream;
-        soonestClock = clock;
+      const clockTokens = this.#nextEventClockTokens(stream);
+      if (clockTokens < nextClockTokens) {
+        next = stream;
+        nextClockTokens = clockTokens;
       }
     }
-    return soonest;
+    return next;
   }
 
-  #nextClockOf(stream: EngineStream): number {
+  #nextEventClockTokens(stream: EngineStream): number {
     const tokens = this.#options.coalesceTokens
       ? stream.outputTokens
       : stream.emittedTokens + 1;
-    return stream.startClockTokens + tokens;
+    return stream.decodeStartClockTokens + tokens;
   }
 }
--- a/packages/standins/src/delayed_writer.ts
+++ b/packages/standins/src/delayed_writer.ts
@@ -1,22 +1,22 @@
-/** Writes lines to a response, each after a delay and all in order. */
+/** Writer of response lines that delays each line and keeps their order. */
 
 import type { ServerResponse } from "node:http";
-import type { NowMs } from "./http_host.ts";
+import type { NowMs } from "./http_server.ts";
 
-interface DelayedAction {
+interface DelayedOperation {
   readonly dueAtMs: number;
   readonly run: () => void;
 }
 
-/** One response, written in order however delays change. */
+/** Writes one response in order, even when a later line has a shorter delay. */
 export class DelayedWriter {
   readonly #response: ServerResponse;
   readonly #nowMs: NowMs;
-  readonly #actions: DelayedAction[] = [];
+  readonly #pending: DelayedOperation[] = [];
   #timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param response Where to write.
+   * @param response The response to write to.
    * @param nowMs The clock.
    */
   constructor(response: ServerResponse, nowMs: NowMs) {
@@ -28,38 +28,39 @@
   /**
    * Writes one line.
    *
-   * @param line The line without its end.
-   * @param delayMs How long to hold it back.
+   * @param line The line without its line break.
+   * @param delayMs Delay before the line is written.
    */
   write(line: string, delayMs: number): void {
-    this.#add(() => this.#response.write(`${line}\n`), delayMs);
+    this.#schedule(() => this.#response.write(`${line}\n`), delayMs);
   }
 
-  /** @param delayMs How long to hold the end back. */
+  /** @param delayMs Delay before the response is ended. */
   end(delayMs: number): void {
-    this.#add(() => this.#response.end(), delayMs);
+    this.#schedule(() => this.#response.end(), delayMs);
   }
 
   /**
-   * Cuts the connection once what was written has left.
+   * Closes the connection without ending the response, once the lines written
+   * before have been sent.
    *
-   * @param delayMs How long to hold the cut back.
+   * @param delayMs Delay before the connection is closed.
    */
-  cut(delayMs: number): void {
-    this.#add(() => this.#response.socket?.destroySoon(), delayMs);
+  closeSocket(delayMs: number): void {
+    this.#schedule(() => this.#response.socket?.destroySoon(), delayMs);
   }
 
-  #add(run: () => void, delayMs: number): void {
-    if (delayMs <= 0 && this.#actions.length === 0) {
+  #schedule(run: () => void, delayMs: number): void {
+    if (delayMs <= 0 && this.#pending.length === 0) {
       run();
       return;
     }
-    this.#actions.push({ dueAtMs: this.#nowMs() + delayMs, run });
-    this.#arm();
+    this.#pending.push({ dueAtMs: this.#nowMs() + delayMs, run });
+    this.#startTimer();
   }
 
-  #arm(): void {
-    const next = this.#actions.at(0);
+  #startTimer(): void {
+    const next = this.#pending.at(0);
     if (next === undefined || this.#timer !== undefined) {
       return;
     }
@@ -69,12 +70,12 @@
 
   #runDue(): void {
     this.#timer = undefined;
-    let next = this.#actions.at(0);
+    let next = this.#pending.at(0);
     while (next !== undefined && next.dueAtMs <= this.#nowMs()) {
-      this.#actions.shift();
+      this.#pending.shift();
       next.run();
-      next = this.#actions.at(0);
+      next = this.#pending.at(0);
     }
-    this.#arm();
+    this.#startTimer();
   }
 }
--- a/packages/standins/src/deployments.ts
+++ b/packages/standins/src/deployments.ts
@@ -1,45 +1,51 @@
-/** The targets of the two deployments, and what stand-ins make of them. */
+/** Targets of the two deployments, and the options of their stand-ins. */
 
 import { TargetKind } from "@chestnuthatch/wire/work";
-import type { EngineModelOptions } from "./engine_options.ts";
+import type { EngineModelOptions } from "./engine_model_options.ts";
 import { hash32 } from "@chestnuthatch/core/text_hash";
 import type { ServiceModelOptions } from "./service_model.ts";
-import { Deployment } from "./workload_kinds.ts";
+import { Deployment } from "./work_kinds.ts";
 
-/** One target to stand in for. */
+/** A target that a stand-in simulates. */
 export interface StandinTarget {
   readonly id: string;
   readonly pool: string;
   readonly kind: TargetKind;
   readonly failureDomain: string;
-  /** Model of an engine; empty for services. */
+  /** Model that an engine has loaded; empty for services. */
   readonly model: string;
   readonly slots: number;
-  /** 0 for services. */
+  /** KV memory of an engine; 0 for services. */
   readonly kvTokens: number;
   readonly hardware: string;
   readonly checksFencing: boolean;
   readonly prefillTokensPerSecond: number;
   readonly decodeTokensPerSecond: number;
-  /** Time of one call on a service. */
+  /** Duration of one call on a service; 0 for engines. */
   readonly callMs: number;
 }
 
-/** What targets have in common. */
-export interface TargetTraits {
+/** Options that apply to every target of a fleet. */
+export interface SharedTargetOptions {
   readonly seed: number;
+  /** Age of the load that load reports show. */
   readonly loadLagMs: number;
+  /** Delay until a cache event is published. */
   readonly cacheEventLagMs: number;
+  /** Share of cache events (0 to 1) that are never published. */
   readonly cacheEventLossShare: number;
+  /** Slowdown of every stream for each further stream; 0.02 is 2 %. */
   readonly decodeSlowdownPerStream: number;
+  /** Tokens covered by one block fingerprint. */
   readonly blockTokens: number;
-  /** Prefix cache of an engine as a share of its KV memory. */
+  /** Capacity of an engine's prefix cache as a share of its KV memory. */
   readonly prefixCacheShare: number;
+  /** Whether a stream emits its whole text as one token event. */
   readonly coalesceTokens: boolean;
 }
 
-/** Traits for want of others. */
-export const DEFAULT_TRAITS: TargetTraits = {
+/** Options of targets that are given no others. */
+export const DEFAULT_TARGET_OPTIONS: SharedTargetOptions = {
   seed: 1,
   loadLagMs: 500,
   cacheEventLagMs: 1_000,
@@ -62,31 +68,31 @@
   readonly failureDomains: readonly string[];
   readonly enginePool: string;
   readonly model: string;
-  /** One engine in each failure domain for each entry. */
+  /** For each failure domain, the hardware of its engines. */
   readonly engines: readonly (readonly EngineHardware[])[];
   readonly servicePool: string;
   readonly servicesPerDomain: number;
   readonly serviceSlots: number;
   readonly callMs: number;
-  /** Whether this deployment's engines check fencing numbers. */
+  /** Whether the deployment's engines check fencing numbers. */
   readonly checksFencing: boolean;
 }
 
-const LARGE: EngineHardware = {
+const LARGE_HARDWARE: EngineHardware = {
   hardware: "large",
   slots: 24,
   kvTokens: 200_000,
   prefillTokensPerSecond: 12_000,
   decodeTokensPerSecond: 80,
 };
-const MEDIUM: EngineHardware = {
+const MEDIUM_HARDWARE: EngineHardware = {
   hardware: "medium",
   slots: 16,
   kvTokens: 120_000,
   prefillTokensPerSecond: 7_000,
   decodeTokensPerSecond: 55,
 };
-const SMALL: EngineHardware = {
+const SMALL_HARDWARE: EngineHardware = {
   hardware: "small",
   slots: 8,
   kvTokens: 64_000,
@@ -99,10 +105,12 @@
     failureDomains: ["njiro-hall", "sakina-hall", "usa-river", "tengeru"],
     enginePool: "msaidizi",
     model: "msaidizi",
-    engines: [[LARGE, MEDIUM], [LARGE, SMALL], [MEDIUM, MEDIUM], [
-      MEDIUM,
-      SMALL,
-    ]],
+    engines: [
+      [LARGE_HARDWARE, MEDIUM_HARDWARE],
+      [LARGE_HARDWARE, SMALL_HARDWARE],
+      [MEDIUM_HARDWARE, MEDIUM_HARDWARE],
+      [MEDIUM_HARDWARE, SMALL_HARDWARE],
+    ],
     servicePool: "kazi-desk",
     servicesPerDomain: 1,
     serviceSlots: 8,
@@ -113,7 +121,11 @@
     failureDomains: ["riga-a", "riga-b", "riga-c"],
     enginePool: "valodas-modelis",
     model: "valodas-modelis",
-    engines: [[LARGE, MEDIUM], [LARGE, SMALL], [MEDIUM, MEDIUM]],
+    engines: [
+      [LARGE_HARDWARE, MEDIUM_HARDWARE],
+      [LARGE_HARDWARE, SMALL_HARDWARE],
+      [MEDIUM_HARDWARE, MEDIUM_HARDWARE],
+    ],
     servicePool: "registrs",
     servicesPerDomain: 1,
     serviceSlots: 8,
@@ -126,50 +138,52 @@
  * Lists the failure domains of a deployment.
  *
  * @param deployment The deployment.
- * @returns Their names.
+ * @returns The names of the failure domains.
  */
-export function failureDomainsOf(deployment: Deployment): readonly string[] {
+export function listDeploymentFailureDomains(
+  deployment: Deployment,
+): readonly string[] {
   return LAYOUTS[deployment].failureDomains;
 }
 
 /**
- * Lists the targets of a deployment, which differ in speed.
+ * Lists the targets of a deployment; its engines differ in hardware.
  *
  * @param deployment The deployment.
- * @returns Its engines and services.
+ * @returns The engines and services of each failure domain.
  */
-export function targetsOf(deployment: Deployment): StandinTarget[] {
+export function listDeploymentTargets(deployment: Deployment): StandinTarget[] {
   const layout = LAYOUTS[deployment];
   return layout.failureDomains.flatMap((failureDomain, i) => [
     ...layout.engines[i].map((hardware, j) =>
-      engineTarget(layout, hardware, {
+      createEngineTarget(layout, hardware, {
         failureDomain,
-        number: i * layout.engines[i].length + j + 1,
+        ordinal: i * layout.engines[i].length + j + 1,
       })
     ),
     ...Array.from(
       { length: layout.servicesPerDomain },
       (_, j) =>
-        serviceTarget(layout, {
+        createServiceTarget(layout, {
           failureDomain,
-          number: i * layout.servicesPerDomain + j + 1,
+          ordinal: i * layout.servicesPerDomain + j + 1,
         }),
     ),
   ]);
 }
 
 /**
- * Derives the options of an engine.
+ * Creates the options of a simulated engine.
  *
  * @param target The target.
- * @param traits What targets have in common.
- * @returns Options for an engine model.
+ * @param sharedOptions Options that apply to every target.
+ * @returns Options of the target's engine model.
  */
-export function engineOptionsOf(
+export function createEngineOptions(
   target: StandinTarget,
-  traits: TargetTraits = DEFAULT_TRAITS,
+  sharedOptions: SharedTargetOptions = DEFAULT_TARGET_OPTIONS,
 ): EngineModelOptions {
-  const { prefixCacheShare, seed, ...shared } = traits;
+  const { prefixCacheShare, seed, ...modelOptions } = sharedOptions;
   return {
     targetId: target.id,
     model: target.model,
@@ -179,43 +193,43 @@
     decodeTokensPerSecond: target.decodeTokensPerSecond,
     checksFencing: target.checksFencing,
     prefixCacheTokens: target.kvTokens * prefixCacheShare,
-    ...shared,
+    ...modelOptions,
     seed: (seed ^ hash32(target.id)) | 0,
   };
 }
 
 /**
- * Derives the options of a service.
+ * Creates the options of a simulated service.
  *
  * @param target The target.
- * @param traits What targets have in common.
- * @returns Options for a service model.
+ * @param sharedOptions Options that apply to every target.
+ * @returns Options of the target's service model.
  */
-export function serviceOptionsOf(
+export function createServiceOptions(
   target: StandinTarget,
-  traits: TargetTraits = DEFAULT_TRAITS,
+  sharedOptions: SharedTargetOptions = DEFAULT_TARGET_OPTIONS,
 ): ServiceModelOptions {
   return {
     targetId: target.id,
     slots: target.slots,
     callMs: target.callMs,
-    loadLagMs: traits.loadLagMs,
+    loadLagMs: sharedOptions.loadLagMs,
   };
 }
 
-interface Place {
+interface TargetPosition {
   readonly failureDomain: string;
-  /** Position within the pool, from 1. */
-  readonly number: number;
+  /** Number of the target within its pool, from 1. */
+  readonly ordinal: number;
 }
 
-function engineTarget(
+function createEngineTarget(
   layout: DeploymentLayout,
   hardware: EngineHardware,
-  { failureDomain, number }: Place,
+  { failureDomain, ordinal }: TargetPosition,
 ): StandinTarget {
   return {
-    id: `${layout.enginePool}-${number}`,
+    id: `${layout.enginePool}-${ordinal}`,
     pool: layout.enginePool,
     kind: TargetKind.Engine,
     failureDomain,
@@ -226,12 +240,12 @@
   };
 }
 
-function serviceTarget(
+function createServiceTarget(
   layout: DeploymentLayout,
-  { failureDomain, number }: Place,
+  { failureDomain, ordinal }: TargetPosition,
 ): StandinTarget {
   return {
-    id: `${layout.servicePool}-${number}`,
+    id: `${layout.servicePool}-${ordinal}`,
     pool: layout.servicePool,
     kind: TargetKind.Service,
     failureDomain,
--- a/packages/standins/src/ended_streams.ts
+++ b/packages/standins/src/ended_streams.ts
@@ -1,25 +1,27 @@
-/** Streams that ended, kept for a while so that they can be resumed. */
+/** Ended streams of an engine, retained so that callers can resume them. */
 
 import { type EngineStream } from "./engine_stream.ts";
 
-const KEEP_ENDED_MS = 60_000;
-const MAX_ENDED_KEPT = 2_000;
+const ENDED_STREAM_RETENTION_MS = 60_000;
+const MAX_ENDED_STREAMS = 2_000;
 
-/** Bounded in time and number, oldest out first. */
+/** Retains ended streams up to an age and a number, evicting the oldest. */
 export class EndedStreams {
   readonly #streams = new Map<string, EngineStream>();
 
   /**
-   * Keeps a stream and lets go of old ones.
+   * Adds a stream and evicts old ones.
    *
    * @param key The attempt's key.
-   * @param stream The stream, ended just now.
+   * @param stream The stream, which has ended now.
    */
-  keep(key: string, stream: EngineStream): void {
+  add(key: string, stream: EngineStream): void {
     this.#streams.set(key, stream);
-    const oldestMs = stream.endedAtMs - KEEP_ENDED_MS;
+    const oldestRetainedMs = stream.endedAtMs - ENDED_STREAM_RETENTION_MS;
     for (const [otherKey, { endedAtMs }] of this.#streams) {
-      if (endedAtMs > oldestMs && this.#streams.size <= MAX_ENDED_KEPT) {
+      if (
+        endedAtMs > oldestRetainedMs && this.#streams.size <= MAX_ENDED_STREAMS
+      ) {
         return;
       }
       this.#streams.delete(otherKey);
@@ -27,16 +29,16 @@
   }
 
   /**
-   * Finds a stream.
+   * Finds an ended stream.
    *
    * @param key The attempt's key.
-   * @returns The stream, unless unknown or let go of.
+   * @returns The stream, or undefined if unknown or evicted.
    */
   get(key: string): EngineStream | undefined {
     return this.#streams.get(key);
   }
 
-  /** Forgets all, as when the process dies. */
+  /** Discards all streams, for when the engine's process ends. */
   clear(): void {
     this.#streams.clear();
   }
--- a/packages/standins/src/engine_batch.ts
+++ b/packages/standins/src/engine_batch.ts
@@ -1,62 +1,63 @@
 /**
- * The streams inside an engine: queued, then prefilled one at a time, then
- * decoded together at a rate that prompt work lowers.
+ * Continuous batching of an engine: streams are queued, then prefilled one at
+ * a time, then decoded together at a rate that a running prefill lowers.
  */
 
 import { AdmissionQueue } from "./admission_queue.ts";
 import { DecodeBatch } from "./decode_batch.ts";
-import type { EngineModelOptions } from "./engine_options.ts";
+import type { EngineModelOptions } from "./engine_model_options.ts";
 import { type EngineStream, StreamPhase } from "./engine_stream.ts";
-import { Prefill, type PrefillSinks } from "./prefill.ts";
-import type { WorkLoad } from "./target_model.ts";
+import { Prefill, type PrefillObservers } from "./prefill.ts";
+import type { CurrentLoad } from "./target_model.ts";
 
-/** The next change inside an engine. */
+/** The next step of a batch: the end of a prefill, or a stream's next event. */
 export interface BatchStep {
   readonly atMs: number;
   readonly stream: EngineStream;
 }
 
-/** Share of the decode rate that is left while a prompt is worked. */
+/** Share of the full decode rate that remains while a prompt is prefilled. */
 const DECODE_SHARE_DURING_PREFILL = 0.5;
 
-/** Batches streams continuously, and counts the work done for them. */
+/** Batches the streams of one engine and counts the work done for them. */
 export class EngineBatch {
-  readonly #counts: PrefillSinks["counts"];
-  readonly #queue: AdmissionQueue;
+  readonly #counts: PrefillObservers["counts"];
+  readonly #admissionQueue: AdmissionQueue;
   readonly #prefill: Prefill;
-  readonly #decoding: DecodeBatch;
+  readonly #decodeBatch: DecodeBatch;
 
   /**
-   * @param options What the engine is like.
-   * @param sinks The engine's counts, and who is told of cached prefixes.
+   * @param options Capacity and rates of the engine.
+   * @param observers The engine's counts, and the listener for changes of the
+   * prefix cache.
    */
-  constructor(options: EngineModelOptions, sinks: PrefillSinks) {
-    this.#counts = sinks.counts;
-    this.#queue = new AdmissionQueue(options);
-    this.#prefill = new Prefill(options, sinks);
-    this.#decoding = new DecodeBatch({
+  constructor(options: EngineModelOptions, observers: PrefillObservers) {
+    this.#counts = observers.counts;
+    this.#admissionQueue = new AdmissionQueue(options);
+    this.#prefill = new Prefill(options, observers);
+    this.#decodeBatch = new DecodeBatch({
       decodeTokensPerSecond: options.decodeTokensPerSecond,
       decodeSlowdownPerStream: options.decodeSlowdownPerStream,
       coalesceTokens: options.coalesceTokens === true,
     });
   }
 
-  /** @param stream A stream that has just come. */
+  /** @param stream A new stream, which is queued. */
   add(stream: EngineStream): void {
-    this.#queue.add(stream);
+    this.#admissionQueue.add(stream);
     this.#fillSlots();
   }
 
   /** @param stream A stream that ends, whatever its phase. */
   remove(stream: EngineStream): void {
-    this.noteKvUsed();
+    this.updateMaxKvUsed();
     this.stopWork(stream);
-    this.#queue.release(stream);
+    this.#admissionQueue.release(stream);
     this.#fillSlots();
   }
 
   /**
-   * Stops a stream's work and counts what was done.
+   * Stops a stream's prefill or decoding and counts the tokens done so far.
    *
    * @param stream The stream.
    */
@@ -65,29 +66,34 @@
       this.#prefill.stop();
     }
     if (stream.phase === StreamPhase.Decoding) {
-      const generated = this.#decoding.generatedTokensOf(stream);
+      const generated = this.#decodeBatch.countGeneratedTokens(stream);
       this.#counts.tokensGenerated += generated;
-      this.#decoding.delete(stream);
+      this.#decodeBatch.delete(stream);
     }
   }
 
-  /** Forgets all streams and cached prefixes; their work has been stopped. */
+  /**
+   * Discards all streams and cached prefixes. Call
+   * {@link EngineBatch.stopWork} for every stream first, so that its work is
+   * counted.
+   */
   clear(): void {
-    this.#queue.clear();
-    this.#decoding.clear();
+    this.#admissionQueue.clear();
+    this.#decodeBatch.clear();
     this.#prefill.clearCache();
   }
 
   /**
-   * Finds the next change.
+   * Finds the next step of the batch.
    *
    * @param nowMs The time now.
-   * @param slowdown How many times slower than its own rates the engine works.
-   * @returns Whose phase or answer goes on next, or undefined for none.
+   * @param slowdown Factor by which the engine is slower than its rates.
+   * @returns The stream whose prefill ends next or whose event is due next, and
+   * the time; undefined if no stream is in progress.
    */
-  nextStep(nowMs: number, slowdown: number): BatchStep | undefined {
-    const prefill = this.#nextPrefillStep(nowMs, slowdown);
-    const decode = this.#nextDecodeStep(nowMs, slowdown);
+  findNextStep(nowMs: number, slowdown: number): BatchStep | undefined {
+    const prefill = this.#findNextPrefillStep(nowMs, slowdown);
+    const decode = this.#findNextDecodeStep(nowMs, slowdown);
     if (prefill === undefined || decode === undefined) {
       return prefill ?? decode;
     }
@@ -95,55 +101,57 @@
   }
 
   /**
-   * Lets time pass, no further than to the next step.
+   * Advances the clock, at most up to the next step.
    *
-   * @param passedMs How much.
-   * @param slowdown How many times slower than its own rates the engine works.
+   * @param elapsedMs Time to advance by.
+   * @param slowdown Factor by which the engine is slower than its rates.
    */
-  advance(passedMs: number, slowdown: number): void {
-    this.#decoding.advance(passedMs, this.#decodeShare(slowdown));
-    this.#prefill.advance(passedMs, slowdown);
+  advance(elapsedMs: number, slowdown: number): void {
+    this.#decodeBatch.advance(elapsedMs, this.#decodeRateShare(slowdown));
+    this.#prefill.advance(elapsedMs, slowdown);
   }
 
-  /** @param stream The stream whose prompt work is due to end. */
+  /** @param stream The stream whose prefill ends now. */
   finishPrefill(stream: EngineStream): void {
     this.#prefill.finish(stream);
     stream.phase = StreamPhase.Decoding;
-    this.#decoding.add(stream);
+    this.#decodeBatch.add(stream);
     this.#startPrefill();
   }
 
-  /** @param stream The decoding stream whose next event is due. */
+  /** @param stream The decoding stream whose next event is due now. */
   finishDecodeStep(stream: EngineStream): void {
-    this.#decoding.take(stream);
+    this.#decodeBatch.recordStep(stream);
   }
 
   /**
-   * Tells the load now.
+   * Computes the current load.
    *
-   * @param slowdown How many times slower than its own rates the engine works.
-   * @returns The load.
+   * @param slowdown Factor by which the engine is slower than its rates.
+   * @returns Slots, KV memory and queue length in use now.
    */
-  load(slowdown: number): WorkLoad {
-    const perStream = this.#decoding.tokensPerMs(this.#decodeShare(slowdown));
+  currentLoad(slowdown: number): CurrentLoad {
+    const tokensPerMsPerStream = this.#decodeBatch.tokensPerMs(
+      this.#decodeRateShare(slowdown),
+    );
     return {
-      slotsUsed: this.#queue.slotsUsed,
-      kvUsedTokens: this.#kvUsedTokens(),
-      kvTokensPerMs: this.#decoding.size * perStream,
-      waitingRequests: this.#queue.waitingRequests,
+      slotsUsed: this.#admissionQueue.slotsUsed,
+      kvUsedTokens: this.#countKvUsedTokens(),
+      kvTokensPerMs: this.#decodeBatch.size * tokensPerMsPerStream,
+      waitingRequests: this.#admissionQueue.waitingRequests,
     };
   }
 
-  /** Counts the KV memory in use now, where it is the most so far. */
-  noteKvUsed(): void {
-    const used = this.#kvUsedTokens();
-    if (used > this.#counts.maxKvUsedTokens) {
-      this.#counts.maxKvUsedTokens = used;
+  /** Raises the recorded maximum of KV memory in use, if exceeded now. */
+  updateMaxKvUsed(): void {
+    const kvUsedTokens = this.#countKvUsedTokens();
+    if (kvUsedTokens > this.#counts.maxKvUsedTokens) {
+      this.#counts.maxKvUsedTokens = kvUsedTokens;
     }
   }
 
   #fillSlots(): void {
-    this.#queue.admitWaiting();
+    this.#admissionQueue.admitWaiting();
     this.#startPrefill();
   }
 
@@ -151,34 +159,36 @@
     if (this.#prefill.stream !== undefined) {
       return;
     }
-    const stream = this.#queue.takeAdmitted();
+    const stream = this.#admissionQueue.dequeueAdmitted();
     if (stream !== undefined) {
       this.#prefill.start(stream);
     }
   }
 
-  #nextPrefillStep(nowMs: number, slowdown: number): BatchStep | undefined {
+  #findNextPrefillStep(nowMs: number, slowdown: number): BatchStep | undefined {
     const { stream } = this.#prefill;
     return stream &&
-      { atMs: nowMs + this.#prefill.leftMs(stream, slowdown), stream };
+      { atMs: nowMs + this.#prefill.remainingMs(stream, slowdown), stream };
   }
 
-  #nextDecodeStep(nowMs: number, slowdown: number): BatchStep | undefined {
-    const step = this.#decoding.nextStep(this.#decodeShare(slowdown));
-    return step && { atMs: nowMs + step.inMs, stream: step.stream };
+  #findNextDecodeStep(nowMs: number, slowdown: number): BatchStep | undefined {
+    const step = this.#decodeBatch.findNextStep(
+      this.#decodeRateShare(slowdown),
+    );
+    return step && { atMs: nowMs + step.delayMs, stream: step.stream };
   }
 
-  /** Share of the full decode rate that is left now. */
-  #decodeShare(slowdown: number): number {
+  /** Share of the full decode rate that is available now. */
+  #decodeRateShare(slowdown: number): number {
     const share = this.#prefill.stream === undefined
       ? 1
       : DECODE_SHARE_DURING_PREFILL;
     return share / slowdown;
   }
 
-  #kvUsedTokens(): number {
-    return this.#decoding.kvUsedTokens() +
+  #countKvUsedTokens(): number {
+    return this.#decodeBatch.countKvUsedTokens() +
       (this.#prefill.stream?.promptTokens ?? 0) +
-      this.#queue.admittedPromptTokens;
+      this.#admissionQueue.admittedPromptTokens;
   }
 }
--- a/packages/standins/src/engine_model.ts
+++ b/packages/standins/src/engine_model.ts
@@ -1,8 +1,8 @@
 /**
- * A model engine without sockets or timers, stepped by time.
+ * Simulation of an LLM inference engine, without sockets or timers.
  *
- * It batches continuously: prompt work is serial, and decoding goes on beside
- * it at a lower rate.
+ * The caller advances its clock. The engine batches continuously: it prefills
+ * one prompt at a time, and decodes other streams meanwhile at a lower rate.
  */
 
 import {
@@ -18,42 +18,42 @@
 import { EndedStreams } from "./ended_streams.ts";
 import { type BatchStep, EngineBatch } from "./engine_batch.ts";
 import { emptyEngineCounts, type EngineCounts } from "./engine_counts.ts";
-import type { EngineModelOptions } from "./engine_options.ts";
+import type { EngineModelOptions } from "./engine_model_options.ts";
 import { EngineOrders } from "./engine_orders.ts";
 import {
-  attemptKeyOf,
   type AttemptRef,
-  endEventOf,
+  createEndEvent,
+  createErrorEvent,
+  createStartEvent,
+  createTokenEvent,
+  createWaitingStream,
+  createWholeTextEvent,
   type EngineStream,
-  errorEventOf,
-  replayOf,
-  startEventOf,
+  replayStream,
   StreamPhase,
-  tokenEventOf,
-  waitingStreamOf,
-  wholeTextEventOf,
+  toAttemptKey,
 } from "./engine_stream.ts";
 import {
+  type CurrentLoad,
   TargetModel,
   type TimedOutput,
-  type WorkLoad,
 } from "./target_model.ts";
 
-/** One event that left the engine. */
+/** One event of the engine, with its attempt and the time of its emission. */
 export interface EngineOutput extends AttemptRef, TimedOutput {
   readonly event: EngineEvent;
 }
 
-/** Admits requests as they come and answers them as time advances. */
+/** Simulated engine that queues requests and emits events as time advances. */
 export class EngineModel extends TargetModel<EngineCounts, EngineOutput> {
   readonly #options: EngineModelOptions;
   readonly #orders: EngineOrders;
   readonly #cacheEvents: CacheEventLog;
   readonly #batch: EngineBatch;
-  readonly #open = new Map<string, EngineStream>();
-  readonly #ended = new EndedStreams();
+  readonly #openStreams = new Map<string, EngineStream>();
+  readonly #endedStreams = new EndedStreams();
 
-  /** @param options What the engine is like. */
+  /** @param options Capacity, rates, delays and seed of the engine. */
   constructor(options: EngineModelOptions) {
     super({
       targetId: options.targetId,
@@ -78,142 +78,149 @@
   }
 
   /**
-   * Takes a request. It is queued where slots or KV memory are used up, and
-   * answered with an error event where it can never run here.
+   * Submits a request. It is queued while no slot or not enough KV memory is
+   * free, and ends in an error event if this engine can never run it.
    *
    * @param request The request.
    * @param nowMs The time now.
-   * @returns False when the engine is dead and took nothing.
+   * @returns False when the engine's process is down and the request was not
+   * received.
    */
-  admit(request: GenerateRequest, nowMs: number): boolean {
-    if (!this.receive(request.requestId, nowMs)) {
+  submit(request: GenerateRequest, nowMs: number): boolean {
+    if (!this.countDispatch(request.requestId, nowMs)) {
       return false;
     }
-    const error = this.#refusalOf(request);
+    const error = this.#findRejection(request);
     if (error === undefined) {
-      this.#enqueue(waitingStreamOf(request, this.#options.seed));
+      this.#enqueue(createWaitingStream(request, this.#options.seed));
     } else {
-      this.#emitEvent(request, errorEventOf(request, error));
+      this.#emitEvent(request, createErrorEvent(request, error));
     }
     return true;
   }
 
   /**
-   * Stops an attempt; its stream ends in an error event.
+   * Cancels an attempt; its stream ends in an error event.
    *
    * @param attempt The attempt.
    * @param nowMs The time now.
-   * @returns Whether the attempt was waiting or running until now.
+   * @returns True when the attempt was waiting or running, false otherwise.
    */
   cancel(attempt: AttemptRef, nowMs: number): boolean {
-    this.runTo(nowMs);
-    const stream = this.#open.get(attemptKeyOf(attempt));
+    this.advanceTo(nowMs);
+    const stream = this.#openStreams.get(toAttemptKey(attempt));
     if (stream === undefined) {
       return false;
     }
     const notRun = stream.phase === StreamPhase.Waiting ||
       stream.phase === StreamPhase.Admitted;
     this.counts.cancelled += 1;
-    this.#end(stream, errorEventOf(stream, { message: "cancelled", notRun }));
+    this.#endStream(
+      stream,
+      createErrorEvent(stream, { message: "cancelled", notRun }),
+    );
     return true;
   }
 
   /**
-   * Replays an attempt's stream; later events come from
-   * {@link EngineModel.advance}, which the caller empties first.
+   * Replays an attempt's stream. Later events come from
+   * {@link EngineModel.advance}; call that first, so that no event is returned
+   * by both.
    *
    * @param attempt The attempt.
-   * @param fromToken Position of the first token wanted; from 0 the start
-   * event comes too.
-   * @returns Its events up to now, or undefined for an unknown attempt.
+   * @param fromToken Index of the first token to replay; 0 also replays the
+   * start event.
+   * @returns The events emitted so far, or undefined for an unknown attempt.
    */
   resume(attempt: AttemptRef, fromToken: number): EngineEvent[] | undefined {
-    const key = attemptKeyOf(attempt);
-    const stream = this.#open.get(key) ?? this.#ended.get(key);
+    const key = toAttemptKey(attempt);
+    const stream = this.#openStreams.get(key) ?? this.#endedStreams.get(key);
     if (stream === undefined) {
       return undefined;
     }
     const coalesceTokens = this.#options.coalesceTokens === true;
-    return replayOf(stream, fromToken, { coalesceTokens });
+    return replayStream(stream, fromToken, { coalesceTokens });
   }
 
   /**
-   * Reads cache events, which come late and with gaps.
+   * Reads published cache events, which are delayed and may have gaps.
    *
-   * @param after Sequence number read last, 0 for none.
+   * @param after Sequence number of the last event read; 0 for none.
    * @param nowMs The time now.
-   * @returns The next events.
+   * @returns The events that follow it, and the last sequence number read.
    */
   cacheEvents(after: number, nowMs: number): CacheEventsAnswer {
-    this.runTo(nowMs);
+    this.advanceTo(nowMs);
     return this.#cacheEvents.read(after, this.nowMs);
   }
 
   /**
-   * Takes an order.
+   * Applies an order, unless its fencing number is out of date.
    *
    * @param order The order.
-   * @returns Whether it was obeyed.
+   * @returns Whether it was obeyed, and the engine's state afterwards.
    */
-  order(order: OrderRequest): OrderAnswer {
-    const answer = this.#orders.take(order);
+  applyOrder(order: OrderRequest): OrderAnswer {
+    const answer = this.#orders.apply(order);
     if (answer.obeyed) {
       this.counts.ordersObeyed.push(order.fencingNumber);
     }
     return answer;
   }
 
-  /** @returns What the engine holds now. */
+  /** @returns The state that orders set: model, adapter, version and role. */
   state(): EngineState {
     return this.#orders.state;
   }
 
   /** @inheritdoc */
   setSlowdown(factor: number, nowMs: number): void {
-    this.runTo(nowMs);
+    this.advanceTo(nowMs);
     this.slowdown = factor;
     this.recordLoad();
   }
 
   /** @inheritdoc */
-  protected runTo(nowMs: number): void {
-    if (this.alive) {
-      let step = this.#nextStep();
+  protected advanceTo(nowMs: number): void {
+    if (this.isRunning) {
+      let step = this.#findNextStep();
       while (step !== undefined && step.atMs <= nowMs) {
-        this.#integrateTo(step.atMs);
+        this.#advanceClockTo(step.atMs);
         this.#finishStep(step.stream);
-        step = this.#nextStep();
+        step = this.#findNextStep();
       }
     }
-    this.#integrateTo(nowMs);
-    this.#batch.noteKvUsed();
+    this.#advanceClockTo(nowMs);
+    this.#batch.updateMaxKvUsed();
   }
 
   /** @inheritdoc */
-  protected nextChangeAtMs(): number | undefined {
-    return this.#nextStep()?.atMs;
+  protected nextStepAtMs(): number | undefined {
+    return this.#findNextStep()?.atMs;
   }
 
   /** @inheritdoc */
-  protected workLoad(): WorkLoad {
-    return this.#batch.load(this.slowdown);
+  protected currentLoad(): CurrentLoad {
+    return this.#batch.currentLoad(this.slowdown);
   }
 
   /** @inheritdoc */
-  protected loseWork(): void {
-    for (const stream of this.#open.values()) {
+  protected discardWork(): void {
+    for (const stream of this.#openStreams.values()) {
       this.#batch.stopWork(stream);
     }
     this.#batch.clear();
-    this.#open.clear();
-    this.#ended.clear();
+    this.#openStreams.clear();
+    this.#endedStreams.clear();
   }
 
-  #refusalOf(
+  #findRejection(
     request: GenerateRequest,
   ): { message: string; notRun: boolean } | undefined {
-    const key = attemptKeyOf(request);
-    if (this.#open.has(key) || this.#ended.get(key) !== undefined) {
+    const key = toAttemptKey(request);
+    if (
+      this.#openStreams.has(key) || this.#endedStreams.get(key) !== undefined
+    ) {
       return { message: "attempt came twice", notRun: false };
     }
     if (request.model !== this.state().model) {
@@ -227,21 +234,21 @@
   }
 
   #enqueue(stream: EngineStream): void {
-    this.#open.set(attemptKeyOf(stream), stream);
+    this.#openStreams.set(toAttemptKey(stream), stream);
     this.#batch.add(stream);
     this.recordLoad();
   }
 
-  #nextStep(): BatchStep | undefined {
-    return this.#batch.nextStep(this.nowMs, this.slowdown);
+  #findNextStep(): BatchStep | undefined {
+    return this.#batch.findNextStep(this.nowMs, this.slowdown);
   }
 
-  #integrateTo(atMs: number): void {
-    const passedMs = atMs - this.nowMs;
-    if (passedMs <= 0) {
+  #advanceClockTo(atMs: number): void {
+    const elapsedMs = atMs - this.nowMs;
+    if (elapsedMs <= 0) {
       return;
     }
-    this.#batch.advance(passedMs, this.slowdown);
+    this.#batch.advance(elapsedMs, this.slowdown);
     this.nowMs = atMs;
   }
 
@@ -255,29 +262,29 @@
 
   #finishPrefill(stream: EngineStream): void {
     this.#batch.finishPrefill(stream);
-    this.#emitEvent(stream, startEventOf(stream));
+    this.#emitEvent(stream, createStartEvent(stream));
     this.recordLoad();
   }
 
   #finishDecodeStep(stream: EngineStream): void {
     this.#batch.finishDecodeStep(stream);
     const event = this.#options.coalesceTokens === true
-      ? wholeTextEventOf(stream)
-      : tokenEventOf(stream, stream.emittedTokens - 1);
+      ? createWholeTextEvent(stream)
+      : createTokenEvent(stream, stream.emittedTokens - 1);
     this.#emitEvent(stream, event);
     if (stream.emittedTokens === stream.outputTokens) {
-      this.#end(stream, endEventOf(stream));
+      this.#endStream(stream, createEndEvent(stream));
     }
   }
 
-  #end(stream: EngineStream, event: EngineEvent): void {
+  #endStream(stream: EngineStream, event: EngineEvent): void {
     this.#batch.remove(stream);
-    this.#open.delete(attemptKeyOf(stream));
+    this.#openStreams.delete(toAttemptKey(stream));
     stream.phase = StreamPhase.Ended;
-    stream.end = event;
+    stream.endEvent = event;
     stream.endedAtMs = this.nowMs;
     this.#emitEvent(stream, event);
-    this.#ended.keep(attemptKeyOf(stream), stream);
+    this.#endedStreams.add(toAttemptKey(stream), stream);
     this.recordLoad();
   }
 
--- a/packages/standins/src/engine_model_test.ts
+++ b/packages/standins/src/engine_model_test.ts
@@ -1,4 +1,4 @@
-/** Tests of the engine model. */
+/** Tests of {@link EngineModel}: phases, rates, limits, faults and orders. */
 
 import {
   type EngineEvent,
@@ -9,7 +9,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { EngineModel, type EngineOutput } from "./engine_model.ts";
-import type { EngineModelOptions } from "./engine_options.ts";
+import type { EngineModelOptions } from "./engine_model_options.ts";
 import { seededRandomness } from "@chestnuthatch/core/randomness";
 
 const MAX_STEPS = 100_000;
@@ -30,11 +30,11 @@
   seed: 7,
 };
 
-function engine(changes: Partial<EngineModelOptions> = {}): EngineModel {
+function createEngine(changes: Partial<EngineModelOptions> = {}): EngineModel {
   return new EngineModel({ ...OPTIONS, ...changes });
 }
 
-function request(
+function createRequest(
   requestId: string,
   changes: Partial<GenerateRequest> = {},
 ): GenerateRequest {
@@ -50,7 +50,7 @@
   };
 }
 
-function runToEnd(model: EngineModel): EngineOutput[] {
+function advanceToEnd(model: EngineModel): EngineOutput[] {
   const outputs: EngineOutput[] = [];
   for (let i = 0; i < MAX_STEPS; i++) {
     const nextAtMs = model.nextEventAtMs();
@@ -59,19 +59,21 @@
     }
     outputs.push(...model.advance(nextAtMs));
   }
-  throw new Error("the engine never came to rest");
+  throw new Error(
+    "the engine still had outputs after the maximum number of steps",
+  );
 }
 
-function textOf(events: readonly EngineEvent[]): string {
+function joinText(events: readonly EngineEvent[]): string {
   return events.map((event) =>
     event.kind === EngineEventKind.Token ? event.text : ""
   ).join("");
 }
 
-test("should give a whole answer at the rates of the engine", () => {
-  const model = engine();
-  model.admit(request("r1", { idempotencyKey: "k1" }), 1_000);
-  const outputs = runToEnd(model);
+test("should emit a whole answer at the configured rates", () => {
+  const model = createEngine();
+  model.submit(createRequest("r1", { idempotencyKey: "k1" }), 1_000);
+  const outputs = advanceToEnd(model);
   assert.is(outputs[0].event.kind, EngineEventKind.Start);
   assert.is(Math.round(outputs[0].atMs), 1_100);
   const last = outputs[outputs.length - 1];
@@ -82,7 +84,10 @@
     outputTokens: 10,
   });
   assert.is(Math.round(last.atMs), 1_200);
-  assert.match(textOf(outputs.map(({ event }) => event)), /^\[r1\|.*maize r1/);
+  assert.match(
+    joinText(outputs.map(({ event }) => event)),
+    /^\[r1\|.*maize r1/,
+  );
   assert.is(model.counts.dispatchesByRequestId.get("r1"), 1);
   assert.is(model.counts.runsByKey.get("k1"), 1);
   assert.is(model.counts.promptTokensPrefilled, 100);
@@ -90,26 +95,28 @@
   assert.is(model.counts.maxKvUsedTokens, 110);
 });
 
-test("should give the same text and times when tokens are coalesced", () => {
+test("should emit the same texts and times when tokens are coalesced", () => {
   const [one, whole] = [false, true].map((coalesceTokens) => {
-    const model = engine({ coalesceTokens });
-    ["r1", "r2", "r3"].forEach((id, i) => model.admit(request(id), i * 30));
-    return runToEnd(model);
+    const model = createEngine({ coalesceTokens });
+    ["r1", "r2", "r3"].forEach((id, i) =>
+      model.submit(createRequest(id), i * 30)
+    );
+    return advanceToEnd(model);
   });
   const endsOf = (outputs: EngineOutput[]) =>
     outputs.filter(({ event }) => event.kind === EngineEventKind.End)
       .map(({ requestId, atMs }) => [requestId, Math.round(atMs * 1_000)]);
   const textsOf = (outputs: EngineOutput[]) =>
     ["r1", "r2", "r3"].map((id) =>
-      textOf(outputs.filter((o) => o.requestId === id).map((o) => o.event))
+      joinText(outputs.filter((o) => o.requestId === id).map((o) => o.event))
     );
   assert.equal(endsOf(whole), endsOf(one));
   assert.equal(textsOf(whole), textsOf(one));
   assert.is(whole.length, 9);
 });
 
-test("should never exceed its KV memory or slots, and leave nobody out", () => {
-  const model = engine({ slots: 4, kvTokens: 2_000 });
+test("should never exceed KV memory or slots, and answer every request", () => {
+  const model = createEngine({ slots: 4, kvTokens: 2_000 });
   const randomness = seededRandomness(3);
   const ids = Array.from({ length: 200 }, (_, i) => `r${i}`);
   const events: EngineOutput[] = [];
@@ -117,14 +124,14 @@
     const promptTokens = 1 + Math.floor(randomness.next() * 1_500);
     const prompt = "no length named";
     const maxOutputTokens = 1 + Math.floor(randomness.next() * 400);
-    model.admit(
-      request(id, { prompt, promptTokens, maxOutputTokens }),
+    model.submit(
+      createRequest(id, { prompt, promptTokens, maxOutputTokens }),
       i * 50,
     );
     events.push(...model.advance(i * 50));
     assert.ok(model.load(i * 50).slotsUsed <= 4);
   });
-  events.push(...runToEnd(model));
+  events.push(...advanceToEnd(model));
   const ends = events.filter(({ event }) => event.kind === EngineEventKind.End);
   assert.equal(new Set(ends.map((end) => end.requestId)), new Set(ids));
   assert.is(ends.length, ids.length);
@@ -134,10 +141,10 @@
   );
 });
 
-test("should refuse as not run what it can never hold", () => {
-  const model = engine();
-  model.admit(request("r1", { promptTokens: 9_990 }), 0);
-  model.admit(request("r2", { model: "another" }), 0);
+test("should reject requests that it can never run, marked as not run", () => {
+  const model = createEngine();
+  model.submit(createRequest("r1", { promptTokens: 9_990 }), 0);
+  model.submit(createRequest("r2", { model: "another" }), 0);
   const events = model.advance(0).map(({ event }) => event);
   const notRun = events.map((event) =>
     event.kind === EngineEventKind.Error && event.notRun
@@ -147,18 +154,18 @@
   assert.is(model.counts.dispatchesByRequestId.get("r1"), 1);
 });
 
-test("should tell whether a cancelled request had run", () => {
-  const model = engine({ slots: 1 });
-  model.admit(request("running"), 0);
-  model.admit(request("waiting"), 0);
-  model.admit(request("next"), 0);
-  const refOf = (requestId: string) => ({
+test("should report whether a cancelled request had run", () => {
+  const model = createEngine({ slots: 1 });
+  model.submit(createRequest("running"), 0);
+  model.submit(createRequest("waiting"), 0);
+  model.submit(createRequest("next"), 0);
+  const createAttemptRef = (requestId: string) => ({
     requestId,
     attemptNonce: `${requestId}-a`,
   });
-  assert.ok(model.cancel(refOf("waiting"), 40));
-  assert.ok(model.cancel(refOf("running"), 50));
-  assert.not(model.cancel(refOf("running"), 50));
+  assert.ok(model.cancel(createAttemptRef("waiting"), 40));
+  assert.ok(model.cancel(createAttemptRef("running"), 50));
+  assert.not(model.cancel(createAttemptRef("running"), 50));
   const notRun = model.advance(50).map(({ requestId, event }) => [
     requestId,
     event.kind === EngineEventKind.Error && event.notRun,
@@ -169,29 +176,29 @@
   assert.is(model.counts.cancelled, 2);
 });
 
-test("should resume a stream from a token while it runs and after", () => {
-  const model = engine();
-  model.admit(request("r1"), 0);
+test("should resume a stream from a token, both running and ended", () => {
+  const model = createEngine();
+  model.submit(createRequest("r1"), 0);
   const attempt = { requestId: "r1", attemptNonce: "r1-a" };
   const before = model.advance(145).map(({ event }) => event);
   const running = model.resume(attempt, 2) ?? [];
   assert.is(running.length, 2);
-  const after = runToEnd(model).map(({ event }) => event);
+  const after = advanceToEnd(model).map(({ event }) => event);
   const ended = model.resume(attempt, 4) ?? [];
   assert.equal(ended, after);
-  const whole = textOf(model.resume(attempt, 0) ?? []);
-  assert.is(textOf([...before, ...ended]), whole);
+  const whole = joinText(model.resume(attempt, 0) ?? []);
+  assert.is(joinText([...before, ...ended]), whole);
   const unknown = { ...attempt, attemptNonce: "other" };
   assert.is(model.resume(unknown, 0), undefined);
 });
 
-test("should work only the part of a prompt that is not cached", () => {
-  const model = engine();
+test("should prefill only the part of a prompt that is not cached", () => {
+  const model = createEngine();
   const blockHashes = ["b0", "b1"];
   const shared = { promptTokens: 200, blockHashes };
-  model.admit(request("r1", shared), 0);
-  runToEnd(model);
-  model.admit(request("r2", shared), 5_000);
+  model.submit(createRequest("r1", shared), 0);
+  advanceToEnd(model);
+  model.submit(createRequest("r2", shared), 5_000);
   const start = model.advance(10_000)[0].event;
   assert.ok(start.kind === EngineEventKind.Start);
   assert.is(start.cachedTokens, 128);
@@ -199,10 +206,13 @@
   assert.is(model.counts.promptTokensPrefilled, 272);
 });
 
-test("should publish cache events late and with gaps", () => {
+test("should publish cache events after a delay and with gaps", () => {
   const blocks = Array.from({ length: 30 }, (_, i) => `b${i}`);
-  const model = engine({ cacheEventLossShare: 0.5, cacheEventLagMs: 1_000 });
-  model.admit(request("r1", { blockHashes: blocks.slice(0, 10) }), 0);
+  const model = createEngine({
+    cacheEventLossShare: 0.5,
+    cacheEventLagMs: 1_000,
+  });
+  model.submit(createRequest("r1", { blockHashes: blocks.slice(0, 10) }), 0);
   model.advance(100);
   assert.is(model.cacheEvents(0, 1_000).events.length, 0);
   const { events, lastSequence } = model.cacheEvents(0, 1_200);
@@ -211,9 +221,9 @@
   assert.is(model.cacheEvents(lastSequence, 1_200).events.length, 0);
 });
 
-test("should report the load of some time ago", () => {
-  const model = engine();
-  model.admit(request("r1"), 1_000);
+test("should report the load as it was one lag before", () => {
+  const model = createEngine();
+  model.submit(createRequest("r1"), 1_000);
   assert.is(model.load(1_499).slotsUsed, 0);
   const load = model.load(1_650);
   assert.is(load.slotsUsed, 1);
@@ -222,47 +232,47 @@
   model.setLeaving(true, 1_700);
   assert.not(model.load(2_199).leaving);
   assert.ok(model.load(2_200).leaving);
-  model.admit(request("r2"), 2_500);
+  model.submit(createRequest("r2"), 2_500);
   assert.equal(model.counts.dispatchesAfterLeavingMs, [800]);
 });
 
-test("should slow down as a straggler", () => {
-  const model = engine();
-  model.admit(request("r1"), 0);
+test("should work slower as a straggler", () => {
+  const model = createEngine();
+  model.submit(createRequest("r1"), 0);
   model.setSlowdown(10, 50);
-  const outputs = runToEnd(model);
+  const outputs = advanceToEnd(model);
   assert.is(Math.round(outputs[0].atMs), 550);
   assert.is(Math.round(outputs[outputs.length - 1].atMs), 1_550);
 });
 
-test("should lose everything when killed", () => {
-  const model = engine();
-  model.admit(request("r1"), 0);
+test("should lose all work when killed, and work after a restart", () => {
+  const model = createEngine();
+  model.submit(createRequest("r1"), 0);
   model.kill(50);
-  assert.not(model.admit(request("r2"), 60));
+  assert.not(model.submit(createRequest("r2"), 60));
   assert.is(model.nextEventAtMs(), undefined);
-  model.revive(100);
-  assert.is(model.resume(request("r1"), 0), undefined);
+  model.restart(100);
+  assert.is(model.resume(createRequest("r1"), 0), undefined);
   assert.is(model.counts.promptTokensPrefilledByRequestId.get("r1"), 50);
-  assert.ok(model.admit(request("r3"), 100));
-  assert.is(runToEnd(model).at(-1)?.event.kind, EngineEventKind.End);
+  assert.ok(model.submit(createRequest("r3"), 100));
+  assert.is(advanceToEnd(model).at(-1)?.event.kind, EngineEventKind.End);
 });
 
-test("should check fencing numbers only where told to", () => {
-  const order = (fencingNumber: number) => ({
+test("should refuse outdated fencing numbers only if configured to", () => {
+  const createOrder = (fencingNumber: number) => ({
     orderId: `o${fencingNumber}`,
     fencingNumber,
     kind: OrderKind.SetVersion,
     value: `v${fencingNumber}`,
   });
-  const checking = engine();
-  assert.ok(checking.order(order(5)).obeyed);
-  assert.not(checking.order(order(4)).obeyed);
+  const checking = createEngine();
+  assert.ok(checking.applyOrder(createOrder(5)).obeyed);
+  assert.not(checking.applyOrder(createOrder(4)).obeyed);
   assert.is(checking.state().version, "v5");
   assert.equal(checking.counts.ordersObeyed, [5]);
-  const ignoring = engine({ checksFencing: false });
-  ignoring.order(order(5));
-  assert.ok(ignoring.order(order(4)).obeyed);
+  const ignoring = createEngine({ checksFencing: false });
+  ignoring.applyOrder(createOrder(5));
+  assert.ok(ignoring.applyOrder(createOrder(4)).obeyed);
   assert.is(ignoring.state().version, "v4");
 });
 
--- a/packages/standins/src/engine_orders.ts
+++ b/packages/standins/src/engine_orders.ts
@@ -1,4 +1,4 @@
-/** What an engine holds, and the orders that change it. */
+/** State of an engine that orders change: model, adapter, version and role. */
 
 import {
   type EngineState,
@@ -7,27 +7,30 @@
   type OrderRequest,
 } from "@chestnuthatch/wire/target_protocol";
 
-/** How an engine treats orders. */
+/** Initial state of an engine, and whether it checks fencing numbers. */
 export interface EngineOrdersOptions {
   readonly targetId: string;
   readonly model: string;
-  /** Whether an order with an old fencing number is refused. */
+  /** Whether an order with an outdated fencing number is refused. */
   readonly checksFencing: boolean;
 }
 
-const CHANGE_OF: Record<OrderKind, (value: string) => Partial<EngineState>> = {
+const STATE_CHANGE_BY_ORDER_KIND: Record<
+  OrderKind,
+  (value: string) => Partial<EngineState>
+> = {
   [OrderKind.LoadModel]: (model) => ({ model }),
   [OrderKind.LoadAdapter]: (adapter) => ({ adapter }),
   [OrderKind.SetVersion]: (version) => ({ version }),
   [OrderKind.SetRole]: (role) => ({ role }),
 };
 
-/** Takes orders. */
+/** Applies orders to the state of one engine. */
 export class EngineOrders {
   readonly #checksFencing: boolean;
   #state: EngineState;
 
-  /** @param options How the engine treats orders. */
+  /** @param options Initial state, and whether fencing numbers are checked. */
   constructor(options: EngineOrdersOptions) {
     this.#checksFencing = options.checksFencing;
     this.#state = {
@@ -41,18 +44,19 @@
     };
   }
 
-  /** @returns What the engine holds now. */
+  /** @returns The current state. */
   get state(): EngineState {
     return this.#state;
   }
 
   /**
-   * Obeys an order, or refuses it for its old fencing number.
+   * Applies an order, or refuses it if its fencing number is lower than that
+   * of the last order obeyed.
    *
    * @param order The order.
-   * @returns Whether it was obeyed, and what the engine holds then.
+   * @returns Whether it was obeyed, and the state afterwards.
    */
-  take(order: OrderRequest): OrderAnswer {
+  apply(order: OrderRequest): OrderAnswer {
     if (
       this.#checksFencing && order.fencingNumber < this.#state.fencingNumber
     ) {
@@ -60,7 +64,7 @@
     }
     this.#state = {
       ...this.#state,
-      ...CHANGE_OF[order.kind](order.value),
+      ...STATE_CHANGE_BY_ORDER_KIND[order.kind](order.value),
       fencingNumber: this.#checksFencing ? order.fencingNumber : 0,
       lastOrderId: order.orderId,
     };
--- a/packages/standins/src/engine_server.ts
+++ b/packages/standins/src/engine_server.ts
@@ -1,4 +1,4 @@
-/** A model engine over HTTP on the real clock. */
+/** HTTP server of a simulated engine, on the real clock. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
@@ -9,9 +9,14 @@
   orderRequestSchema,
 } from "@chestnuthatch/wire/target_protocol";
 import { EngineModel, type EngineOutput } from "./engine_model.ts";
-import type { EngineModelOptions } from "./engine_options.ts";
-import { attemptKeyOf, type AttemptRef } from "./engine_stream.ts";
-import { jsonRoute, queryOf, sendBadRequest, sendJson } from "./http_host.ts";
+import type { EngineModelOptions } from "./engine_model_options.ts";
+import { type AttemptRef, toAttemptKey } from "./engine_stream.ts";
+import {
+  jsonRoute,
+  parseQuery,
+  sendBadRequest,
+  sendJson,
+} from "./http_server.ts";
 import {
   NO_STREAM_FAULTS,
   type StreamFaults,
@@ -20,7 +25,7 @@
 import { type TargetFault, TargetFaultKind } from "./target_faults.ts";
 import { TargetServer, type TargetServerOptions } from "./target_server.ts";
 
-/** What an engine server is like. */
+/** Options of an engine server. */
 export interface EngineServerOptions extends TargetServerOptions {
   readonly engine: EngineModelOptions;
 }
@@ -28,11 +33,11 @@
 const HTTP_NOT_FOUND = 404;
 const HTTP_CONFLICT = 409;
 
-/** Serves an {@link EngineModel}. */
+/** Serves the HTTP interface of engines from an {@link EngineModel}. */
 export class EngineServer extends TargetServer<EngineOutput, EngineModel> {
   readonly #sinks = new Map<string, StreamSink>();
 
-  /** @param options What the server is like. */
+  /** @param options Options of the engine, listen address and clock. */
   constructor(options: EngineServerOptions) {
     const model = new EngineModel({ ...options.engine, coalesceTokens: false });
     super(model, options);
@@ -48,7 +53,7 @@
   /** @inheritdoc */
   override setFault(fault: TargetFault): void {
     super.setFault(fault);
-    this.deliver();
+    this.deliverOutputs();
   }
 
   /** @inheritdoc */
@@ -62,62 +67,65 @@
         "/v1/generate",
         jsonRoute(
           generateRequestSchema,
-          (body, response) => this.#generate(body, response),
+          (body, response) => this.#handleGenerate(body, response),
         ),
       )
-      .get("/v1/resume", (request, response) => this.#resume(request, response))
+      .get(
+        "/v1/resume",
+        (request, response) => this.#handleResume(request, response),
+      )
       .post(
         "/v1/cancel",
         jsonRoute(
           cancelRequestSchema,
-          (body, response) => this.#cancel(body, response),
+          (body, response) => this.#handleCancel(body, response),
         ),
       )
       .get(
         "/v1/load",
         (_request, response) =>
-          this.#answer(response, () => this.model.load(this.nowMs())),
+          this.#sendAnswer(response, () => this.model.load(this.nowMs())),
       )
       .get(
         "/v1/cache-events",
-        (request, response) => this.#cacheEvents(request, response),
+        (request, response) => this.#handleCacheEvents(request, response),
       )
       .post(
         "/v1/orders",
         jsonRoute(
           orderRequestSchema,
-          (body, response) => this.#order(body, response),
+          (body, response) => this.#handleOrder(body, response),
         ),
       )
       .get(
         "/v1/state",
         (_request, response) =>
-          this.#answer(response, () => this.model.state()),
+          this.#sendAnswer(response, () => this.model.state()),
       );
   }
 
-  #generate(request: GenerateRequest, response: ServerResponse): void {
-    const faults = this.#takeStreamFaults(request);
-    if (this.faults.take(TargetFaultKind.DropBeforeAnswer)) {
+  #handleGenerate(request: GenerateRequest, response: ServerResponse): void {
+    const faults = this.#consumeStreamFaults(request);
+    if (this.faults.consume(TargetFaultKind.DropBeforeAnswer)) {
       response.destroy();
     } else {
-      this.#follow(request, new StreamSink(response, this.nowMs, faults));
+      this.#attachSink(request, new StreamSink(response, this.nowMs, faults));
     }
-    this.model.admit(request, this.nowMs());
-    this.deliver();
+    this.model.submit(request, this.nowMs());
+    this.deliverOutputs();
   }
 
-  #takeStreamFaults(attempt: AttemptRef): StreamFaults {
-    const breaks = this.faults.take(TargetFaultKind.BreakStream);
+  #consumeStreamFaults(attempt: AttemptRef): StreamFaults {
+    const breaksStream = this.faults.consume(TargetFaultKind.BreakStream);
     return {
-      breakAtToken: breaks ? this.faults.breakAfterTokens : undefined,
-      crossedWith: this.faults.takeCrossing(attempt),
-      duplicateEnd: this.faults.take(TargetFaultKind.DuplicateEnd),
+      breakAtToken: breaksStream ? this.faults.breakAfterTokens : undefined,
+      crossedAttempt: this.faults.consumeCrossedAttempt(attempt),
+      duplicateEnd: this.faults.consume(TargetFaultKind.DuplicateEnd),
     };
   }
 
-  #resume(request: IncomingMessage, response: ServerResponse): void {
-    const query = queryOf(request);
+  #handleResume(request: IncomingMessage, response: ServerResponse): void {
+    const query = parseQuery(request);
     const attempt: AttemptRef = {
       requestId: query.get("requestId") ?? "",
       attemptNonce: query.get("attemptNonce") ?? "",
@@ -127,7 +135,7 @@
       sendBadRequest(response, "fromToken must be a whole number from 0");
       return;
     }
-    this.deliver();
+    this.deliverOutputs();
     const events = this.model.resume(attempt, fromToken);
     if (events === undefined) {
       sendJson(response, { message: "unknown attempt" }, {
@@ -136,42 +144,42 @@
       return;
     }
     const sink = new StreamSink(response, this.nowMs, NO_STREAM_FAULTS);
-    this.#follow(attempt, sink);
+    this.#attachSink(attempt, sink);
     events.forEach((event) => this.#sendEvent(attempt, event));
   }
 
-  #cancel(attempt: AttemptRef, response: ServerResponse): void {
+  #handleCancel(attempt: AttemptRef, response: ServerResponse): void {
     const cancelled = this.model.cancel(attempt, this.nowMs());
-    this.deliver();
-    this.#answer(response, () => ({ cancelled }));
+    this.deliverOutputs();
+    this.#sendAnswer(response, () => ({ cancelled }));
   }
 
-  #cacheEvents(request: IncomingMessage, response: ServerResponse): void {
-    const after = Number(queryOf(request).get("after") ?? "0");
+  #handleCacheEvents(request: IncomingMessage, response: ServerResponse): void {
+    const after = Number(parseQuery(request).get("after") ?? "0");
     if (!Number.isInteger(after) || after < 0) {
       sendBadRequest(response, "after must be a whole number from 0");
       return;
     }
-    this.#answer(
+    this.#sendAnswer(
       response,
       () => this.model.cacheEvents(after, this.nowMs()),
     );
   }
 
-  #order(order: OrderRequest, response: ServerResponse): void {
+  #handleOrder(order: OrderRequest, response: ServerResponse): void {
     const answer = this.faults.refusesOrders
       ? { obeyed: false, state: this.model.state() }
-      : this.model.order(order);
+      : this.model.applyOrder(order);
     const status = answer.obeyed ? undefined : HTTP_CONFLICT;
-    this.#answer(response, () => answer, { status });
+    this.#sendAnswer(response, () => answer, { status });
   }
 
-  #answer(
+  #sendAnswer(
     response: ServerResponse,
-    makeBody: () => unknown,
+    createBody: () => unknown,
     options: { readonly status?: number } = {},
   ): void {
-    const send = () => sendJson(response, makeBody(), options);
+    const send = () => sendJson(response, createBody(), options);
     const { delayMs } = this.faults;
     if (delayMs === 0) {
       send();
@@ -181,14 +189,14 @@
     }
   }
 
-  #follow(attempt: AttemptRef, sink: StreamSink): void {
-    const key = attemptKeyOf(attempt);
+  #attachSink(attempt: AttemptRef, sink: StreamSink): void {
+    const key = toAttemptKey(attempt);
     this.#sinks.get(key)?.destroy();
     this.#sinks.set(key, sink);
   }
 
   #sendEvent(attempt: AttemptRef, event: EngineOutput["event"]): void {
-    const key = attemptKeyOf(attempt);
+    const key = toAttemptKey(attempt);
     const sink = this.#sinks.get(key);
     if (sink !== undefined && !sink.send(event, this.faults.delayMs)) {
       this.#sinks.delete(key);
--- a/packages/standins/src/engine_stream.ts
+++ b/packages/standins/src/engine_stream.ts
@@ -1,50 +1,54 @@
-/** One attempt inside an engine, and the events that tell its story. */
+/** State of one attempt inside an engine, and the events of its stream. */
 
 import {
   type EngineEvent,
   EngineEventKind,
   type GenerateRequest,
 } from "@chestnuthatch/wire/target_protocol";
-import { answerTextOf, answerTokenOf, promptTailOf } from "./answer_text.ts";
-import { fractionOf } from "./randomness.ts";
+import {
+  cutPromptTail,
+  renderAnswerText,
+  renderAnswerToken,
+} from "./answer_text.ts";
+import { seededFraction } from "./seeded_fraction.ts";
 
-/** How far an attempt has come. */
+/** Phase of an attempt inside an engine. */
 export enum StreamPhase {
-  /** In the engine's queue, without a slot. */
+  /** Queued, without a slot. */
   Waiting = "waiting",
-  /** Holds a slot; its prompt work has not begun. */
+  /** Holds a slot; its prefill has not started. */
   Admitted = "admitted",
   Prefilling = "prefilling",
   Decoding = "decoding",
   Ended = "ended",
 }
 
-/** Names one attempt. */
+/** Identifies one attempt to run a request. */
 export interface AttemptRef {
   readonly requestId: string;
   readonly attemptNonce: string;
 }
 
-/** One attempt inside an engine. */
+/** State of one attempt inside an engine. */
 export interface EngineStream extends AttemptRef {
   readonly promptTail: string;
   readonly promptTokens: number;
   readonly idempotencyKey?: string;
-  /** Released once the prompt has been worked. */
+  /** Fingerprints of the prompt's blocks; emptied after the prefill. */
   blockHashes: readonly string[];
-  /** KV memory it may need at most. */
+  /** KV memory reserved for the prompt and the longest possible answer. */
   readonly reservedKvTokens: number;
-  /** Length its answer will have. */
+  /** Length of the answer in tokens. */
   readonly outputTokens: number;
   phase: StreamPhase;
   cachedTokens: number;
-  prefillLeftTokens: number;
-  /** The engine's decode clock when its decoding began. */
-  startClockTokens: number;
-  /** Token events given so far. */
+  remainingPrefillTokens: number;
+  /** Reading of the engine's decode clock when decoding started. */
+  decodeStartClockTokens: number;
+  /** Tokens emitted so far. */
   emittedTokens: number;
-  /** Its last event, once ended. */
-  end?: EngineEvent;
+  /** The last event of the stream; undefined until it has ended. */
+  endEvent?: EngineEvent;
   endedAtMs: number;
 }
 
@@ -52,153 +56,162 @@
 const OUTPUT_TAG = /\[output=(\d{1,9})\]\s*$/;
 
 /**
- * Makes an identity for maps.
+ * Creates a map key for an attempt.
  *
  * @param attempt The attempt.
- * @returns A text that differs for different attempts.
+ * @returns A text that is unique to the attempt.
  */
-export function attemptKeyOf(attempt: AttemptRef): string {
+export function toAttemptKey(attempt: AttemptRef): string {
   return `${attempt.requestId}\n${attempt.attemptNonce}`;
 }
 
 /**
- * Makes a stream that waits.
+ * Creates the state of a new attempt, in the waiting phase.
  *
- * @param request The request as it came.
- * @param seed The engine's seed, from which the answer's length follows.
- * @returns The stream.
+ * @param request The received request.
+ * @param seed The engine's seed, which determines the length of the answer
+ * together with the request's id.
+ * @returns The waiting stream.
  */
-export function waitingStreamOf(
+export function createWaitingStream(
   request: GenerateRequest,
   seed: number,
 ): EngineStream {
   return {
     requestId: request.requestId,
     attemptNonce: request.attemptNonce,
-    promptTail: promptTailOf(request.prompt),
+    promptTail: cutPromptTail(request.prompt),
     promptTokens: request.promptTokens,
     idempotencyKey: request.idempotencyKey,
     blockHashes: request.blockHashes,
     reservedKvTokens: request.promptTokens + request.maxOutputTokens,
-    outputTokens: outputTokensOf(request, seed),
+    outputTokens: chooseOutputTokens(request, seed),
     phase: StreamPhase.Waiting,
     cachedTokens: 0,
-    prefillLeftTokens: 0,
-    startClockTokens: 0,
+    remainingPrefillTokens: 0,
+    decodeStartClockTokens: 0,
     emittedTokens: 0,
     endedAtMs: 0,
   };
 }
 
 /**
- * Makes the start event of a stream whose prompt has been worked.
+ * Creates the start event of a stream whose prefill is complete.
  *
  * @param stream The stream.
  * @returns The event.
  */
-export function startEventOf(stream: EngineStream): EngineEvent {
+export function createStartEvent(stream: EngineStream): EngineEvent {
   return {
     kind: EngineEventKind.Start,
-    ...refOf(stream),
+    ...toAttemptRef(stream),
     cachedTokens: stream.cachedTokens,
     prefilledTokens: stream.promptTokens - stream.cachedTokens,
   };
 }
 
 /**
- * Makes one token event.
+ * Creates a token event for a single token.
  *
  * @param stream The stream.
- * @param index Position of the token, from 0.
+ * @param index Index of the token, from 0.
  * @returns The event.
  */
-export function tokenEventOf(stream: EngineStream, index: number): EngineEvent {
-  const text = answerTokenOf(stream, index);
-  return { kind: EngineEventKind.Token, ...refOf(stream), index, text };
+export function createTokenEvent(
+  stream: EngineStream,
+  index: number,
+): EngineEvent {
+  const text = renderAnswerToken(stream, index);
+  return { kind: EngineEventKind.Token, ...toAttemptRef(stream), index, text };
 }
 
 /**
- * Makes the one token event that carries a whole answer.
+ * Creates a token event that carries the whole answer.
  *
  * @param stream The stream.
  * @returns The event.
  */
-export function wholeTextEventOf(stream: EngineStream): EngineEvent {
-  const text = answerTextOf(stream, stream.outputTokens);
-  return { kind: EngineEventKind.Token, ...refOf(stream), index: 0, text };
+export function createWholeTextEvent(stream: EngineStream): EngineEvent {
+  const text = renderAnswerText(stream, stream.outputTokens);
+  return {
+    kind: EngineEventKind.Token,
+    ...toAttemptRef(stream),
+    index: 0,
+    text,
+  };
 }
 
 /**
- * Makes the end event of a whole answer.
+ * Creates the end event of a complete answer.
  *
  * @param stream The stream.
  * @returns The event.
  */
-export function endEventOf(stream: EngineStream): EngineEvent {
+export function createEndEvent(stream: EngineStream): EngineEvent {
   const outputTokens = stream.outputTokens;
-  return { kind: EngineEventKind.End, ...refOf(stream), outputTokens };
+  return { kind: EngineEventKind.End, ...toAttemptRef(stream), outputTokens };
 }
 
 /**
- * Makes an error event.
+ * Creates an error event.
  *
  * @param attempt The attempt that failed.
- * @param error What failed, and whether no work was done.
+ * @param error The message, and whether the attempt did not run at all.
  * @returns The event.
  */
-export function errorEventOf(
+export function createErrorEvent(
   attempt: AttemptRef,
   error: { readonly message: string; readonly notRun: boolean },
 ): EngineEvent {
-  return { kind: EngineEventKind.Error, ...refOf(attempt), ...error };
+  return { kind: EngineEventKind.Error, ...toAttemptRef(attempt), ...error };
 }
 
-function refOf({ requestId, attemptNonce }: AttemptRef): AttemptRef {
+function toAttemptRef({ requestId, attemptNonce }: AttemptRef): AttemptRef {
   return { requestId, attemptNonce };
 }
 
-function outputTokensOf(request: GenerateRequest, seed: number): number {
-  const tag = OUTPUT_TAG.exec(promptTailOf(request.prompt));
+function chooseOutputTokens(request: GenerateRequest, seed: number): number {
+  const tag = OUTPUT_TAG.exec(cutPromptTail(request.prompt));
   if (tag !== null) {
     return Math.max(1, Math.min(Number(tag[1]), request.maxOutputTokens));
   }
-  const fraction = fractionOf(seed, request.requestId);
+  const fraction = seededFraction(seed, request.requestId);
   const share = MIN_OUTPUT_SHARE + (1 - MIN_OUTPUT_SHARE) * fraction;
   return Math.max(1, Math.round(share * request.maxOutputTokens));
 }
 
 /**
- * Tells a stream's story again.
+ * Recreates the events that a stream has emitted so far.
  *
  * @param stream The stream.
- * @param fromToken Position of the first token wanted; from 0 the start event
- * comes too.
- * @param options Whether the whole text comes as one token event.
- * @returns Its events up to now.
+ * @param fromToken Index of the first token to replay; 0 also replays the start
+ * event.
+ * @param options Whether the whole text is sent as one token event.
+ * @returns The events in order.
  */
-export function replayOf(
+export function replayStream(
   stream: EngineStream,
   fromToken: number,
   options: { readonly coalesceTokens: boolean },
 ): EngineEvent[] {
   const events: EngineEvent[] = [];
-  const started = stream.phase === StreamPhase.Decoding ||
+  const isStarted = stream.phase === StreamPhase.Decoding ||
     stream.emittedTokens > 0;
-  if (started && fromToken === 0) {
-    events.push(startEventOf(stream));
+  if (isStarted && fromToken === 0) {
+    events.push(createStartEvent(stream));
   }
-  const end = options.coalesceTokens
+  const tokenEventCount = options.coalesceTokens
     ? Math.min(1, stream.emittedTokens)
     : stream.emittedTokens;
-  for (let i = fromToken; i < end; i++) {
+  for (let i = fromToken; i < tokenEventCount; i++) {
     events.push(
       options.coalesceTokens
-        ? wholeTextEventOf(stream)
-        : tokenEventOf(stream, i),
+        ? createWholeTextEvent(stream)
+        : createTokenEvent(stream, i),
     );
   }
-  if (stream.end !== undefined) {
-    events.push(stream.end);
+  if (stream.endEvent !== undefined) {
+    events.push(stream.endEvent);
   }
   return events;
 }
--- a/packages/standins/src/http_host.ts
+++ b/packages/standins/src/http_server.ts
@@ -1,4 +1,4 @@
-/** What the HTTP stand-ins share: listening, typed bodies, JSON answers. */
+/** HTTP server of the stand-ins, with validated JSON bodies and answers. */
 
 import { Buffer } from "node:buffer";
 import {
@@ -12,50 +12,51 @@
 import polka from "polka";
 import type * as z from "zod";
 
-/** Where a stand-in listens. */
+/** Address on which a stand-in listens. */
 export interface ListenOptions {
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** Port number; 0 picks a free port. */
   readonly port: number;
 }
 
-/** Where a stand-in can be reached, as `host:port`. */
+/** Address at which a stand-in is listening. */
 export interface ListenAddress {
+  /** The address as `host:port`. */
   readonly address: string;
 }
 
-/** A clock in milliseconds that never goes back. */
+/** Monotonic clock; returns the current time in milliseconds. */
 export type NowMs = () => number;
 
-/** Handles a request whose body has been checked. */
+/** Handles a request whose body has been parsed and validated. */
 export type JsonHandler<T> = (body: T, response: ServerResponse) => void;
 
 const MAX_BODY_BYTES = 32 * 1024 * 1024;
 const HTTP_OK = 200;
 const HTTP_BAD_REQUEST = 400;
 
-/** @returns Milliseconds on the process's own clock. */
+/** @returns Milliseconds since the process started, on a monotonic clock. */
 export function processNowMs(): number {
   return performance.now();
 }
 
-/** Listens, and can be stopped hard like a process that dies. */
-export class HttpHost {
-  /** Routes are added here before the start. */
+/** HTTP server whose stop closes all connections, like the end of a process. */
+export class StandinHttpServer {
+  /** Router; routes must be added before the server starts. */
   readonly app = polka();
   readonly #sockets = new Set<Socket>();
   #server: Server | undefined;
   #listen: ListenOptions;
 
-  /** @param listen Where to listen. */
+  /** @param listen Address to listen on. */
   constructor(listen: ListenOptions) {
     this.#listen = listen;
   }
 
   /**
-   * Starts to listen; after a stop, again on the same port.
+   * Starts to listen. After a stop it listens on the same port again.
    *
-   * @returns Where it listens.
+   * @returns The address it listens on.
    */
   start(): Promise<ListenAddress> {
     const server = createServer((request, response) => {
@@ -79,7 +80,7 @@
     });
   }
 
-  /** Stops listening and cuts every connection. */
+  /** Stops listening and closes every connection at once. */
   stop(): Promise<void> {
     const server = this.#server;
     this.#server = undefined;
@@ -94,10 +95,10 @@
 }
 
 /**
- * Makes a route handler that reads and checks a JSON body.
+ * Creates a route handler that parses and validates a JSON body.
  *
- * @param schema What the body must be.
- * @param handler Called with the body; a wrong one is answered with 400.
+ * @param schema Schema of the body.
+ * @param handler Called with a valid body; an invalid one is answered with 400.
  * @returns The route handler.
  */
 export function jsonRoute<T>(
@@ -105,7 +106,7 @@
   handler: JsonHandler<T>,
 ): (request: IncomingMessage, response: ServerResponse) => void {
   return (request, response) => {
-    readText(request, (text) => {
+    readBodyText(request, (text) => {
       const parsed = schema.safeParse(parseJson(text));
       if (parsed.success) {
         handler(parsed.data, response);
@@ -117,12 +118,12 @@
 }
 
 /**
- * Reads a whole body; one that is too large cuts the connection.
+ * Reads a whole body. The connection is closed if the body exceeds 32 MiB.
  *
  * @param request The request.
- * @param onText Called with the body.
+ * @param onText Called with the decoded body.
  */
-export function readText(
+export function readBodyText(
   request: IncomingMessage,
   onText: (text: string) => void,
 ): void {
@@ -141,11 +142,11 @@
 }
 
 /**
- * Answers with JSON.
+ * Sends a JSON answer.
  *
  * @param response The response.
- * @param body What to send.
- * @param status Status code.
+ * @param body The value to serialize.
+ * @param status HTTP status code; 200 if absent.
  */
 export function sendJson(
   response: ServerResponse,
@@ -157,10 +158,10 @@
 }
 
 /**
- * Answers that a request is wrong.
+ * Answers an invalid request with status 400.
  *
  * @param response The response.
- * @param message What is wrong.
+ * @param message The reason the request is invalid.
  */
 export function sendBadRequest(
   response: ServerResponse,
@@ -170,12 +171,12 @@
 }
 
 /**
- * Reads the query of a request.
+ * Parses the query string of a request.
  *
  * @param request The request.
- * @returns Its parameters.
+ * @returns The query parameters.
  */
-export function queryOf(request: IncomingMessage): URLSearchParams {
+export function parseQuery(request: IncomingMessage): URLSearchParams {
   return new URL(request.url ?? "/", "http://localhost").searchParams;
 }
 
--- a/packages/standins/src/kind_handlers.ts
+++ b/packages/standins/src/kind_handlers.ts
@@ -1,14 +1,14 @@
-/** Lookup tables from the kind of an item to what handles it. */
+/** Lookup tables from the `kind` of an item to its handler. */
 
-/** One handler for each kind. */
+/** One handler for each `kind` of a discriminated union. */
 export type KindHandlers<T extends { readonly kind: string }> = {
   readonly [K in T["kind"]]: (item: Extract<T, { kind: K }>) => void;
 };
 
 /**
- * Hands an item to the handler of its kind.
+ * Calls the handler for an item's kind.
  *
- * @param handlers The table.
+ * @param handlers The handlers by kind.
  * @param item The item.
  */
 export function handleByKind<T extends { readonly kind: string }>(
--- a/packages/standins/src/load_history.ts
+++ b/packages/standins/src/load_history.ts
@@ -1,38 +1,38 @@
-/** Past load of a target, so that its reports can lag. */
+/** History of a target's load, from which delayed load reports are made. */
 
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 
-/** Load at one moment, and how it grew from then on. */
+/** Load of a target at one time, and its growth until the next sample. */
 export interface LoadSample {
   readonly atMs: number;
   readonly slotsUsed: number;
   readonly kvUsedTokens: number;
-  /** Growth of the KV memory in use until the next sample. */
+  /** Growth rate of the KV memory in use until the next sample. */
   readonly kvTokensPerMs: number;
   readonly waitingRequests: number;
   readonly leaving: boolean;
 }
 
-/** What does not change about a target. */
+/** Constant figures of a target's load reports, and their age. */
 export interface LoadHistoryOptions {
   readonly targetId: string;
   readonly slotsTotal: number;
   readonly kvTotalTokens: number;
-  /** How old the reported state is. */
+  /** Age of the reported load. */
   readonly lagMs: number;
 }
 
-/** Keeps samples no longer than the lag asks for. */
+/** Load samples of one target, kept as long as reports need them. */
 export class LoadHistory {
   readonly #options: LoadHistoryOptions;
   readonly #samples: LoadSample[] = [];
 
-  /** @param options What does not change about the target. */
+  /** @param options Constant figures of the load reports, and their age. */
   constructor(options: LoadHistoryOptions) {
     this.#options = options;
   }
 
-  /** @param sample Load from now on. */
+  /** @param sample The load from now on. */
   record(sample: LoadSample): void {
     if (this.#samples.at(-1)?.atMs === sample.atMs) {
       this.#samples.pop();
@@ -41,40 +41,42 @@
     this.#prune(sample.atMs - this.#options.lagMs);
   }
 
-  /** Forgets all samples, as when the process dies. */
+  /** Discards all samples, for when the target's process ends. */
   clear(): void {
     this.#samples.length = 0;
   }
 
   /**
-   * Reports the load as it was one lag ago.
+   * Reports the load as it was one lag before now.
    *
    * @param nowMs The time now.
-   * @returns The report.
+   * @returns The load report; it shows no load before the first sample.
    */
   report(nowMs: number): TargetLoad {
     const { targetId, slotsTotal, kvTotalTokens, lagMs } = this.#options;
-    const thenMs = nowMs - lagMs;
-    const sample = this.#samples.findLast(({ atMs }) => atMs <= thenMs);
-    const grown = sample === undefined
+    const reportedAtMs = nowMs - lagMs;
+    const sample = this.#samples.findLast(({ atMs }) => atMs <= reportedAtMs);
+    const grownKvTokens = sample === undefined
       ? 0
-      : (thenMs - sample.atMs) * sample.kvTokensPerMs;
+      : (reportedAtMs - sample.atMs) * sample.kvTokensPerMs;
     return {
       targetId,
       ageMs: lagMs,
       slotsUsed: sample?.slotsUsed ?? 0,
       slotsTotal,
-      kvUsedTokens: Math.floor((sample?.kvUsedTokens ?? 0) + grown),
+      kvUsedTokens: Math.floor((sample?.kvUsedTokens ?? 0) + grownKvTokens),
       kvTotalTokens,
       waitingRequests: sample?.waitingRequests ?? 0,
       leaving: sample?.leaving ?? false,
     };
   }
 
-  #prune(oldestMs: number): void {
-    const needed = this.#samples.findLastIndex(({ atMs }) => atMs <= oldestMs);
-    if (needed > 0) {
-      this.#samples.splice(0, needed);
+  #prune(oldestReportedMs: number): void {
+    const firstNeededIndex = this.#samples.findLastIndex(({ atMs }) =>
+      atMs <= oldestReportedMs
+    );
+    if (firstNeededIndex > 0) {
+      this.#samples.splice(0, firstNeededIndex);
     }
   }
 }
--- a/packages/standins/src/model_timer.ts
+++ b/packages/standins/src/model_timer.ts
@@ -1,17 +1,20 @@
-/** Calls back when a stepped model has something to give. */
+/** Timer that fires when a simulated model has an output. */
 
-import type { NowMs } from "./http_host.ts";
+import type { NowMs } from "./http_server.ts";
 
-/** A model that says when it has something to give next. */
+/** A simulated model that knows when its next output is due. */
 export interface SteppedModel {
-  /** @returns The time, or undefined for never. */
+  /** @returns Time of the next output, or undefined for never. */
   nextEventAtMs(): number | undefined;
 }
 
-/** Longest time a timer is armed for at once. */
-const MAX_TIMER_MS = 60_000;
+/**
+ * Longest timeout set at once; a later output is waited for in several
+ * timeouts.
+ */
+const MAX_TIMEOUT_MS = 60_000;
 
-/** Keeps one timer armed for a model's next event. */
+/** Schedules one timer for the next output of a model. */
 export class ModelTimer {
   readonly #model: SteppedModel;
   readonly #nowMs: NowMs;
@@ -21,7 +24,7 @@
   /**
    * @param model The model.
    * @param nowMs The clock.
-   * @param options What to call when the model has something to give.
+   * @param options Callback for when the model may have an output.
    */
   constructor(
     model: SteppedModel,
@@ -33,19 +36,19 @@
     this.#onDue = options.onDue;
   }
 
-  /** Arms the timer anew; called after every change of the model. */
-  arm(): void {
+  /** Reschedules the timer; must be called after every change of the model. */
+  schedule(): void {
     clearTimeout(this.#timer);
     const nextAtMs = this.#model.nextEventAtMs();
     if (nextAtMs === undefined) {
       return;
     }
-    const leftMs = Math.ceil(nextAtMs - this.#nowMs());
-    const waitMs = Math.min(MAX_TIMER_MS, Math.max(0, leftMs));
+    const remainingMs = Math.ceil(nextAtMs - this.#nowMs());
+    const waitMs = Math.min(MAX_TIMEOUT_MS, Math.max(0, remainingMs));
     this.#timer = setTimeout(this.#onDue, waitMs);
   }
 
-  /** Stops the timer. */
+  /** Cancels the timer. */
   stop(): void {
     clearTimeout(this.#timer);
   }
--- a/packages/standins/src/platform_model.ts
+++ b/packages/standins/src/platform_model.ts
@@ -1,4 +1,4 @@
-/** The platform without sockets or timers, with its faults. */
+/** Simulation of the platform and its faults, without sockets or timers. */
 
 import type {
   InstanceList,
@@ -6,40 +6,46 @@
   TransactAnswer,
   TransactRequest,
 } from "@chestnuthatch/wire/platform_protocol";
-import { LaggingList } from "./lagging_list.ts";
+import { LaggingInstanceList } from "./lagging_instance_list.ts";
 import { PlatformTable, type ScanRequest } from "./platform_table.ts";
 import { TokenBucket, type TokenBucketOptions } from "./token_bucket.ts";
 
-/** What the platform is like. */
+/** List lag and rate limits of the simulated platform. */
 export interface PlatformModelOptions {
+  /** Delay until a change of the instance list becomes visible. */
   readonly listLagMs: number;
-  /** Limits of the table and the object store; absent for none. */
+  /** Limit of writes to the table and the object store; unlimited if absent. */
   readonly writeLimit?: TokenBucketOptions;
+  /** Limit of reads of the table and the object store; unlimited if absent. */
   readonly readLimit?: TokenBucketOptions;
+  /** Limit of downloads from the weight store. */
   readonly weightLimit: TokenBucketOptions;
 }
 
-/** How a call to the platform ends. */
+/** Outcome of a call to the platform. */
 export enum PlatformOutcome {
   Ok = "ok",
-  /** Nothing was done. */
+  /** The platform is down; the call had no effect. */
   Unavailable = "unavailable",
-  /** Nothing was done. */
+  /** A rate limit was exceeded; the call had no effect. */
   RateLimited = "rate_limited",
-  /** No answer comes; the call may have taken effect. */
+  /** No answer is sent; the call may have taken effect. */
   Lost = "lost",
 }
 
-/** What the caller of the platform gets. */
+/** Outcome of a call, its answer and its duration. */
 export interface PlatformReply<T> {
   readonly outcome: PlatformOutcome;
   /** Present when the outcome is Ok. */
   readonly answer?: T;
-  /** Time the platform takes for it. */
+  /** Delay before the platform answers. */
   readonly delayMs: number;
 }
 
-/** Counts since the platform was made. */
+/**
+ * Counts since the platform was constructed. The names are the keys in the
+ * answer of `GET /standin/counts`.
+ */
 export interface PlatformCounts {
   writes: number;
   reads: number;
@@ -48,20 +54,23 @@
   writesLost: number;
 }
 
-/** Content of an object; undefined for none. */
+/** Content of an object; undefined if the object does not exist. */
 export interface ObjectAnswer {
   readonly content: string | undefined;
 }
 
-/** One weight file. */
+/** Name of a downloaded weight file; its content is not simulated. */
 export interface WeightAnswer {
   readonly name: string;
 }
 
-/** The table, the object store, the list and the weight store. */
+/**
+ * Simulated platform: transactional table, object store, instance list and
+ * weight store.
+ */
 export class PlatformModel {
-  /** The list; tests and fleets change it. */
-  readonly list: LaggingList;
+  /** List of instances and targets, which tests and fleets change. */
+  readonly instanceList: LaggingInstanceList;
   readonly #table = new PlatformTable();
   readonly #objects = new Map<string, string>();
   readonly #writeBucket: TokenBucket | undefined;
@@ -79,35 +88,35 @@
   #answersToLose = 0;
   #writesToLose = 0;
 
-  /** @param options What the platform is like. */
+  /** @param options List lag and rate limits. */
   constructor(options: PlatformModelOptions) {
-    this.list = new LaggingList(options.listLagMs);
-    this.#writeBucket = bucketOf(options.writeLimit);
-    this.#readBucket = bucketOf(options.readLimit);
+    this.instanceList = new LaggingInstanceList(options.listLagMs);
+    this.#writeBucket = createBucket(options.writeLimit);
+    this.#readBucket = createBucket(options.readLimit);
     this.#weightBucket = new TokenBucket(options.weightLimit);
   }
 
-  /** @returns Counts since the platform was made. */
+  /** @returns Counts since the platform was constructed. */
   get counts(): PlatformCounts {
     return this.#counts;
   }
 
-  /** @param down Whether every call fails from now on. */
+  /** @param down Whether every call is answered as unavailable from now on. */
   setDown(down: boolean): void {
     this.#down = down;
   }
 
-  /** @param delayMs Time every call takes from now on. */
-  setDelay(delayMs: number): void {
+  /** @param delayMs Delay before every answer from now on. */
+  setDelayMs(delayMs: number): void {
     this.#delayMs = delayMs;
   }
 
-  /** @param writes Next writes that take effect while their answer is lost. */
+  /** @param writes Number of next writes to apply without an answer. */
   loseAnswers(writes: number): void {
     this.#answersToLose = writes;
   }
 
-  /** @param writes Next writes that are lost without effect or answer. */
+  /** @param writes Number of next writes to drop without an answer. */
   loseWrites(writes: number): void {
     this.#writesToLose = writes;
   }
@@ -115,9 +124,9 @@
   /**
    * Runs a transaction on the table.
    *
-   * @param request The transaction.
+   * @param request The conditions and the writes.
    * @param nowMs The time now.
-   * @returns How it ended.
+   * @returns Outcome, and whether the transaction was committed.
    */
   transact(
     request: TransactRequest,
@@ -129,20 +138,20 @@
   /**
    * Reads rows of the table.
    *
-   * @param keys Their keys.
+   * @param keys Keys of the rows.
    * @param nowMs The time now.
-   * @returns How it ended.
+   * @returns Outcome, and the rows that exist.
    */
   read(keys: readonly string[], nowMs: number): PlatformReply<RowsAnswer> {
     return this.#read(() => this.#table.read(keys), nowMs);
   }
 
   /**
-   * Scans the table.
+   * Scans the table in key order.
    *
-   * @param request Which rows.
+   * @param request Prefix, first key and number of the rows.
    * @param nowMs The time now.
-   * @returns How it ended.
+   * @returns Outcome, and the rows.
    */
   scan(request: ScanRequest, nowMs: number): PlatformReply<RowsAnswer> {
     return this.#read(() => this.#table.scan(request), nowMs);
@@ -151,9 +160,9 @@
   /**
    * Writes an object.
    *
-   * @param object Its key and content.
+   * @param object Key and content of the object.
    * @param nowMs The time now.
-   * @returns How it ended.
+   * @returns Outcome, and the written content.
    */
   putObject(
     object: { readonly key: string; readonly content: string },
@@ -169,92 +178,92 @@
   /**
    * Reads an object.
    *
-   * @param key Its key.
+   * @param key Key of the object.
    * @param nowMs The time now.
-   * @returns How it ended.
+   * @returns Outcome, and the content if the object exists.
    */
   getObject(key: string, nowMs: number): PlatformReply<ObjectAnswer> {
     return this.#read(() => ({ content: this.#objects.get(key) }), nowMs);
   }
 
   /**
-   * Reads the lagging list.
+   * Lists instances and targets as they were one lag before now.
    *
    * @param nowMs The time now.
-   * @returns How it ended.
+   * @returns Outcome, and the list.
    */
-  instances(nowMs: number): PlatformReply<InstanceList> {
+  listInstances(nowMs: number): PlatformReply<InstanceList> {
     if (this.#down) {
-      return this.#failed(PlatformOutcome.Unavailable);
+      return this.#createFailureReply(PlatformOutcome.Unavailable);
     }
-    return this.#ok(this.list.read(nowMs));
+    return this.#createOkReply(this.instanceList.read(nowMs));
   }
 
   /**
-   * Fetches weights.
+   * Fetches a file from the weight store.
    *
-   * @param name Their name.
+   * @param name Name of the weight file.
    * @param nowMs The time now.
-   * @returns How it ended.
+   * @returns Outcome, and the name of the file.
    */
-  weights(name: string, nowMs: number): PlatformReply<WeightAnswer> {
+  fetchWeights(name: string, nowMs: number): PlatformReply<WeightAnswer> {
     if (this.#down) {
-      return this.#failed(PlatformOutcome.Unavailable);
+      return this.#createFailureReply(PlatformOutcome.Unavailable);
     }
-    if (!this.#weightBucket.take(nowMs)) {
-      return this.#rateLimited();
+    if (!this.#weightBucket.tryTake(nowMs)) {
+      return this.#rejectForRateLimit();
     }
-    return this.#ok({ name });
+    return this.#createOkReply({ name });
   }
 
   #write<T>(apply: () => T, nowMs: number): PlatformReply<T> {
     if (this.#down) {
-      return this.#failed(PlatformOutcome.Unavailable);
+      return this.#createFailureReply(PlatformOutcome.Unavailable);
     }
-    if (this.#writeBucket?.take(nowMs) === false) {
-      return this.#rateLimited();
+    if (this.#writeBucket?.tryTake(nowMs) === false) {
+      return this.#rejectForRateLimit();
     }
     if (this.#writesToLose > 0) {
       this.#writesToLose -= 1;
       this.#counts.writesLost += 1;
-      return this.#failed(PlatformOutcome.Lost);
+      return this.#createFailureReply(PlatformOutcome.Lost);
     }
     this.#counts.writes += 1;
     const answer = apply();
     if (this.#answersToLose > 0) {
       this.#answersToLose -= 1;
       this.#counts.answersLost += 1;
-      return this.#failed(PlatformOutcome.Lost);
+      return this.#createFailureReply(PlatformOutcome.Lost);
     }
-    return this.#ok(answer);
+    return this.#createOkReply(answer);
   }
 
   #read<T>(apply: () => T, nowMs: number): PlatformReply<T> {
     if (this.#down) {
-      return this.#failed(PlatformOutcome.Unavailable);
+      return this.#createFailureReply(PlatformOutcome.Unavailable);
     }
-    if (this.#readBucket?.take(nowMs) === false) {
-      return this.#rateLimited();
+    if (this.#readBucket?.tryTake(nowMs) === false) {
+      return this.#rejectForRateLimit();
     }
     this.#counts.reads += 1;
-    return this.#ok(apply());
+    return this.#createOkReply(apply());
   }
 
-  #ok<T>(answer: T): PlatformReply<T> {
+  #createOkReply<T>(answer: T): PlatformReply<T> {
     return { outcome: PlatformOutcome.Ok, answer, delayMs: this.#delayMs };
   }
 
-  #failed<T>(outcome: PlatformOutcome): PlatformReply<T> {
+  #createFailureReply<T>(outcome: PlatformOutcome): PlatformReply<T> {
     return { outcome, delayMs: this.#delayMs };
   }
 
-  #rateLimited<T>(): PlatformReply<T> {
+  #rejectForRateLimit<T>(): PlatformReply<T> {
     this.#counts.rateLimited += 1;
-    return this.#failed(PlatformOutcome.RateLimited);
+    return this.#createFailureReply(PlatformOutcome.RateLimited);
   }
 }
 
-function bucketOf(
+function createBucket(
   limit: TokenBucketOptions | undefined,
 ): TokenBucket | undefined {
   return limit === undefined ? undefined : new TokenBucket(limit);
--- a/packages/standins/src/platform_model_test.ts
+++ b/packages/standins/src/platform_model_test.ts
@@ -1,4 +1,4 @@
-/** Tests of the platform model. */
+/** Tests of {@link PlatformModel}: table, faults, limits and list lag. */
 
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
 import { test } from "uvu";
@@ -9,15 +9,17 @@
   PlatformOutcome,
 } from "./platform_model.ts";
 
-function platform(changes: Partial<PlatformModelOptions> = {}): PlatformModel {
+function createPlatform(
+  changes: Partial<PlatformModelOptions> = {},
+): PlatformModel {
   return new PlatformModel({
     listLagMs: 2_000,
-    weightLimit: { perSecond: 1, burst: 1 },
+    weightLimit: { ratePerSecond: 1, burst: 1 },
     ...changes,
   });
 }
 
-function put(key: string, value: string, version = 0) {
+function createPut(key: string, value: string, version = 0) {
   return {
     conditions: [{ key, version }],
     puts: [{ key, value }],
@@ -25,10 +27,10 @@
   };
 }
 
-test("should let one of two conditional writers win", () => {
-  const model = platform();
-  assert.ok(model.transact(put("claim/a", "one"), 0).answer?.committed);
-  const lost = model.transact(put("claim/a", "two"), 0).answer;
+test("should commit only one of two conflicting conditional writes", () => {
+  const model = createPlatform();
+  assert.ok(model.transact(createPut("claim/a", "one"), 0).answer?.committed);
+  const lost = model.transact(createPut("claim/a", "two"), 0).answer;
   assert.equal(lost, {
     committed: false,
     rows: [],
@@ -36,77 +38,77 @@
   });
 });
 
-test("should raise versions across deletes", () => {
-  const model = platform();
-  model.transact(put("a", "one"), 0);
+test("should keep increasing a key's versions across deletes", () => {
+  const model = createPlatform();
+  model.transact(createPut("a", "one"), 0);
   model.transact({ conditions: [], puts: [], deletes: ["a"] }, 0);
-  const again = model.transact(put("a", "two"), 0).answer;
+  const again = model.transact(createPut("a", "two"), 0).answer;
   assert.is(again?.rows[0].version, 3);
-  assert.not(model.transact(put("a", "three", 1), 0).answer?.committed);
+  assert.not(model.transact(createPut("a", "three", 1), 0).answer?.committed);
 });
 
-test("should write nothing when one condition of many fails", () => {
-  const model = platform();
-  const request = put("a", "one");
+test("should apply no write when one of several conditions fails", () => {
+  const model = createPlatform();
+  const request = createPut("a", "one");
   const conditions = [...request.conditions, { key: "b", version: 4 }];
   const { answer } = model.transact({ ...request, conditions }, 0);
   assert.equal(answer, { committed: false, rows: [], conflicts: [] });
   assert.equal(model.read(["a"], 0).answer?.rows, []);
 });
 
-test("should scan in key order from after a key", () => {
-  const model = platform();
+test("should scan in key order, starting after a key", () => {
+  const model = createPlatform();
   ["p/c", "p/a", "q/a", "p/b"].forEach((key) =>
-    model.transact(put(key, "x"), 0)
+    model.transact(createPut(key, "x"), 0)
   );
   const scan = { prefix: "p/", after: "p/a", limit: 1 };
-  const keysOf = (limit: number) =>
+  const scanKeys = (limit: number) =>
     model.scan({ ...scan, limit }, 0).answer?.rows.map(({ key }) => key);
-  assert.equal(keysOf(1), ["p/b"]);
-  assert.equal(keysOf(9), ["p/b", "p/c"]);
+  assert.equal(scanKeys(1), ["p/b"]);
+  assert.equal(scanKeys(9), ["p/b", "p/c"]);
 });
 
-test("should lose the answer of a write that took effect", () => {
-  const model = platform();
+test("should not answer a write whose answer is lost, but apply it", () => {
+  const model = createPlatform();
   model.loseAnswers(1);
-  const reply = model.transact(put("a", "one"), 0);
+  const reply = model.transact(createPut("a", "one"), 0);
   assert.is(reply.outcome, PlatformOutcome.Lost);
   assert.is(reply.answer, undefined);
   assert.is(model.read(["a"], 0).answer?.rows[0].value, "one");
-  assert.not(model.transact(put("a", "two"), 0).answer?.committed);
+  assert.not(model.transact(createPut("a", "two"), 0).answer?.committed);
 });
 
-test("should lose a write without effect", () => {
-  const model = platform();
+test("should not apply a write that is lost", () => {
+  const model = createPlatform();
   model.loseWrites(1);
-  const reply = model.transact(put("a", "one"), 0);
+  const reply = model.transact(createPut("a", "one"), 0);
   assert.is(reply.outcome, PlatformOutcome.Lost);
-  assert.ok(model.transact(put("a", "two"), 0).answer?.committed);
+  assert.ok(model.transact(createPut("a", "two"), 0).answer?.committed);
 });
 
-test("should do nothing while down", () => {
-  const model = platform();
+test("should have no effect and answer as unavailable while down", () => {
+  const model = createPlatform();
   model.setDown(true);
-  const { outcome } = model.transact(put("a", "one"), 0);
+  const { outcome } = model.transact(createPut("a", "one"), 0);
   assert.is(outcome, PlatformOutcome.Unavailable);
-  assert.is(model.instances(0).outcome, PlatformOutcome.Unavailable);
+  assert.is(model.listInstances(0).outcome, PlatformOutcome.Unavailable);
   model.setDown(false);
   assert.equal(model.read(["a"], 0).answer?.rows, []);
 });
 
-test("should limit rates", () => {
-  const model = platform({ writeLimit: { perSecond: 2, burst: 1 } });
+test("should limit the rates of writes and of weight downloads", () => {
+  const model = createPlatform({ writeLimit: { ratePerSecond: 2, burst: 1 } });
   const outcomes = [0, 100, 500].map((atMs) =>
-    model.transact(put(`k${atMs}`, "x"), atMs).outcome
+    model.transact(createPut(`k${atMs}`, "x"), atMs).outcome
   );
   const { Ok, RateLimited } = PlatformOutcome;
   assert.equal(outcomes, [Ok, RateLimited, Ok]);
-  assert.is(model.weights("w", 0).outcome, Ok);
-  assert.is(model.weights("w", 10).outcome, RateLimited);
+  assert.is(model.fetchWeights("w", 0).outcome, Ok);
+  assert.is(model.fetchWeights("w", 10).outcome, RateLimited);
 });
 
-test("should show changes of the list one lag late", () => {
-  const model = platform();
+test("should show changes to the list after the list's lag", () => {
+  const model = createPlatform();
   const listed = {
     id: "msaidizi-1",
     kind: ListedKind.Target,
@@ -114,16 +116,16 @@
     address: "127.0.1.1:80",
     leaving: false,
   };
-  const leavingAt = (nowMs: number) =>
-    model.instances(nowMs).answer?.instances.map(({ leaving }) => leaving);
-  model.list.put(listed, -Infinity);
-  assert.equal(leavingAt(0), [false]);
-  model.list.markLeaving("msaidizi-1", 1_000);
-  assert.equal(leavingAt(2_999), [false]);
-  assert.equal(leavingAt(3_000), [true]);
-  model.list.remove("msaidizi-1", 4_000);
-  assert.equal(leavingAt(5_999), [true]);
-  assert.equal(leavingAt(6_000), []);
+  const listLeavingAt = (nowMs: number) =>
+    model.listInstances(nowMs).answer?.instances.map(({ leaving }) => leaving);
+  model.instanceList.put(listed, -Infinity);
+  assert.equal(listLeavingAt(0), [false]);
+  model.instanceList.markLeaving("msaidizi-1", 1_000);
+  assert.equal(listLeavingAt(2_999), [false]);
+  assert.equal(listLeavingAt(3_000), [true]);
+  model.instanceList.remove("msaidizi-1", 4_000);
+  assert.equal(listLeavingAt(5_999), [true]);
+  assert.equal(listLeavingAt(6_000), []);
 });
 
 test.run();
--- a/packages/standins/src/platform_server.ts
+++ b/packages/standins/src/platform_server.ts
@@ -1,4 +1,4 @@
-/** The platform over HTTP on the real clock. */
+/** HTTP server of the simulated platform, on the real clock. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
@@ -8,17 +8,17 @@
 } from "@chestnuthatch/wire/platform_protocol";
 import * as z from "zod";
 import {
-  HttpHost,
   jsonRoute,
   type ListenAddress,
   type ListenOptions,
   type NowMs,
+  parseQuery,
   processNowMs,
-  queryOf,
-  readText,
+  readBodyText,
   sendBadRequest,
   sendJson,
-} from "./http_host.ts";
+  StandinHttpServer,
+} from "./http_server.ts";
 import { handleByKind, type KindHandlers } from "./kind_handlers.ts";
 import {
   type ObjectAnswer,
@@ -28,28 +28,28 @@
   type PlatformReply,
 } from "./platform_model.ts";
 
-/** What a platform server is like. */
+/** Options of a platform server. */
 export interface PlatformServerOptions extends ListenOptions {
   readonly platform: PlatformModelOptions;
-  /** The clock; the process's own where absent. */
+  /** The clock; defaults to the process's monotonic clock. */
   readonly nowMs?: NowMs;
 }
 
-/** What can be made to go wrong. */
+/** Faults of the platform that can be injected. */
 export enum PlatformFaultKind {
   /** Every call is answered with 503. */
   Down = "down",
-  /** Every call takes this long. */
+  /** Every answer is delayed. */
   Slow = "slow",
-  /** The next writes take effect, but their answer is lost. */
+  /** The next writes take effect, but get no answer. */
   LoseAnswers = "lose_answers",
-  /** The next writes are lost without effect or answer. */
+  /** The next writes have neither effect nor answer. */
   LoseWrites = "lose_writes",
 }
 
-const times = z.number().int().nonnegative();
+const timesSchema = z.number().int().nonnegative();
 
-/** Body of `POST /standin/faults`. */
+/** Body of `POST /standin/faults`: a fault to inject or to end. */
 export const platformFaultSchema = z.discriminatedUnion("kind", [
   z.strictObject({
     kind: z.literal(PlatformFaultKind.Down),
@@ -59,19 +59,29 @@
     kind: z.literal(PlatformFaultKind.Slow),
     delayMs: z.number().nonnegative(),
   }),
-  z.strictObject({ kind: z.literal(PlatformFaultKind.LoseAnswers), times }),
-  z.strictObject({ kind: z.literal(PlatformFaultKind.LoseWrites), times }),
+  z.strictObject({
+    kind: z.literal(PlatformFaultKind.LoseAnswers),
+    times: timesSchema,
+  }),
+  z.strictObject({
+    kind: z.literal(PlatformFaultKind.LoseWrites),
+    times: timesSchema,
+  }),
 ]);
+/** A fault of the platform to inject or to end. */
 export type PlatformFault = z.infer<typeof platformFaultSchema>;
 
-/** What can change on the list. */
+/** Kinds of changes to the platform's list of instances and targets. */
 export enum ListChangeKind {
+  /** Add or replace an entry. */
   Put = "put",
+  /** Mark an entry as leaving. */
   Leave = "leave",
+  /** Remove an entry. */
   Remove = "remove",
 }
 
-/** Body of `POST /standin/instances`. */
+/** Body of `POST /standin/instances`: a change to the instance list. */
 export const listChangeSchema = z.discriminatedUnion("kind", [
   z.strictObject({
     kind: z.literal(ListChangeKind.Put),
@@ -82,12 +92,13 @@
       address: z.string(),
       leaving: z.boolean(),
     }),
-    /** Shows the change without lag. */
+    /** Whether the change becomes visible without lag. */
     atOnce: z.boolean(),
   }),
   z.strictObject({ kind: z.literal(ListChangeKind.Leave), id: z.string() }),
   z.strictObject({ kind: z.literal(ListChangeKind.Remove), id: z.string() }),
 ]);
+/** A change to the platform's list of instances and targets. */
 export type ListChange = z.infer<typeof listChangeSchema>;
 
 const HTTP_OK = 200;
@@ -97,7 +108,7 @@
 const DEFAULT_SCAN_LIMIT = 1_000;
 const MAX_SCAN_LIMIT = 10_000;
 
-const STATUS_OF: Record<
+const STATUS_BY_OUTCOME: Record<
   Exclude<PlatformOutcome, PlatformOutcome.Lost | PlatformOutcome.Ok>,
   number
 > = {
@@ -105,78 +116,81 @@
   [PlatformOutcome.RateLimited]: 429,
 };
 
-/** Serves a {@link PlatformModel}. */
+/** Serves the HTTP interface of the platform from a {@link PlatformModel}. */
 export class PlatformServer {
-  /** The platform behind the server. */
+  /** The simulated platform. */
   readonly model: PlatformModel;
-  readonly #host: HttpHost;
+  readonly #httpServer: StandinHttpServer;
   readonly #nowMs: NowMs;
   readonly #faultHandlers: KindHandlers<PlatformFault> = {
     [PlatformFaultKind.Down]: ({ on }) => this.model.setDown(on),
-    [PlatformFaultKind.Slow]: ({ delayMs }) => this.model.setDelay(delayMs),
+    [PlatformFaultKind.Slow]: ({ delayMs }) => this.model.setDelayMs(delayMs),
     [PlatformFaultKind.LoseAnswers]: ({ times }) =>
       this.model.loseAnswers(times),
     [PlatformFaultKind.LoseWrites]: ({ times }) => this.model.loseWrites(times),
   };
-  readonly #listHandlers: KindHandlers<ListChange> = {
+  readonly #listChangeHandlers: KindHandlers<ListChange> = {
     [ListChangeKind.Put]: ({ instance, atOnce }) =>
-      this.model.list.put(instance, atOnce ? -Infinity : this.#nowMs()),
+      this.model.instanceList.put(instance, atOnce ? -Infinity : this.#nowMs()),
     [ListChangeKind.Leave]: ({ id }) =>
-      this.model.list.markLeaving(id, this.#nowMs()),
+      this.model.instanceList.markLeaving(id, this.#nowMs()),
     [ListChangeKind.Remove]: ({ id }) =>
-      this.model.list.remove(id, this.#nowMs()),
+      this.model.instanceList.remove(id, this.#nowMs()),
   };
 
-  /** @param options What the server is like. */
+  /** @param options Options of the platform, listen address and clock. */
   constructor(options: PlatformServerOptions) {
     this.model = new PlatformModel(options.platform);
-    this.#host = new HttpHost({ host: options.host, port: options.port });
+    this.#httpServer = new StandinHttpServer({
+      host: options.host,
+      port: options.port,
+    });
     this.#nowMs = options.nowMs ?? processNowMs;
     this.#addTableRoutes();
-    this.#addOtherRoutes();
+    this.#addResourceRoutes();
     this.#addStandinRoutes();
   }
 
   /**
    * Starts to listen.
    *
-   * @returns Where it listens.
+   * @returns The address it listens on.
    */
   start(): Promise<ListenAddress> {
-    return this.#host.start();
+    return this.#httpServer.start();
   }
 
-  /** Stops the server and cuts every connection. */
+  /** Stops listening and closes every connection at once. */
   stop(): Promise<void> {
-    return this.#host.stop();
+    return this.#httpServer.stop();
   }
 
   /**
-   * Switches a fault.
+   * Injects or ends a fault.
    *
-   * @param fault The fault.
+   * @param fault The fault and its parameters.
    */
   setFault(fault: PlatformFault): void {
     handleByKind(this.#faultHandlers, fault);
   }
 
   /**
-   * Changes the list; the change shows after the list's lag.
+   * Changes the instance list; readers see the change after the list's lag.
    *
    * @param change The change.
    */
   changeList(change: ListChange): void {
-    handleByKind(this.#listHandlers, change);
+    handleByKind(this.#listChangeHandlers, change);
   }
 
   #addTableRoutes(): void {
-    this.#host.app
+    this.#httpServer.app
       .post(
         "/table/transact",
         jsonRoute(
           transactRequestSchema,
           (body, response) =>
-            reply(response, this.model.transact(body, this.#nowMs())),
+            sendReply(response, this.model.transact(body, this.#nowMs())),
         ),
       )
       .post(
@@ -184,21 +198,24 @@
         jsonRoute(
           readRequestSchema,
           (body, response) =>
-            reply(response, this.model.read(body.keys, this.#nowMs())),
+            sendReply(response, this.model.read(body.keys, this.#nowMs())),
         ),
       )
-      .get("/table/scan", (request, response) => this.#scan(request, response));
+      .get(
+        "/table/scan",
+        (request, response) => this.#handleScan(request, response),
+      );
   }
 
-  #addOtherRoutes(): void {
-    this.#host.app
+  #addResourceRoutes(): void {
+    this.#httpServer.app
       .put(
         `${OBJECTS_PATH}*`,
         (request, response) =>
-          readText(request, (content) => {
-            const key = nameIn(request, OBJECTS_PATH);
+          readBodyText(request, (content) => {
+            const key = decodeName(request, OBJECTS_PATH);
             const object = { key, content };
-            reply(
+            sendReply(
               response,
               this.model.putObject(object, this.#nowMs()),
               () => sendJson(response, {}),
@@ -206,23 +223,27 @@
           }),
       )
       .get(`${OBJECTS_PATH}*`, (request, response) => {
-        const key = nameIn(request, OBJECTS_PATH);
-        const got = this.model.getObject(key, this.#nowMs());
-        reply(response, got, (answer) => sendObject(response, answer));
+        const key = decodeName(request, OBJECTS_PATH);
+        const objectReply = this.model.getObject(key, this.#nowMs());
+        sendReply(
+          response,
+          objectReply,
+          (answer) => sendObject(response, answer),
+        );
       })
       .get(
         "/instances",
         (_request, response) =>
-          reply(response, this.model.instances(this.#nowMs())),
+          sendReply(response, this.model.listInstances(this.#nowMs())),
       )
       .get(`${WEIGHTS_PATH}*`, (request, response) => {
-        const name = nameIn(request, WEIGHTS_PATH);
-        reply(response, this.model.weights(name, this.#nowMs()));
+        const name = decodeName(request, WEIGHTS_PATH);
+        sendReply(response, this.model.fetchWeights(name, this.#nowMs()));
       });
   }
 
   #addStandinRoutes(): void {
-    this.#host.app
+    this.#httpServer.app
       .get(
         "/standin/counts",
         (_request, response) => sendJson(response, this.model.counts),
@@ -243,8 +264,8 @@
       );
   }
 
-  #scan(request: IncomingMessage, response: ServerResponse): void {
-    const query = queryOf(request);
+  #handleScan(request: IncomingMessage, response: ServerResponse): void {
+    const query = parseQuery(request);
     const limit = Number(query.get("limit") ?? DEFAULT_SCAN_LIMIT);
     if (!Number.isInteger(limit) || limit < 1 || limit > MAX_SCAN_LIMIT) {
       sendBadRequest(response, `limit must be from 1 to ${MAX_SCAN_LIMIT}`);
@@ -252,12 +273,12 @@
     }
     const prefix = query.get("prefix") ?? "";
     const after = query.get("after") ?? "";
-    const scanned = this.model.scan({ prefix, after, limit }, this.#nowMs());
-    reply(response, scanned);
+    const scanReply = this.model.scan({ prefix, after, limit }, this.#nowMs());
+    sendReply(response, scanReply);
   }
 }
 
-function reply<T>(
+function sendReply<T>(
   response: ServerResponse,
   { outcome, answer, delayMs }: PlatformReply<T>,
   sendAnswer: (answer: T) => void = (body) => sendJson(response, body),
@@ -268,7 +289,9 @@
     } else if (outcome === PlatformOutcome.Lost) {
       response.destroy();
     } else {
-      sendJson(response, { message: outcome }, { status: STATUS_OF[outcome] });
+      sendJson(response, { message: outcome }, {
+        status: STATUS_BY_OUTCOME[outcome],
+      });
     }
   };
   if (delayMs === 0) {
@@ -290,7 +313,7 @@
   response.end(content);
 }
 
-function nameIn(request: IncomingMessage, path: string): string {
+function decodeName(request: IncomingMessage, path: string): string {
   const { pathname } = new URL(request.url ?? "/", "http://localhost");
   const name = pathname.slice(path.length);
   try {
--- a/packages/standins/src/platform_table.ts
+++ b/packages/standins/src/platform_table.ts
@@ -1,4 +1,4 @@
-/** The platform's transactional table, without sockets. */
+/** In-memory version of the platform's transactional table. */
 
 import {
   ABSENT_ROW_VERSION,
@@ -8,33 +8,34 @@
   type TransactRequest,
 } from "@chestnuthatch/wire/platform_protocol";
 
-/** Which rows a scan wants. */
+/** Range of rows to scan. */
 export interface ScanRequest {
   readonly prefix: string;
-  /** Key after which to begin; empty for the first. */
+  /** Key after which the scan starts; empty to start at the first key. */
   readonly after: string;
   readonly limit: number;
 }
 
-/** Rows by key, with versions that only rise, also across deletes. */
+/** Rows by key; a key's versions increase, even across deletes. */
 export class PlatformTable {
   readonly #rows = new Map<string, Row>();
-  readonly #lastVersions = new Map<string, number>();
-  /** Keys in order; undefined when a key came or went since. */
+  readonly #lastVersionByKey = new Map<string, number>();
+  /** Sorted keys; undefined after a key was added or deleted. */
   #sortedKeys: string[] | undefined;
 
   /**
-   * Writes everything, if every condition holds, or nothing.
+   * Applies all writes if every condition holds, and none otherwise.
    *
    * @param request The conditions and the writes.
-   * @returns Whether it was committed.
+   * @returns Whether it was committed, the written rows, and the existing rows
+   * of unmet conditions.
    */
   transact(request: TransactRequest): TransactAnswer {
-    const failed = request.conditions.filter(({ key, version }) =>
+    const unmetConditions = request.conditions.filter(({ key, version }) =>
       this.#versionOf(key) !== version
     );
-    if (failed.length > 0) {
-      const conflicts = this.read(failed.map(({ key }) => key)).rows;
+    if (unmetConditions.length > 0) {
+      const conflicts = this.read(unmetConditions.map(({ key }) => key)).rows;
       return { committed: false, rows: [], conflicts };
     }
     const rows = request.puts.map(({ key, value }) => this.#put(key, value));
@@ -45,8 +46,8 @@
   /**
    * Reads rows.
    *
-   * @param keys Their keys.
-   * @returns Those that exist.
+   * @param keys Keys of the rows.
+   * @returns The rows that exist.
    */
   read(keys: readonly string[]): RowsAnswer {
     const rows = keys
@@ -58,8 +59,8 @@
   /**
    * Reads rows in key order.
    *
-   * @param request Which rows.
-   * @returns The rows.
+   * @param request Prefix, start key and maximum number of rows.
+   * @returns The matching rows in key order.
    */
   scan({ prefix, after, limit }: ScanRequest): RowsAnswer {
     this.#sortedKeys ??= [...this.#rows.keys()].sort();
@@ -77,7 +78,7 @@
     if (!this.#rows.has(key)) {
       this.#sortedKeys = undefined;
     }
-    const version = this.#riseVersion(key);
+    const version = this.#incrementVersion(key);
     const row: Row = { key, value, version };
     this.#rows.set(key, row);
     return row;
@@ -85,14 +86,14 @@
 
   #delete(key: string): void {
     if (this.#rows.delete(key)) {
-      this.#riseVersion(key);
+      this.#incrementVersion(key);
       this.#sortedKeys = undefined;
     }
   }
 
-  #riseVersion(key: string): number {
-    const version = (this.#lastVersions.get(key) ?? ABSENT_ROW_VERSION) + 1;
-    this.#lastVersions.set(key, version);
+  #incrementVersion(key: string): number {
+    const version = (this.#lastVersionByKey.get(key) ?? ABSENT_ROW_VERSION) + 1;
+    this.#lastVersionByKey.set(key, version);
     return version;
   }
 }
--- a/packages/standins/src/prefill.ts
+++ b/packages/standins/src/prefill.ts
@@ -1,27 +1,27 @@
-/** The prompt work of an engine: one prompt at a time, less what is cached. */
+/** Prefill of an engine: one prompt at a time, skipping cached prefixes. */
 
 import type { EngineCounts } from "./engine_counts.ts";
 import { type EngineStream, StreamPhase } from "./engine_stream.ts";
 import { PrefixCache, type PrefixCacheListener } from "./prefix_cache.ts";
-import { addTo, countRun } from "./target_counts.ts";
+import { countRun, increaseCount } from "./target_counts.ts";
 
-/** How fast prompts are worked, and how much of them is kept. */
+/** Prefill rate, and the size of the prefix cache. */
 export interface PrefillOptions {
   readonly prefillTokensPerSecond: number;
-  /** Tokens that one block fingerprint stands for. */
+  /** Tokens covered by one block fingerprint. */
   readonly blockTokens: number;
   readonly prefixCacheTokens: number;
 }
 
-/** Whom the prompt work tells. */
-export interface PrefillSinks {
+/** Counts that the prefill updates, and the listener of its prefix cache. */
+export interface PrefillObservers {
   readonly counts: EngineCounts;
   readonly cacheListener: PrefixCacheListener;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** Works one prompt at a time and counts what was done. */
+/** Prefills one prompt at a time and counts the tokens done. */
 export class Prefill {
   readonly #options: PrefillOptions;
   readonly #counts: EngineCounts;
@@ -29,95 +29,96 @@
   #stream: EngineStream | undefined;
 
   /**
-   * @param options Its rate and its cache.
-   * @param sinks Whom to tell.
+   * @param options Prefill rate and size of the prefix cache.
+   * @param observers Counts to update, and the listener of the prefix cache.
    */
-  constructor(options: PrefillOptions, sinks: PrefillSinks) {
+  constructor(options: PrefillOptions, observers: PrefillObservers) {
     this.#options = options;
-    this.#counts = sinks.counts;
-    const capacity = Math.floor(
+    this.#counts = observers.counts;
+    const capacityBlocks = Math.floor(
       options.prefixCacheTokens / options.blockTokens,
     );
-    this.#cache = new PrefixCache(capacity, sinks.cacheListener);
+    this.#cache = new PrefixCache(capacityBlocks, observers.cacheListener);
   }
 
-  /** @returns The stream whose prompt is being worked. */
+  /** @returns The stream whose prompt is being prefilled, if any. */
   get stream(): EngineStream | undefined {
     return this.#stream;
   }
 
-  /** @param stream The stream whose prompt work begins; none is in progress. */
+  /** @param stream The stream to prefill; no other may be in progress. */
   start(stream: EngineStream): void {
     this.#stream = stream;
     stream.phase = StreamPhase.Prefilling;
-    stream.cachedTokens = this.#cachedTokensOf(stream);
-    stream.prefillLeftTokens = stream.promptTokens - stream.cachedTokens;
+    stream.cachedTokens = this.#countCachedTokens(stream);
+    stream.remainingPrefillTokens = stream.promptTokens - stream.cachedTokens;
     this.#counts.promptTokensCached += stream.cachedTokens;
     countRun(this.#counts, stream);
   }
 
   /**
-   * Tells how long the prompt in progress takes from now on.
+   * Computes the remaining time of the prefill in progress.
    *
    * @param stream The stream in progress.
-   * @param slowdown How many times slower than its own rate the engine works.
-   * @returns The time left.
+   * @param slowdown Factor by which the engine is slower than its rate.
+   * @returns The remaining time in milliseconds.
    */
-  leftMs(stream: EngineStream, slowdown: number): number {
-    return stream.prefillLeftTokens / this.#tokensPerMs(slowdown);
+  remainingMs(stream: EngineStream, slowdown: number): number {
+    return stream.remainingPrefillTokens / this.#tokensPerMs(slowdown);
   }
 
   /**
-   * Lets time pass.
+   * Advances the clock.
    *
-   * @param passedMs How much.
-   * @param slowdown How many times slower than its own rate the engine works.
+   * @param elapsedMs Time to advance by.
+   * @param slowdown Factor by which the engine is slower than its rate.
    */
-  advance(passedMs: number, slowdown: number): void {
+  advance(elapsedMs: number, slowdown: number): void {
     if (this.#stream !== undefined) {
-      const done = passedMs * this.#tokensPerMs(slowdown);
-      const left = this.#stream.prefillLeftTokens - done;
-      this.#stream.prefillLeftTokens = Math.max(0, left);
+      const doneTokens = elapsedMs * this.#tokensPerMs(slowdown);
+      const remainingTokens = this.#stream.remainingPrefillTokens - doneTokens;
+      this.#stream.remainingPrefillTokens = Math.max(0, remainingTokens);
     }
   }
 
-  /** @param stream The stream in progress, whose prompt is worked whole. */
+  /** @param stream The stream in progress, whose prefill is complete. */
   finish(stream: EngineStream): void {
-    stream.prefillLeftTokens = 0;
+    stream.remainingPrefillTokens = 0;
     this.stop();
     this.#cache.store(stream.blockHashes);
     stream.blockHashes = [];
   }
 
-  /** Stops the prompt work in progress and counts what was done. */
+  /** Stops the prefill in progress and counts the tokens done so far. */
   stop(): void {
     const stream = this.#stream;
     this.#stream = undefined;
     if (stream === undefined) {
       return;
     }
-    const done = Math.ceil(
-      stream.promptTokens - stream.cachedTokens - stream.prefillLeftTokens,
+    const doneTokens = Math.ceil(
+      stream.promptTokens - stream.cachedTokens - stream.remainingPrefillTokens,
     );
-    this.#counts.promptTokensPrefilled += done;
+    this.#counts.promptTokensPrefilled += doneTokens;
     const byRequestId = this.#counts.promptTokensPrefilledByRequestId;
-    addTo(byRequestId, stream.requestId, done);
+    increaseCount(byRequestId, stream.requestId, doneTokens);
   }
 
-  /** Forgets the cached prefixes. */
+  /** Discards the cached prefixes without notifying the listener. */
   clearCache(): void {
     this.#cache.clear();
   }
 
-  #cachedTokensOf(stream: EngineStream): number {
-    const blocks = this.#cache.leadingBlocks(stream.blockHashes);
-    // The last prompt token is always worked: its output starts the answer.
-    const most = Math.max(0, stream.promptTokens - 1);
-    return Math.min(blocks * this.#options.blockTokens, most);
+  #countCachedTokens(stream: EngineStream): number {
+    const blocks = this.#cache.countLeadingBlocks(stream.blockHashes);
+    // The last prompt token is always prefilled: its output is the first token
+    // of the answer.
+    const maxCachedTokens = Math.max(0, stream.promptTokens - 1);
+    return Math.min(blocks * this.#options.blockTokens, maxCachedTokens);
   }
 
   #tokensPerMs(slowdown: number): number {
-    const perSecond = this.#options.prefillTokensPerSecond / slowdown;
-    return perSecond / MS_PER_SECOND;
+    const tokensPerSecond = this.#options.prefillTokensPerSecond / slowdown;
+    return tokensPerSecond / MS_PER_SECOND;
   }
 }
--- a/packages/standins/src/prefix_cache.ts
+++ b/packages/standins/src/prefix_cache.ts
@@ -1,53 +1,57 @@
-/** The prefix cache of an engine: prompt blocks, least recently used out first. */
+/** Prefix cache of an engine; evicts the least recently used block first. */
 
-/** Told of every change. */
+/** Listener that is notified of blocks entering and leaving the cache. */
 export interface PrefixCacheListener {
-  /** @param blockHash Fingerprint of the block now held. */
+  /** @param blockHash Fingerprint of the block that was cached. */
   stored(blockHash: string): void;
-  /** @param blockHash Fingerprint of the block no longer held. */
+  /** @param blockHash Fingerprint of the block that was evicted. */
   evicted(blockHash: string): void;
 }
 
-/** Holds the fingerprints of cached blocks, in the order of their last use. */
+/** Fingerprints of cached prompt blocks, in the order of their last use. */
 export class PrefixCache {
   readonly #capacityBlocks: number;
   readonly #listener: PrefixCacheListener;
   readonly #blocks = new Set<string>();
 
   /**
-   * @param capacityBlocks Blocks held at most.
-   * @param listener Told of every change.
+   * @param capacityBlocks Maximum number of cached blocks.
+   * @param listener Notified of every cached and evicted block.
    */
   constructor(capacityBlocks: number, listener: PrefixCacheListener) {
     this.#capacityBlocks = capacityBlocks;
     this.#listener = listener;
   }
 
-  /** @returns Number of blocks held. */
+  /** @returns Number of cached blocks. */
   get size(): number {
     return this.#blocks.size;
   }
 
   /**
-   * Counts how many leading blocks of a prompt are held.
+   * Counts the leading blocks of a prompt that are cached.
    *
    * @param blockHashes Fingerprints, first block first.
-   * @returns Number of blocks up to the first that is missing.
+   * @returns Number of blocks before the first that is not cached.
    */
-  leadingBlocks(blockHashes: readonly string[]): number {
-    const missing = blockHashes.findIndex((hash) => !this.#blocks.has(hash));
-    return missing === -1 ? blockHashes.length : missing;
+  countLeadingBlocks(blockHashes: readonly string[]): number {
+    const firstMissingIndex = blockHashes.findIndex((hash) =>
+      !this.#blocks.has(hash)
+    );
+    return firstMissingIndex === -1 ? blockHashes.length : firstMissingIndex;
   }
 
   /**
-   * Holds a prompt's blocks, as the most recently used.
+   * Caches a prompt's blocks as the most recently used. Blocks beyond the
+   * capacity are not cached.
    *
    * @param blockHashes Fingerprints, first block first.
    */
   store(blockHashes: readonly string[]): void {
-    const held = blockHashes.slice(0, this.#capacityBlocks);
-    // Later blocks are of no use without earlier ones, so they must go first.
-    for (const hash of held.reverse()) {
+    const cachedHashes = blockHashes.slice(0, this.#capacityBlocks);
+    // Later blocks are useless without earlier ones, so they are added first to
+    // be evicted first.
+    for (const hash of cachedHashes.reverse()) {
       const isNew = !this.#blocks.delete(hash);
       this.#blocks.add(hash);
       if (isNew) {
@@ -57,7 +61,7 @@
     this.#evict();
   }
 
-  /** Forgets everything without telling, as when the process dies. */
+  /** Discards all blocks without notifying the listener. */
   clear(): void {
     this.#blocks.clear();
   }
--- a/packages/standins/src/service_model.ts
+++ b/packages/standins/src/service_model.ts
@@ -1,10 +1,10 @@
-/** A plain service without sockets or timers, stepped by time. */
+/** Simulation of a plain service, without sockets or timers. */
 
 import type {
   ServiceAnswer,
   ServiceCall,
 } from "@chestnuthatch/wire/target_protocol";
-import { answerTextOf, promptTailOf } from "./answer_text.ts";
+import { cutPromptTail, renderAnswerText } from "./answer_text.ts";
 import type { AttemptRef } from "./engine_stream.ts";
 import {
   countRun,
@@ -12,22 +12,22 @@
   type TargetCounts,
 } from "./target_counts.ts";
 import {
+  type CurrentLoad,
   TargetModel,
   type TimedOutput,
-  type WorkLoad,
 } from "./target_model.ts";
 
-/** What a service is like. */
+/** Slots and delays of a simulated service. */
 export interface ServiceModelOptions {
   readonly targetId: string;
   readonly slots: number;
-  /** Time of one call. */
+  /** Duration of one call. */
   readonly callMs: number;
-  /** Age of the state that load reports show. */
+  /** Age of the load that load reports show. */
   readonly loadLagMs: number;
 }
 
-/** One answer that left the service. */
+/** An answer of the service, with its attempt and the time of its emission. */
 export interface ServiceOutput extends AttemptRef, TimedOutput {
   readonly answer: ServiceAnswer;
 }
@@ -39,13 +39,13 @@
 
 const ANSWER_TOKENS = 4;
 
-/** Runs calls in its slots and queues the rest in the order they come. */
+/** Simulated service that runs calls in its slots and queues the others. */
 export class ServiceModel extends TargetModel<TargetCounts, ServiceOutput> {
   readonly #options: ServiceModelOptions;
   #waiting: ServiceCall[] = [];
   #running: RunningCall[] = [];
 
-  /** @param options What the service is like. */
+  /** @param options Slots and delays of the service. */
   constructor(options: ServiceModelOptions) {
     super({
       targetId: options.targetId,
@@ -57,14 +57,15 @@
   }
 
   /**
-   * Takes a call, also one it has had before.
+   * Submits a call. A repeated call runs again.
    *
    * @param call The call.
    * @param nowMs The time now.
-   * @returns False when the service is dead and took nothing.
+   * @returns False when the service's process is down and the call was not
+   * received.
    */
-  admit(call: ServiceCall, nowMs: number): boolean {
-    if (!this.receive(call.requestId, nowMs)) {
+  submit(call: ServiceCall, nowMs: number): boolean {
+    if (!this.countDispatch(call.requestId, nowMs)) {
       return false;
     }
     this.#waiting.push(call);
@@ -74,32 +75,32 @@
   }
 
   /**
-   * Makes calls that begin from now on slower, or heals the service.
+   * Makes calls that start from now on slower, or restores their duration.
    *
-   * @param factor How many times slower; 1 heals.
+   * @param factor Factor by which calls are slower; 1 restores the duration.
    */
   setSlowdown(factor: number): void {
     this.slowdown = factor;
   }
 
   /** @inheritdoc */
-  protected runTo(nowMs: number): void {
-    let next = this.#soonest();
+  protected advanceTo(nowMs: number): void {
+    let next = this.#findNextToEnd();
     while (next !== undefined && next.endsAtMs <= nowMs) {
       this.nowMs = Math.max(this.nowMs, next.endsAtMs);
-      this.#finish(next);
-      next = this.#soonest();
+      this.#finishCall(next);
+      next = this.#findNextToEnd();
     }
     this.nowMs = Math.max(this.nowMs, nowMs);
   }
 
   /** @inheritdoc */
-  protected nextChangeAtMs(): number | undefined {
-    return this.#soonest()?.endsAtMs;
+  protected nextStepAtMs(): number | undefined {
+    return this.#findNextToEnd()?.endsAtMs;
   }
 
   /** @inheritdoc */
-  protected workLoad(): WorkLoad {
+  protected currentLoad(): CurrentLoad {
     return {
       slotsUsed: this.#running.length,
       kvUsedTokens: 0,
@@ -109,43 +110,43 @@
   }
 
   /** @inheritdoc */
-  protected loseWork(): void {
+  protected discardWork(): void {
     this.#waiting = [];
     this.#running = [];
   }
 
-  #soonest(): RunningCall | undefined {
-    let soonest: RunningCall | undefined;
+  #findNextToEnd(): RunningCall | undefined {
+    let next: RunningCall | undefined;
     for (const running of this.#running) {
-      if (soonest === undefined || running.endsAtMs < soonest.endsAtMs) {
-        soonest = running;
+      if (next === undefined || running.endsAtMs < next.endsAtMs) {
+        next = running;
       }
     }
-    return soonest;
+    return next;
   }
 
   #fillSlots(): void {
     while (
       this.#running.length < this.#options.slots && this.#waiting.length > 0
     ) {
-      this.#run(this.#waiting.shift() as ServiceCall);
+      this.#startCall(this.#waiting.shift() as ServiceCall);
     }
   }
 
-  #run(call: ServiceCall): void {
+  #startCall(call: ServiceCall): void {
     countRun(this.counts, call);
     const endsAtMs = this.nowMs + this.#options.callMs * this.slowdown;
     this.#running.push({ call, endsAtMs });
   }
 
-  #finish(running: RunningCall): void {
+  #finishCall(running: RunningCall): void {
     this.#running = this.#running.filter((other) => other !== running);
     const { requestId, attemptNonce, body } = running.call;
-    const subject = { requestId, promptTail: promptTailOf(body) };
+    const answeredRequest = { requestId, promptTail: cutPromptTail(body) };
     const answer: ServiceAnswer = {
       requestId,
       attemptNonce,
-      body: answerTextOf(subject, ANSWER_TOKENS),
+      body: renderAnswerText(answeredRequest, ANSWER_TOKENS),
       complete: true,
     };
     this.emit({ requestId, attemptNonce, atMs: this.nowMs, answer });
--- a/packages/standins/src/service_server.ts
+++ b/packages/standins/src/service_server.ts
@@ -1,4 +1,4 @@
-/** A plain service over HTTP on the real clock. */
+/** HTTP server of a simulated plain service, on the real clock. */
 
 import type { ServerResponse } from "node:http";
 import {
@@ -7,8 +7,8 @@
   serviceCallSchema,
 } from "@chestnuthatch/wire/target_protocol";
 import { DelayedWriter } from "./delayed_writer.ts";
-import { attemptKeyOf, type AttemptRef } from "./engine_stream.ts";
-import { jsonRoute, sendJson } from "./http_host.ts";
+import { type AttemptRef, toAttemptKey } from "./engine_stream.ts";
+import { jsonRoute, sendJson } from "./http_server.ts";
 import {
   ServiceModel,
   type ServiceModelOptions,
@@ -17,25 +17,26 @@
 import { TargetFaultKind } from "./target_faults.ts";
 import { TargetServer, type TargetServerOptions } from "./target_server.ts";
 
-/** What a service server is like. */
+/** Options of a service server. */
 export interface ServiceServerOptions extends TargetServerOptions {
   readonly service: ServiceModelOptions;
 }
 
 interface PendingResponse {
   readonly response: ServerResponse;
+  /** Whether the connection is closed after the run, without an answer. */
   readonly cutAfterRun: boolean;
-  /** Ids of another call, to be sent in place of its own. */
-  readonly crossedWith?: AttemptRef;
+  /** Another call's ids, which the answer carries in place of its own. */
+  readonly crossedAttempt?: AttemptRef;
 }
 
 const HTTP_OK = 200;
 
-/** Serves a {@link ServiceModel}. */
+/** Serves the HTTP interface of services from a {@link ServiceModel}. */
 export class ServiceServer extends TargetServer<ServiceOutput, ServiceModel> {
   readonly #pending = new Map<string, PendingResponse>();
 
-  /** @param options What the server is like. */
+  /** @param options Options of the service, listen address and clock. */
   constructor(options: ServiceServerOptions) {
     super(new ServiceModel(options.service), options);
     this.app
@@ -43,7 +44,7 @@
         "/v1/call",
         jsonRoute(
           serviceCallSchema,
-          (call, response) => this.#call(call, response),
+          (call, response) => this.#handleCall(call, response),
         ),
       )
       .get(
@@ -61,35 +62,35 @@
 
   /** @inheritdoc */
   protected send({ answer }: ServiceOutput): void {
-    const key = attemptKeyOf(answer);
+    const key = toAttemptKey(answer);
     const pending = this.#pending.get(key);
     this.#pending.delete(key);
     if (pending !== undefined) {
-      this.#answer(pending, answer);
+      this.#sendAnswer(pending, answer);
     }
   }
 
-  #call(call: ServiceCall, response: ServerResponse): void {
+  #handleCall(call: ServiceCall, response: ServerResponse): void {
     const pending: PendingResponse = {
       response,
-      cutAfterRun: this.faults.take(TargetFaultKind.CutAfterRun),
-      crossedWith: this.faults.takeCrossing(call),
+      cutAfterRun: this.faults.consume(TargetFaultKind.CutAfterRun),
+      crossedAttempt: this.faults.consumeCrossedAttempt(call),
     };
-    if (this.faults.take(TargetFaultKind.DropBeforeAnswer)) {
+    if (this.faults.consume(TargetFaultKind.DropBeforeAnswer)) {
       response.destroy();
     } else {
-      this.#pending.set(attemptKeyOf(call), pending);
+      this.#pending.set(toAttemptKey(call), pending);
     }
-    this.model.admit(call, this.nowMs());
-    this.deliver();
+    this.model.submit(call, this.nowMs());
+    this.deliverOutputs();
   }
 
-  #answer(pending: PendingResponse, answer: ServiceAnswer): void {
-    const { response, cutAfterRun, crossedWith } = pending;
+  #sendAnswer(pending: PendingResponse, answer: ServiceAnswer): void {
+    const { response, cutAfterRun, crossedAttempt: crossedWith } = pending;
     const { delayMs } = this.faults;
     const writer = new DelayedWriter(response, this.nowMs);
     if (cutAfterRun) {
-      writer.cut(delayMs);
+      writer.closeSocket(delayMs);
       return;
     }
     response.writeHead(HTTP_OK, { "content-type": "application/json" });
--- a/packages/standins/src/fleet.ts
+++ b/packages/standins/src/standin_fleet.ts
@@ -1,52 +1,54 @@
-/** A platform and a set of targets, all on loopback in one process. */
+/** Stand-ins of a platform and its targets on loopback, in one process. */
 
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import {
-  DEFAULT_TRAITS,
-  engineOptionsOf,
-  serviceOptionsOf,
+  createEngineOptions,
+  createServiceOptions,
+  DEFAULT_TARGET_OPTIONS,
+  type SharedTargetOptions,
   type StandinTarget,
-  type TargetTraits,
 } from "./deployments.ts";
 import { EngineServer } from "./engine_server.ts";
-import type { NowMs } from "./http_host.ts";
+import type { NowMs } from "./http_server.ts";
 import type { PlatformModelOptions } from "./platform_model.ts";
 import { ListChangeKind, PlatformServer } from "./platform_server.ts";
 import { ServiceServer } from "./service_server.ts";
 
-/** What to start. */
+/** Targets to start, and options of the stand-ins. */
 export interface StandinFleetOptions {
   readonly targets: readonly StandinTarget[];
-  readonly traits?: Partial<TargetTraits>;
+  /** Options that differ from {@link DEFAULT_TARGET_OPTIONS}. */
+  readonly targetOptions?: Partial<SharedTargetOptions>;
+  /** Options that differ from {@link DEFAULT_PLATFORM_OPTIONS}. */
   readonly platform?: Partial<PlatformModelOptions>;
-  /** The clock; the process's own where absent. */
+  /** The clock; defaults to the process's monotonic clock. */
   readonly nowMs?: NowMs;
 }
 
-/** A target that runs. */
+/** A target whose stand-in is running. */
 export interface RunningTarget extends StandinTarget {
   /** `host:port` of its HTTP interface. */
   readonly address: string;
 }
 
-/** Platform for want of another. */
-export const DEFAULT_PLATFORM: PlatformModelOptions = {
+/** Options of a platform that is given no others. */
+export const DEFAULT_PLATFORM_OPTIONS: PlatformModelOptions = {
   listLagMs: 2_000,
-  weightLimit: { perSecond: 1, burst: 2 },
+  weightLimit: { ratePerSecond: 1, burst: 2 },
 };
 
 const PLATFORM_HOST = "127.0.0.1";
 
-interface Place {
+interface TargetStartOptions {
   readonly host: string;
-  readonly traits: TargetTraits;
+  readonly targetOptions: SharedTargetOptions;
   readonly nowMs?: NowMs;
 }
 
-/** A platform with one engine or service for each target. */
+/** A platform stand-in, and one engine or service stand-in per target. */
 export class StandinFleet {
-  /** The platform; its list names every target. */
+  /** The platform; its instance list contains every target. */
   readonly platform: PlatformServer;
   /** Engines by target id. */
   readonly engines = new Map<string, EngineServer>();
@@ -59,28 +61,35 @@
     this.platform = new PlatformServer({
       host: PLATFORM_HOST,
       port: 0,
-      platform: { ...DEFAULT_PLATFORM, ...options.platform },
+      platform: { ...DEFAULT_PLATFORM_OPTIONS, ...options.platform },
       nowMs: options.nowMs,
     });
   }
 
   /**
-   * Starts a fleet. Targets of one failure domain share a loopback network:
-   * 127.0.1.1, 127.0.1.2 and so on for the first.
+   * Starts a fleet. Targets of one failure domain share a loopback subnet:
+   * 127.0.1.1, 127.0.1.2 and so on for the first failure domain.
    *
-   * @param options What to start.
-   * @returns The fleet, ready for use.
+   * @param options Targets to start, and options of the stand-ins.
+   * @returns The fleet; every stand-in accepts connections.
    */
   static async start(options: StandinFleetOptions): Promise<StandinFleet> {
     const fleet = new StandinFleet(options);
-    const traits = { ...DEFAULT_TRAITS, ...options.traits };
-    const hosts = hostsOf(options.targets);
+    const targetOptions = {
+      ...DEFAULT_TARGET_OPTIONS,
+      ...options.targetOptions,
+    };
+    const hosts = assignHosts(options.targets);
     try {
       const { address } = await fleet.platform.start();
       fleet.#platformAddress = address;
       for (const [i, target] of options.targets.entries()) {
-        const place = { host: hosts[i], traits, nowMs: options.nowMs };
-        await fleet.#startTarget(target, place);
+        const startOptions = {
+          host: hosts[i],
+          targetOptions,
+          nowMs: options.nowMs,
+        };
+        await fleet.#startTarget(target, startOptions);
       }
     } catch (error) {
       await fleet.stop();
@@ -89,12 +98,12 @@
     return fleet;
   }
 
-  /** @returns `host:port` of the platform. */
+  /** @returns `host:port` of the platform's HTTP interface. */
   get platformAddress(): string {
     return this.#platformAddress;
   }
 
-  /** @returns Every target, with its address. */
+  /** @returns The running targets with their addresses. */
   get targets(): RunningTarget[] {
     return [...this.#targets.values()];
   }
@@ -105,11 +114,11 @@
    * @param targetId The target.
    * @returns Its `host:port`, or undefined for an unknown target.
    */
-  addressOf(targetId: string): string | undefined {
+  findAddress(targetId: string): string | undefined {
     return this.#targets.get(targetId)?.address;
   }
 
-  /** Stops everything. */
+  /** Stops the platform and every target, closing their connections. */
   async stop(): Promise<void> {
     const servers = [
       this.platform,
@@ -119,10 +128,13 @@
     await Promise.all(servers.map((server) => server.stop()));
   }
 
-  async #startTarget(target: StandinTarget, place: Place): Promise<void> {
+  async #startTarget(
+    target: StandinTarget,
+    startOptions: TargetStartOptions,
+  ): Promise<void> {
     const server = target.kind === TargetKind.Engine
-      ? this.#addEngine(target, place)
-      : this.#addService(target, place);
+      ? this.#addEngine(target, startOptions)
+      : this.#addService(target, startOptions);
     const { address } = await server.start();
     this.#targets.set(target.id, { ...target, address });
     this.platform.changeList({
@@ -138,29 +150,35 @@
     });
   }
 
-  #addEngine(target: StandinTarget, place: Place): EngineServer {
-    const { host, traits, nowMs } = place;
-    const engine = engineOptionsOf(target, traits);
+  #addEngine(
+    target: StandinTarget,
+    startOptions: TargetStartOptions,
+  ): EngineServer {
+    const { host, targetOptions, nowMs } = startOptions;
+    const engine = createEngineOptions(target, targetOptions);
     const server = new EngineServer({ host, port: 0, engine, nowMs });
     this.engines.set(target.id, server);
     return server;
   }
 
-  #addService(target: StandinTarget, place: Place): ServiceServer {
-    const { host, traits, nowMs } = place;
-    const service = serviceOptionsOf(target, traits);
+  #addService(
+    target: StandinTarget,
+    startOptions: TargetStartOptions,
+  ): ServiceServer {
+    const { host, targetOptions, nowMs } = startOptions;
+    const service = createServiceOptions(target, targetOptions);
     const server = new ServiceServer({ host, port: 0, service, nowMs });
     this.services.set(target.id, server);
     return server;
   }
 }
 
-function hostsOf(targets: readonly StandinTarget[]): string[] {
+function assignHosts(targets: readonly StandinTarget[]): string[] {
   const domains = [...new Set(targets.map((target) => target.failureDomain))];
-  const used = new Map<string, number>();
+  const lastNumbers = new Map<string, number>();
   return targets.map(({ failureDomain }) => {
-    const number = (used.get(failureDomain) ?? 0) + 1;
-    used.set(failureDomain, number);
-    return `127.0.${domains.indexOf(failureDomain) + 1}.${number}`;
+    const hostNumber = (lastNumbers.get(failureDomain) ?? 0) + 1;
+    lastNumbers.set(failureDomain, hostNumber);
+    return `127.0.${domains.indexOf(failureDomain) + 1}.${hostNumber}`;
   });
 }
--- a/packages/standins/src/fleet_test.ts
+++ b/packages/standins/src/standin_fleet_test.ts
@@ -1,4 +1,4 @@
-/** Tests of the stand-ins over HTTP. */
+/** Tests of the stand-ins' HTTP interfaces and of their faults. */
 
 import { request } from "node:http";
 import { instanceListSchema } from "@chestnuthatch/wire/platform_protocol";
@@ -11,15 +11,15 @@
 } from "@chestnuthatch/wire/target_protocol";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { type StandinTarget, targetsOf } from "./deployments.ts";
-import { StandinFleet } from "./fleet.ts";
+import { listDeploymentTargets, type StandinTarget } from "./deployments.ts";
+import { StandinFleet } from "./standin_fleet.ts";
 import { PlatformFaultKind } from "./platform_server.ts";
 import { TargetFaultKind } from "./target_faults.ts";
-import { Deployment } from "./workload_kinds.ts";
+import { Deployment } from "./work_kinds.ts";
 
 const ENGINE = "msaidizi-1";
 const SERVICE = "kazi-desk-1";
-/** Rates at which answers take next to no time. */
+/** Rates at which answers take almost no time. */
 const FAST: Partial<StandinTarget> = {
   prefillTokensPerSecond: 1e7,
   decodeTokensPerSecond: 1e6,
@@ -29,7 +29,7 @@
 let fleet: StandinFleet;
 
 test.before.each(async () => {
-  const targets = targetsOf(Deployment.ShambaSafi)
+  const targets = listDeploymentTargets(Deployment.ShambaSafi)
     .filter(({ id }) => id === ENGINE || id === SERVICE)
     .map((target) => ({ ...target, ...FAST }));
   fleet = await StandinFleet.start({ targets });
@@ -38,7 +38,7 @@
 test.after.each(() => fleet.stop());
 
 function engineUrl(path: string): string {
-  return `http://${fleet.addressOf(ENGINE)}${path}`;
+  return `http://${fleet.findAddress(ENGINE)}${path}`;
 }
 
 function post(url: string, body: unknown): Promise<Response> {
@@ -55,11 +55,11 @@
     maxOutputTokens: 64,
     blockHashes: [],
   };
-  return eventsOf(engineUrl("/v1/generate"), JSON.stringify(body));
+  return readEvents(engineUrl("/v1/generate"), JSON.stringify(body));
 }
 
 function call(requestId: string): Promise<Response> {
-  return post(`http://${fleet.addressOf(SERVICE)}/v1/call`, {
+  return post(`http://${fleet.findAddress(SERVICE)}/v1/call`, {
     requestId,
     attemptNonce: "n1",
     idempotencyKey: "k1",
@@ -67,8 +67,11 @@
   });
 }
 
-/** Reads events until the body ends or is cut; fetch would drop the last. */
-function eventsOf(url: string, body?: string): Promise<EngineEvent[]> {
+/**
+ * Reads events until the body ends or the connection is closed. `fetch` would
+ * drop the last events of a closed connection.
+ */
+function readEvents(url: string, body?: string): Promise<EngineEvent[]> {
   return new Promise((resolve, reject) => {
     const method = body === undefined ? "GET" : "POST";
     const sent = request(url, { method }, (response) => {
@@ -88,11 +91,11 @@
     .map((line) => engineEventSchema.parse(JSON.parse(line)));
 }
 
-async function failureOf(promise: Promise<unknown>): Promise<boolean> {
+async function didFail(promise: Promise<unknown>): Promise<boolean> {
   return await promise.then(() => false, () => true);
 }
 
-test("should list every target and answer for its load", async () => {
+test("should list every target and report its load", async () => {
   const url = `http://${fleet.platformAddress}/instances`;
   const list = instanceListSchema.parse(await (await fetch(url)).json());
   assert.equal(
@@ -103,7 +106,7 @@
   assert.is(loadAnswerSchema.parse(load).targetId, ENGINE);
 });
 
-test("should resume a broken stream to the whole answer", async () => {
+test("should resume a broken stream up to the whole answer", async () => {
   const engine = fleet.engines.get(ENGINE);
   engine?.setFault({
     kind: TargetFaultKind.BreakStream,
@@ -113,7 +116,7 @@
   const broken = await generate("r1");
   const tokens = broken.filter(({ kind }) => kind === EngineEventKind.Token);
   const query = `requestId=r1&attemptNonce=n1&fromToken=${tokens.length}`;
-  const rest = await eventsOf(engineUrl(`/v1/resume?${query}`));
+  const rest = await readEvents(engineUrl(`/v1/resume?${query}`));
   assert.is(tokens.length, 7);
   const indexes = [...tokens, ...rest].map((event) =>
     event.kind === EngineEventKind.Token ? event.index : event.kind
@@ -123,10 +126,10 @@
   assert.is(engine?.model.counts.runsByRequestId.get("r1"), 1);
 });
 
-test("should drop, cross and double answers when told to", async () => {
+test("should inject dropped, crossed and duplicate answers", async () => {
   const engine = fleet.engines.get(ENGINE);
   engine?.setFault({ kind: TargetFaultKind.DropBeforeAnswer, times: 1 });
-  assert.ok(await failureOf(generate("r1")));
+  assert.ok(await didFail(generate("r1")));
   assert.is(engine?.model.counts.runsByRequestId.get("r1"), 1);
   engine?.setFault({ kind: TargetFaultKind.CrossAnswers, times: 1 });
   const crossed = await generate("r2");
@@ -137,33 +140,33 @@
   assert.is(ends.length, 2);
 });
 
-test("should refuse connections when dead, until revived", async () => {
+test("should refuse connections after a kill, until restarted", async () => {
   const engine = fleet.engines.get(ENGINE);
   await engine?.kill();
-  assert.ok(await failureOf(generate("r1")));
+  assert.ok(await didFail(generate("r1")));
   assert.is(engine?.model.counts.dispatchesByRequestId.size, 0);
   const revived = await engine?.revive();
-  assert.is(revived?.address, fleet.addressOf(ENGINE));
+  assert.is(revived?.address, fleet.findAddress(ENGINE));
   assert.is((await generate("r2")).length, 52);
 });
 
-test("should count the runs of a service whose answers are cut", async () => {
+test("should count runs whose connection closes unanswered", async () => {
   const service = fleet.services.get(SERVICE);
   service?.setFault({ kind: TargetFaultKind.CutAfterRun, times: 1 });
-  assert.ok(await failureOf(call("r1")));
+  assert.ok(await didFail(call("r1")));
   const answer = serviceAnswerSchema.parse(await (await call("r2")).json());
   assert.is(answer.requestId, "r2");
   assert.match(answer.body, "post status");
   assert.is(service?.model.counts.runsByKey.get("k1"), 2);
 });
 
-test("should refuse wrong bodies and lose answers of writes", async () => {
+test("should refuse invalid bodies and lose answers of writes", async () => {
   const url = `http://${fleet.platformAddress}/table/transact`;
   assert.is((await post(url, { puts: 1 })).status, 400);
   fleet.platform.setFault({ kind: PlatformFaultKind.LoseAnswers, times: 1 });
   const puts = [{ key: "a/b", value: "x" }];
   assert.ok(
-    await failureOf(post(url, { conditions: [], puts, deletes: [] })),
+    await didFail(post(url, { conditions: [], puts, deletes: [] })),
   );
   const read = await fetch(url.replace("transact", "scan?prefix=a%2F"));
   assert.equal(await read.json(), {
@@ -171,7 +174,7 @@
   });
 });
 
-test("should keep objects under keys with slashes", async () => {
+test("should store objects under keys with slashes", async () => {
   const url = `http://${fleet.platformAddress}/objects/answers%2Fa%2Fk1`;
   assert.is((await fetch(url)).status, 404);
   assert.is((await fetch(url, { method: "PUT", body: "whole" })).status, 200);
--- a/packages/standins/src/standin_main.ts
+++ b/packages/standins/src/standin_main.ts
@@ -1,22 +1,26 @@
-/** Runs one stand-in as a process of its own. */
+/**
+ * Command line that runs one stand-in, a simulated engine, service or platform,
+ * in its own process. It prints the address it listens on as a line of JSON.
+ */
 
 import process from "node:process";
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { Command, InvalidArgumentError } from "commander";
 import {
-  DEFAULT_TRAITS,
-  engineOptionsOf,
-  serviceOptionsOf,
+  createEngineOptions,
+  createServiceOptions,
+  DEFAULT_TARGET_OPTIONS,
+  type SharedTargetOptions,
   type StandinTarget,
-  type TargetTraits,
 } from "./deployments.ts";
 import { EngineServer } from "./engine_server.ts";
-import { DEFAULT_PLATFORM } from "./fleet.ts";
-import type { ListenAddress, ListenOptions } from "./http_host.ts";
+import { DEFAULT_PLATFORM_OPTIONS } from "./standin_fleet.ts";
+import type { ListenAddress, ListenOptions } from "./http_server.ts";
 import { PlatformServer } from "./platform_server.ts";
 import { ServiceServer } from "./service_server.ts";
 import type { TokenBucketOptions } from "./token_bucket.ts";
 
+/** A stand-in that can be started and stopped. */
 interface Standin {
   start(): Promise<ListenAddress>;
   stop(): Promise<void>;
@@ -51,7 +55,7 @@
   readonly weightsPerSecond: number;
 }
 
-const NO_RATES = {
+const ZERO_ENGINE_RATES = {
   model: "",
   kvTokens: 0,
   prefillTokensPerSecond: 0,
@@ -59,38 +63,44 @@
   callMs: 0,
 };
 
-function engineOf(options: EngineCommandOptions): Standin {
-  const target = targetOf(options, {
+function createEngineServer(options: EngineCommandOptions): Standin {
+  const target = createTarget(options, {
     kind: TargetKind.Engine,
     checksFencing: options.ignoreFencing !== true,
     callMs: 0,
   });
-  const traits: TargetTraits = { ...DEFAULT_TRAITS, ...traitsIn(options) };
-  const engine = engineOptionsOf(target, traits);
-  return new EngineServer({ ...listenOf(options), engine });
+  const sharedOptions: SharedTargetOptions = {
+    ...DEFAULT_TARGET_OPTIONS,
+    ...pickSharedOptions(options),
+  };
+  const engine = createEngineOptions(target, sharedOptions);
+  return new EngineServer({ ...pickListenOptions(options), engine });
 }
 
-function serviceOf(options: ServiceCommandOptions): Standin {
-  const target = targetOf({ ...NO_RATES, ...options }, {
+function createServiceServer(options: ServiceCommandOptions): Standin {
+  const target = createTarget({ ...ZERO_ENGINE_RATES, ...options }, {
     kind: TargetKind.Service,
     checksFencing: false,
     callMs: options.callMs,
   });
   const { loadLagMs } = options;
-  const service = serviceOptionsOf(target, { ...DEFAULT_TRAITS, loadLagMs });
-  return new ServiceServer({ ...listenOf(options), service });
+  const service = createServiceOptions(target, {
+    ...DEFAULT_TARGET_OPTIONS,
+    loadLagMs,
+  });
+  return new ServiceServer({ ...pickListenOptions(options), service });
 }
 
-function platformOf(options: PlatformCommandOptions): Standin {
+function createPlatformServer(options: PlatformCommandOptions): Standin {
   return new PlatformServer({
-    ...listenOf(options),
+    ...pickListenOptions(options),
     platform: {
       listLagMs: options.listLagMs,
-      writeLimit: limitOf(options.writesPerSecond),
-      readLimit: limitOf(options.readsPerSecond),
+      writeLimit: createRateLimit(options.writesPerSecond),
+      readLimit: createRateLimit(options.readsPerSecond),
       weightLimit: {
-        ...DEFAULT_PLATFORM.weightLimit,
-        perSecond: options.weightsPerSecond,
+        ...DEFAULT_PLATFORM_OPTIONS.weightLimit,
+        ratePerSecond: options.weightsPerSecond,
       },
     },
   });
@@ -101,9 +111,9 @@
   "model" | "kvTokens" | "prefillTokensPerSecond" | "decodeTokensPerSecond"
 >;
 
-function targetOf(
+function createTarget(
   options: TargetCommandOptions & EngineRates,
-  rest: Pick<StandinTarget, "kind" | "checksFencing" | "callMs">,
+  fixedOptions: Pick<StandinTarget, "kind" | "checksFencing" | "callMs">,
 ): StandinTarget {
   return {
     id: options.id,
@@ -115,11 +125,13 @@
     pool: "",
     failureDomain: "",
     hardware: "",
-    ...rest,
+    ...fixedOptions,
   };
 }
 
-function traitsIn(options: EngineCommandOptions): Partial<TargetTraits> {
+function pickSharedOptions(
+  options: EngineCommandOptions,
+): Partial<SharedTargetOptions> {
   const { seed, loadLagMs, blockTokens } = options;
   const { cacheEventLagMs, cacheEventLossShare } = options;
   return {
@@ -131,109 +143,149 @@
   };
 }
 
-function listenOf({ host, port }: ListenOptions): ListenOptions {
+function pickListenOptions({ host, port }: ListenOptions): ListenOptions {
   return { host, port };
 }
 
-function limitOf(perSecond?: number): TokenBucketOptions | undefined {
-  return perSecond === undefined ? undefined : { perSecond, burst: perSecond };
+function createRateLimit(
+  ratePerSecond?: number,
+): TokenBucketOptions | undefined {
+  return ratePerSecond === undefined
+    ? undefined
+    : { ratePerSecond, burst: ratePerSecond };
 }
 
 function parseNumber(text: string): number {
   const value = Number(text);
   if (text.trim() === "" || !Number.isFinite(value) || value < 0) {
-    throw new InvalidArgumentError("must be a number from 0");
+    throw new InvalidArgumentError("must be a number of at least 0");
   }
   return value;
 }
 
-function addNumber(command: Command, flag: string, options: {
-  readonly about: string;
-  readonly preset?: number;
+function addNumberOption(command: Command, flag: string, options: {
+  readonly description: string;
+  readonly defaultValue?: number;
 }): Command {
-  return options.preset === undefined
-    ? command.option(`${flag} <number>`, options.about, parseNumber)
+  return options.defaultValue === undefined
+    ? command.option(`${flag} <number>`, options.description, parseNumber)
     : command.option(
       `${flag} <number>`,
-      options.about,
+      options.description,
       parseNumber,
-      options.preset,
+      options.defaultValue,
     );
 }
 
-function addListen(command: Command): Command {
+function addListenOptions(command: Command): Command {
   command.option("--host <host>", "loopback address", "127.0.0.1");
-  const about = "port, 0 lets the system choose";
-  return addNumber(command, "--port", { about, preset: 0 });
+  const description = "port, 0 lets the system choose";
+  return addNumberOption(command, "--port", { description, defaultValue: 0 });
 }
 
-function addTarget(command: Command): Command {
-  addListen(command).requiredOption("--id <id>", "id of the target");
-  addNumber(command, "--slots", { about: "requests at once", preset: 16 });
-  return addNumber(command, "--load-lag-ms", {
-    about: "age of the state that load reports show",
-    preset: DEFAULT_TRAITS.loadLagMs,
+function addTargetOptions(command: Command): Command {
+  addListenOptions(command).requiredOption("--id <id>", "id of the target");
+  addNumberOption(command, "--slots", {
+    description: "requests at once",
+    defaultValue: 16,
+  });
+  return addNumberOption(command, "--load-lag-ms", {
+    description: "age of the state that load reports show",
+    defaultValue: DEFAULT_TARGET_OPTIONS.loadLagMs,
   });
 }
 
 function addEngineCommand(program: Command): void {
-  const command = program.command("engine").description("a model engine");
-  addTarget(command)
+  const command = program.command("engine").description(
+    "a model engine",
+  );
+  addTargetOptions(command)
     .requiredOption("--model <model>", "model it holds")
     .option("--ignore-fencing", "obey orders with old fencing numbers");
-  const numbers = [
-    { flag: "--kv-tokens", about: "KV memory", preset: 120_000 },
+  const numberOptions = [
+    {
+      flag: "--kv-tokens",
+      description: "KV memory",
+      defaultValue: 120_000,
+    },
     {
       flag: "--prefill-tokens-per-second",
-      about: "prompt rate",
-      preset: 7_000,
+      description: "prompt rate",
+      defaultValue: 7_000,
+    },
+    {
+      flag: "--decode-tokens-per-second",
+      description: "answer rate",
+      defaultValue: 55,
     },
-    { flag: "--decode-tokens-per-second", about: "answer rate", preset: 55 },
     {
       flag: "--block-tokens",
-      about: "tokens of a block",
-      preset: DEFAULT_TRAITS.blockTokens,
+      description: "tokens of a block",
+      defaultValue: DEFAULT_TARGET_OPTIONS.blockTokens,
     },
     {
       flag: "--cache-event-lag-ms",
-      about: "lateness of cache events",
-      preset: DEFAULT_TRAITS.cacheEventLagMs,
+      description: "lateness of cache events",
+      defaultValue: DEFAULT_TARGET_OPTIONS.cacheEventLagMs,
     },
     {
       flag: "--cache-event-loss-share",
-      about: "share of cache events lost",
-      preset: DEFAULT_TRAITS.cacheEventLossShare,
+      description: "share of cache events lost",
+      defaultValue: DEFAULT_TARGET_OPTIONS.cacheEventLossShare,
+    },
+    {
+      flag: "--seed",
+      description: "seed",
+      defaultValue: DEFAULT_TARGET_OPTIONS.seed,
     },
-    { flag: "--seed", about: "seed", preset: DEFAULT_TRAITS.seed },
   ];
-  numbers.forEach(({ flag, ...rest }) => addNumber(command, flag, rest));
-  command.action((options: EngineCommandOptions) => run(engineOf(options)));
+  numberOptions.forEach(({ flag, ...settings }) =>
+    addNumberOption(command, flag, settings)
+  );
+  command.action((options: EngineCommandOptions) =>
+    runStandin(createEngineServer(options))
+  );
 }
 
 function addServiceCommand(program: Command): void {
-  const command = program.command("service").description("a plain service");
-  addTarget(command);
-  addNumber(command, "--call-ms", { about: "time of a call", preset: 120 });
-  command.action((options: ServiceCommandOptions) => run(serviceOf(options)));
+  const command = program.command("service").description(
+    "a plain service",
+  );
+  addTargetOptions(command);
+  addNumberOption(command, "--call-ms", {
+    description: "time of a call",
+    defaultValue: 120,
+  });
+  command.action((options: ServiceCommandOptions) =>
+    runStandin(createServiceServer(options))
+  );
 }
 
 function addPlatformCommand(program: Command): void {
-  const command = program.command("platform").description("the platform");
-  addListen(command);
-  addNumber(command, "--list-lag-ms", {
-    about: "lag of the list",
-    preset: DEFAULT_PLATFORM.listLagMs,
+  const command = program.command("platform").description(
+    "the platform",
+  );
+  addListenOptions(command);
+  addNumberOption(command, "--list-lag-ms", {
+    description: "lag of the list",
+    defaultValue: DEFAULT_PLATFORM_OPTIONS.listLagMs,
+  });
+  addNumberOption(command, "--writes-per-second", {
+    description: "limit of writes",
+  });
+  addNumberOption(command, "--reads-per-second", {
+    description: "limit of reads",
   });
-  addNumber(command, "--writes-per-second", { about: "limit of writes" });
-  addNumber(command, "--reads-per-second", { about: "limit of reads" });
-  addNumber(command, "--weights-per-second", {
-    about: "limit of the weight store",
-    preset: DEFAULT_PLATFORM.weightLimit.perSecond,
+  addNumberOption(command, "--weights-per-second", {
+    description: "limit of the weight store",
+    defaultValue: DEFAULT_PLATFORM_OPTIONS.weightLimit.ratePerSecond,
   });
-  command.action((options: PlatformCommandOptions) => run(platformOf(options)));
+  command.action((options: PlatformCommandOptions) =>
+    runStandin(createPlatformServer(options))
+  );
 }
 
-async function run(standin: Standin): Promise<void> {
+async function runStandin(standin: Standin): Promise<void> {
   const stop = () => void standin.stop().then(() => process.exit(0));
   process.once("SIGTERM", stop);
   process.once("SIGINT", stop);
--- a/packages/standins/src/stream_sink.ts
+++ b/packages/standins/src/stream_sink.ts
@@ -1,4 +1,4 @@
-/** The HTTP response that follows one engine stream, and its faults. */
+/** HTTP response that carries one engine stream, with injected faults. */
 
 import type { ServerResponse } from "node:http";
 import {
@@ -7,34 +7,35 @@
 } from "@chestnuthatch/wire/target_protocol";
 import { DelayedWriter } from "./delayed_writer.ts";
 import type { AttemptRef } from "./engine_stream.ts";
-import type { NowMs } from "./http_host.ts";
+import type { NowMs } from "./http_server.ts";
 
-/** What goes wrong with one response. */
+/** Faults injected into one response. */
 export interface StreamFaults {
-  /** Cut the connection in place of the token with this position. */
+  /** Index of the token in whose place the connection is closed. */
   readonly breakAtToken?: number;
-  /** Ids of another request, to be sent in place of its own. */
-  readonly crossedWith?: AttemptRef;
+  /** Another attempt's ids, which the events carry in place of their own. */
+  readonly crossedAttempt?: AttemptRef;
+  /** Whether the end event is sent twice. */
   readonly duplicateEnd: boolean;
 }
 
-/** No fault at all. */
+/** Faults of a response without faults. */
 export const NO_STREAM_FAULTS: StreamFaults = { duplicateEnd: false };
 
 const HTTP_OK = 200;
 
-/** Writes engine events as NDJSON lines. */
+/** Writes engine events to one response as NDJSON lines. */
 export class StreamSink {
   readonly #response: ServerResponse;
   readonly #writer: DelayedWriter;
   readonly #faults: StreamFaults;
 
   /**
-   * Sends the response's head.
+   * Sends the status line and headers of the response.
    *
    * @param response The response.
    * @param nowMs The clock.
-   * @param faults What goes wrong.
+   * @param faults Faults to inject.
    */
   constructor(response: ServerResponse, nowMs: NowMs, faults: StreamFaults) {
     this.#response = response;
@@ -48,17 +49,17 @@
    * Sends one event.
    *
    * @param event The event.
-   * @param delayMs How long to hold it back.
-   * @returns Whether the response goes on after it.
+   * @param delayMs Delay before the event is sent.
+   * @returns Whether the response stays open for further events.
    */
   send(event: EngineEvent, delayMs: number): boolean {
-    const { breakAtToken, crossedWith, duplicateEnd } = this.#faults;
+    const { breakAtToken, crossedAttempt, duplicateEnd } = this.#faults;
     const isToken = event.kind === EngineEventKind.Token;
     if (isToken && breakAtToken !== undefined && event.index >= breakAtToken) {
-      this.#writer.cut(delayMs);
+      this.#writer.closeSocket(delayMs);
       return false;
     }
-    const line = JSON.stringify({ ...event, ...crossedWith });
+    const line = JSON.stringify({ ...event, ...crossedAttempt });
     this.#writer.write(line, delayMs);
     if (event.kind === EngineEventKind.End && duplicateEnd) {
       this.#writer.write(line, delayMs);
@@ -70,7 +71,7 @@
     return false;
   }
 
-  /** Cuts the connection now. */
+  /** Closes the connection at once. */
   destroy(): void {
     this.#response.destroy();
   }
--- a/packages/standins/src/target_counts.ts
+++ b/packages/standins/src/target_counts.ts
@@ -1,18 +1,21 @@
-/** What every target counts about itself, for tests and measurements. */
+/** Counts that every simulated target has, for tests and measurements. */
 
-/** Counts since the target was made; they outlive its death. */
+/**
+ * Counts since the target was constructed; a restart keeps them. The names are
+ * the keys in the answer of `GET /standin/counts`.
+ */
 export interface TargetCounts {
-  /** Times each request was sent to this target, whatever came of it. */
+  /** Number of dispatches received per request, whatever their outcome. */
   readonly dispatchesByRequestId: Map<string, number>;
-  /** Times each request's work began. */
+  /** Number of times the work of each request started. */
   readonly runsByRequestId: Map<string, number>;
-  /** Times work began for each idempotency key. */
+  /** Number of times work started per idempotency key. */
   readonly runsByKey: Map<string, number>;
-  /** For each dispatch taken while leaving, time since leaving began. */
+  /** For each dispatch received while leaving, the time since then. */
   readonly dispatchesAfterLeavingMs: number[];
 }
 
-/** @returns Counts that are all zero. */
+/** @returns New counts, all zero. */
 export function emptyTargetCounts(): TargetCounts {
   return {
     dispatchesByRequestId: new Map(),
@@ -23,43 +26,43 @@
 }
 
 /**
- * Adds to a count in a map.
+ * Increases a count in a map; a missing count is 0.
  *
- * @param counts The map.
- * @param key What is counted.
- * @param by How much to add.
+ * @param counts The counts by key.
+ * @param key Key of the count.
+ * @param amount Amount to add; 1 if absent.
  */
-export function addTo(
+export function increaseCount(
   counts: Map<string, number>,
   key: string,
-  by = 1,
+  amount = 1,
 ): void {
-  counts.set(key, (counts.get(key) ?? 0) + by);
+  counts.set(key, (counts.get(key) ?? 0) + amount);
 }
 
 /**
- * Counts that a request's work begins.
+ * Counts the start of a request's work, by request and by idempotency key.
  *
  * @param counts The target's counts.
- * @param request The request.
+ * @param request The request whose work starts.
  */
 export function countRun(
   counts: TargetCounts,
   request: { readonly requestId: string; readonly idempotencyKey?: string },
 ): void {
-  addTo(counts.runsByRequestId, request.requestId);
+  increaseCount(counts.runsByRequestId, request.requestId);
   if (request.idempotencyKey !== undefined) {
-    addTo(counts.runsByKey, request.idempotencyKey);
+    increaseCount(counts.runsByKey, request.idempotencyKey);
   }
 }
 
 /**
- * Turns the maps among counts into plain objects.
+ * Converts the maps among counts to plain objects.
  *
  * @param counts The counts.
- * @returns The same counts, fit for JSON.
+ * @returns The same counts in a form that JSON can represent.
  */
-export function plainCountsOf(counts: object): Record<string, unknown> {
+export function toPlainCounts(counts: object): Record<string, unknown> {
   const entries = Object.entries(counts).map(([name, count]) => [
     name,
     count instanceof Map ? Object.fromEntries(count) : count,
