--- a/packages/standins/src/target_faults.ts
+++ b/packages/standins/src/target_faults.ts
@@ -1,32 +1,33 @@
-/** Fault switches of target stand-ins: bodies of `POST /standin/faults`. */
+/** Fault injection of target stand-ins, by way of `POST /standin/faults`. */
 
 import * as z from "zod";
 import type { AttemptRef } from "./engine_stream.ts";
 
-/** What can be made to go wrong. */
+/** Faults of a target that can be injected. */
 export enum TargetFaultKind {
-  /** Cut the next streams after some tokens; they can be resumed. */
+  /** Close the next streams' connections after some tokens; resuming works. */
   BreakStream = "break_stream",
-  /** Take the next requests, then cut before any byte of an answer. */
+  /** Run the next requests, but close their connections without an answer. */
   DropBeforeAnswer = "drop_before_answer",
-  /** Run the next calls, then cut instead of answering (services). */
+  /** Run the next calls, then close instead of answering (services only). */
   CutAfterRun = "cut_after_run",
   /** Answer the next requests with another request's ids. */
   CrossAnswers = "cross_answers",
   /** Send the end event of the next streams twice. */
   DuplicateEnd = "duplicate_end",
-  /** Hold all answers back. */
+  /** Delay all answers. */
   DelayAnswers = "delay_answers",
+  /** Refuse all orders. */
   RefuseOrders = "refuse_orders",
-  /** Work slower; factor 1 heals. */
+  /** Work slower by a factor; factor 1 restores the rates. */
   Straggle = "straggle",
   /** Report that the target is leaving. */
   Leave = "leave",
-  /** Lose everything and refuse connections. */
+  /** End the process: lose all work and refuse connections. */
   Die = "die",
 }
 
-/** Faults that apply to a number of requests. */
+/** Kinds of faults that apply to a number of requests. */
 export type CountedFaultKind =
   | TargetFaultKind.BreakStream
   | TargetFaultKind.DropBeforeAnswer
@@ -34,25 +35,37 @@
   | TargetFaultKind.CrossAnswers
   | TargetFaultKind.DuplicateEnd;
 
-/** Sent by crossed answers when no other request is at hand. */
+/** Ids of a crossed answer if the target has received no earlier attempt. */
 const UNKNOWN_ATTEMPT: AttemptRef = {
   requestId: "unknown-request",
   attemptNonce: "unknown-attempt",
 };
 
-const times = z.number().int().nonnegative();
+const timesSchema = z.number().int().nonnegative();
 
-/** One fault to switch. */
+/** Body of `POST /standin/faults`: a fault to inject or to end. */
 export const targetFaultSchema = z.discriminatedUnion("kind", [
   z.strictObject({
     kind: z.literal(TargetFaultKind.BreakStream),
-    times,
+    times: timesSchema,
     afterTokens: z.number().int().nonnegative(),
   }),
-  z.strictObject({ kind: z.literal(TargetFaultKind.DropBeforeAnswer), times }),
-  z.strictObject({ kind: z.literal(TargetFaultKind.CutAfterRun), times }),
-  z.strictObject({ kind: z.literal(TargetFaultKind.CrossAnswers), times }),
-  z.strictObject({ kind: z.literal(TargetFaultKind.DuplicateEnd), times }),
+  z.strictObject({
+    kind: z.literal(TargetFaultKind.DropBeforeAnswer),
+    times: timesSchema,
+  }),
+  z.strictObject({
+    kind: z.literal(TargetFaultKind.CutAfterRun),
+    times: timesSchema,
+  }),
+  z.strictObject({
+    kind: z.literal(TargetFaultKind.CrossAnswers),
+    times: timesSchema,
+  }),
+  z.strictObject({
+    kind: z.literal(TargetFaultKind.DuplicateEnd),
+    times: timesSchema,
+  }),
   z.strictObject({
     kind: z.literal(TargetFaultKind.DelayAnswers),
     delayMs: z.number().nonnegative(),
@@ -71,50 +84,57 @@
   }),
   z.strictObject({ kind: z.literal(TargetFaultKind.Die) }),
 ]);
+/** A fault of a target to inject or to end. */
 export type TargetFault = z.infer<typeof targetFaultSchema>;
 
-/** The faults of one target that are switched on. */
+/** Faults that are in effect on one target. */
 export class ActiveFaults {
-  /** Position of the token at which streams break. */
+  /**
+   * Index of the token in whose place {@link TargetFaultKind.BreakStream}
+   * closes the connection.
+   */
   breakAfterTokens = 0;
-  /** How long answers are held back. */
+  /** Delay of all answers. */
   delayMs = 0;
+  /** Whether all orders are refused. */
   refusesOrders = false;
-  readonly #left = new Map<CountedFaultKind, number>();
+  /** Number of further requests to which each fault applies. */
+  readonly #remainingCounts = new Map<CountedFaultKind, number>();
   #lastAttempt = UNKNOWN_ATTEMPT;
 
   /**
-   * Sets how often a fault applies from now on.
+   * Sets the number of requests to which a fault applies from now on.
    *
-   * @param kind The fault.
-   * @param count To how many requests it applies.
+   * @param kind Kind of the fault.
+   * @param count Number of requests.
    */
   set(kind: CountedFaultKind, count: number): void {
-    this.#left.set(kind, count);
+    this.#remainingCounts.set(kind, count);
   }
 
   /**
-   * Counts one request towards a fault.
+   * Checks whether a fault applies to the next request, and counts the request.
    *
-   * @param kind The fault.
+   * @param kind Kind of the fault.
    * @returns Whether the fault applies to the request.
    */
-  take(kind: CountedFaultKind): boolean {
-    const left = this.#left.get(kind) ?? 0;
-    this.#left.set(kind, Math.max(0, left - 1));
-    return left > 0;
+  consume(kind: CountedFaultKind): boolean {
+    const remaining = this.#remainingCounts.get(kind) ?? 0;
+    this.#remainingCounts.set(kind, Math.max(0, remaining - 1));
+    return remaining > 0;
   }
 
   /**
-   * Counts one attempt towards crossed answers.
+   * Checks whether an attempt's answer is crossed, and counts the attempt.
    *
    * @param attempt The attempt.
-   * @returns Ids to send in place of its own, if the fault applies to it.
+   * @returns Ids of the previous attempt, to send in place of its own, or
+   * undefined if the fault does not apply.
    */
-  takeCrossing(attempt: AttemptRef): AttemptRef | undefined {
+  consumeCrossedAttempt(attempt: AttemptRef): AttemptRef | undefined {
     const previous = this.#lastAttempt;
     const { requestId, attemptNonce } = attempt;
     this.#lastAttempt = { requestId, attemptNonce };
-    return this.take(TargetFaultKind.CrossAnswers) ? previous : undefined;
+    return this.consume(TargetFaultKind.CrossAnswers) ? previous : undefined;
   }
 }
--- a/packages/standins/src/target_model.ts
+++ b/packages/standins/src/target_model.ts
@@ -1,4 +1,7 @@
-/** What the models of engines and services share: life, clock, load, counts. */
+/**
+ * Base class of the simulated engines and services: process lifetime, clock,
+ * load reports and counts.
+ */
 
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 import {
@@ -7,161 +10,167 @@
   type LoadSample,
 } from "./load_history.ts";
 import type { SteppedModel } from "./model_timer.ts";
-import { addTo, type TargetCounts } from "./target_counts.ts";
+import { increaseCount, type TargetCounts } from "./target_counts.ts";
 
-/** Anything that leaves a target at some moment. */
+/** An output of a target, with the time of its emission. */
 export interface TimedOutput {
   readonly atMs: number;
 }
 
-/** The part of a load sample that differs between kinds of targets. */
-export type WorkLoad = Omit<LoadSample, "atMs" | "leaving">;
+/** The part of a load sample that each kind of target computes itself. */
+export type CurrentLoad = Omit<LoadSample, "atMs" | "leaving">;
 
-/** A target without sockets or timers, stepped by time. */
+/**
+ * Simulated target without sockets or timers; the caller advances its clock.
+ */
 export abstract class TargetModel<
   Counts extends TargetCounts,
   Output extends TimedOutput,
 > implements SteppedModel {
-  /** Counts since the target was made. */
+  /** Counts since the target was constructed; a restart keeps them. */
   readonly counts: Counts;
-  readonly #loads: LoadHistory;
+  readonly #loadHistory: LoadHistory;
   #outputs: Output[] = [];
   #leavingSinceMs: number | undefined;
-  #alive = true;
-  /** How far the model has come. */
+  #isRunning = true;
+  /** Time up to which the model has been advanced. */
   protected nowMs = 0;
-  /** How many times slower than its own rates it works. */
+  /** Factor by which the target is slower than its configured rates. */
   protected slowdown = 1;
 
   /**
-   * @param load What its load reports say at all times.
-   * @param counts Counts that are all zero.
+   * @param load Constant figures of its load reports, and their age.
+   * @param counts The target's counts, all zero.
    */
   constructor(load: LoadHistoryOptions, counts: Counts) {
-    this.#loads = new LoadHistory(load);
+    this.#loadHistory = new LoadHistory(load);
     this.counts = counts;
   }
 
-  /** @returns Whether the target's process lives. */
-  get alive(): boolean {
-    return this.#alive;
+  /** @returns Whether the target's process is running. */
+  get isRunning(): boolean {
+    return this.#isRunning;
   }
 
   /**
-   * Lets time pass.
+   * Advances the clock.
    *
    * @param nowMs The time now.
-   * @returns Every output since the last call, in time order.
+   * @returns The outputs since the last call, in time order.
    */
   advance(nowMs: number): Output[] {
-    this.runTo(nowMs);
+    this.advanceTo(nowMs);
     const outputs = this.#outputs;
     this.#outputs = [];
     return outputs;
   }
 
-  /** @returns When {@link TargetModel.advance} has something to give next. */
+  /**
+   * @returns When {@link TargetModel.advance} next returns an output, or
+   * undefined for never.
+   */
   nextEventAtMs(): number | undefined {
-    return this.#outputs.at(0)?.atMs ?? this.nextChangeAtMs();
+    return this.#outputs.at(0)?.atMs ?? this.nextStepAtMs();
   }
 
   /**
-   * Reports the load as it was some time ago.
+   * Reports the load as it was one reporting lag ago.
    *
    * @param nowMs The time now.
-   * @returns The stale report.
+   * @returns The delayed load report.
    */
   load(nowMs: number): TargetLoad {
-    this.runTo(nowMs);
-    return this.#loads.report(this.nowMs);
+    this.advanceTo(nowMs);
+    return this.#loadHistory.report(this.nowMs);
   }
 
   /**
-   * Makes the target a straggler, or heals it.
+   * Makes the target a straggler, or restores its configured rates.
    *
-   * @param factor How many times slower than its own rates; 1 heals.
+   * @param factor Factor by which it is slower; 1 restores the rates.
    * @param nowMs The time now.
    */
   abstract setSlowdown(factor: number, nowMs: number): void;
 
   /**
-   * Makes the target report that it is leaving; it goes on admitting.
+   * Sets whether the target reports that it is leaving. A leaving target still
+   * accepts requests.
    *
    * @param leaving Whether it is leaving.
    * @param nowMs The time now.
    */
   setLeaving(leaving: boolean, nowMs: number): void {
-    this.runTo(nowMs);
+    this.advanceTo(nowMs);
     this.#leavingSinceMs = leaving ? this.nowMs : undefined;
     this.recordLoad();
   }
 
   /**
-   * Ends the target's process: all it holds is lost, and no output tells of it.
+   * Ends the target's process. All work and state are lost without an output.
    *
    * @param nowMs The time now.
    */
   kill(nowMs: number): void {
-    this.runTo(nowMs);
-    this.loseWork();
-    this.#loads.clear();
-    this.#alive = false;
+    this.advanceTo(nowMs);
+    this.discardWork();
+    this.#loadHistory.clear();
+    this.#isRunning = false;
   }
 
   /**
-   * Starts the target's process anew, empty.
+   * Restarts the target's process with no work.
    *
    * @param nowMs The time now.
    */
-  revive(nowMs: number): void {
-    this.#alive = true;
+  restart(nowMs: number): void {
+    this.#isRunning = true;
     this.#leavingSinceMs = undefined;
     this.slowdown = 1;
-    this.runTo(nowMs);
+    this.advanceTo(nowMs);
     this.recordLoad();
   }
 
-  /** @param nowMs Until when to work. */
-  protected abstract runTo(nowMs: number): void;
+  /** @param nowMs Time up to which the work is simulated. */
+  protected abstract advanceTo(nowMs: number): void;
 
-  /** @returns When the work changes next, or undefined for never. */
-  protected abstract nextChangeAtMs(): number | undefined;
+  /** @returns When the next step of the work ends, or undefined for never. */
+  protected abstract nextStepAtMs(): number | undefined;
 
-  /** @returns The load of the work now. */
-  protected abstract workLoad(): WorkLoad;
+  /** @returns The load of the target's work now. */
+  protected abstract currentLoad(): CurrentLoad;
 
-  /** Forgets all that dies with the process. */
-  protected abstract loseWork(): void;
+  /** Discards all work and state that end with the process. */
+  protected abstract discardWork(): void;
 
   /**
-   * Counts a dispatch as received.
+   * Counts a dispatch, if the target's process is running.
    *
-   * @param requestId The request.
+   * @param requestId Id of the dispatched request.
    * @param nowMs The time now.
-   * @returns False when the target is dead and received nothing.
+   * @returns False when the process is down, so that nothing was received.
    */
-  protected receive(requestId: string, nowMs: number): boolean {
-    if (!this.#alive) {
+  protected countDispatch(requestId: string, nowMs: number): boolean {
+    if (!this.#isRunning) {
       return false;
     }
-    this.runTo(nowMs);
-    addTo(this.counts.dispatchesByRequestId, requestId);
+    this.advanceTo(nowMs);
+    increaseCount(this.counts.dispatchesByRequestId, requestId);
     if (this.#leavingSinceMs !== undefined) {
-      const sinceMs = this.nowMs - this.#leavingSinceMs;
-      this.counts.dispatchesAfterLeavingMs.push(sinceMs);
+      const leavingForMs = this.nowMs - this.#leavingSinceMs;
+      this.counts.dispatchesAfterLeavingMs.push(leavingForMs);
     }
     return true;
   }
 
-  /** @param output What leaves the target now. */
+  /** @param output An output that the target emits now. */
   protected emit(output: Output): void {
     this.#outputs.push(output);
   }
 
-  /** Notes the load from now on. */
+  /** Records the current load for later load reports. */
   protected recordLoad(): void {
-    this.#loads.record({
-      ...this.workLoad(),
+    this.#loadHistory.record({
+      ...this.currentLoad(),
       atMs: this.nowMs,
       leaving: this.#leavingSinceMs !== undefined,
     });
--- a/packages/standins/src/target_server.ts
+++ b/packages/standins/src/target_server.ts
@@ -1,17 +1,17 @@
-/** What the HTTP servers of engines and services share. */
+/** Base class of the HTTP servers of simulated engines and services. */
 
 import {
-  HttpHost,
   jsonRoute,
   type ListenAddress,
   type ListenOptions,
   type NowMs,
   processNowMs,
   sendJson,
-} from "./http_host.ts";
+  StandinHttpServer,
+} from "./http_server.ts";
 import { handleByKind, type KindHandlers } from "./kind_handlers.ts";
 import { ModelTimer } from "./model_timer.ts";
-import { plainCountsOf, type TargetCounts } from "./target_counts.ts";
+import { type TargetCounts, toPlainCounts } from "./target_counts.ts";
 import {
   ActiveFaults,
   type TargetFault,
@@ -20,35 +20,38 @@
 } from "./target_faults.ts";
 import type { TargetModel, TimedOutput } from "./target_model.ts";
 
-/** Where a target server listens, and its clock. */
+/** Listen address of a target server, and its clock. */
 export interface TargetServerOptions extends ListenOptions {
-  /** The clock; the process's own where absent. */
+  /** The clock; defaults to the process's monotonic clock. */
   readonly nowMs?: NowMs;
 }
 
-/** Serves a model on the real clock, with switches for its faults. */
+/** Serves a simulated target over HTTP and injects its faults. */
 export abstract class TargetServer<
   Output extends TimedOutput,
   Model extends TargetModel<TargetCounts, Output>,
 > {
-  /** The target behind the server. */
+  /** The simulated target. */
   readonly model: Model;
-  readonly #host: HttpHost;
+  readonly #httpServer: StandinHttpServer;
   readonly #timer: ModelTimer;
-  readonly #faultHandlers = this.#makeFaultHandlers();
+  readonly #faultHandlers = this.#createFaultHandlers();
   protected readonly nowMs: NowMs;
   protected readonly faults = new ActiveFaults();
 
   /**
-   * @param model The target behind the server.
-   * @param options Where to listen, and the clock.
+   * @param model The simulated target.
+   * @param options Listen address and clock.
    */
   constructor(model: Model, options: TargetServerOptions) {
     this.model = model;
-    this.#host = new HttpHost({ host: options.host, port: options.port });
+    this.#httpServer = new StandinHttpServer({
+      host: options.host,
+      port: options.port,
+    });
     this.nowMs = options.nowMs ?? processNowMs;
     this.#timer = new ModelTimer(model, this.nowMs, {
-      onDue: () => this.deliver(),
+      onDue: () => this.deliverOutputs(),
     });
     this.#addRoutes();
   }
@@ -56,57 +59,58 @@
   /**
    * Starts to listen.
    *
-   * @returns Where it listens.
+   * @returns The address it listens on.
    */
   start(): Promise<ListenAddress> {
-    return this.#host.start();
+    return this.#httpServer.start();
   }
 
-  /** Stops the server and cuts every connection. */
+  /** Stops listening and closes every connection at once. */
   stop(): Promise<void> {
     this.#timer.stop();
-    return this.#host.stop();
+    return this.#httpServer.stop();
   }
 
-  /** Loses everything and refuses connections. */
+  /** Simulates the end of the process: loses all work, refuses connections. */
   kill(): Promise<void> {
     this.model.kill(this.nowMs());
     return this.stop();
   }
 
   /**
-   * Starts anew after a kill, empty and on the same address.
+   * Restarts after a kill, with no work and on the same address.
    *
-   * @returns Where it listens.
+   * @returns The address it listens on.
    */
   revive(): Promise<ListenAddress> {
-    this.model.revive(this.nowMs());
-    return this.#host.start();
+    this.model.restart(this.nowMs());
+    return this.#httpServer.start();
   }
 
   /**
-   * Switches a fault.
+   * Injects or ends a fault.
    *
-   * @param fault The fault; one that this kind of target lacks changes nothing.
+   * @param fault The fault and its parameters. A fault that does not exist for
+   * this kind of target has no effect.
    */
   setFault(fault: TargetFault): void {
     handleByKind(this.#faultHandlers, fault);
   }
 
-  /** Routes are added here before the start. */
-  protected get app(): HttpHost["app"] {
-    return this.#host.app;
+  /** Router; routes must be added before the server starts. */
+  protected get app(): StandinHttpServer["app"] {
+    return this.#httpServer.app;
   }
 
-  /** Sends what the model has to give, and waits for what comes next. */
-  protected deliver(): void {
+  /** Sends the model's due outputs and schedules the next ones. */
+  protected deliverOutputs(): void {
     for (const output of this.model.advance(this.nowMs())) {
       this.send(output);
     }
-    this.#timer.arm();
+    this.#timer.schedule();
   }
 
-  /** @param output What the model gave; dropped where nobody waits for it. */
+  /** @param output An output to send; dropped if no response is open for it. */
   protected abstract send(output: Output): void;
 
   #addRoutes(): void {
@@ -114,7 +118,7 @@
       .get(
         "/standin/counts",
         (_request, response) =>
-          sendJson(response, plainCountsOf(this.model.counts)),
+          sendJson(response, toPlainCounts(this.model.counts)),
       )
       .post(
         "/standin/faults",
@@ -125,18 +129,19 @@
       );
   }
 
-  #makeFaultHandlers(): KindHandlers<TargetFault> {
-    const count = (fault: Extract<TargetFault, { times: number }>) =>
-      this.faults.set(fault.kind, fault.times);
+  #createFaultHandlers(): KindHandlers<TargetFault> {
+    const setRemainingCount = (
+      fault: Extract<TargetFault, { times: number }>,
+    ) => this.faults.set(fault.kind, fault.times);
     return {
       [TargetFaultKind.BreakStream]: (fault) => {
         this.faults.breakAfterTokens = fault.afterTokens;
-        count(fault);
+        setRemainingCount(fault);
       },
-      [TargetFaultKind.DropBeforeAnswer]: count,
-      [TargetFaultKind.CutAfterRun]: count,
-      [TargetFaultKind.CrossAnswers]: count,
-      [TargetFaultKind.DuplicateEnd]: count,
+      [TargetFaultKind.DropBeforeAnswer]: setRemainingCount,
+      [TargetFaultKind.CutAfterRun]: setRemainingCount,
+      [TargetFaultKind.CrossAnswers]: setRemainingCount,
+      [TargetFaultKind.DuplicateEnd]: setRemainingCount,
       [TargetFaultKind.DelayAnswers]: (fault) => {
         this.faults.delayMs = fault.delayMs;
       },
--- a/packages/standins/src/token_bucket.ts
+++ b/packages/standins/src/token_bucket.ts
@@ -1,46 +1,50 @@
-/** A token bucket, for rate limits on a clock that is handed in. */
+/** Token bucket for rate limits; the caller passes the time. */
 
-/** Rate and burst of a bucket. */
+/** Rate and burst of a token bucket. */
 export interface TokenBucketOptions {
-  readonly perSecond: number;
-  /** Most that can be taken at once. */
+  /** Tokens added per second. */
+  readonly ratePerSecond: number;
+  /** Capacity of the bucket, and its initial number of tokens. */
   readonly burst: number;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** Gives out permission at a steady rate. */
+/** Token bucket rate limiter. */
 export class TokenBucket {
   readonly #options: TokenBucketOptions;
-  #level: number;
-  #filledAtMs = 0;
+  #availableTokens: number;
+  #refilledAtMs = 0;
 
-  /** @param options Rate and burst. */
+  /** @param options Rate and burst of the bucket. */
   constructor(options: TokenBucketOptions) {
     this.#options = options;
-    this.#level = options.burst;
+    this.#availableTokens = options.burst;
   }
 
   /**
-   * Takes one permission.
+   * Takes one token if available.
    *
    * @param nowMs The time now.
-   * @returns Whether there was one.
+   * @returns Whether a token was taken.
    */
-  take(nowMs: number): boolean {
-    this.#fill(nowMs);
-    if (this.#level < 1) {
+  tryTake(nowMs: number): boolean {
+    this.#refill(nowMs);
+    if (this.#availableTokens < 1) {
       return false;
     }
-    this.#level -= 1;
+    this.#availableTokens -= 1;
     return true;
   }
 
-  #fill(nowMs: number): void {
-    const { perSecond, burst } = this.#options;
-    const passedMs = Math.max(0, nowMs - this.#filledAtMs);
-    const gained = passedMs * perSecond / MS_PER_SECOND;
-    this.#level = Math.min(burst, this.#level + gained);
-    this.#filledAtMs = Math.max(this.#filledAtMs, nowMs);
+  #refill(nowMs: number): void {
+    const { ratePerSecond: perSecond, burst } = this.#options;
+    const elapsedMs = Math.max(0, nowMs - this.#refilledAtMs);
+    const gainedTokens = elapsedMs * perSecond / MS_PER_SECOND;
+    this.#availableTokens = Math.min(
+      burst,
+      this.#availableTokens + gainedTokens,
+    );
+    this.#refilledAtMs = Math.max(this.#refilledAtMs, nowMs);
   }
 }
--- a/packages/standins/src/workload_kinds.ts
+++ b/packages/standins/src/work_kinds.ts
@@ -1,12 +1,12 @@
-/** The kinds of request that the two deployments see. */
+/** Kinds of requests of the two deployments, their tiers and workspaces. */
 
-/** Who runs the system. */
+/** A deployment of the system, by the organization that operates it. */
 export enum Deployment {
   ShambaSafi = "shamba-safi",
   SunuRegistrs = "sunu-registrs",
 }
 
-/** Kinds of request. */
+/** Kinds of requests that callers send. */
 export enum WorkKind {
   FaultNote = "fault-note",
   SeasonPlan = "season-plan",
@@ -19,47 +19,50 @@
   InvoiceDraft = "invoice-draft",
 }
 
-/** Lowest and highest of a length in tokens. */
+/** Bounds of a length in tokens, both inclusive. */
 export interface TokenRange {
   readonly min: number;
   readonly max: number;
 }
 
-/** What requests of one kind are like. */
+/** Frequency, lengths and delivery options of one kind of request. */
 export interface WorkKindProfile {
   readonly deployment: Deployment;
   readonly tier: string;
   readonly pool: string;
-  /** Share among the deployment's requests on a calm day. */
+  /** Relative frequency among the deployment's requests under normal load. */
   readonly weight: number;
-  /** Leading text that requests of a workspace share. */
+  /** Length of the leading text that requests of a workspace share. */
   readonly prefixTokens: TokenRange;
-  /** How many different leading texts each workspace has. */
+  /** Number of different leading texts of each workspace. */
   readonly prefixesPerWorkspace: number;
-  /** The part of the prompt that is a request's own. */
-  readonly ownTokens: TokenRange;
+  /** Length of the part of the prompt that is unique to the request. */
+  readonly uniqueTokens: TokenRange;
   readonly outputTokens: TokenRange;
   readonly maxOutputTokens: number;
   readonly deadlineMs: number;
   readonly idempotent: boolean;
-  /** Share of requests that carry an idempotency key. */
-  readonly keyedShare: number;
+  /** Share (0 to 1) of requests that carry an idempotency key. */
+  readonly idempotencyKeyShare: number;
 }
 
-/** A workspace and its share of a deployment's requests. */
+/** A workspace and its relative share of a deployment's requests. */
 export interface WorkspaceShare {
   readonly workspace: string;
   readonly weight: number;
 }
 
-/** Tiers of each deployment, highest first. */
-export const TIERS: Record<Deployment, readonly string[]> = {
+/** Tiers of each deployment, highest priority first. */
+export const TIERS_BY_DEPLOYMENT: Record<Deployment, readonly string[]> = {
   [Deployment.ShambaSafi]: ["urgent", "planned", "routine"],
   [Deployment.SunuRegistrs]: ["counter", "office", "background"],
 };
 
-/** Workspaces of each deployment; a few are large. */
-export const WORKSPACES: Record<Deployment, readonly WorkspaceShare[]> = {
+/** Workspaces of each deployment; a few send most of the requests. */
+export const WORKSPACES_BY_DEPLOYMENT: Record<
+  Deployment,
+  readonly WorkspaceShare[]
+> = {
   [Deployment.ShambaSafi]: [
     { workspace: "arusha-schools", weight: 40 },
     { workspace: "njiro-plots", weight: 25 },
@@ -76,8 +79,8 @@
   ],
 };
 
-/** What requests of each kind are like. */
-export const PROFILES: Record<WorkKind, WorkKindProfile> = {
+/** Profile of each kind of request. */
+export const WORK_KIND_PROFILES: Record<WorkKind, WorkKindProfile> = {
   [WorkKind.FaultNote]: {
     deployment: Deployment.ShambaSafi,
     tier: "urgent",
@@ -85,12 +88,12 @@
     weight: 25,
     prefixTokens: { min: 512, max: 768 },
     prefixesPerWorkspace: 1,
-    ownTokens: { min: 150, max: 900 },
+    uniqueTokens: { min: 150, max: 900 },
     outputTokens: { min: 60, max: 280 },
     maxOutputTokens: 320,
     deadlineMs: 15_000,
     idempotent: true,
-    keyedShare: 0.5,
+    idempotencyKeyShare: 0.5,
   },
   [WorkKind.SeasonPlan]: {
     deployment: Deployment.ShambaSafi,
@@ -99,12 +102,12 @@
     weight: 15,
     prefixTokens: { min: 1_500, max: 3_000 },
     prefixesPerWorkspace: 2,
-    ownTokens: { min: 3_000, max: 12_000 },
+    uniqueTokens: { min: 3_000, max: 12_000 },
     outputTokens: { min: 400, max: 1_400 },
     maxOutputTokens: 1_536,
     deadlineMs: 120_000,
     idempotent: true,
-    keyedShare: 0.8,
+    idempotencyKeyShare: 0.8,
   },
   [WorkKind.BladeQuery]: {
     deployment: Deployment.ShambaSafi,
@@ -113,12 +116,12 @@
     weight: 45,
     prefixTokens: { min: 64, max: 128 },
     prefixesPerWorkspace: 1,
-    ownTokens: { min: 12, max: 90 },
+    uniqueTokens: { min: 12, max: 90 },
     outputTokens: { min: 20, max: 110 },
     maxOutputTokens: 128,
     deadlineMs: 30_000,
     idempotent: true,
-    keyedShare: 0.2,
+    idempotencyKeyShare: 0.2,
   },
   [WorkKind.StatusPost]: {
     deployment: Deployment.ShambaSafi,
@@ -127,12 +130,12 @@
     weight: 15,
     prefixTokens: { min: 0, max: 0 },
     prefixesPerWorkspace: 1,
-    ownTokens: { min: 30, max: 90 },
+    uniqueTokens: { min: 30, max: 90 },
     outputTokens: { min: 4, max: 4 },
     maxOutputTokens: 16,
     deadlineMs: 10_000,
     idempotent: false,
-    keyedShare: 1,
+    idempotencyKeyShare: 1,
   },
   [WorkKind.LicenceRenewal]: {
     deployment: Deployment.SunuRegistrs,
@@ -141,12 +144,12 @@
     weight: 20,
     prefixTokens: { min: 1_024, max: 1_536 },
     prefixesPerWorkspace: 1,
-    ownTokens: { min: 1_200, max: 6_000 },
+    uniqueTokens: { min: 1_200, max: 6_000 },
     outputTokens: { min: 80, max: 360 },
     maxOutputTokens: 400,
     deadlineMs: 30_000,
     idempotent: true,
-    keyedShare: 0.6,
+    idempotencyKeyShare: 0.6,
   },
   [WorkKind.FeeQuestion]: {
     deployment: Deployment.SunuRegistrs,
@@ -155,12 +158,12 @@
     weight: 40,
     prefixTokens: { min: 64, max: 128 },
     prefixesPerWorkspace: 1,
-    ownTokens: { min: 12, max: 90 },
+    uniqueTokens: { min: 12, max: 90 },
     outputTokens: { min: 20, max: 110 },
     maxOutputTokens: 128,
     deadlineMs: 20_000,
     idempotent: true,
-    keyedShare: 0.2,
+    idempotencyKeyShare: 0.2,
   },
   [WorkKind.ReminderLetter]: {
     deployment: Deployment.SunuRegistrs,
@@ -169,12 +172,12 @@
     weight: 15,
     prefixTokens: { min: 512, max: 768 },
     prefixesPerWorkspace: 1,
-    ownTokens: { min: 100, max: 400 },
+    uniqueTokens: { min: 100, max: 400 },
     outputTokens: { min: 200, max: 560 },
     maxOutputTokens: 640,
     deadlineMs: 300_000,
     idempotent: true,
-    keyedShare: 0.8,
+    idempotencyKeyShare: 0.8,
   },
   [WorkKind.CaseFileReading]: {
     deployment: Deployment.SunuRegistrs,
@@ -183,12 +186,12 @@
     weight: 12,
     prefixTokens: { min: 8_000, max: 24_000 },
     prefixesPerWorkspace: 30,
-    ownTokens: { min: 40, max: 300 },
+    uniqueTokens: { min: 40, max: 300 },
     outputTokens: { min: 150, max: 700 },
     maxOutputTokens: 768,
     deadlineMs: 90_000,
     idempotent: true,
-    keyedShare: 0.7,
+    idempotencyKeyShare: 0.7,
   },
   [WorkKind.InvoiceDraft]: {
     deployment: Deployment.SunuRegistrs,
@@ -197,23 +200,23 @@
     weight: 13,
     prefixTokens: { min: 0, max: 0 },
     prefixesPerWorkspace: 1,
-    ownTokens: { min: 60, max: 200 },
+    uniqueTokens: { min: 60, max: 200 },
     outputTokens: { min: 4, max: 4 },
     maxOutputTokens: 16,
     deadlineMs: 15_000,
     idempotent: false,
-    keyedShare: 1,
+    idempotencyKeyShare: 1,
   },
 };
 
 /**
- * Lists the kinds of a deployment.
+ * Lists the kinds of requests of a deployment.
  *
  * @param deployment The deployment.
- * @returns Its kinds.
+ * @returns The kinds of requests.
  */
-export function kindsOf(deployment: Deployment): WorkKind[] {
+export function listWorkKinds(deployment: Deployment): WorkKind[] {
   return Object.values(WorkKind).filter((kind) =>
-    PROFILES[kind].deployment === deployment
+    WORK_KIND_PROFILES[kind].deployment === deployment
   );
 }
--- a/packages/standins/src/workload.ts
+++ b/packages/standins/src/workload.ts
@@ -1,48 +1,48 @@
-/** The two deployments' requests, made from a seed. */
+/** Generator of the two deployments' requests from a seed. */
 
 import {
   type Randomness,
   seededRandomness,
 } from "@chestnuthatch/core/randomness";
-import { fractionOf } from "./randomness.ts";
+import { seededFraction } from "./seeded_fraction.ts";
 import {
   type Deployment,
-  kindsOf,
-  PROFILES,
+  listWorkKinds,
   type TokenRange,
+  WORK_KIND_PROFILES,
   WorkKind,
-  WORKSPACES,
-} from "./workload_kinds.ts";
+  WORKSPACES_BY_DEPLOYMENT,
+} from "./work_kinds.ts";
 
-/** Weights of some kinds; the others keep their own. */
+/** Weights that override those of the kinds' profiles. */
 export type KindMix = Partial<Record<WorkKind, number>>;
 
-/** A stretch of time with one rate and one mix. */
+/** A period of constant request rate and mix. */
 export interface RatePhase {
   readonly fromMs: number;
   readonly ratePerSecond: number;
   readonly mix?: KindMix;
 }
 
-/** Some callers send the same request again. */
+/** Repetition of requests under the same idempotency key. */
 export interface RepeatOptions {
-  /** Share (0 to 1) of the requests with a key that come twice. */
+  /** Share (0 to 1) of the requests with a key that are sent twice. */
   readonly share: number;
-  /** How much later the second comes. */
+  /** Time between the first and the second sending. */
   readonly afterMs: number;
 }
 
-/** What to generate. */
+/** Options of a generated workload. */
 export interface WorkloadOptions {
   readonly deployment: Deployment;
   readonly seed: number;
   readonly durationMs: number;
-  /** In time order; each lasts until the next, the last until the end. */
+  /** In time order; each lasts until the next starts, the last to the end. */
   readonly phases: readonly RatePhase[];
   readonly repeats?: RepeatOptions;
 }
 
-/** One request to come. */
+/** A generated request and the time of its arrival. */
 export interface WorkItem {
   readonly atMs: number;
   readonly kind: WorkKind;
@@ -51,21 +51,24 @@
   readonly pool: string;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** Length its answer will truly have. */
+  /** Actual length of the answer in tokens. */
   readonly outputTokens: number;
   readonly deadlineMs: number;
   readonly idempotent: boolean;
   readonly idempotencyKey?: string;
-  /** Names the leading text it shares with others. */
+  /** Id of the leading text that the request shares with others. */
   readonly prefixId: string;
   readonly prefixTokens: number;
-  /** Short text of its own that ends in the length of its answer. */
-  readonly seedText: string;
-  /** True when it repeats an earlier request under the same key. */
+  /**
+   * Text that is unique to the request. It ends in the tag from which a
+   * stand-in reads the length of the answer.
+   */
+  readonly uniqueText: string;
+  /** Whether it repeats an earlier request under the same key. */
   readonly isRepeat: boolean;
 }
 
-/** After rain, faults and plans rise together. */
+/** Mix after rain, when faults and plans become more frequent together. */
 export const RAIN_MIX: KindMix = {
   [WorkKind.FaultNote]: 45,
   [WorkKind.SeasonPlan]: 25,
@@ -73,7 +76,7 @@
   [WorkKind.StatusPost]: 20,
 };
 
-/** In the evening, owners call and clerks have gone home. */
+/** Mix in the evening, when owners send requests but clerks have left. */
 export const EVENING_MIX: KindMix = {
   [WorkKind.LicenceRenewal]: 40,
   [WorkKind.FeeQuestion]: 40,
@@ -84,16 +87,16 @@
 
 const MS_PER_SECOND = 1_000;
 const CHARS_PER_TOKEN = 4;
-const MAX_ITEMS = 2_000_000;
-const MAX_PREFIX_TEXTS_KEPT = 64;
+const MAX_WORK_ITEMS = 2_000_000;
+const MAX_CACHED_PREFIX_TEXTS = 64;
 
-const prefixTexts = new Map<string, string>();
+const prefixTextCache = new Map<string, string>();
 
 /**
  * Generates the requests of a deployment.
  *
- * @param options What to generate.
- * @returns The requests in time order; the same for the same options.
+ * @param options Deployment, seed, phases and repetition.
+ * @returns The requests in time order; equal options give equal requests.
  */
 export function generateWorkload(options: WorkloadOptions): WorkItem[] {
   const randomness = seededRandomness(options.seed);
@@ -101,44 +104,49 @@
   options.phases.forEach((phase, i) => {
     const endMs = options.phases.at(i + 1)?.fromMs ?? options.durationMs;
     const untilMs = Math.min(endMs, options.durationMs);
-    for (const atMs of arrivalsIn(phase, untilMs, { randomness })) {
-      if (items.length >= MAX_ITEMS) {
+    for (const atMs of generateArrivals(phase, untilMs, { randomness })) {
+      if (items.length >= MAX_WORK_ITEMS) {
         return;
       }
-      const number = items.length;
-      items.push(itemAt(atMs, phase, { options, randomness, number }));
+      const ordinal = items.length;
+      items.push(
+        createWorkItem(atMs, phase, { options, randomness, ordinal }),
+      );
     }
   });
-  return withRepeats(items, options.repeats, { randomness });
+  return addRepeats(items, options.repeats, { randomness });
 }
 
 /**
- * Writes a request's body: shared leading text, then its own.
+ * Creates a request's body: the shared leading text, then its unique text.
  *
  * @param item The request.
- * @returns About four characters a token, ending in the item's seed text.
+ * @returns The body, with four characters per token, ending in the request's
+ * `uniqueText`.
  */
-export function bodyOf(item: WorkItem): string {
-  const prefix = prefixTextOf(item.prefixId, item.prefixTokens);
-  const ownTokens = item.promptTokens - item.prefixTokens;
-  const ownChars = ownTokens * CHARS_PER_TOKEN - item.seedText.length;
-  return prefix + fillerOf(item.seedText, ownChars) + item.seedText;
+export function createRequestBody(item: WorkItem): string {
+  const prefix = getPrefixText(item.prefixId, item.prefixTokens);
+  const uniqueTokens = item.promptTokens - item.prefixTokens;
+  const uniqueChars = uniqueTokens * CHARS_PER_TOKEN - item.uniqueText.length;
+  return prefix + createFillerText(item.uniqueText, uniqueChars) +
+    item.uniqueText;
 }
 
 /**
- * One rate throughout.
+ * Creates the single phase of a workload with a constant rate.
  *
- * @param ratePerSecond The rate.
- * @returns The phases.
+ * @param ratePerSecond Requests per second.
+ * @returns The phase.
  */
-export function calmPhases(ratePerSecond: number): RatePhase[] {
+export function constantRatePhases(ratePerSecond: number): RatePhase[] {
   return [{ fromMs: 0, ratePerSecond }];
 }
 
-/** A calm rate with a burst in between. */
+/** Rates and times of a burst. */
 export interface BurstOptions {
-  readonly calmPerSecond: number;
-  readonly burstPerSecond: number;
+  /** Rate before and after the burst. */
+  readonly baseRatePerSecond: number;
+  readonly burstRatePerSecond: number;
   readonly burstFromMs: number;
   readonly burstUntilMs: number;
   /** Mix during the burst. */
@@ -146,21 +154,25 @@
 }
 
 /**
- * A burst between two calm stretches.
+ * Creates the phases of a burst between two periods of the base rate.
  *
- * @param options Rates, times and the mix of the burst.
- * @returns The phases.
+ * @param options Rates, times and mix of the burst.
+ * @returns The three phases.
  */
 export function burstPhases(options: BurstOptions): RatePhase[] {
-  const { calmPerSecond, burstPerSecond, mix } = options;
+  const {
+    baseRatePerSecond,
+    burstRatePerSecond,
+    mix,
+  } = options;
   return [
-    { fromMs: 0, ratePerSecond: calmPerSecond },
-    { fromMs: options.burstFromMs, ratePerSecond: burstPerSecond, mix },
-    { fromMs: options.burstUntilMs, ratePerSecond: calmPerSecond },
+    { fromMs: 0, ratePerSecond: baseRatePerSecond },
+    { fromMs: options.burstFromMs, ratePerSecond: burstRatePerSecond, mix },
+    { fromMs: options.burstUntilMs, ratePerSecond: baseRatePerSecond },
   ];
 }
 
-function* arrivalsIn(
+function* generateArrivals(
   phase: RatePhase,
   untilMs: number,
   { randomness }: { readonly randomness: Randomness },
@@ -177,47 +189,60 @@
   }
 }
 
-interface ItemContext {
+interface WorkItemContext {
   readonly options: WorkloadOptions;
   readonly randomness: Randomness;
-  readonly number: number;
+  readonly ordinal: number;
 }
 
-function itemAt(
+function createWorkItem(
   atMs: number,
   phase: RatePhase,
-  { options, randomness, number }: ItemContext,
+  { options, randomness, ordinal }: WorkItemContext,
 ): WorkItem {
   const { deployment, seed } = options;
-  const kind = pickWeighted(kindsOf(deployment), randomness, {
-    weightOf: (kind) => phase.mix?.[kind] ?? PROFILES[kind].weight,
+  const kind = pickWeighted(listWorkKinds(deployment), randomness, {
+    weightOf: (kind) => phase.mix?.[kind] ?? WORK_KIND_PROFILES[kind].weight,
   });
-  const { workspace } = pickWeighted(WORKSPACES[deployment], randomness, {
-    weightOf: ({ weight }) => weight,
-  });
-  const profile = PROFILES[kind];
+  const { workspace } = pickWeighted(
+    WORKSPACES_BY_DEPLOYMENT[deployment],
+    randomness,
+    {
+      weightOf: ({ weight }) => weight,
+    },
+  );
+  const profile = WORK_KIND_PROFILES[kind];
   const variant = Math.floor(randomness.next() * profile.prefixesPerWorkspace);
   const prefixId = `${workspace}/${kind}/${variant}`;
-  const prefixTokens = within(profile.prefixTokens, fractionOf(seed, prefixId));
-  const ownTokens = within(profile.ownTokens, randomness.next());
-  const outputTokens = within(profile.outputTokens, randomness.next());
-  const name = `${kind}-${seed}-${number}`;
-  const keyed = randomness.next() < profile.keyedShare;
+  const prefixTokens = interpolateLogarithmically(
+    profile.prefixTokens,
+    seededFraction(seed, prefixId),
+  );
+  const uniqueTokens = interpolateLogarithmically(
+    profile.uniqueTokens,
+    randomness.next(),
+  );
+  const outputTokens = interpolateLogarithmically(
+    profile.outputTokens,
+    randomness.next(),
+  );
+  const requestName = `${kind}-${seed}-${ordinal}`;
+  const hasKey = randomness.next() < profile.idempotencyKeyShare;
   return {
     atMs,
     kind,
     workspace,
     tier: profile.tier,
     pool: profile.pool,
-    promptTokens: prefixTokens + ownTokens,
+    promptTokens: prefixTokens + uniqueTokens,
     maxOutputTokens: profile.maxOutputTokens,
     outputTokens,
     deadlineMs: profile.deadlineMs,
     idempotent: profile.idempotent,
-    idempotencyKey: keyed ? `key-${name}` : undefined,
+    idempotencyKey: hasKey ? `key-${requestName}` : undefined,
     prefixId,
     prefixTokens,
-    seedText: ` ${name} [output=${outputTokens}]`,
+    uniqueText: ` ${requestName} [output=${outputTokens}]`,
     isRepeat: false,
   };
 }
@@ -228,22 +253,25 @@
   { weightOf }: { readonly weightOf: (choice: T) => number },
 ): T {
   const total = choices.reduce((sum, choice) => sum + weightOf(choice), 0);
-  let left = randomness.next() * total;
+  let remainingWeight = randomness.next() * total;
   for (const choice of choices) {
-    left -= weightOf(choice);
-    if (left < 0) {
+    remainingWeight -= weightOf(choice);
+    if (remainingWeight < 0) {
       return choice;
     }
   }
   return choices[choices.length - 1];
 }
 
-/** Spreads evenly over orders of magnitude, so that most are short. */
-function within({ min, max }: TokenRange, fraction: number): number {
+/** Spreads evenly over orders of magnitude, so that most lengths are short. */
+function interpolateLogarithmically(
+  { min, max }: TokenRange,
+  fraction: number,
+): number {
   return min === max ? min : Math.round(min * (max / min) ** fraction);
 }
 
-function withRepeats(
+function addRepeats(
   items: WorkItem[],
   repeats: RepeatOptions | undefined,
   { randomness }: { readonly randomness: Randomness },
@@ -251,7 +279,7 @@
   if (repeats === undefined) {
     return items;
   }
-  const again = items
+  const repeatedItems = items
     .filter(({ idempotencyKey }) => idempotencyKey !== undefined)
     .filter(() => randomness.next() < repeats.share)
     .map((item) => ({
@@ -259,37 +287,37 @@
       atMs: item.atMs + repeats.afterMs,
       isRepeat: true,
     }));
-  return [...items, ...again].sort((a, b) => a.atMs - b.atMs);
+  return [...items, ...repeatedItems].sort((a, b) => a.atMs - b.atMs);
 }
 
-function prefixTextOf(prefixId: string, tokens: number): string {
+function getPrefixText(prefixId: string, tokens: number): string {
   if (tokens === 0) {
     return "";
   }
-  let text = prefixTexts.get(prefixId);
+  let text = prefixTextCache.get(prefixId);
   if (text?.length !== tokens * CHARS_PER_TOKEN) {
-    text = fillerOf(prefixId, tokens * CHARS_PER_TOKEN);
-    prefixTexts.delete(prefixId);
-    prefixTexts.set(prefixId, text);
-    dropOldestPrefixText();
+    text = createFillerText(prefixId, tokens * CHARS_PER_TOKEN);
+    prefixTextCache.delete(prefixId);
+    prefixTextCache.set(prefixId, text);
+    evictOldestPrefixText();
   }
   return text;
 }
 
-function dropOldestPrefixText(): void {
-  const oldest = prefixTexts.keys().next().value;
-  if (prefixTexts.size > MAX_PREFIX_TEXTS_KEPT && oldest !== undefined) {
-    prefixTexts.delete(oldest);
+function evictOldestPrefixText(): void {
+  const oldest = prefixTextCache.keys().next().value;
+  if (prefixTextCache.size > MAX_CACHED_PREFIX_TEXTS && oldest !== undefined) {
+    prefixTextCache.delete(oldest);
   }
 }
 
-/** Text of an exact length that differs from its first word on. */
-function fillerOf(name: string, chars: number): string {
-  const parts: string[] = [];
+/** Creates text of an exact length that differs per label from its start. */
+function createFillerText(label: string, chars: number): string {
+  const words: string[] = [];
   for (let length = 0, i = 0; length < chars; i++) {
-    const part = `${name}:${i} `;
-    parts.push(part);
-    length += part.length;
+    const word = `${label}:${i} `;
+    words.push(word);
+    length += word.length;
   }
-  return parts.join("").slice(0, Math.max(0, chars));
+  return words.join("").slice(0, Math.max(0, chars));
 }
