--- a/packages/measure/src/engine_host.ts
+++ b/packages/measure/src/engine_host.ts
@@ -224,7 +224,7 @@
     }
     this.#noteStarted();
     this.#wake?.cancel();
-    const nextMs = this.#model.nextEventAtMs();
+    const nextMs = this.#model.nextOutputAtMs();
     if (nextMs !== undefined) {
       const atMs = Math.max(nextMs, queue.nowMs + PUMP_MS);
       this.#wake = queue.at(atMs, () => this.#pump());
--- a/packages/measure/src/service_host.ts
+++ b/packages/measure/src/service_host.ts
@@ -127,7 +127,7 @@
       call?.connection.send((holder) => holder.serviceAnswered(answer));
     }
     this.#wake?.cancel();
-    const nextMs = this.#model.nextEventAtMs();
+    const nextMs = this.#model.nextOutputAtMs();
     if (nextMs !== undefined) {
       this.#wake = queue.at(nextMs, () => this.#pump());
     }
--- a/packages/standins/src/answer_text.ts
+++ b/packages/standins/src/answer_text.ts
@@ -18,12 +18,12 @@
 const tokenEndOffsets: number[] = [0];
 
 /**
- * Cuts off the end of a prompt, which the answer quotes.
+ * Extracts the end of a prompt, which the answer quotes.
  *
  * @param prompt Prompt of an engine or body of a service call.
  * @returns The end of the prompt.
  */
-export function cutPromptTail(prompt: string): string {
+export function slicePromptTail(prompt: string): string {
   return prompt.slice(-PROMPT_TAIL_CHARS);
 }
 
--- a/packages/standins/src/deployments.ts
+++ b/packages/standins/src/deployments.ts
@@ -44,7 +44,7 @@
   readonly coalesceTokens: boolean;
 }
 
-/** Options of targets that are given no others. */
+/** Default options of targets. */
 export const DEFAULT_TARGET_OPTIONS: SharedTargetOptions = {
   seed: 1,
   loadLagMs: 500,
--- a/packages/standins/src/engine_batch.ts
+++ b/packages/standins/src/engine_batch.ts
@@ -17,7 +17,7 @@
 }
 
 /** Share of the full decode rate that remains while a prompt is prefilled. */
-const DECODE_SHARE_DURING_PREFILL = 0.5;
+const DECODE_RATE_SHARE_DURING_PREFILL = 0.5;
 
 /** Batches the streams of one engine and counts the work done for them. */
 export class EngineBatch {
@@ -182,7 +182,7 @@
   #decodeRateShare(slowdown: number): number {
     const share = this.#prefill.stream === undefined
       ? 1
-      : DECODE_SHARE_DURING_PREFILL;
+      : DECODE_RATE_SHARE_DURING_PREFILL;
     return share / slowdown;
   }
 
--- a/packages/standins/src/engine_model_test.ts
+++ b/packages/standins/src/engine_model_test.ts
@@ -53,7 +53,7 @@
 function advanceToEnd(model: EngineModel): EngineOutput[] {
   const outputs: EngineOutput[] = [];
   for (let i = 0; i < MAX_STEPS; i++) {
-    const nextAtMs = model.nextEventAtMs();
+    const nextAtMs = model.nextOutputAtMs();
     if (nextAtMs === undefined) {
       return outputs;
     }
@@ -250,7 +250,7 @@
   model.submit(createRequest("r1"), 0);
   model.kill(50);
   assert.not(model.submit(createRequest("r2"), 60));
-  assert.is(model.nextEventAtMs(), undefined);
+  assert.is(model.nextOutputAtMs(), undefined);
   model.restart(100);
   assert.is(model.resume(createRequest("r1"), 0), undefined);
   assert.is(model.counts.promptTokensPrefilledByRequestId.get("r1"), 50);
--- a/packages/standins/src/engine_stream.ts
+++ b/packages/standins/src/engine_stream.ts
@@ -6,9 +6,9 @@
   type GenerateRequest,
 } from "@chestnuthatch/wire/target_protocol";
 import {
-  cutPromptTail,
   renderAnswerText,
   renderAnswerToken,
+  slicePromptTail,
 } from "./answer_text.ts";
 import { seededFraction } from "./seeded_fraction.ts";
 
@@ -80,7 +80,7 @@
   return {
     requestId: request.requestId,
     attemptNonce: request.attemptNonce,
-    promptTail: cutPromptTail(request.prompt),
+    promptTail: slicePromptTail(request.prompt),
     promptTokens: request.promptTokens,
     idempotencyKey: request.idempotencyKey,
     blockHashes: request.blockHashes,
@@ -171,7 +171,7 @@
 }
 
 function chooseOutputTokens(request: GenerateRequest, seed: number): number {
-  const tag = OUTPUT_TAG.exec(cutPromptTail(request.prompt));
+  const tag = OUTPUT_TAG.exec(slicePromptTail(request.prompt));
   if (tag !== null) {
     return Math.max(1, Math.min(Number(tag[1]), request.maxOutputTokens));
   }
--- a/packages/standins/src/model_timer.ts
+++ b/packages/standins/src/model_timer.ts
@@ -5,7 +5,7 @@
 /** A simulated model that knows when its next output is due. */
 export interface SteppedModel {
   /** @returns Time of the next output, or undefined for never. */
-  nextEventAtMs(): number | undefined;
+  nextOutputAtMs(): number | undefined;
 }
 
 /**
@@ -39,7 +39,7 @@
   /** Reschedules the timer; must be called after every change of the model. */
   schedule(): void {
     clearTimeout(this.#timer);
-    const nextAtMs = this.#model.nextEventAtMs();
+    const nextAtMs = this.#model.nextOutputAtMs();
     if (nextAtMs === undefined) {
       return;
     }
--- a/packages/standins/src/platform_model.ts
+++ b/packages/standins/src/platform_model.ts
@@ -149,7 +149,7 @@
   /**
    * Scans the table in key order.
    *
-   * @param request Prefix, first key and number of the rows.
+   * @param request Prefix, start key and maximum number of rows.
    * @param nowMs The time now.
    * @returns Outcome, and the rows.
    */
--- a/packages/standins/src/platform_table.ts
+++ b/packages/standins/src/platform_table.ts
@@ -18,7 +18,7 @@
 
 /** Rows by key; a key's versions increase, even across deletes. */
 export class PlatformTable {
-  readonly #rows = new Map<string, Row>();
+  readonly #rowsByKey = new Map<string, Row>();
   readonly #lastVersionByKey = new Map<string, number>();
   /** Sorted keys; undefined after a key was added or deleted. */
   #sortedKeys: string[] | undefined;
@@ -51,7 +51,7 @@
    */
   read(keys: readonly string[]): RowsAnswer {
     const rows = keys
-      .map((key) => this.#rows.get(key))
+      .map((key) => this.#rowsByKey.get(key))
       .filter((row) => row !== undefined);
     return { rows };
   }
@@ -63,7 +63,7 @@
    * @returns The matching rows in key order.
    */
   scan({ prefix, after, limit }: ScanRequest): RowsAnswer {
-    this.#sortedKeys ??= [...this.#rows.keys()].sort();
+    this.#sortedKeys ??= [...this.#rowsByKey.keys()].sort();
     const keys = this.#sortedKeys
       .filter((key) => key.startsWith(prefix) && key > after)
       .slice(0, limit);
@@ -71,21 +71,21 @@
   }
 
   #versionOf(key: string): number {
-    return this.#rows.get(key)?.version ?? ABSENT_ROW_VERSION;
+    return this.#rowsByKey.get(key)?.version ?? ABSENT_ROW_VERSION;
   }
 
   #put(key: string, value: string): Row {
-    if (!this.#rows.has(key)) {
+    if (!this.#rowsByKey.has(key)) {
       this.#sortedKeys = undefined;
     }
     const version = this.#incrementVersion(key);
     const row: Row = { key, value, version };
-    this.#rows.set(key, row);
+    this.#rowsByKey.set(key, row);
     return row;
   }
 
   #delete(key: string): void {
-    if (this.#rows.delete(key)) {
+    if (this.#rowsByKey.delete(key)) {
       this.#incrementVersion(key);
       this.#sortedKeys = undefined;
     }
--- a/packages/standins/src/service_model.ts
+++ b/packages/standins/src/service_model.ts
@@ -4,7 +4,7 @@
   ServiceAnswer,
   ServiceCall,
 } from "@chestnuthatch/wire/target_protocol";
-import { cutPromptTail, renderAnswerText } from "./answer_text.ts";
+import { renderAnswerText, slicePromptTail } from "./answer_text.ts";
 import type { AttemptRef } from "./engine_stream.ts";
 import {
   countRun,
@@ -142,7 +142,7 @@
   #finishCall(running: RunningCall): void {
     this.#running = this.#running.filter((other) => other !== running);
     const { requestId, attemptNonce, body } = running.call;
-    const answeredRequest = { requestId, promptTail: cutPromptTail(body) };
+    const answeredRequest = { requestId, promptTail: slicePromptTail(body) };
     const answer: ServiceAnswer = {
       requestId,
       attemptNonce,
--- a/packages/standins/src/service_server.ts
+++ b/packages/standins/src/service_server.ts
@@ -25,7 +25,7 @@
 interface PendingResponse {
   readonly response: ServerResponse;
   /** Whether the connection is closed after the run, without an answer. */
-  readonly cutAfterRun: boolean;
+  readonly closesAfterRun: boolean;
   /** Another call's ids, which the answer carries in place of its own. */
   readonly crossedAttempt?: AttemptRef;
 }
@@ -73,7 +73,7 @@
   #handleCall(call: ServiceCall, response: ServerResponse): void {
     const pending: PendingResponse = {
       response,
-      cutAfterRun: this.faults.consume(TargetFaultKind.CutAfterRun),
+      closesAfterRun: this.faults.consume(TargetFaultKind.CutAfterRun),
       crossedAttempt: this.faults.consumeCrossedAttempt(call),
     };
     if (this.faults.consume(TargetFaultKind.DropBeforeAnswer)) {
@@ -86,15 +86,15 @@
   }
 
   #sendAnswer(pending: PendingResponse, answer: ServiceAnswer): void {
-    const { response, cutAfterRun, crossedAttempt: crossedWith } = pending;
+    const { response, closesAfterRun, crossedAttempt } = pending;
     const { delayMs } = this.faults;
     const writer = new DelayedWriter(response, this.nowMs);
-    if (cutAfterRun) {
+    if (closesAfterRun) {
       writer.closeSocket(delayMs);
       return;
     }
     response.writeHead(HTTP_OK, { "content-type": "application/json" });
-    writer.write(JSON.stringify({ ...answer, ...crossedWith }), delayMs);
+    writer.write(JSON.stringify({ ...answer, ...crossedAttempt }), delayMs);
     writer.end(delayMs);
   }
 }
--- a/packages/standins/src/standin_fleet.ts
+++ b/packages/standins/src/standin_fleet.ts
@@ -32,7 +32,7 @@
   readonly address: string;
 }
 
-/** Options of a platform that is given no others. */
+/** Default options of a platform. */
 export const DEFAULT_PLATFORM_OPTIONS: PlatformModelOptions = {
   listLagMs: 2_000,
   weightLimit: { ratePerSecond: 1, burst: 2 },
--- a/packages/standins/src/target_counts.ts
+++ b/packages/standins/src/target_counts.ts
@@ -11,7 +11,7 @@
   readonly runsByRequestId: Map<string, number>;
   /** Number of times work started per idempotency key. */
   readonly runsByKey: Map<string, number>;
-  /** For each dispatch received while leaving, the time since then. */
+  /** Per dispatch received while leaving, the time since leaving started. */
   readonly dispatchesAfterLeavingMs: number[];
 }
 
--- a/packages/standins/src/target_model.ts
+++ b/packages/standins/src/target_model.ts
@@ -69,7 +69,7 @@
    * @returns When {@link TargetModel.advance} next returns an output, or
    * undefined for never.
    */
-  nextEventAtMs(): number | undefined {
+  nextOutputAtMs(): number | undefined {
     return this.#outputs.at(0)?.atMs ?? this.nextStepAtMs();
   }
 
--- a/packages/standins/src/token_bucket.ts
+++ b/packages/standins/src/token_bucket.ts
@@ -38,9 +38,9 @@
   }
 
   #refill(nowMs: number): void {
-    const { ratePerSecond: perSecond, burst } = this.#options;
+    const { ratePerSecond, burst } = this.#options;
     const elapsedMs = Math.max(0, nowMs - this.#refilledAtMs);
-    const gainedTokens = elapsedMs * perSecond / MS_PER_SECOND;
+    const gainedTokens = elapsedMs * ratePerSecond / MS_PER_SECOND;
     this.#availableTokens = Math.min(
       burst,
       this.#availableTokens + gainedTokens,
