--- a/packages/standins/src/standin_main.ts
+++ b/packages/standins/src/standin_main.ts
@@ -179,63 +179,63 @@
 
 function addListenOptions(command: Command): Command {
   command.option("--host <host>", "loopback address", "127.0.0.1");
-  const description = "port, 0 lets the system choose";
+  const description = "port, 0 picks a free port";
   return addNumberOption(command, "--port", { description, defaultValue: 0 });
 }
 
 function addTargetOptions(command: Command): Command {
   addListenOptions(command).requiredOption("--id <id>", "id of the target");
   addNumberOption(command, "--slots", {
-    description: "requests at once",
+    description: "number of concurrent requests",
     defaultValue: 16,
   });
   return addNumberOption(command, "--load-lag-ms", {
-    description: "age of the state that load reports show",
+    description: "age of the load that load reports show",
     defaultValue: DEFAULT_TARGET_OPTIONS.loadLagMs,
   });
 }
 
 function addEngineCommand(program: Command): void {
   const command = program.command("engine").description(
-    "a model engine",
+    "an inference engine stand-in",
   );
   addTargetOptions(command)
-    .requiredOption("--model <model>", "model it holds")
-    .option("--ignore-fencing", "obey orders with old fencing numbers");
+    .requiredOption("--model <model>", "model that the engine has loaded")
+    .option("--ignore-fencing", "obey orders with outdated fencing numbers");
   const numberOptions = [
     {
       flag: "--kv-tokens",
-      description: "KV memory",
+      description: "KV memory in tokens",
       defaultValue: 120_000,
     },
     {
       flag: "--prefill-tokens-per-second",
-      description: "prompt rate",
+      description: "prefill rate",
       defaultValue: 7_000,
     },
     {
       flag: "--decode-tokens-per-second",
-      description: "answer rate",
+      description: "decode rate",
       defaultValue: 55,
     },
     {
       flag: "--block-tokens",
-      description: "tokens of a block",
+      description: "tokens covered by one block fingerprint",
       defaultValue: DEFAULT_TARGET_OPTIONS.blockTokens,
     },
     {
       flag: "--cache-event-lag-ms",
-      description: "lateness of cache events",
+      description: "delay until a cache event is published",
       defaultValue: DEFAULT_TARGET_OPTIONS.cacheEventLagMs,
     },
     {
       flag: "--cache-event-loss-share",
-      description: "share of cache events lost",
+      description: "share of cache events that are never published",
       defaultValue: DEFAULT_TARGET_OPTIONS.cacheEventLossShare,
     },
     {
       flag: "--seed",
-      description: "seed",
+      description: "seed of answer lengths and losses",
       defaultValue: DEFAULT_TARGET_OPTIONS.seed,
     },
   ];
@@ -249,11 +249,11 @@
 
 function addServiceCommand(program: Command): void {
   const command = program.command("service").description(
-    "a plain service",
+    "a plain service stand-in",
   );
   addTargetOptions(command);
   addNumberOption(command, "--call-ms", {
-    description: "time of a call",
+    description: "duration of a call",
     defaultValue: 120,
   });
   command.action((options: ServiceCommandOptions) =>
@@ -263,21 +263,21 @@
 
 function addPlatformCommand(program: Command): void {
   const command = program.command("platform").description(
-    "the platform",
+    "the platform stand-in",
   );
   addListenOptions(command);
   addNumberOption(command, "--list-lag-ms", {
-    description: "lag of the list",
+    description: "delay until a change of the instance list is visible",
     defaultValue: DEFAULT_PLATFORM_OPTIONS.listLagMs,
   });
   addNumberOption(command, "--writes-per-second", {
-    description: "limit of writes",
+    description: "maximum writes per second",
   });
   addNumberOption(command, "--reads-per-second", {
-    description: "limit of reads",
+    description: "maximum reads per second",
   });
   addNumberOption(command, "--weights-per-second", {
-    description: "limit of the weight store",
+    description: "maximum downloads per second from the weight store",
     defaultValue: DEFAULT_PLATFORM_OPTIONS.weightLimit.ratePerSecond,
   });
   command.action((options: PlatformCommandOptions) =>
@@ -294,7 +294,7 @@
 }
 
 const program = new Command("standin")
-  .description("runs one stand-in for a target or the platform");
+  .description("runs a stand-in for a target or the platform");
 addEngineCommand(program);
 addServiceCommand(program);
 addPlatformCommand(program);
