--- a/packages/cli/src/embedded_fleet.ts
+++ b/packages/cli/src/embedded_fleet.ts
@@ -15,7 +15,7 @@
 import { resolveSettings } from "@chestnuthatch/settings/resolve_settings";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { StandinTarget } from "@chestnuthatch/standins/deployments";
-import { StandinFleet } from "@chestnuthatch/standins/fleet";
+import { StandinFleet } from "@chestnuthatch/standins/standin_fleet";
 import { ListChangeKind } from "@chestnuthatch/standins/platform_server";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
 import { LogLevel } from "@chestnuthatch/core/effects";
--- a/packages/measure/src/deployments.ts
+++ b/packages/measure/src/deployments.ts
@@ -5,7 +5,7 @@
 import { readSettings } from "@chestnuthatch/settings/read_settings";
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { SettingsInForce } from "@chestnuthatch/settings/settings_types";
-import { Deployment } from "@chestnuthatch/standins/workload_kinds";
+import { Deployment } from "@chestnuthatch/standins/work_kinds";
 import type { InstancePlace } from "./entry_instance.ts";
 import type { LinkDelays } from "./network.ts";
 
