--- a/packages/measure/src/baseline_instance.ts
+++ b/packages/measure/src/baseline_instance.ts
@@ -15,15 +15,19 @@
   EntryInstance,
   HeldWork,
   InstanceContext,
-  InstancePlace,
+  InstanceLocation,
 } from "./entry_instance.ts";
 import { Mailbox } from "./mailbox.ts";
-import type { HolderEnd, TargetHost, TargetWork } from "./target_host.ts";
-import { TargetPort } from "./target_port.ts";
-import { type CallerCall, callRecordOf } from "./work_item.ts";
+import type {
+  AttemptListener,
+  SimulatedTarget,
+  TargetWork,
+} from "./simulated_target.ts";
+import { TargetClient } from "./target_client.ts";
+import { type CallerCall, toCallRecord } from "./work_item.ts";
 
 /** How one baseline instance is made. */
-export interface BaselineInstanceOptions extends InstancePlace {
+export interface BaselineInstanceOptions extends InstanceLocation {
   readonly seed: number;
   readonly loadPollMs: number;
 }
@@ -45,14 +49,14 @@
   readonly failureDomain: string;
   readonly #context: InstanceContext;
   readonly #options: BaselineInstanceOptions;
-  readonly #targets: TargetPort;
+  readonly #targetClient: TargetClient;
   readonly #random: Randomness;
   readonly #mailbox = new Mailbox();
-  readonly #loads = new Map<string, TargetLoad>();
+  readonly #loadsByTargetId = new Map<string, TargetLoad>();
   /** The running attempt of each open call. */
-  readonly #open = new Map<string, Attempt>();
-  #life = 0;
-  #live = false;
+  readonly #attemptsByRequestId = new Map<string, Attempt>();
+  #incarnation = 0;
+  #isRunning = false;
   #resumedAtMs = -Infinity;
 
   /**
@@ -64,13 +68,13 @@
     this.failureDomain = options.failureDomain;
     this.#context = context;
     this.#options = options;
-    this.#targets = new TargetPort(context, options.failureDomain);
+    this.#targetClient = new TargetClient(context, options.failureDomain);
     this.#random = seededRandomness(options.seed);
   }
 
   /** @inheritdoc */
   get isLive(): boolean {
-    return this.#live;
+    return this.#isRunning;
   }
 
   /** @inheritdoc */
@@ -80,7 +84,7 @@
 
   /** @inheritdoc */
   get isReady(): boolean {
-    return this.#live;
+    return this.#isRunning;
   }
 
   /** @inheritdoc */
@@ -90,21 +94,21 @@
 
   /** @inheritdoc */
   start(): void {
-    this.#live = true;
-    this.#life += 1;
-    this.#pollLoads(this.#life);
+    this.#isRunning = true;
+    this.#incarnation += 1;
+    this.#pollLoads(this.#incarnation);
   }
 
   /** @inheritdoc */
   kill(): void {
     const { callers } = this.#context;
-    this.#live = false;
+    this.#isRunning = false;
     this.#mailbox.clear();
-    for (const requestId of this.#open.keys()) {
-      this.#tellCaller(() => callers.lost(requestId));
+    for (const requestId of this.#attemptsByRequestId.keys()) {
+      this.#notifyCaller(() => callers.onConnectionLost(requestId));
     }
-    this.#open.clear();
-    this.#loads.clear();
+    this.#attemptsByRequestId.clear();
+    this.#loadsByTargetId.clear();
   }
 
   /** @inheritdoc */
@@ -119,24 +123,26 @@
   }
 
   /** @inheritdoc */
-  receive(call: CallerCall): void {
-    this.#deliver(() => this.#send(call, { avoidId: "", isRetry: false }));
+  receiveCall(call: CallerCall): void {
+    this.#deliver(() =>
+      this.#dispatch(call, { excludedTargetId: "", isRetry: false })
+    );
   }
 
   /** @inheritdoc */
-  hangUp(requestId: string): void {
+  disconnectCaller(requestId: string): void {
     this.#deliver(() => {
-      const attempt = this.#open.get(requestId);
+      const attempt = this.#attemptsByRequestId.get(requestId);
       if (attempt !== undefined) {
-        this.#targets.cancel(attempt.targetId, refOf(attempt));
-        this.#open.delete(requestId);
+        this.#targetClient.cancel(attempt.targetId, attemptRef(attempt));
+        this.#attemptsByRequestId.delete(requestId);
       }
     });
   }
 
   /** @inheritdoc */
   heldWork(): HeldWork[] {
-    return [...this.#open.values()].map(({ call }) => ({
+    return [...this.#attemptsByRequestId.values()].map(({ call }) => ({
       requestId: call.requestId,
       pool: call.item.pool,
       tierRank: call.item.tierRank,
@@ -147,46 +153,49 @@
   }
 
   /** @inheritdoc */
-  story(): string[] {
+  describeDecisions(): string[] {
     return [];
   }
 
   #deliver(run: () => void): void {
-    const life = this.#life;
+    const incarnation = this.#incarnation;
     this.#mailbox.deliver(() => {
-      if (this.#live && life === this.#life) {
+      if (this.#isRunning && incarnation === this.#incarnation) {
         run();
       }
     });
   }
 
-  #pollLoads(life: number): void {
-    if (!this.#live || life !== this.#life) {
+  #pollLoads(incarnation: number): void {
+    if (!this.#isRunning || incarnation !== this.#incarnation) {
       return;
     }
     for (const targetId of this.#context.targets.keys()) {
-      this.#targets.pollLoad(targetId, (load) =>
+      this.#targetClient.pollLoad(targetId, (load) =>
         this.#deliver(() => {
           if (load === undefined) {
-            this.#loads.delete(targetId);
+            this.#loadsByTargetId.delete(targetId);
           } else {
-            this.#loads.set(targetId, load);
+            this.#loadsByTargetId.set(targetId, load);
           }
         }));
     }
     this.#context.queue.after(
       this.#options.loadPollMs,
-      () => this.#pollLoads(life),
+      () => this.#pollLoads(incarnation),
     );
   }
 
-  #send(
+  #dispatch(
     call: CallerCall,
-    options: { avoidId: string; isRetry: boolean },
+    options: { excludedTargetId: string; isRetry: boolean },
   ): void {
-    const target = this.#pickTarget(call.item.pool, options.avoidId);
+    const target = this.#pickTarget(call.item.pool, options.excludedTargetId);
     if (target === undefined) {
-      this.#refuse(call, { error: ErrorKind.NoTarget, ran: RunState.NotRun });
+      this.#refuseCaller(call, {
+        error: ErrorKind.NoTarget,
+        ran: RunState.NotRun,
+      });
       return;
     }
     const attempt: Attempt = {
@@ -196,24 +205,29 @@
       isRetry: options.isRetry,
       text: "",
     };
-    this.#open.set(call.requestId, attempt);
+    this.#attemptsByRequestId.set(call.requestId, attempt);
     if (attempt.isRetry) {
-      this.#context.checker.callReceived({
-        ...callRecordOf(call, this.instanceId),
+      this.#context.checker.recordCall({
+        ...toCallRecord(call, this.instanceId),
         requestId: attempt.requestId,
       });
     }
-    this.#targets.dispatch(attempt.targetId, {
-      work: this.#workOf(attempt),
-      holder: this.#holderEnd(attempt),
-      notSent: () => this.#deliver(() => this.#fail(attempt, RunState.NotRun)),
+    this.#targetClient.dispatch(attempt.targetId, {
+      work: this.#targetWork(attempt),
+      listener: this.#createListener(attempt),
+      onNotSent: () =>
+        this.#deliver(() => this.#failAttempt(attempt, RunState.NotRun)),
     });
   }
 
-  #pickTarget(pool: string, avoidId: string): TargetHost | undefined {
+  #pickTarget(
+    pool: string,
+    excludedTargetId: string,
+  ): SimulatedTarget | undefined {
     const candidates = [...this.#context.targets.values()].filter((target) =>
-      target.settings.pool === pool && target.settings.id !== avoidId &&
-      this.#loads.get(target.settings.id)?.leaving === false
+      target.settings.pool === pool &&
+      target.settings.id !== excludedTargetId &&
+      this.#loadsByTargetId.get(target.settings.id)?.leaving === false
     );
     const [first, second] = [0, 1].map(() =>
       candidates[Math.floor(this.#random.next() * candidates.length)]
@@ -221,20 +235,20 @@
     if (first === undefined || second === undefined) {
       return undefined;
     }
-    return this.#fillOf(first) <= this.#fillOf(second) ? first : second;
+    return this.#loadRatio(first) <= this.#loadRatio(second) ? first : second;
   }
 
-  #fillOf(target: TargetHost): number {
-    const load = this.#loads.get(target.settings.id);
+  #loadRatio(target: SimulatedTarget): number {
+    const load = this.#loadsByTargetId.get(target.settings.id);
     return load === undefined
       ? Infinity
       : (load.slotsUsed + load.waitingRequests) / load.slotsTotal;
   }
 
-  #workOf({ call, requestId }: Attempt): TargetWork {
+  #targetWork({ call, requestId }: Attempt): TargetWork {
     const { item } = call;
     return {
-      ...refOf({ requestId }),
+      ...attemptRef({ requestId }),
       holderId: this.instanceId,
       pool: item.pool,
       model: item.model,
@@ -247,53 +261,57 @@
     };
   }
 
-  #holderEnd(attempt: Attempt): HolderEnd {
+  #createListener(attempt: Attempt): AttemptListener {
     const ifCurrent = (run: () => void) =>
       this.#deliver(() => {
-        if (this.#open.get(attempt.call.requestId) === attempt) {
+        if (this.#attemptsByRequestId.get(attempt.call.requestId) === attempt) {
           run();
         }
       });
     return {
       failureDomain: this.failureDomain,
-      streamEvent: (event) =>
+      onStreamEvent: (event) =>
         ifCurrent(() => {
           if (event.kind === EngineEventKind.Token) {
             attempt.text += event.text;
           } else if (event.kind === EngineEventKind.End) {
-            this.#answer(attempt, attempt.text);
+            this.#answerCaller(attempt, attempt.text);
           } else if (event.kind === EngineEventKind.Error) {
-            this.#fail(attempt, RunState.MayHaveRun);
+            this.#failAttempt(attempt, RunState.MayHaveRun);
           }
         }),
-      serviceAnswered: (answer) =>
-        ifCurrent(() => this.#answer(attempt, answer.body)),
-      closed: () => ifCurrent(() => this.#fail(attempt, RunState.MayHaveRun)),
+      onServiceAnswered: (answer) =>
+        ifCurrent(() => this.#answerCaller(attempt, answer.body)),
+      onClosed: () =>
+        ifCurrent(() => this.#failAttempt(attempt, RunState.MayHaveRun)),
     };
   }
 
-  #answer({ call }: Attempt, text: string): void {
+  #answerCaller({ call }: Attempt, text: string): void {
     const { checker, callers } = this.#context;
-    this.#open.delete(call.requestId);
-    checker.callAnswered(call.requestId, text);
-    this.#tellCaller(() => callers.answered(call.requestId, text));
+    this.#attemptsByRequestId.delete(call.requestId);
+    checker.recordCallAnswered(call.requestId, text);
+    this.#notifyCaller(() => callers.onAnswered(call.requestId, text));
   }
 
-  #fail(attempt: Attempt, ran: RunState): void {
+  #failAttempt(attempt: Attempt, ran: RunState): void {
     const { call } = attempt;
-    if (this.#open.get(call.requestId) !== attempt) {
+    if (this.#attemptsByRequestId.get(call.requestId) !== attempt) {
       return;
     }
-    this.#open.delete(call.requestId);
-    const mayRepeat = call.item.idempotent || ran === RunState.NotRun;
-    if (mayRepeat && !attempt.isRetry) {
-      this.#send(call, { avoidId: attempt.targetId, isRetry: true });
+    this.#attemptsByRequestId.delete(call.requestId);
+    const mayRetry = call.item.idempotent || ran === RunState.NotRun;
+    if (mayRetry && !attempt.isRetry) {
+      this.#dispatch(call, {
+        excludedTargetId: attempt.targetId,
+        isRetry: true,
+      });
       return;
     }
-    this.#refuse(call, { error: ErrorKind.TargetFailed, ran });
+    this.#refuseCaller(call, { error: ErrorKind.TargetFailed, ran });
   }
 
-  #refuse(
+  #refuseCaller(
     call: CallerCall,
     cause: { error: ErrorKind; ran: RunState },
   ): void {
@@ -305,19 +323,19 @@
       retryAfterMs: RETRY_AFTER_MS,
       callLog: [],
     };
-    this.#context.checker.callRefused(call.requestId, refusal);
-    this.#tellCaller(() =>
-      this.#context.callers.refused(call.requestId, refusal)
+    this.#context.checker.recordCallRefused(call.requestId, refusal);
+    this.#notifyCaller(() =>
+      this.#context.callers.onRefused(call.requestId, refusal)
     );
   }
 
-  #tellCaller(run: () => void): void {
+  #notifyCaller(notify: () => void): void {
     const { queue, network } = this.#context;
-    queue.after(network.delays.toCallersMs, run);
+    queue.after(network.delays.callerDelayMs, notify);
   }
 }
 
-function refOf(
+function attemptRef(
   { requestId }: { requestId: string },
 ): { requestId: string; attemptNonce: string } {
   return { requestId, attemptNonce: requestId };
--- a/packages/measure/src/capacity.ts
+++ b/packages/measure/src/capacity.ts
@@ -6,25 +6,25 @@
   type KindMix,
   type WorkItem,
 } from "@chestnuthatch/standins/workload";
-import type { DeploymentPlan } from "./deployments.ts";
+import type { DeploymentPlan } from "./deployment_plan.ts";
 
 /** Mean cost of a pool's requests. */
 interface MeanCost {
   /** Share of all requests that go to the pool. */
-  readonly share: number;
+  readonly requestShare: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly reservedTokens: number;
 }
 
 const SAMPLE_ITEMS_PER_SECOND = 5000;
-const SAMPLE_MS = 1000;
+const SAMPLE_DURATION_MS = 1000;
 const SAMPLE_SEED = 1;
 const MS_PER_SECOND = 1000;
 
 /** What stand-in engines lose to one more stream, and to a prompt beside. */
-const DECODE_SLOWDOWN_PER_STREAM = 0.02;
-const DECODE_LOSS_DURING_PREFILL = 0.5;
+const DECODE_SLOWDOWN_RATIO_PER_STREAM = 0.02;
+const DECODE_LOSS_SHARE_DURING_PREFILL = 0.5;
 
 /**
  * Works out a deployment's capacity; prefix caches are not counted.
@@ -40,52 +40,61 @@
   const sample = generateWorkload({
     deployment: plan.deployment,
     seed: SAMPLE_SEED,
-    durationMs: SAMPLE_MS,
+    durationMs: SAMPLE_DURATION_MS,
     phases: [{ fromMs: 0, ratePerSecond: SAMPLE_ITEMS_PER_SECOND, mix }],
   });
   const pools = [...new Set(sample.map(({ pool }) => pool))];
-  const limits = pools.map((pool) => {
-    const cost = meanCostOf(sample, pool);
+  const poolLimitsPerSecond = pools.map((pool) => {
+    const cost = meanPoolCost(sample, pool);
     const targets = [...plan.settings.targets.values()]
       .filter((target) => target.pool === pool);
     const perSecond = targets.reduce(
-      (sum, target) => sum + targetPerSecond(target, cost),
+      (sum, target) => sum + targetRequestsPerSecond(target, cost),
       0,
     );
-    return perSecond / cost.share;
+    return perSecond / cost.requestShare;
   });
-  return Math.min(...limits);
+  return Math.min(...poolLimitsPerSecond);
 }
 
-function meanCostOf(sample: readonly WorkItem[], pool: string): MeanCost {
+function meanPoolCost(sample: readonly WorkItem[], pool: string): MeanCost {
   const items = sample.filter((item) => item.pool === pool);
   const mean = (value: (item: WorkItem) => number) =>
     items.reduce((sum, item) => sum + value(item), 0) / items.length;
   return {
-    share: items.length / sample.length,
+    requestShare: items.length / sample.length,
     promptTokens: mean(({ promptTokens }) => promptTokens),
     outputTokens: mean(({ outputTokens }) => outputTokens),
     reservedTokens: mean((item) => item.promptTokens + item.maxOutputTokens),
   };
 }
 
-function targetPerSecond(target: TargetSettings, cost: MeanCost): number {
+function targetRequestsPerSecond(
+  target: TargetSettings,
+  cost: MeanCost,
+): number {
   return target.kvTokens === 0
     ? target.slots * MS_PER_SECOND / target.callMs
-    : enginePerSecond(target, cost);
+    : engineRequestsPerSecond(target, cost);
 }
 
-function enginePerSecond(target: TargetSettings, cost: MeanCost): number {
+function engineRequestsPerSecond(
+  target: TargetSettings,
+  cost: MeanCost,
+): number {
   const streams = Math.min(
     target.slots,
     target.kvTokens / cost.reservedTokens,
   );
-  const crowding = 1 + DECODE_SLOWDOWN_PER_STREAM * Math.max(0, streams - 1);
-  const decodeRate = streams * target.decodeTokensPerSecond / crowding;
+  const slowdownRatio = 1 +
+    DECODE_SLOWDOWN_RATIO_PER_STREAM * Math.max(0, streams - 1);
+  const decodeTokensPerSecond = streams * target.decodeTokensPerSecond /
+    slowdownRatio;
   const prefillSeconds = cost.promptTokens / target.prefillTokensPerSecond;
-  const lostTokens = decodeRate * DECODE_LOSS_DURING_PREFILL * prefillSeconds;
+  const tokensLostToPrefill = decodeTokensPerSecond *
+    DECODE_LOSS_SHARE_DURING_PREFILL * prefillSeconds;
   return Math.min(
-    decodeRate / (cost.outputTokens + lostTokens),
+    decodeTokensPerSecond / (cost.outputTokens + tokensLostToPrefill),
     1 / prefillSeconds,
   );
 }
--- a/packages/measure/src/control_costs.ts
+++ b/packages/measure/src/control_cost_counter.ts
@@ -7,7 +7,7 @@
 } from "@chestnuthatch/wire/peer_messages";
 
 /** Counts of one run. */
-export class ControlCosts {
+export class ControlCostCounter {
   messages = 0;
   bytes = 0;
   /** Processor time inside the cores. */
@@ -16,18 +16,18 @@
   readonly bytesByKind: Partial<Record<PeerMessageKind, number>> = {};
 
   /** @param message A message sent from one instance to another. */
-  sent(message: PeerMessage): void {
+  recordMessage(message: PeerMessage): void {
     const frame = encodeFrame(message);
     const bytes = frame.isOk() ? frame.value.length : 0;
     this.messages += 1;
     this.bytes += bytes;
-    const before = this.bytesByKind[message.kind] ?? 0;
-    this.bytesByKind[message.kind] = before + bytes;
+    const previousBytes = this.bytesByKind[message.kind] ?? 0;
+    this.bytesByKind[message.kind] = previousBytes + bytes;
   }
 
-  /** @param tookMs Time that a core took to handle one event. */
-  handled(tookMs: number): void {
-    this.coreMs += tookMs;
+  /** @param durationMs Time that a core took to handle one event. */
+  recordEvent(durationMs: number): void {
+    this.coreMs += durationMs;
     this.coreEvents += 1;
   }
 }
--- a/packages/measure/src/core_instance.ts
+++ b/packages/measure/src/core_instance.ts
@@ -17,27 +17,27 @@
 import type { SeedPeer } from "@chestnuthatch/core/membership_controller";
 import { SchedulerCore } from "@chestnuthatch/core/scheduler_core";
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
-import { ClaimPort } from "./claim_port.ts";
+import { ClaimClient } from "./claim_client.ts";
 import type {
   EntryInstance,
   HeldWork,
   InstanceContext,
-  InstancePlace,
+  InstanceLocation,
 } from "./entry_instance.ts";
 import { Mailbox } from "./mailbox.ts";
-import type { PeerNode } from "./peer_links.ts";
-import type { HolderEnd } from "./target_host.ts";
-import { REFUSED_REASON, TargetPort } from "./target_port.ts";
+import type { PeerProcess } from "./peer_links.ts";
+import type { AttemptListener } from "./simulated_target.ts";
+import { CONNECTION_REFUSED_REASON, TargetClient } from "./target_client.ts";
 import type { CallerCall } from "./work_item.ts";
 
-type WithoutTime<T> = T extends unknown ? Omit<T, "nowMs"> : never;
-type UntimedEvent = WithoutTime<CoreEvent>;
+type OmitTime<T> = T extends unknown ? Omit<T, "nowMs"> : never;
+type UntimedEvent = OmitTime<CoreEvent>;
 type EffectHandlers = {
   [K in EffectKind]?: (process: CoreProcess, effect: EffectOf<K>) => void;
 };
 
 /** How one core instance is made. */
-export interface CoreInstanceOptions extends InstancePlace {
+export interface CoreInstanceOptions extends InstanceLocation {
   readonly region: string;
   readonly seedPeers: readonly SeedPeer[];
   readonly seed: number;
@@ -45,22 +45,23 @@
   readonly tickOffsetMs: number;
 }
 
-const TICK_MS = 50;
-const MAX_DECISIONS = 20_000;
+const TICK_INTERVAL_MS = 50;
+const MAX_LOGGED_DECISIONS = 20_000;
 
 /** Clocks of different machines have nothing to do with one another. */
-const LARGEST_CLOCK_OFFSET_MS = 1_000_000;
+const MAX_CLOCK_OFFSET_MS = 1_000_000;
 
-const HANDLERS: EffectHandlers = {
+const EFFECT_HANDLERS: EffectHandlers = {
   [EffectKind.SendPeer]: (process, effect) => process.sendPeer(effect),
   [EffectKind.Dispatch]: (process, effect) => process.dispatch(effect),
   [EffectKind.ResumeStream]: (process, effect) => process.resumeStream(effect),
-  [EffectKind.CancelStream]: ({ targets }, effect) =>
-    targets.cancel(effect.targetId, effect),
+  [EffectKind.CancelStream]: ({ targetClient }, effect) =>
+    targetClient.cancel(effect.targetId, effect),
   [EffectKind.WriteClaim]: (process, effect) => process.writeClaim(effect),
-  [EffectKind.VoidClaim]: ({ claims }, effect) => claims.void(effect),
-  [EffectKind.KeepAnswer]: ({ context, place }, effect) =>
-    context.platform.putObject(place.failureDomain, effect),
+  [EffectKind.VoidClaim]: ({ claimClient }, effect) =>
+    claimClient.voidClaim(effect),
+  [EffectKind.KeepAnswer]: ({ context, options }, effect) =>
+    context.platform.putObject(options.failureDomain, effect),
   [EffectKind.ReadKeptAnswer]: (process, effect) =>
     process.readKeptAnswer(effect),
   [EffectKind.AnswerCaller]: (process, effect) => process.answerCaller(effect),
@@ -68,97 +69,99 @@
   [EffectKind.PollLoad]: (process, effect) => process.pollLoad(effect),
   [EffectKind.PollCacheEvents]: (process, effect) =>
     process.pollCacheEvents(effect),
-  [EffectKind.PollInstanceList]: (process) => process.pollList(),
+  [EffectKind.PollInstanceList]: (process) => process.pollInstanceList(),
   [EffectKind.PollSettings]: (process) => process.pollSettings(),
-  [EffectKind.SettingsInForce]: ({ context, name }, effect) =>
-    context.checker.settingsInForce(name, effect.version),
+  [EffectKind.SettingsInForce]: ({ context, processName }, effect) =>
+    context.checker.recordSettingsInForce(processName, effect.version),
   [EffectKind.ConnectPeer]: (process, effect) =>
     process.context.peers.connect(process, effect.peerId),
   [EffectKind.ForgetPeer]: (process, effect) =>
-    process.context.peers.forget(process, effect.peerId),
+    process.context.peers.disconnect(process, effect.peerId),
 };
 
 /** One run of an instance's process, from its start to its end. */
-class CoreProcess implements PeerNode {
+class CoreProcess implements PeerProcess {
   readonly context: InstanceContext;
-  readonly place: CoreInstanceOptions;
+  readonly options: CoreInstanceOptions;
   readonly incarnation: number;
   readonly core: SchedulerCore;
-  readonly targets: TargetPort;
-  readonly claims: ClaimPort;
+  readonly targetClient: TargetClient;
+  readonly claimClient: ClaimClient;
   readonly mailbox = new Mailbox();
-  readonly openCalls = new Set<string>();
-  readonly #calls = new Map<string, CallerCall>();
+  readonly openRequestIds = new Set<string>();
+  readonly #callsByRequestId = new Map<string, CallerCall>();
   readonly clockOffsetMs: number;
-  #ended = false;
+  #isTerminated = false;
 
   constructor(
     context: InstanceContext,
     options: CoreInstanceOptions & { incarnation: number },
   ) {
     this.context = context;
-    this.place = options;
+    this.options = options;
     this.incarnation = options.incarnation;
     const random = seededRandomness(options.seed + options.incarnation);
-    this.clockOffsetMs = random.next() * LARGEST_CLOCK_OFFSET_MS;
+    this.clockOffsetMs = random.next() * MAX_CLOCK_OFFSET_MS;
     this.core = new SchedulerCore({
       ...options,
       random,
-      maxDecisions: MAX_DECISIONS,
+      maxDecisions: MAX_LOGGED_DECISIONS,
     });
-    this.targets = new TargetPort(context, options.failureDomain);
-    this.claims = new ClaimPort(context, options.failureDomain);
-    context.peers.join(this);
-    this.#tickAfter(options.tickOffsetMs);
+    this.targetClient = new TargetClient(context, options.failureDomain);
+    this.claimClient = new ClaimClient(context, options.failureDomain);
+    context.peers.addProcess(this);
+    this.#scheduleTick(options.tickOffsetMs);
   }
 
   get instanceId(): string {
-    return this.place.instanceId;
+    return this.options.instanceId;
   }
 
   get failureDomain(): string {
-    return this.place.failureDomain;
+    return this.options.failureDomain;
   }
 
   /** Names this process among all that ran as the instance. */
-  get name(): string {
+  get processName(): string {
     return `${this.instanceId}/${this.incarnation}`;
   }
 
-  end(): void {
-    this.#ended = true;
+  terminate(): void {
+    this.#isTerminated = true;
     this.mailbox.clear();
-    this.claims.end();
-    this.context.peers.leave(this);
-    for (const requestId of this.openCalls) {
-      this.#tellCaller(() => this.context.callers.lost(requestId));
+    this.claimClient.stop();
+    this.context.peers.removeProcess(this);
+    for (const requestId of this.openRequestIds) {
+      this.#notifyCaller(() =>
+        this.context.callers.onConnectionLost(requestId)
+      );
     }
-    this.openCalls.clear();
+    this.openRequestIds.clear();
   }
 
-  tell(event: UntimedEvent): void {
-    this.mailbox.deliver(() => this.#handle(event));
+  deliver(event: UntimedEvent): void {
+    this.mailbox.deliver(() => this.#handleEvent(event));
   }
 
-  receive(call: CallerCall): void {
-    this.openCalls.add(call.requestId);
-    this.#calls.set(call.requestId, call);
-    this.tell({
+  receiveCall(call: CallerCall): void {
+    this.openRequestIds.add(call.requestId);
+    this.#callsByRequestId.set(call.requestId, call);
+    this.deliver({
       kind: EventKind.RequestArrived,
-      spec: specOf(call, this.context.useAffinity),
+      spec: toRequestSpec(call, this.context.useAffinity),
     });
   }
 
-  peerConnected(peerId: string): void {
-    this.tell({ kind: EventKind.PeerConnected, peerId });
+  onPeerConnected(peerId: string): void {
+    this.deliver({ kind: EventKind.PeerConnected, peerId });
   }
 
-  peerDisconnected(peerId: string): void {
-    this.tell({ kind: EventKind.PeerDisconnected, peerId });
+  onPeerDisconnected(peerId: string): void {
+    this.deliver({ kind: EventKind.PeerDisconnected, peerId });
   }
 
-  peerMessage(from: PeerNode, message: PeerMessage): void {
-    this.tell({
+  onPeerMessage(from: PeerProcess, message: PeerMessage): void {
+    this.deliver({
       kind: EventKind.PeerMessageReceived,
       fromId: from.instanceId,
       fromIncarnation: from.incarnation,
@@ -167,14 +170,14 @@
   }
 
   sendPeer({ peerId, message }: EffectOf<EffectKind.SendPeer>): void {
-    this.context.costs.sent(message);
+    this.context.controlCosts.recordMessage(message);
     this.context.peers.send(this, { toId: peerId, message });
   }
 
   dispatch(effect: EffectOf<EffectKind.Dispatch>): void {
     const { requestId, attemptNonce, targetId, pool, tierRank } = effect;
-    const { item } = this.#calls.get(requestId)!;
-    this.targets.dispatch(targetId, {
+    const { item } = this.#callsByRequestId.get(requestId)!;
+    this.targetClient.dispatch(targetId, {
       work: {
         requestId,
         attemptNonce,
@@ -188,9 +191,9 @@
         idempotencyKey: item.idempotencyKey,
         blockHashes: item.blockHashes,
       },
-      holder: this.#holderEnd(effect),
-      notSent: (reason) =>
-        this.tell({
+      listener: this.#createListener(effect),
+      onNotSent: (reason) =>
+        this.deliver({
           kind: EventKind.DispatchNotSent,
           requestId,
           attemptNonce,
@@ -201,18 +204,18 @@
   }
 
   resumeStream(effect: EffectOf<EffectKind.ResumeStream>): void {
-    this.targets.resume(effect.targetId, {
+    this.targetClient.resume(effect.targetId, {
       attempt: effect,
       fromToken: effect.fromToken,
-      holder: this.#holderEnd(effect),
+      listener: this.#createListener(effect),
     });
   }
 
   writeClaim({ requestId, key, row }: EffectOf<EffectKind.WriteClaim>): void {
-    this.claims.write(
+    this.claimClient.writeClaim(
       { key, row },
       (answer) =>
-        this.tell({ kind: EventKind.ClaimAnswered, requestId, ...answer }),
+        this.deliver({ kind: EventKind.ClaimAnswered, requestId, ...answer }),
     );
   }
 
@@ -222,7 +225,7 @@
     this.context.platform.getObject(this.failureDomain, {
       key,
       reply: (answer) =>
-        this.tell({
+        this.deliver({
           kind: EventKind.KeptAnswerRead,
           requestId,
           content: answer?.content,
@@ -234,26 +237,28 @@
   answerCaller(
     { requestId, answer }: EffectOf<EffectKind.AnswerCaller>,
   ): void {
-    this.openCalls.delete(requestId);
-    this.context.checker.callAnswered(requestId, answer.text);
-    this.#tellCaller(() =>
-      this.context.callers.answered(requestId, answer.text)
+    this.openRequestIds.delete(requestId);
+    this.context.checker.recordCallAnswered(requestId, answer.text);
+    this.#notifyCaller(() =>
+      this.context.callers.onAnswered(requestId, answer.text)
     );
   }
 
   refuseCaller(
     { requestId, refusal }: EffectOf<EffectKind.RefuseCaller>,
   ): void {
-    this.openCalls.delete(requestId);
-    this.context.checker.callRefused(requestId, refusal);
-    this.#tellCaller(() => this.context.callers.refused(requestId, refusal));
+    this.openRequestIds.delete(requestId);
+    this.context.checker.recordCallRefused(requestId, refusal);
+    this.#notifyCaller(() =>
+      this.context.callers.onRefused(requestId, refusal)
+    );
   }
 
   pollLoad({ targetId }: EffectOf<EffectKind.PollLoad>): void {
-    this.targets.pollLoad(
+    this.targetClient.pollLoad(
       targetId,
       (load) =>
-        this.tell(
+        this.deliver(
           load === undefined
             ? { kind: EventKind.LoadReportFailed, targetId }
             : { kind: EventKind.LoadReported, load },
@@ -264,20 +269,20 @@
   pollCacheEvents(
     { targetId, after }: EffectOf<EffectKind.PollCacheEvents>,
   ): void {
-    this.targets.pollCacheEvents(targetId, {
+    this.targetClient.pollCacheEvents(targetId, {
       after,
       reply: (answer) => {
         if (answer !== undefined) {
-          this.tell({ kind: EventKind.CacheEventsRead, targetId, answer });
+          this.deliver({ kind: EventKind.CacheEventsRead, targetId, answer });
         }
       },
     });
   }
 
-  pollList(): void {
-    this.context.platform.readList(this.failureDomain, (list) => {
+  pollInstanceList(): void {
+    this.context.platform.readInstanceList(this.failureDomain, (list) => {
       if (list !== undefined) {
-        this.tell({ kind: EventKind.InstanceListRead, list });
+        this.deliver({ kind: EventKind.InstanceListRead, list });
       }
     });
   }
@@ -285,73 +290,73 @@
   pollSettings(): void {
     this.context.platform.readSettings(this.failureDomain, (settings) => {
       if (settings !== undefined) {
-        this.tell({ kind: EventKind.SettingsRead, ...settings });
+        this.deliver({ kind: EventKind.SettingsRead, ...settings });
       }
     });
   }
 
-  #handle(untimed: UntimedEvent): void {
-    if (this.#ended) {
+  #handleEvent(event: UntimedEvent): void {
+    if (this.#isTerminated) {
       return;
     }
     const nowMs = this.context.queue.nowMs + this.clockOffsetMs;
     const startedMs = performance.now();
-    const effects = this.core.handle({ ...untimed, nowMs } as CoreEvent);
-    this.context.costs.handled(performance.now() - startedMs);
-    effects.forEach((effect) => this.#execute(effect));
+    const effects = this.core.handle({ ...event, nowMs } as CoreEvent);
+    this.context.controlCosts.recordEvent(performance.now() - startedMs);
+    effects.forEach((effect) => this.#runEffect(effect));
   }
 
-  #execute(effect: Effect): void {
-    const handler = HANDLERS[effect.kind] as
+  #runEffect(effect: Effect): void {
+    const handler = EFFECT_HANDLERS[effect.kind] as
       | ((process: CoreProcess, effect: Effect) => void)
       | undefined;
     handler?.(this, effect);
   }
 
-  #holderEnd({ requestId, attemptNonce }: AttemptRef): HolderEnd {
+  #createListener({ requestId, attemptNonce }: AttemptRef): AttemptListener {
     return {
       failureDomain: this.failureDomain,
-      streamEvent: (event) =>
-        this.tell({
+      onStreamEvent: (event) =>
+        this.deliver({
           kind: EventKind.StreamEvent,
           requestId,
           attemptNonce,
           event,
         }),
-      serviceAnswered: (answer) =>
-        this.tell({
+      onServiceAnswered: (answer) =>
+        this.deliver({
           kind: EventKind.ServiceAnswered,
           requestId,
           attemptNonce,
           answered: answer,
           body: answer.body,
         }),
-      closed: (reason) =>
-        this.tell({
+      onClosed: (reason) =>
+        this.deliver({
           kind: EventKind.StreamClosed,
           requestId,
           attemptNonce,
           reason,
-          lost: reason === REFUSED_REASON,
+          lost: reason === CONNECTION_REFUSED_REASON,
         }),
     };
   }
 
-  #tellCaller(run: () => void): void {
+  #notifyCaller(notify: () => void): void {
     const { queue, network } = this.context;
-    queue.after(network.delays.toCallersMs, run);
+    queue.after(network.delays.callerDelayMs, notify);
   }
 
-  #tickAfter(delayMs: number): void {
+  #scheduleTick(delayMs: number): void {
     this.context.queue.after(delayMs, () => {
-      if (this.#ended) {
+      if (this.#isTerminated) {
         return;
       }
       // A paused process misses its ticks; it does not make up for them.
       if (!this.mailbox.isPaused) {
-        this.#handle({ kind: EventKind.Tick });
+        this.#handleEvent({ kind: EventKind.Tick });
       }
-      this.#tickAfter(TICK_MS);
+      this.#scheduleTick(TICK_INTERVAL_MS);
     });
   }
 }
@@ -420,7 +425,7 @@
 
   /** @inheritdoc */
   kill(): void {
-    this.#process?.end();
+    this.#process?.terminate();
     this.#process = undefined;
   }
 
@@ -436,21 +441,21 @@
   }
 
   /** @inheritdoc */
-  receive(call: CallerCall): void {
-    this.#process?.receive(call);
+  receiveCall(call: CallerCall): void {
+    this.#process?.receiveCall(call);
   }
 
   /** @inheritdoc */
-  hangUp(requestId: string): void {
-    this.#process?.openCalls.delete(requestId);
-    this.#process?.tell({ kind: EventKind.CallerHungUp, requestId });
+  disconnectCaller(requestId: string): void {
+    this.#process?.openRequestIds.delete(requestId);
+    this.#process?.deliver({ kind: EventKind.CallerHungUp, requestId });
   }
 
   /** @inheritdoc */
   heldWork(): HeldWork[] {
     const offsetMs = this.#process?.clockOffsetMs ?? 0;
-    const held = this.#process?.core.board.requests.byId.values() ?? [];
-    return [...held]
+    const requests = this.#process?.core.board.requests.byId.values() ?? [];
+    return [...requests]
       .filter(({ state }) =>
         state === RequestState.Waiting || state === RequestState.Dispatched
       )
@@ -465,17 +470,17 @@
   }
 
   /** @inheritdoc */
-  story(requestId: string): string[] {
+  describeDecisions(requestId: string): string[] {
     const board = this.#process?.core.board;
-    const heldAs = board?.requests.joined.get(requestId) ?? requestId;
+    const heldRequestId = board?.requests.joined.get(requestId) ?? requestId;
     const offsetMs = this.#process?.clockOffsetMs ?? 0;
-    return (board?.decisions.story(heldAs) ?? []).map(({ atMs, by, text }) =>
-      `${Math.round(atMs - offsetMs)} ms ${this.instanceId} ${by}: ${text}`
-    );
+    return (board?.decisions.story(heldRequestId) ?? []).map((
+      { atMs, by, text },
+    ) => `${Math.round(atMs - offsetMs)} ms ${this.instanceId} ${by}: ${text}`);
   }
 }
 
-function specOf(call: CallerCall, useAffinity: boolean): RequestSpec {
+function toRequestSpec(call: CallerCall, useAffinity: boolean): RequestSpec {
   const { item } = call;
   return {
     requestId: call.requestId,
--- a/packages/measure/src/deployments.ts
+++ b/packages/measure/src/deployment_plan.ts
@@ -6,30 +6,30 @@
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { SettingsInForce } from "@chestnuthatch/settings/policy";
 import { Deployment } from "@chestnuthatch/standins/work_kinds";
-import type { InstancePlace } from "./entry_instance.ts";
-import type { LinkDelays } from "./network.ts";
+import type { InstanceLocation } from "./entry_instance.ts";
+import type { LinkDelays } from "./simulated_network.ts";
 
 /** What the harness must know of a deployment. */
 export interface DeploymentPlan {
   readonly deployment: Deployment;
   readonly region: string;
-  readonly instances: readonly InstancePlace[];
+  readonly instances: readonly InstanceLocation[];
   readonly delays: LinkDelays;
   readonly settingsText: string;
   readonly settings: SettingsInForce;
 }
 
-interface DeploymentFacts {
+interface DeploymentTopology {
   readonly region: string;
   /** Failure domain of each entry instance. */
   readonly instanceDomains: readonly string[];
-  readonly betweenDomainsMs: number;
+  readonly betweenDomainsDelayMs: number;
 }
 
-const WITHIN_DOMAIN_MS = 0.2;
-const TO_CALLERS_MS = 1;
+const WITHIN_DOMAIN_DELAY_MS = 0.2;
+const CALLER_DELAY_MS = 1;
 
-const FACTS: Readonly<Record<Deployment, DeploymentFacts>> = {
+const TOPOLOGIES: Readonly<Record<Deployment, DeploymentTopology>> = {
   [Deployment.ShambaSafi]: {
     region: "arusha",
     instanceDomains: [
@@ -42,7 +42,7 @@
       "tengeru",
       "tengeru",
     ],
-    betweenDomainsMs: 1,
+    betweenDomainsDelayMs: 1,
   },
   [Deployment.SunuRegistrs]: {
     region: "riga",
@@ -55,7 +55,7 @@
       "riga-c",
       "riga-c",
     ],
-    betweenDomainsMs: 1.5,
+    betweenDomainsDelayMs: 1.5,
   },
 };
 
@@ -65,8 +65,9 @@
  * @param deployment The deployment.
  * @returns The plan of its world.
  */
-export function planOf(deployment: Deployment): DeploymentPlan {
-  const { region, instanceDomains, betweenDomainsMs } = FACTS[deployment];
+export function readDeploymentPlan(deployment: Deployment): DeploymentPlan {
+  const { region, instanceDomains, betweenDomainsDelayMs } =
+    TOPOLOGIES[deployment];
   const file = new URL(
     `../../../examples/${deployment}/settings.yaml`,
     import.meta.url,
@@ -80,12 +81,12 @@
       failureDomain,
     })),
     delays: {
-      withinDomainMs: WITHIN_DOMAIN_MS,
-      betweenDomainsMs,
-      toCallersMs: TO_CALLERS_MS,
+      withinDomainDelayMs: WITHIN_DOMAIN_DELAY_MS,
+      betweenDomainsDelayMs,
+      callerDelayMs: CALLER_DELAY_MS,
     },
     settingsText,
-    settings: settingsOf(settingsText),
+    settings: parseSettings(settingsText),
   };
 }
 
@@ -95,7 +96,7 @@
  * @param settingsText YAML without faults.
  * @returns The settings as version 1.
  */
-export function settingsOf(settingsText: string): SettingsInForce {
+export function parseSettings(settingsText: string): SettingsInForce {
   const tree = readSettings(settingsText);
   if (tree.isErr()) {
     throw new Error(tree.error.map(describeFault).join("\n"));
--- a/packages/measure/src/entry_instance.ts
+++ b/packages/measure/src/entry_instance.ts
@@ -1,51 +1,51 @@
 /** An entry instance as callers, the balancer and the faults see it. */
 
 import type { Refusal } from "@chestnuthatch/core/request";
-import type { ControlCosts } from "./control_costs.ts";
+import type { ControlCostCounter } from "./control_cost_counter.ts";
 import type { EventQueue } from "./event_queue.ts";
-import type { Network } from "./network.ts";
+import type { SimulatedNetwork } from "./simulated_network.ts";
 import type { PeerLinks } from "./peer_links.ts";
-import type { PlatformHost } from "./platform_host.ts";
-import type { PromiseChecker } from "./promises.ts";
-import type { TargetHost } from "./target_host.ts";
+import type { SimulatedPlatform } from "./simulated_platform.ts";
+import type { PromiseChecker } from "./promise_checker.ts";
+import type { SimulatedTarget } from "./simulated_target.ts";
 import type { CallerCall } from "./work_item.ts";
 
 /** Where the outcomes of calls go. */
-export interface CallerEnd {
+export interface OutcomeListener {
   /**
    * Delivers an answer.
    *
    * @param requestId The call.
    * @param text The text.
    */
-  answered(requestId: string, text: string): void;
+  onAnswered(requestId: string, text: string): void;
   /**
    * Delivers a refusal.
    *
    * @param requestId The call.
    * @param refusal What it is told.
    */
-  refused(requestId: string, refusal: Refusal): void;
+  onRefused(requestId: string, refusal: Refusal): void;
   /** @param requestId A call whose connection broke. */
-  lost(requestId: string): void;
+  onConnectionLost(requestId: string): void;
 }
 
 /** What an instance shares with the world. */
 export interface InstanceContext {
   readonly queue: EventQueue;
-  readonly network: Network;
+  readonly network: SimulatedNetwork;
   readonly peers: PeerLinks;
-  readonly platform: PlatformHost;
-  readonly targets: ReadonlyMap<string, TargetHost>;
+  readonly platform: SimulatedPlatform;
+  readonly targets: ReadonlyMap<string, SimulatedTarget>;
   readonly checker: PromiseChecker;
-  readonly callers: CallerEnd;
-  readonly costs: ControlCosts;
+  readonly callers: OutcomeListener;
+  readonly controlCosts: ControlCostCounter;
   /** Whether schedulers see the fingerprints of prompt blocks. */
   readonly useAffinity: boolean;
 }
 
 /** Where an instance stands. */
-export interface InstancePlace {
+export interface InstanceLocation {
   readonly instanceId: string;
   readonly failureDomain: string;
 }
@@ -62,7 +62,7 @@
 }
 
 /** An entry instance. */
-export interface EntryInstance extends InstancePlace {
+export interface EntryInstance extends InstanceLocation {
   readonly isLive: boolean;
   readonly isPaused: boolean;
   /** Whether the balancer may send it callers. */
@@ -78,9 +78,9 @@
   /** Lets its process go on; what came meanwhile is handled in order. */
   resume(): void;
   /** @param call A call that arrives. */
-  receive(call: CallerCall): void;
+  receiveCall(call: CallerCall): void;
   /** @param requestId A call whose caller hangs up. */
-  hangUp(requestId: string): void;
+  disconnectCaller(requestId: string): void;
   /** @returns What it holds now. */
   heldWork(): HeldWork[];
   /**
@@ -89,5 +89,5 @@
    * @param requestId The request.
    * @returns Its steps.
    */
-  story(requestId: string): string[];
+  describeDecisions(requestId: string): string[];
 }
--- a/packages/measure/src/event_queue.ts
+++ b/packages/measure/src/event_queue.ts
@@ -10,7 +10,7 @@
   readonly atMs: number;
   /** Events of the same time happen in the order they were scheduled. */
   readonly order: number;
-  run: (() => void) | undefined;
+  callback: (() => void) | undefined;
 }
 
 /** Runs events in order of time; time stands still between them. */
@@ -28,28 +28,28 @@
    * Schedules an event.
    *
    * @param atMs When it happens; a time in the past means now.
-   * @param run What happens.
+   * @param callback What happens.
    * @returns A handle that cancels it.
    */
-  at(atMs: number, run: () => void): ScheduledEvent {
+  at(atMs: number, callback: () => void): ScheduledEvent {
     const event: QueuedEvent = {
       atMs: Math.max(atMs, this.#nowMs),
       order: this.#nextOrder++,
-      run,
+      callback,
     };
     this.#push(event);
-    return { cancel: () => event.run = undefined };
+    return { cancel: () => event.callback = undefined };
   }
 
   /**
    * Schedules an event some time from now.
    *
    * @param delayMs How long from now.
-   * @param run What happens.
+   * @param callback What happens.
    * @returns A handle that cancels it.
    */
-  after(delayMs: number, run: () => void): ScheduledEvent {
-    return this.at(this.#nowMs + delayMs, run);
+  after(delayMs: number, callback: () => void): ScheduledEvent {
+    return this.at(this.#nowMs + delayMs, callback);
   }
 
   /**
@@ -65,7 +65,7 @@
     ) {
       this.#popFirst();
       this.#nowMs = first.atMs;
-      first.run?.();
+      first.callback?.();
     }
     this.#nowMs = untilMs;
   }
--- a/packages/measure/src/mailbox.ts
+++ b/packages/measure/src/mailbox.ts
@@ -2,39 +2,39 @@
 
 /** Runs deliveries at once, or in order after a pause. */
 export class Mailbox {
-  #paused = false;
+  #isPaused = false;
   #backlog: (() => void)[] = [];
 
   /** Whether the process is paused. */
   get isPaused(): boolean {
-    return this.#paused;
+    return this.#isPaused;
   }
 
-  /** @param run What reaches the process. */
-  deliver(run: () => void): void {
-    if (this.#paused) {
-      this.#backlog.push(run);
+  /** @param callback What reaches the process. */
+  deliver(callback: () => void): void {
+    if (this.#isPaused) {
+      this.#backlog.push(callback);
     } else {
-      run();
+      callback();
     }
   }
 
   /** Holds back deliveries from now on. */
   pause(): void {
-    this.#paused = true;
+    this.#isPaused = true;
   }
 
   /** Runs what was held back, then everything at once again. */
   resume(): void {
     const backlog = this.#backlog;
     this.#backlog = [];
-    this.#paused = false;
-    backlog.forEach((run) => run());
+    this.#isPaused = false;
+    backlog.forEach((callback) => callback());
   }
 
   /** Forgets what was held back, as when the process dies. */
   clear(): void {
-    this.#paused = false;
+    this.#isPaused = false;
     this.#backlog = [];
   }
 }
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -9,14 +9,14 @@
 import { measurePlacement } from "./placement_costs.ts";
 import {
   affinityRows,
-  brokenLines,
+  brokenPromiseLines,
   overviewRows,
   tierRows,
-  totalOf,
+  totalCount,
 } from "./report.ts";
 import { Scenario } from "./scenarios.ts";
 import { measureSlopes } from "./slopes.ts";
-import { tableLines } from "./text_table.ts";
+import { formatTable } from "./text_table.ts";
 
 interface MainOptions {
   readonly deployment?: Deployment;
@@ -33,7 +33,7 @@
 
 const DEFAULT_SEEDS = 3;
 const DEFAULT_MAX_INSTANCES = 128;
-const BROKEN_EXIT_CODE = 1;
+const BROKEN_PROMISE_EXIT_CODE = 1;
 
 const QUICK_SCENARIOS: readonly Scenario[] = [
   Scenario.Calm,
@@ -57,19 +57,19 @@
     deployments: options.deployment === undefined
       ? Object.values(Deployment)
       : [options.deployment],
-    scenarios: scenariosOf(options),
+    scenarios: selectScenarios(options),
     seeds: options.quick ? 1 : options.seeds,
     useAffinity: options.affinity,
     compareAffinity: options.compareAffinity === true,
-  }, tellProgress);
+  }, printProgress);
   printReport(measurements);
   writeJson(options.json, { options, measurements });
   const broken = measurements.reduce(
-    (sum, { scheduler }) => sum + totalOf(scheduler.broken),
+    (sum, { scheduler }) => sum + totalCount(scheduler.broken),
     0,
   );
   print(`Promises broken: ${broken}`);
-  process.exitCode = broken === 0 ? 0 : BROKEN_EXIT_CODE;
+  process.exitCode = broken === 0 ? 0 : BROKEN_PROMISE_EXIT_CODE;
 }
 
 function readOptions(): MainOptions {
@@ -82,7 +82,12 @@
       new Option("--scenario <name>", "only this scenario")
         .choices(Object.values(Scenario)),
     )
-    .option("--seeds <number>", "runs of each scenario", toCount, DEFAULT_SEEDS)
+    .option(
+      "--seeds <number>",
+      "runs of each scenario",
+      parseCount,
+      DEFAULT_SEEDS,
+    )
     .option("--json <file>", "where to write", "measure-out/measure.json")
     .option("--quick", "one seed of a few scenarios")
     .option("--no-affinity", "place without regard to cached prefixes")
@@ -92,14 +97,14 @@
     .option(
       "--max-instances <number>",
       "largest fleet of --slopes",
-      toCount,
+      parseCount,
       DEFAULT_MAX_INSTANCES,
     )
     .parse()
     .opts<MainOptions>();
 }
 
-function toCount(text: string): number {
+function parseCount(text: string): number {
   const count = Number(text);
   if (!Number.isInteger(count) || count < 1) {
     throw new InvalidArgumentError("It must be a whole number above 0.");
@@ -107,26 +112,26 @@
   return count;
 }
 
-function scenariosOf(options: MainOptions): readonly Scenario[] {
+function selectScenarios(options: MainOptions): readonly Scenario[] {
   if (options.scenario !== undefined) {
     return [options.scenario];
   }
   return options.quick ? QUICK_SCENARIOS : Object.values(Scenario);
 }
 
-function tellProgress(done: ScenarioMeasurement): void {
+function printProgress(measurement: ScenarioMeasurement): void {
   process.stderr.write(
-    `${done.deployment} ${done.scenario}: ` +
-      `${totalOf(done.scheduler.broken)} promises broken\n`,
+    `${measurement.deployment} ${measurement.scenario}: ` +
+      `${totalCount(measurement.scheduler.broken)} promises broken\n`,
   );
 }
 
 function printReport(measurements: readonly ScenarioMeasurement[]): void {
   const tables = [
-    tableLines(overviewRows(measurements)),
-    tableLines(tierRows(measurements)),
-    tableLines(affinityRows(measurements)),
-    brokenLines(measurements),
+    formatTable(overviewRows(measurements)),
+    formatTable(tierRows(measurements)),
+    formatTable(affinityRows(measurements)),
+    brokenPromiseLines(measurements),
   ];
   for (const lines of tables.filter(({ length }) => length > 0)) {
     print(`${lines.join("\n")}\n`);
--- a/packages/measure/src/measurement.ts
+++ b/packages/measure/src/measurement.ts
@@ -1,8 +1,8 @@
 /** Runs scenarios with the scheduler and the baseline, on the same seeds. */
 
 import type { Deployment } from "@chestnuthatch/standins/work_kinds";
-import { planOf } from "./deployments.ts";
-import { Variant } from "./manual_world.ts";
+import { readDeploymentPlan } from "./deployment_plan.ts";
+import { SchedulerVariant } from "./simulation.ts";
 import { type RunOptions, runScenario } from "./run_scenario.ts";
 import type { Scenario } from "./scenarios.ts";
 import { type BrokenInRun, summarize, type VariantSummary } from "./summary.ts";
@@ -34,19 +34,19 @@
  * Measures everything that was asked for.
  *
  * @param options What to measure.
- * @param progress Told each scenario once it is done.
+ * @param onMeasured Told each scenario once it is done.
  * @returns One measurement for each deployment and scenario.
  */
 export function measure(
   options: MeasurementOptions,
-  progress: (done: ScenarioMeasurement) => void,
+  onMeasured: (measurement: ScenarioMeasurement) => void,
 ): ScenarioMeasurement[] {
   const measurements: ScenarioMeasurement[] = [];
   for (const deployment of options.deployments) {
     for (const scenario of options.scenarios) {
-      const done = measureScenario(options, { deployment, scenario });
-      measurements.push(done);
-      progress(done);
+      const measurement = measureScenario(options, { deployment, scenario });
+      measurements.push(measurement);
+      onMeasured(measurement);
     }
   }
   return measurements;
@@ -54,28 +54,31 @@
 
 function measureScenario(
   options: MeasurementOptions,
-  what: { deployment: Deployment; scenario: Scenario },
+  scope: { deployment: Deployment; scenario: Scenario },
 ): ScenarioMeasurement {
-  const plan = planOf(what.deployment);
+  const plan = readDeploymentPlan(scope.deployment);
   const run = (rest: Pick<RunOptions, "variant" | "useAffinity">) =>
     Array.from({ length: options.seeds }, (_, index) => ({
       seed: index + 1,
       result: runScenario({
         plan,
-        scenario: what.scenario,
+        scenario: scope.scenario,
         seed: index + 1,
         ...rest,
       }),
     }));
   const { useAffinity } = options;
-  const scheduler = run({ variant: Variant.Scheduler, useAffinity });
-  const baseline = run({ variant: Variant.Baseline, useAffinity: false });
+  const scheduler = run({ variant: SchedulerVariant.Scheduler, useAffinity });
+  const baseline = run({
+    variant: SchedulerVariant.Baseline,
+    useAffinity: false,
+  });
   const withoutAffinity = options.compareAffinity
-    ? run({ variant: Variant.Scheduler, useAffinity: false })
+    ? run({ variant: SchedulerVariant.Scheduler, useAffinity: false })
     : undefined;
   const results = (runs: typeof scheduler) => runs.map(({ result }) => result);
   return {
-    ...what,
+    ...scope,
     scheduler: summarize(results(scheduler)),
     baseline: summarize(results(baseline)),
     withoutAffinity: withoutAffinity && summarize(results(withoutAffinity)),
--- a/packages/measure/src/memory_costs.ts
+++ b/packages/measure/src/memory_costs.ts
@@ -9,8 +9,8 @@
 import { SchedulerCore } from "@chestnuthatch/core/scheduler_core";
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
-import type { DeploymentPlan } from "./deployments.ts";
-import { scaledPlan } from "./scaled_plan.ts";
+import type { DeploymentPlan } from "./deployment_plan.ts";
+import { createScaledPlan } from "./scaled_plan.ts";
 
 /** Bytes of heap for one of each. */
 export interface MemoryCosts {
@@ -21,16 +21,16 @@
   readonly prefixBlockBytes: number;
 }
 
-const HELD_REQUESTS = 4000;
-const WAITING_ASKS = 4000;
-const MEMBERS = 2000;
-const FEW_TARGETS = 40;
-const MANY_TARGETS = 1040;
-const PREFIX_INDEXES = 16;
+const HELD_REQUEST_COUNT = 4000;
+const WAITING_ASK_COUNT = 4000;
+const MEMBER_COUNT = 2000;
+const MIN_TARGET_COUNT = 40;
+const MAX_TARGET_COUNT = 1040;
+const PREFIX_INDEX_COUNT = 16;
 const BLOCKS_PER_INDEX = 8192;
 const BLOCKS_PER_PROMPT = 8;
 const PROMPT_TOKENS = 640;
-const LONG_MS = 200_000;
+const DEADLINE_MS = 200_000;
 const POOL = "msaidizi";
 
 /**
@@ -41,58 +41,70 @@
  */
 export function measureMemory(): MemoryCosts {
   return {
-    heldRequestBytes: bytesEach(HELD_REQUESTS, holdRequests),
-    waitingAskBytes: bytesEach(WAITING_ASKS, queueAsks),
-    memberBytes: bytesEach(MEMBERS, listMembers),
-    targetBytes: targetBytes(),
-    prefixBlockBytes: bytesEach(
-      PREFIX_INDEXES * BLOCKS_PER_INDEX,
-      fillPrefixIndexes,
+    heldRequestBytes: measureBytesPerItem(
+      HELD_REQUEST_COUNT,
+      prepareHeldRequests,
+    ),
+    waitingAskBytes: measureBytesPerItem(WAITING_ASK_COUNT, prepareWaitingAsks),
+    memberBytes: measureBytesPerItem(MEMBER_COUNT, prepareMembers),
+    targetBytes: measureTargetBytes(),
+    prefixBlockBytes: measureBytesPerItem(
+      PREFIX_INDEX_COUNT * BLOCKS_PER_INDEX,
+      preparePrefixIndexes,
     ),
   };
 }
 
-function bytesEach(count: number, fill: () => () => unknown): number {
-  const run = fill();
-  const beforeBytes = heapBytes();
-  const kept = run();
-  const afterBytes = heapBytes();
+function measureBytesPerItem(
+  count: number,
+  prepare: () => () => unknown,
+): number {
+  const fill = prepare();
+  const beforeBytes = readHeapBytes();
+  const filled = fill();
+  const afterBytes = readHeapBytes();
   // Keeps what was filled alive until after the reading.
-  return kept === undefined ? 0 : (afterBytes - beforeBytes) / count;
+  return filled === undefined ? 0 : (afterBytes - beforeBytes) / count;
 }
 
-function holdRequests(): () => unknown {
-  const core = readyCore(scaledPlan({ instances: 2, targets: FEW_TARGETS }));
+function prepareHeldRequests(): () => unknown {
+  const core = createReadyCore(
+    createScaledPlan({ instances: 2, targets: MIN_TARGET_COUNT }),
+  );
   // With every target silent nothing is granted: requests stay held, and the
   // asks go to a peer that never answers.
-  hearPeer(core);
+  connectPeer(core);
   return () => {
-    for (let index = 0; index < HELD_REQUESTS; index++) {
-      core.handle(requestArrived(index));
+    for (let index = 0; index < HELD_REQUEST_COUNT; index++) {
+      core.handle(requestArrivedEvent(index));
     }
     return core;
   };
 }
 
-function queueAsks(): () => unknown {
-  const core = readyCore(scaledPlan({ instances: 1, targets: FEW_TARGETS }));
+function prepareWaitingAsks(): () => unknown {
+  const core = createReadyCore(
+    createScaledPlan({ instances: 1, targets: MIN_TARGET_COUNT }),
+  );
   return () => {
-    for (let index = 0; index < WAITING_ASKS; index++) {
-      core.handle(askReceived(index));
+    for (let index = 0; index < WAITING_ASK_COUNT; index++) {
+      core.handle(askReceivedEvent(index));
     }
     return core;
   };
 }
 
-function listMembers(): () => unknown {
-  const core = readyCore(scaledPlan({ instances: 1, targets: FEW_TARGETS }));
+function prepareMembers(): () => unknown {
+  const core = createReadyCore(
+    createScaledPlan({ instances: 1, targets: MIN_TARGET_COUNT }),
+  );
   return () => {
     core.handle({
       kind: EventKind.InstanceListRead,
       nowMs: 2,
       list: {
         lagMs: 0,
-        instances: Array.from({ length: MEMBERS }, (_, index) => ({
+        instances: Array.from({ length: MEMBER_COUNT }, (_, index) => ({
           id: `entry-${index + 2}`,
           kind: ListedKind.Entry,
           failureDomain: "njiro-hall",
@@ -105,36 +117,36 @@
   };
 }
 
-function targetBytes(): number {
-  const bytesWith = (targets: number) =>
-    bytesEach(1, () => {
-      const plan = scaledPlan({ instances: 1, targets });
+function measureTargetBytes(): number {
+  const measureBytes = (targets: number) =>
+    measureBytesPerItem(1, () => {
+      const plan = createScaledPlan({ instances: 1, targets });
       return () => {
-        const core = readyCore(plan);
+        const core = createReadyCore(plan);
         for (const targetId of plan.settings.targets.keys()) {
-          core.handle(loadReported(targetId));
+          core.handle(loadReportedEvent(targetId));
         }
         return core;
       };
     });
-  return (bytesWith(MANY_TARGETS) - bytesWith(FEW_TARGETS)) /
-    (MANY_TARGETS - FEW_TARGETS);
+  return (measureBytes(MAX_TARGET_COUNT) - measureBytes(MIN_TARGET_COUNT)) /
+    (MAX_TARGET_COUNT - MIN_TARGET_COUNT);
 }
 
-function fillPrefixIndexes(): () => unknown {
+function preparePrefixIndexes(): () => unknown {
   return () =>
-    Array.from({ length: PREFIX_INDEXES }, (_, number) => {
+    Array.from({ length: PREFIX_INDEX_COUNT }, (_, number) => {
       const index = new PrefixIndex();
       const hashes = Array.from(
         { length: BLOCKS_PER_INDEX },
-        (_, block) => hashOf(number * BLOCKS_PER_INDEX + block),
+        (_, block) => blockHash(number * BLOCKS_PER_INDEX + block),
       );
       index.store(hashes);
       return index;
     });
 }
 
-function readyCore(plan: DeploymentPlan): SchedulerCore {
+function createReadyCore(plan: DeploymentPlan): SchedulerCore {
   const core = new SchedulerCore({
     instanceId: "entry-1",
     incarnation: 1,
@@ -158,7 +170,7 @@
   return core;
 }
 
-function hearPeer(core: SchedulerCore): void {
+function connectPeer(core: SchedulerCore): void {
   core.handle({ kind: EventKind.PeerConnected, nowMs: 1, peerId: "entry-0" });
   core.handle({
     kind: EventKind.PeerMessageReceived,
@@ -178,7 +190,7 @@
   });
 }
 
-function requestArrived(index: number): CoreEvent {
+function requestArrivedEvent(index: number): CoreEvent {
   return {
     kind: EventKind.RequestArrived,
     nowMs: 2,
@@ -188,16 +200,16 @@
       tier: "planned",
       pool: POOL,
       promptTokens: PROMPT_TOKENS,
-      deadlineMs: LONG_MS,
+      deadlineMs: DEADLINE_MS,
       idempotencyKey: `key-${index}`,
       stream: false,
-      contentHash: hashOf(index),
-      blockHashes: promptHashes(index),
+      contentHash: blockHash(index),
+      blockHashes: promptBlockHashes(index),
     },
   };
 }
 
-function askReceived(index: number): CoreEvent {
+function askReceivedEvent(index: number): CoreEvent {
   return {
     kind: EventKind.PeerMessageReceived,
     nowMs: 2,
@@ -217,18 +229,18 @@
         promptTokens: PROMPT_TOKENS,
         expectedOutputTokens: 100,
         maxOutputTokens: 200,
-        timeLeftMs: LONG_MS,
+        timeLeftMs: DEADLINE_MS,
         cancellable: true,
         excludedTargetIds: [],
         spreadOver: 1,
         spreadIndex: 0,
-        blockHashes: promptHashes(index),
+        blockHashes: promptBlockHashes(index),
       },
     },
   };
 }
 
-function loadReported(targetId: string): CoreEvent {
+function loadReportedEvent(targetId: string): CoreEvent {
   return {
     kind: EventKind.LoadReported,
     nowMs: 2,
@@ -245,22 +257,22 @@
   };
 }
 
-function promptHashes(index: number): string[] {
+function promptBlockHashes(index: number): string[] {
   return Array.from(
     { length: BLOCKS_PER_PROMPT },
-    (_, block) => hashOf(index * BLOCKS_PER_PROMPT + block),
+    (_, block) => blockHash(index * BLOCKS_PER_PROMPT + block),
   );
 }
 
 /** As long as the fingerprints that travel with asks. */
-function hashOf(index: number): string {
+function blockHash(index: number): string {
   const base = 36 ** 7;
   return (base + index).toString(36);
 }
 
 let collectGarbage: (() => void) | undefined;
 
-function heapBytes(): number {
+function readHeapBytes(): number {
   if (collectGarbage === undefined) {
     setFlagsFromString("--expose-gc");
     collectGarbage = runInNewContext("gc") as () => void;
--- a/packages/measure/src/peer_links.ts
+++ b/packages/measure/src/peer_links.ts
@@ -2,78 +2,87 @@
 
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
 import type { EventQueue } from "./event_queue.ts";
-import { CONNECT_TIMEOUT_MS, type Network } from "./network.ts";
+import {
+  CONNECT_TIMEOUT_MS,
+  type SimulatedNetwork,
+} from "./simulated_network.ts";
 
 /** One running process of an entry instance, as its peers reach it. */
-export interface PeerNode {
+export interface PeerProcess {
   readonly instanceId: string;
   readonly incarnation: number;
   readonly failureDomain: string;
   /** @param peerId The peer that this one can now send to. */
-  peerConnected(peerId: string): void;
+  onPeerConnected(peerId: string): void;
   /** @param peerId The peer that this one can no longer send to. */
-  peerDisconnected(peerId: string): void;
+  onPeerDisconnected(peerId: string): void;
   /**
    * Takes a message.
    *
    * @param from The sender.
    * @param message The message.
    */
-  peerMessage(from: PeerNode, message: PeerMessage): void;
+  onPeerMessage(from: PeerProcess, message: PeerMessage): void;
 }
 
 /** A link over a cut network counts as broken after this long. */
-const SILENCE_MS = 1500;
-const REDIAL_MS = 250;
+const SILENCE_TIMEOUT_MS = 1500;
+const REDIAL_DELAY_MS = 250;
 
 /** One direction of an open link. */
-interface Direction {
-  readonly from: PeerNode;
-  readonly to: PeerNode;
+interface LinkDirection {
+  readonly from: PeerProcess;
+  readonly to: PeerProcess;
   readonly link: Link;
   /** Sent while the network is cut, to be sent again when it heals. */
-  unsent: PeerMessage[];
+  backlog: PeerMessage[];
 }
 
 interface Link {
-  readonly ends: readonly [PeerNode, PeerNode];
+  readonly ends: readonly [PeerProcess, PeerProcess];
   isOpen: boolean;
 }
 
-interface NodeState {
-  readonly wantedIds: Set<string>;
-  readonly directions: Map<string, Direction>;
+interface ProcessLinks {
+  readonly wantedPeerIds: Set<string>;
+  readonly directionsByPeerId: Map<string, LinkDirection>;
 }
 
 /** Carries messages between entry instances. */
 export class PeerLinks {
   readonly #queue: EventQueue;
-  readonly #network: Network;
-  readonly #live = new Map<string, PeerNode>();
-  readonly #states = new Map<PeerNode, NodeState>();
+  readonly #network: SimulatedNetwork;
+  readonly #processesById = new Map<string, PeerProcess>();
+  readonly #linksByProcess = new Map<PeerProcess, ProcessLinks>();
 
   /**
    * @param queue The clock.
    * @param network The links between domains.
    */
-  constructor(queue: EventQueue, network: Network) {
+  constructor(queue: EventQueue, network: SimulatedNetwork) {
     this.#queue = queue;
     this.#network = network;
   }
 
-  /** @param node A process that has started. */
-  join(node: PeerNode): void {
-    this.#live.set(node.instanceId, node);
-    this.#states.set(node, { wantedIds: new Set(), directions: new Map() });
+  /** @param peerProcess A process that has started. */
+  addProcess(peerProcess: PeerProcess): void {
+    this.#processesById.set(peerProcess.instanceId, peerProcess);
+    this.#linksByProcess.set(peerProcess, {
+      wantedPeerIds: new Set(),
+      directionsByPeerId: new Map(),
+    });
   }
 
-  /** @param node A process that has died. */
-  leave(node: PeerNode): void {
-    const state = this.#states.get(node);
-    this.#live.delete(node.instanceId);
-    this.#states.delete(node);
-    for (const { to, link } of state?.directions.values() ?? []) {
-      this.#queue.after(this.#delayMs(node, to), () => this.#lose(link));
+  /** @param peerProcess A process that has died. */
+  removeProcess(peerProcess: PeerProcess): void {
+    const links = this.#linksByProcess.get(peerProcess);
+    this.#processesById.delete(peerProcess.instanceId);
+    this.#linksByProcess.delete(peerProcess);
+    for (const { to, link } of links?.directionsByPeerId.values() ?? []) {
+      this.#queue.after(
+        this.#delayMs(peerProcess, to),
+        () => this.#closeLink(link),
+      );
     }
   }
 
@@ -83,10 +92,10 @@
    * @param from The process that dials.
    * @param toId The instance it dials.
    */
-  connect(from: PeerNode, toId: string): void {
-    const state = this.#states.get(from);
-    if (state !== undefined && !state.wantedIds.has(toId)) {
-      state.wantedIds.add(toId);
+  connect(from: PeerProcess, toId: string): void {
+    const links = this.#linksByProcess.get(from);
+    if (links !== undefined && !links.wantedPeerIds.has(toId)) {
+      links.wantedPeerIds.add(toId);
       this.#dial(from, toId);
     }
   }
@@ -97,12 +106,12 @@
    * @param from The process that dialled.
    * @param toId The instance it dialled.
    */
-  forget(from: PeerNode, toId: string): void {
-    const state = this.#states.get(from);
-    state?.wantedIds.delete(toId);
-    const direction = state?.directions.get(toId);
-    if (direction !== undefined && !this.#wants(direction.to, from)) {
-      this.#lose(direction.link);
+  disconnect(from: PeerProcess, toId: string): void {
+    const links = this.#linksByProcess.get(from);
+    links?.wantedPeerIds.delete(toId);
+    const direction = links?.directionsByPeerId.get(toId);
+    if (direction !== undefined && !this.#wantsLink(direction.to, from)) {
+      this.#closeLink(direction.link);
     }
   }
 
@@ -113,41 +122,43 @@
    * @param options The receiver's id, and the message.
    */
   send(
-    from: PeerNode,
+    from: PeerProcess,
     options: { toId: string; message: PeerMessage },
   ): void {
-    const direction = this.#states.get(from)?.directions.get(options.toId);
+    const direction = this.#linksByProcess.get(from)?.directionsByPeerId.get(
+      options.toId,
+    );
     if (direction === undefined) {
       return;
     }
-    direction.unsent.push(options.message);
-    if (this.#reaches(direction)) {
+    direction.backlog.push(options.message);
+    if (this.#isConnected(direction)) {
       this.#flush(direction);
-    } else if (direction.unsent.length === 1) {
-      this.#watchSilence(direction);
+    } else if (direction.backlog.length === 1) {
+      this.#closeAfterSilence(direction);
     }
   }
 
-  #dial(from: PeerNode, toId: string): void {
-    const state = this.#states.get(from);
-    if (!state?.wantedIds.has(toId) || state.directions.has(toId)) {
+  #dial(from: PeerProcess, toId: string): void {
+    const links = this.#linksByProcess.get(from);
+    if (!links?.wantedPeerIds.has(toId) || links.directionsByPeerId.has(toId)) {
       return;
     }
-    const to = this.#live.get(toId);
+    const to = this.#processesById.get(toId);
     if (to === undefined) {
-      this.#queue.after(REDIAL_MS, () => this.#dial(from, toId));
-    } else if (!this.#reaches({ from, to })) {
+      this.#queue.after(REDIAL_DELAY_MS, () => this.#dial(from, toId));
+    } else if (!this.#isConnected({ from, to })) {
       this.#queue.after(CONNECT_TIMEOUT_MS, () => this.#dial(from, toId));
     } else {
       const roundTripMs = 2 * this.#delayMs(from, to);
-      this.#queue.after(roundTripMs, () => this.#open(from, to));
+      this.#queue.after(roundTripMs, () => this.#openLink(from, to));
     }
   }
 
-  #open(from: PeerNode, to: PeerNode): void {
-    const own = this.#states.get(from);
-    const other = this.#states.get(to);
-    if (own === undefined || own.directions.has(to.instanceId)) {
+  #openLink(from: PeerProcess, to: PeerProcess): void {
+    const own = this.#linksByProcess.get(from);
+    const other = this.#linksByProcess.get(to);
+    if (own === undefined || own.directionsByPeerId.has(to.instanceId)) {
       return;
     }
     if (other === undefined) {
@@ -155,67 +166,69 @@
       return;
     }
     const link: Link = { ends: [from, to], isOpen: true };
-    own.directions.set(to.instanceId, { from, to, link, unsent: [] });
-    other.directions.set(from.instanceId, {
+    own.directionsByPeerId.set(to.instanceId, { from, to, link, backlog: [] });
+    other.directionsByPeerId.set(from.instanceId, {
       from: to,
       to: from,
       link,
-      unsent: [],
+      backlog: [],
     });
-    from.peerConnected(to.instanceId);
-    to.peerConnected(from.instanceId);
+    from.onPeerConnected(to.instanceId);
+    to.onPeerConnected(from.instanceId);
   }
 
-  #lose(link: Link): void {
+  #closeLink(link: Link): void {
     if (!link.isOpen) {
       return;
     }
     link.isOpen = false;
     const [a, b] = link.ends;
-    this.#loseEnd(a, b);
-    this.#loseEnd(b, a);
+    this.#closeDirection(a, b);
+    this.#closeDirection(b, a);
   }
 
-  #loseEnd(node: PeerNode, peer: PeerNode): void {
-    const state = this.#states.get(node);
-    if (state?.directions.delete(peer.instanceId)) {
-      node.peerDisconnected(peer.instanceId);
-      this.#dial(node, peer.instanceId);
+  #closeDirection(peerProcess: PeerProcess, peer: PeerProcess): void {
+    const links = this.#linksByProcess.get(peerProcess);
+    if (links?.directionsByPeerId.delete(peer.instanceId)) {
+      peerProcess.onPeerDisconnected(peer.instanceId);
+      this.#dial(peerProcess, peer.instanceId);
     }
   }
 
-  #flush(direction: Direction): void {
-    const { from, to, unsent } = direction;
-    direction.unsent = [];
+  #flush(direction: LinkDirection): void {
+    const { from, to, backlog: messages } = direction;
+    direction.backlog = [];
     this.#queue.after(this.#delayMs(from, to), () => {
-      if (this.#live.get(to.instanceId) === to) {
-        unsent.forEach((message) => to.peerMessage(from, message));
+      if (this.#processesById.get(to.instanceId) === to) {
+        messages.forEach((message) => to.onPeerMessage(from, message));
       }
     });
   }
 
-  #watchSilence(direction: Direction): void {
-    this.#queue.after(SILENCE_MS, () => {
-      if (!direction.link.isOpen || direction.unsent.length === 0) {
+  #closeAfterSilence(direction: LinkDirection): void {
+    this.#queue.after(SILENCE_TIMEOUT_MS, () => {
+      if (!direction.link.isOpen || direction.backlog.length === 0) {
         return;
       }
-      if (this.#reaches(direction)) {
+      if (this.#isConnected(direction)) {
         this.#flush(direction);
       } else {
-        this.#lose(direction.link);
+        this.#closeLink(direction.link);
       }
     });
   }
 
-  #wants(node: PeerNode, peer: PeerNode): boolean {
-    return this.#states.get(node)?.wantedIds.has(peer.instanceId) ?? false;
+  #wantsLink(peerProcess: PeerProcess, peer: PeerProcess): boolean {
+    return this.#linksByProcess.get(peerProcess)?.wantedPeerIds.has(
+      peer.instanceId,
+    ) ?? false;
   }
 
-  #reaches({ from, to }: { from: PeerNode; to: PeerNode }): boolean {
-    return this.#network.reaches(from.failureDomain, to.failureDomain);
+  #isConnected({ from, to }: { from: PeerProcess; to: PeerProcess }): boolean {
+    return this.#network.isConnected(from.failureDomain, to.failureDomain);
   }
 
-  #delayMs(from: PeerNode, to: PeerNode): number {
+  #delayMs(from: PeerProcess, to: PeerProcess): number {
     return this.#network.delayMs(from.failureDomain, to.failureDomain);
   }
 }
--- a/packages/measure/src/placement_costs.ts
+++ b/packages/measure/src/placement_costs.ts
@@ -34,7 +34,7 @@
   type WorkAsk,
 } from "@chestnuthatch/routing/work_ask";
 import { EventQueue } from "./event_queue.ts";
-import { tableLines } from "./text_table.ts";
+import { formatTable } from "./text_table.ts";
 
 /** A fleet, and what is asked of it. */
 interface PlacementLoad {
@@ -53,7 +53,7 @@
   readonly coreShare: number;
 }
 
-const LOADS: readonly PlacementLoad[] = [
+const PLACEMENT_LOADS: readonly PlacementLoad[] = [
   { instances: 8, targets: 10, load: 0.6 },
   { instances: 8, targets: 10, load: 1.3 },
   { instances: 90, targets: 42, load: 0.6 },
@@ -63,15 +63,15 @@
   { instances: 300, targets: 2500, load: 0.15 },
 ];
 
-const SLOTS = 8;
-const HOLD_MS = 700;
-const FIRST_EVENT_MS = 120;
-const TICK_MS = 20;
-const REPORT_MS = 500;
-const WARM_UP_MS = 4000;
-const MEASURED_MS = 8000;
+const SLOTS_PER_TARGET = 8;
+const MEAN_SERVICE_TIME_MS = 700;
+const FIRST_EVENT_DELAY_MS = 120;
+const TICK_INTERVAL_MS = 20;
+const REPORT_INTERVAL_MS = 500;
+const WARM_UP_DURATION_MS = 4000;
+const MEASURED_DURATION_MS = 8000;
 const MS_PER_SECOND = 1000;
-const RANKS = 3;
+const RANK_COUNT = 3;
 const SEED = 1;
 
 /**
@@ -83,7 +83,9 @@
 export function measurePlacement(
   print: (line: string) => void,
 ): readonly PlacementCosts[] {
-  const costs = LOADS.map((load) => new PlacementRun(load).run());
+  const costs = PLACEMENT_LOADS.map((load) =>
+    new PlacementSimulation(load).run()
+  );
   const rows = costs.map((cost) => ({
     "instances": cost.instances,
     "targets": cost.targets,
@@ -93,25 +95,28 @@
     "core ms/request": cost.coreMsPerRequest.toFixed(3),
     "core share": cost.coreShare.toFixed(3),
   }));
-  print(`${tableLines(rows).join("\n")}\n`);
+  print(`${formatTable(rows).join("\n")}\n`);
   return costs;
 }
 
 /** One load, played. */
-class PlacementRun {
+class PlacementSimulation {
   readonly #load: PlacementLoad;
   readonly #queue = new EventQueue();
   readonly #random: Randomness = seededRandomness(SEED);
   readonly #coordinator: Coordinator;
-  readonly #running = new Map<string, RunningWork & { holderId: string }>();
-  readonly #waiting = new Map<string, WorkAsk>();
-  #spentMs = 0;
-  #asked = 0;
-  #refused = 0;
+  readonly #runningByAskId = new Map<
+    string,
+    RunningWork & { holderId: string }
+  >();
+  readonly #waitingByAskId = new Map<string, WorkAsk>();
+  #coreMs = 0;
+  #askCount = 0;
+  #refusedCount = 0;
 
   constructor(load: PlacementLoad) {
     this.#load = load;
-    this.#coordinator = new Coordinator(boardOf(load), {
+    this.#coordinator = new Coordinator(createBoard(load), {
       retryBudget: { ratio: 0.2, slack: 100, windowS: 10 },
       allotmentTolerance: { windowMs: 8000, overage: 0.1, slack: 1000 },
     });
@@ -121,57 +126,61 @@
     this.#scheduleArrival();
     this.#scheduleTick();
     for (let index = 0; index < this.#load.instances; index++) {
-      this.#scheduleReport(`i${index}`, REPORT_MS * this.#random.next());
+      this.#scheduleReport(
+        `i${index}`,
+        REPORT_INTERVAL_MS * this.#random.next(),
+      );
     }
-    this.#queue.runUntil(WARM_UP_MS);
-    this.#spentMs = 0;
-    this.#asked = 0;
-    this.#refused = 0;
-    this.#queue.runUntil(WARM_UP_MS + MEASURED_MS);
+    this.#queue.runUntil(WARM_UP_DURATION_MS);
+    this.#coreMs = 0;
+    this.#askCount = 0;
+    this.#refusedCount = 0;
+    this.#queue.runUntil(WARM_UP_DURATION_MS + MEASURED_DURATION_MS);
     return {
       ...this.#load,
-      requestsPerSecond: this.#asked * MS_PER_SECOND / MEASURED_MS,
-      refusedShare: this.#refused / this.#asked,
-      coreMsPerRequest: this.#spentMs / this.#asked,
-      coreShare: this.#spentMs / MEASURED_MS,
+      requestsPerSecond: this.#askCount * MS_PER_SECOND / MEASURED_DURATION_MS,
+      refusedShare: this.#refusedCount / this.#askCount,
+      coreMsPerRequest: this.#coreMs / this.#askCount,
+      coreShare: this.#coreMs / MEASURED_DURATION_MS,
     };
   }
 
   #scheduleArrival(): void {
     const { targets, load } = this.#load;
-    const meanGapMs = HOLD_MS / (targets * SLOTS * load);
+    const meanGapMs = MEAN_SERVICE_TIME_MS /
+      (targets * SLOTS_PER_TARGET * load);
     const gapMs = -Math.log(1 - this.#random.next()) * meanGapMs;
     this.#queue.after(gapMs, () => {
-      this.#arrive();
+      this.#submitAsk();
       this.#scheduleArrival();
     });
   }
 
   #scheduleTick(): void {
-    this.#queue.after(TICK_MS, () => {
-      this.#timed(() => this.#coordinator.tick(this.#queue.nowMs));
+    this.#queue.after(TICK_INTERVAL_MS, () => {
+      this.#runTimed(() => this.#coordinator.tick(this.#queue.nowMs));
       this.#scheduleTick();
     });
   }
 
-  #scheduleReport(holderId: string, inMs: number): void {
-    this.#queue.after(inMs, () => {
+  #scheduleReport(holderId: string, delayMs: number): void {
+    this.#queue.after(delayMs, () => {
       const report = {
         holderId,
-        running: [...this.#running.values()]
+        running: [...this.#runningByAskId.values()]
           .filter((work) => work.holderId === holderId),
-        waiting: [...this.#waiting.values()]
+        waiting: [...this.#waitingByAskId.values()]
           .filter((ask) => ask.holderId === holderId)
           .map(({ askId }) => askId),
         spent: [],
       };
-      this.#timed(() => this.#coordinator.report(report, this.#queue.nowMs));
-      this.#scheduleReport(holderId, REPORT_MS);
+      this.#runTimed(() => this.#coordinator.report(report, this.#queue.nowMs));
+      this.#scheduleReport(holderId, REPORT_INTERVAL_MS);
     });
   }
 
-  #arrive(): void {
-    const index = this.#asked++;
+  #submitAsk(): void {
+    const index = this.#askCount++;
     const holder = Math.floor(this.#random.next() * this.#load.instances);
     const ask: WorkAsk = {
       askId: `${this.#queue.nowMs}.${index}`,
@@ -179,7 +188,7 @@
       callHash: 0,
       pool: "p",
       workspace: "w",
-      rank: Math.floor(this.#random.next() * RANKS),
+      rank: Math.floor(this.#random.next() * RANK_COUNT),
       cost: 0,
       promptTokens: Math.floor(200 + 4000 * this.#random.next()),
       outputTokens: Math.floor(50 + 200 * this.#random.next()),
@@ -190,59 +199,59 @@
       excluded: [],
       cause: AskCause.First,
     };
-    this.#waiting.set(ask.askId, ask);
+    this.#waitingByAskId.set(ask.askId, ask);
     const scope = { share: 1, memoryMs: 60_000, nowMs: this.#queue.nowMs };
-    this.#timed(() => this.#coordinator.ask(ask, scope));
+    this.#runTimed(() => this.#coordinator.ask(ask, scope));
   }
 
   /** Runs a call of the coordinator, and acts on what it decides. */
-  #timed(call: () => readonly AskDecision[]): void {
-    const beganAtMs = performance.now();
+  #runTimed(call: () => readonly AskDecision[]): void {
+    const startedAtMs = performance.now();
     const decisions = call();
-    this.#spentMs += performance.now() - beganAtMs;
+    this.#coreMs += performance.now() - startedAtMs;
     for (const decision of decisions) {
-      this.#carryOut(decision);
+      this.#applyDecision(decision);
     }
   }
 
-  #carryOut(decision: AskDecision): void {
+  #applyDecision(decision: AskDecision): void {
     const { askId, holderId } = decision;
-    const ask = this.#waiting.get(askId);
-    this.#waiting.delete(askId);
+    const ask = this.#waitingByAskId.get(askId);
+    this.#waitingByAskId.delete(askId);
     if (ask === undefined || !("targetId" in decision)) {
-      this.#refused++;
+      this.#refusedCount++;
       return;
     }
     const { pool, rank, promptTokens, outputTokens } = ask;
     const { targetId } = decision;
     const work = { askId, pool, targetId, rank, promptTokens, outputTokens };
-    this.#running.set(askId, { ...work, holderId, firstSeen: false });
-    this.#queue.after(FIRST_EVENT_MS, () => {
-      this.#timed(() => {
+    this.#runningByAskId.set(askId, { ...work, holderId, firstSeen: false });
+    this.#queue.after(FIRST_EVENT_DELAY_MS, () => {
+      this.#runTimed(() => {
         this.#coordinator.firstSeen(askId);
         return [];
       });
     });
-    const holdMs = HOLD_MS * (0.5 + this.#random.next());
-    this.#queue.after(holdMs, () => this.#end(ask, targetId));
+    const serviceTimeMs = MEAN_SERVICE_TIME_MS * (0.5 + this.#random.next());
+    this.#queue.after(serviceTimeMs, () => this.#endWork(ask, targetId));
   }
 
-  #end({ askId, pool, promptTokens }: WorkAsk, targetId: string): void {
-    this.#running.delete(askId);
+  #endWork({ askId, pool, promptTokens }: WorkAsk, targetId: string): void {
+    this.#runningByAskId.delete(askId);
     const end = {
       askId,
       targetId,
       pool,
       promptTokens,
-      firstMs: FIRST_EVENT_MS,
+      firstMs: FIRST_EVENT_DELAY_MS,
       eventGapMs: 15,
       failed: false,
     };
-    this.#timed(() => this.#coordinator.ended(end, this.#queue.nowMs));
+    this.#runTimed(() => this.#coordinator.ended(end, this.#queue.nowMs));
   }
 }
 
-function boardOf(load: PlacementLoad): RoutingBoard {
+function createBoard(load: PlacementLoad): RoutingBoard {
   const targets = new TargetDirectory();
   targets.listAnswers(0);
   targets.apply(
@@ -255,7 +264,7 @@
         pool: "p",
         address: `10.0.${Math.floor(index / 250)}.${index % 250}:80`,
         failureDomain: `d${index % 4}`,
-        slots: SLOTS,
+        slots: SLOTS_PER_TARGET,
         leaving: false,
         version: "v1",
       },
@@ -271,7 +280,7 @@
     cores: 1,
   });
   return {
-    routes: new RouteTable(configuration()),
+    routes: new RouteTable(createConfiguration()),
     targets,
     members,
     configurationAge: new ConfigurationAge(),
@@ -285,7 +294,7 @@
   };
 }
 
-function configuration(): FleetConfiguration {
+function createConfiguration(): FleetConfiguration {
   return {
     version: 1,
     routes: [{
@@ -304,7 +313,7 @@
     pools: [{
       name: "p",
       maxConnections: 100,
-      engine: { slots: SLOTS, kvCapacityTokens: 400_000 },
+      engine: { slots: SLOTS_PER_TARGET, kvCapacityTokens: 400_000 },
     }],
     workspaces: [],
     limits: {
--- a/packages/measure/src/promises.ts
+++ b/packages/measure/src/promise_checker.ts
@@ -51,7 +51,7 @@
 }
 
 /** Work as a target received it. */
-export interface WorkReceived {
+export interface ReceivedWork {
   readonly requestId: string;
   readonly targetId: string;
   readonly holderId: string;
@@ -60,7 +60,7 @@
 }
 
 /** The end of a call as the caller was told it. */
-export interface ToldRefusal {
+export interface CallRefusal {
   readonly error: ErrorKind;
   readonly ran: RunState;
 }
@@ -71,16 +71,16 @@
   readonly description: string;
 }
 
-interface TierOrderSuspicion {
+interface PossibleTierOrderViolation {
   readonly call: CallRecord;
-  readonly refusal: ToldRefusal;
+  readonly refusal: CallRefusal;
   readonly atMs: number;
-  readonly works: readonly LowerTierWork[];
-  readonly story: readonly string[];
+  readonly lowerTierWork: readonly LowerTierWork[];
+  readonly decisions: readonly string[];
 }
 
 /** What the checker must ask of the world around it. */
-export interface WorldView {
+export interface SimulationView {
   nowMs(): number;
   /**
    * Looks for lower-tier work that is served or kept waiting in reach.
@@ -88,7 +88,7 @@
    * @param call The call that was refused.
    * @returns What was found.
    */
-  lowerTierWork(call: CallRecord): readonly LowerTierWork[];
+  findLowerTierWork(call: CallRecord): readonly LowerTierWork[];
   /**
    * Tells whether one instance's work reaches the same targets as another's.
    *
@@ -96,26 +96,26 @@
    * @param otherId Another.
    * @returns True when both are live and reach each other.
    */
-  inReach(holderId: string, otherId: string): boolean;
+  canReach(holderId: string, otherId: string): boolean;
   /**
    * Tells a request's story.
    *
    * @param call The call it is about.
    * @returns Its steps.
    */
-  story(call: CallRecord): string[];
+  describeDecisions(call: CallRecord): string[];
 }
 
 /** A target may still be sent work this long after its first leaving sign. */
 export const LEAVING_GRACE_MS = 3000;
 
 /** A grant made before a request came may arrive at its target this late. */
-const GRANT_IN_FLIGHT_MS = 50;
+const MAX_GRANT_DELAY_MS = 50;
 
 /** A refusal or cancellation ordered before may reach its holder this late. */
-const REFUSAL_IN_FLIGHT_MS = 50;
+const MAX_REFUSAL_DELAY_MS = 50;
 
-const OVERLOAD_ERRORS: ReadonlySet<ErrorKind> = new Set([
+const OVERLOAD_ERROR_KINDS: ReadonlySet<ErrorKind> = new Set([
   ErrorKind.Overloaded,
   ErrorKind.DeadlineUnreachable,
   ErrorKind.DeadlineExceeded,
@@ -125,61 +125,68 @@
 /** Watches one run and keeps every broken promise. */
 export class PromiseChecker {
   readonly broken: BrokenPromise[] = [];
-  readonly #world: WorldView;
-  readonly #calls = new Map<string, CallRecord>();
-  readonly #ended = new Set<string>();
-  readonly #refusedAtMs = new Map<string, number>();
-  readonly #suspicions: TierOrderSuspicion[] = [];
-  readonly #received = new Map<string, WorkReceived[]>();
-  readonly #started = new Set<string>();
-  readonly #startedByKey = new Map<string, string>();
-  readonly #madeTexts = new Map<string, Set<string>>();
-  readonly #toldNotRun = new Map<string, number>();
-  readonly #leavingSinceMs = new Map<string, number>();
-  readonly #settingsVersions = new Map<string, number>();
-  readonly #sentByPool = new Map<string, (WorkReceived & { atMs: number })[]>();
-
-  /** @param world Where the run happens. */
-  constructor(world: WorldView) {
-    this.#world = world;
+  readonly #simulation: SimulationView;
+  readonly #callsByRequestId = new Map<string, CallRecord>();
+  readonly #endedRequestIds = new Set<string>();
+  readonly #refusedAtMsByRequestId = new Map<string, number>();
+  readonly #possibleTierOrderViolations: PossibleTierOrderViolation[] = [];
+  readonly #receivedByRequestId = new Map<string, ReceivedWork[]>();
+  readonly #startedRequestIds = new Set<string>();
+  readonly #startedRequestIdByKey = new Map<string, string>();
+  readonly #completeTextsByItemId = new Map<string, Set<string>>();
+  readonly #refusedNotRunAtMsByRequestId = new Map<string, number>();
+  readonly #leavingSinceMsByTargetId = new Map<string, number>();
+  readonly #settingsVersionByProcess = new Map<string, number>();
+  readonly #receivedByPool = new Map<
+    string,
+    (ReceivedWork & { atMs: number })[]
+  >();
+
+  /** @param simulation Where the run happens. */
+  constructor(simulation: SimulationView) {
+    this.#simulation = simulation;
   }
 
   /** @param call A call that an instance received. */
-  callReceived(call: CallRecord): void {
-    this.#calls.set(call.requestId, call);
+  recordCall(call: CallRecord): void {
+    this.#callsByRequestId.set(call.requestId, call);
   }
 
   /** @param work A request that a target received. */
-  workReceived(work: WorkReceived): void {
-    const earlier = this.#received.get(work.requestId) ?? [];
+  recordWorkReceived(work: ReceivedWork): void {
+    const earlier = this.#receivedByRequestId.get(work.requestId) ?? [];
     earlier.push(work);
-    this.#received.set(work.requestId, earlier);
+    this.#receivedByRequestId.set(work.requestId, earlier);
     if (earlier.length > 1) {
       const targets = earlier.map((each) => each.targetId).join(", ");
-      this.#breakPromise(PromiseKind.DispatchedTwice, work.requestId, targets);
+      this.#recordBrokenPromise(
+        PromiseKind.DispatchedTwice,
+        work.requestId,
+        targets,
+      );
     }
-    this.#checkLeaving(work);
-    const sent = this.#sentByPool.get(work.pool) ?? [];
-    sent.push({ ...work, atMs: this.#world.nowMs() });
-    this.#sentByPool.set(work.pool, sent);
+    this.#checkTargetLeaving(work);
+    const poolWork = this.#receivedByPool.get(work.pool) ?? [];
+    poolWork.push({ ...work, atMs: this.#simulation.nowMs() });
+    this.#receivedByPool.set(work.pool, poolWork);
   }
 
   /** @param requestId A request that a target began to work on. */
-  workStarted(requestId: string): void {
-    this.#started.add(requestId);
-    const call = this.#calls.get(requestId);
+  recordWorkStarted(requestId: string): void {
+    this.#startedRequestIds.add(requestId);
+    const call = this.#callsByRequestId.get(requestId);
     if (call?.key === undefined) {
       return;
     }
-    const earlierId = this.#startedByKey.get(call.key);
+    const earlierId = this.#startedRequestIdByKey.get(call.key);
     if (earlierId !== undefined && !call.idempotent) {
-      this.#breakPromise(
+      this.#recordBrokenPromise(
         PromiseKind.NonIdempotentRanTwice,
         requestId,
         `key ${call.key} also ran as ${earlierId}`,
       );
     }
-    this.#startedByKey.set(call.key, requestId);
+    this.#startedRequestIdByKey.set(call.key, requestId);
   }
 
   /**
@@ -188,11 +195,11 @@
    * @param requestId The request it was made for.
    * @param text The whole text.
    */
-  answerMade(requestId: string, text: string): void {
-    const itemId = this.#calls.get(requestId)?.itemId ?? requestId;
-    const texts = this.#madeTexts.get(itemId) ?? new Set();
+  recordCompleteAnswer(requestId: string, text: string): void {
+    const itemId = this.#callsByRequestId.get(requestId)?.itemId ?? requestId;
+    const texts = this.#completeTextsByItemId.get(itemId) ?? new Set();
     texts.add(text);
-    this.#madeTexts.set(itemId, texts);
+    this.#completeTextsByItemId.set(itemId, texts);
   }
 
   /**
@@ -201,12 +208,12 @@
    * @param requestId The call.
    * @param text The text delivered.
    */
-  callAnswered(requestId: string, text: string): void {
-    this.#end(requestId);
-    const call = this.#calls.get(requestId);
-    const made = this.#madeTexts.get(call?.itemId ?? "");
-    if (made === undefined || !made.has(text)) {
-      this.#breakPromise(
+  recordCallAnswered(requestId: string, text: string): void {
+    this.#recordOutcome(requestId);
+    const call = this.#callsByRequestId.get(requestId);
+    const completeTexts = this.#completeTextsByItemId.get(call?.itemId ?? "");
+    if (completeTexts === undefined || !completeTexts.has(text)) {
+      this.#recordBrokenPromise(
         PromiseKind.NotOwnWholeAnswer,
         requestId,
         `got ${text.length} characters that no target made whole for it`,
@@ -220,44 +227,45 @@
    * @param requestId The call.
    * @param refusal What it was told.
    */
-  callRefused(requestId: string, refusal: ToldRefusal): void {
-    this.#end(requestId);
-    this.#refusedAtMs.set(requestId, this.#world.nowMs());
-    const call = this.#calls.get(requestId);
+  recordCallRefused(requestId: string, refusal: CallRefusal): void {
+    this.#recordOutcome(requestId);
+    this.#refusedAtMsByRequestId.set(requestId, this.#simulation.nowMs());
+    const call = this.#callsByRequestId.get(requestId);
     if (call === undefined) {
       return;
     }
     if (refusal.ran === RunState.NotRun) {
       this.#checkNotRun(call, refusal);
     }
-    if (OVERLOAD_ERRORS.has(refusal.error)) {
+    if (OVERLOAD_ERROR_KINDS.has(refusal.error)) {
       this.#checkTierOrder(call, refusal);
     }
   }
 
   /** @param targetId A target that shows its first sign of leaving. */
-  targetLeaving(targetId: string): void {
-    if (!this.#leavingSinceMs.has(targetId)) {
-      this.#leavingSinceMs.set(targetId, this.#world.nowMs());
+  recordTargetLeaving(targetId: string): void {
+    if (!this.#leavingSinceMsByTargetId.has(targetId)) {
+      this.#leavingSinceMsByTargetId.set(targetId, this.#simulation.nowMs());
     }
   }
 
   /**
    * Notes the settings version that an instance has in force.
    *
-   * @param incarnation Names one start of an instance.
+   * @param processName Names one start of an instance.
    * @param version The version.
    */
-  settingsInForce(incarnation: string, version: number): void {
-    const before = this.#settingsVersions.get(incarnation) ?? 0;
-    if (version < before) {
-      this.#breakPromise(
+  recordSettingsInForce(processName: string, version: number): void {
+    const previousVersion = this.#settingsVersionByProcess.get(processName) ??
+      0;
+    if (version < previousVersion) {
+      this.#recordBrokenPromise(
         PromiseKind.SettingsReverted,
-        incarnation,
-        `version ${before} went down to ${version}`,
+        processName,
+        `version ${previousVersion} went down to ${version}`,
       );
     }
-    this.#settingsVersions.set(incarnation, version);
+    this.#settingsVersionByProcess.set(processName, version);
   }
 
   /**
@@ -265,9 +273,9 @@
    *
    * @param requestId The call.
    */
-  outcomeDue(requestId: string): void {
-    if (!this.#ended.has(requestId)) {
-      this.#breakPromise(
+  checkOutcome(requestId: string): void {
+    if (!this.#endedRequestIds.has(requestId)) {
+      this.#recordBrokenPromise(
         PromiseKind.NoOutcome,
         requestId,
         "no answer and no refusal after the deadline and its margin",
@@ -281,21 +289,21 @@
    * @param targetId The target.
    * @param detail The figures, and the request that was too much.
    */
-  kvExceeded(targetId: string, detail: string): void {
-    this.#breakPromise(PromiseKind.KvExceeded, targetId, detail);
+  recordKvExceeded(targetId: string, detail: string): void {
+    this.#recordBrokenPromise(PromiseKind.KvExceeded, targetId, detail);
   }
 
   /** Checks what only the end of the run can show. */
   finish(): void {
-    for (const suspicion of this.#suspicions) {
-      this.#judge(suspicion);
+    for (const possibleViolation of this.#possibleTierOrderViolations) {
+      this.#checkTierOrderViolation(possibleViolation);
     }
-    for (const [requestId, toldAtMs] of this.#toldNotRun) {
-      if (this.#started.has(requestId)) {
-        this.#breakPromise(
+    for (const [requestId, refusedAtMs] of this.#refusedNotRunAtMsByRequestId) {
+      if (this.#startedRequestIds.has(requestId)) {
+        this.#recordBrokenPromise(
           PromiseKind.NotRunButRan,
           requestId,
-          `told not run at ${Math.round(toldAtMs)} ms, but it ran`,
+          `told not run at ${Math.round(refusedAtMs)} ms, but it ran`,
         );
       }
     }
@@ -306,7 +314,7 @@
    *
    * @returns How many of each kind were broken; kinds kept are left out.
    */
-  counts(): Partial<Record<PromiseKind, number>> {
+  countByKind(): Partial<Record<PromiseKind, number>> {
     const counts: Partial<Record<PromiseKind, number>> = {};
     for (const { kind } of this.broken) {
       counts[kind] = (counts[kind] ?? 0) + 1;
@@ -314,65 +322,77 @@
     return counts;
   }
 
-  #end(requestId: string): void {
-    if (this.#ended.has(requestId)) {
-      this.#breakPromise(
+  #recordOutcome(requestId: string): void {
+    if (this.#endedRequestIds.has(requestId)) {
+      this.#recordBrokenPromise(
         PromiseKind.AnsweredTwice,
         requestId,
         "a second outcome was told",
       );
     }
-    this.#ended.add(requestId);
+    this.#endedRequestIds.add(requestId);
   }
 
-  #checkNotRun(call: CallRecord, refusal: ToldRefusal): void {
-    this.#toldNotRun.set(call.requestId, this.#world.nowMs());
+  #checkNotRun(call: CallRecord, refusal: CallRefusal): void {
+    this.#refusedNotRunAtMsByRequestId.set(
+      call.requestId,
+      this.#simulation.nowMs(),
+    );
     if (call.key === undefined || call.idempotent) {
       return;
     }
-    const ranAs = this.#startedByKey.get(call.key);
-    if (ranAs !== undefined && ranAs !== call.requestId) {
-      this.#breakPromise(
+    const startedRequestId = this.#startedRequestIdByKey.get(call.key);
+    if (startedRequestId !== undefined && startedRequestId !== call.requestId) {
+      this.#recordBrokenPromise(
         PromiseKind.NotRunButKeyRan,
         call.requestId,
-        `refused as ${refusal.error}, not run, but its key ran as ${ranAs}`,
+        `refused as ${refusal.error}, not run, but its key ran as ${startedRequestId}`,
       );
     }
   }
 
-  #checkTierOrder(call: CallRecord, refusal: ToldRefusal): void {
+  #checkTierOrder(call: CallRecord, refusal: CallRefusal): void {
     // A call that joined another's request runs under that one's id.
-    const dispatched = this.#received.has(call.requestId) ||
+    const dispatched = this.#receivedByRequestId.has(call.requestId) ||
       refusal.ran !== RunState.NotRun;
     if (dispatched && refusal.error !== ErrorKind.Preempted) {
       return;
     }
-    const works = this.#world.lowerTierWork(call);
-    if (works.length > 0) {
-      const story = this.#world.story(call);
-      const atMs = this.#world.nowMs();
-      this.#suspicions.push({ call, refusal, atMs, works, story });
+    const lowerTierWork = this.#simulation.findLowerTierWork(call);
+    if (lowerTierWork.length > 0) {
+      const decisions = this.#simulation.describeDecisions(call);
+      const atMs = this.#simulation.nowMs();
+      this.#possibleTierOrderViolations.push({
+        call,
+        refusal,
+        atMs,
+        lowerTierWork,
+        decisions,
+      });
     }
     if (dispatched) {
       return;
     }
-    const sent = this.#lowerTierSent(call);
-    if (sent !== undefined) {
-      this.#breakPromise(
+    const dispatch = this.#findLowerTierDispatch(call);
+    if (dispatch !== undefined) {
+      this.#recordBrokenPromise(
         PromiseKind.TierOrderWhileWaiting,
         call.requestId,
         `refused as ${refusal.error} in tier ${call.tierRank}; ` +
-          `${sent.requestId} of tier ${sent.tierRank} went to ` +
-          `${sent.targetId} at ${Math.round(sent.atMs)} ms`,
+          `${dispatch.requestId} of tier ${dispatch.tierRank} went to ` +
+          `${dispatch.targetId} at ${Math.round(dispatch.atMs)} ms`,
       );
     }
   }
 
   /** Work that was refused at the same moment was not served. */
-  #judge({ call, refusal, atMs, works, story }: TierOrderSuspicion): void {
-    const served = works.find(({ requestId }) =>
-      (this.#refusedAtMs.get(requestId) ?? Infinity) >
-        atMs + REFUSAL_IN_FLIGHT_MS
+  #checkTierOrderViolation(
+    { call, refusal, atMs, lowerTierWork, decisions }:
+      PossibleTierOrderViolation,
+  ): void {
+    const served = lowerTierWork.find(({ requestId }) =>
+      (this.#refusedAtMsByRequestId.get(requestId) ?? Infinity) >
+        atMs + MAX_REFUSAL_DELAY_MS
     );
     if (served !== undefined) {
       this.broken.push({
@@ -381,26 +401,26 @@
         subject: call.requestId,
         detail: `refused as ${refusal.error} in tier ${call.tierRank}: ` +
           served.description,
-        story,
+        story: decisions,
       });
     }
   }
 
-  #lowerTierSent(
+  #findLowerTierDispatch(
     call: CallRecord,
-  ): (WorkReceived & { atMs: number }) | undefined {
-    const sinceMs = call.sentAtMs + GRANT_IN_FLIGHT_MS;
-    return this.#sentByPool.get(call.pool)?.findLast((sent) =>
-      sent.atMs > sinceMs && sent.tierRank > call.tierRank &&
-      this.#world.inReach(call.holderId, sent.holderId)
+  ): (ReceivedWork & { atMs: number }) | undefined {
+    const sinceMs = call.sentAtMs + MAX_GRANT_DELAY_MS;
+    return this.#receivedByPool.get(call.pool)?.findLast((work) =>
+      work.atMs > sinceMs && work.tierRank > call.tierRank &&
+      this.#simulation.canReach(call.holderId, work.holderId)
     );
   }
 
-  #checkLeaving(work: WorkReceived): void {
-    const sinceMs = this.#leavingSinceMs.get(work.targetId);
-    const lateMs = this.#world.nowMs() - (sinceMs ?? Infinity);
+  #checkTargetLeaving(work: ReceivedWork): void {
+    const sinceMs = this.#leavingSinceMsByTargetId.get(work.targetId);
+    const lateMs = this.#simulation.nowMs() - (sinceMs ?? Infinity);
     if (lateMs > LEAVING_GRACE_MS) {
-      this.#breakPromise(
+      this.#recordBrokenPromise(
         PromiseKind.DispatchedToLeaving,
         work.requestId,
         `${work.targetId} got it ${Math.round(lateMs)} ms after it began ` +
@@ -409,14 +429,18 @@
     }
   }
 
-  #breakPromise(kind: PromiseKind, subject: string, detail: string): void {
-    const call = this.#calls.get(subject);
+  #recordBrokenPromise(
+    kind: PromiseKind,
+    subject: string,
+    detail: string,
+  ): void {
+    const call = this.#callsByRequestId.get(subject);
     this.broken.push({
       kind,
-      atMs: this.#world.nowMs(),
+      atMs: this.#simulation.nowMs(),
       subject,
       detail,
-      story: call === undefined ? [] : this.#world.story(call),
+      story: call === undefined ? [] : this.#simulation.describeDecisions(call),
     });
   }
 }
--- a/packages/measure/src/report.ts
+++ b/packages/measure/src/report.ts
@@ -6,7 +6,7 @@
 type Row = Record<string, string | number>;
 
 /** Stories printed for each kind of promise that was broken. */
-const MAX_STORIES_PER_KIND = 3;
+const MAX_EXAMPLES_PER_KIND = 3;
 
 const PERCENT = 100;
 
@@ -17,7 +17,7 @@
  * @param whole The whole.
  * @returns Such as `12.3 %`.
  */
-export function percent(part: number, whole: number): string {
+export function formatPercent(part: number, whole: number): string {
   return `${(PERCENT * ratio(part, whole)).toFixed(1)} %`;
 }
 
@@ -37,21 +37,21 @@
       scenario: measurement.scenario,
       calls: scheduler.calls,
       "value in time": Math.round(scheduler.valueInTime),
-      "x baseline": times(scheduler.valueInTime, baseline.valueInTime),
+      "x baseline": formatRatio(scheduler.valueInTime, baseline.valueInTime),
       "top tier": topTierShare(scheduler),
       "baseline top": topTierShare(baseline),
-      "wasted prefill": percent(
+      "wasted prefill": formatPercent(
         scheduler.wastedTokens,
         scheduler.prefilledTokens,
       ),
-      "baseline waste": percent(
+      "baseline waste": formatPercent(
         baseline.wastedTokens,
         baseline.prefilledTokens,
       ),
       "bytes/request": Math.round(scheduler.controlBytesPerRequest),
       "bytes/node/s": Math.round(scheduler.controlBytesPerNodeSecond),
       "core ms/request": scheduler.coreMsPerRequest.toFixed(2),
-      broken: totalOf(scheduler.broken),
+      broken: totalCount(scheduler.broken),
     };
   });
 }
@@ -65,7 +65,7 @@
 export function tierRows(measurements: readonly ScenarioMeasurement[]): Row[] {
   return measurements.flatMap(({ deployment, scenario, ...measured }) => {
     const { scheduler, baseline } = measured;
-    return tiersOf(scheduler).map((tier) => {
+    return tiersByValue(scheduler).map((tier) => {
       const own = scheduler.tiers[tier];
       const other = baseline.tiers[tier];
       const wait = scheduler.waits[tier];
@@ -75,11 +75,11 @@
         scenario,
         tier,
         items: own.items,
-        "in time": percent(own.answeredInTime, own.items),
-        "baseline in time": percent(other.answeredInTime, other.items),
-        "value x baseline": times(own.valueInTime, other.valueInTime),
-        "wait p50/p95/p99 ms": waitsOf(wait),
-        "baseline wait": waitsOf(otherWait),
+        "in time": formatPercent(own.answeredInTime, own.items),
+        "baseline in time": formatPercent(other.answeredInTime, other.items),
+        "value x baseline": formatRatio(own.valueInTime, other.valueInTime),
+        "wait p50/p95/p99 ms": formatWaits(wait),
+        "baseline wait": formatWaits(otherWait),
       };
     });
   });
@@ -104,17 +104,17 @@
       scenario,
       "repeated tokens": scheduler.repeatedPrefixTokens,
       "without affinity": withoutAffinity.repeatedPrefixTokens,
-      "share of prefill": percent(
+      "share of prefill": formatPercent(
         scheduler.repeatedPrefixTokens,
         scheduler.prefilledTokens,
       ),
-      "share without": percent(
+      "share without": formatPercent(
         withoutAffinity.repeatedPrefixTokens,
         withoutAffinity.prefilledTokens,
       ),
       "prefilled tokens": scheduler.prefilledTokens,
       "prefilled without": withoutAffinity.prefilledTokens,
-      "value x without": times(
+      "value x without": formatRatio(
         scheduler.valueInTime,
         withoutAffinity.valueInTime,
       ),
@@ -128,15 +128,15 @@
  * @param measurements What was measured.
  * @returns Lines of text; none where every promise held.
  */
-export function brokenLines(
+export function brokenPromiseLines(
   measurements: readonly ScenarioMeasurement[],
 ): string[] {
   return measurements.flatMap(({ deployment, scenario, scheduler, broken }) =>
     Object.entries(scheduler.broken).flatMap(([kind, count]) => [
       `${deployment} ${scenario}: ${kind} broken ${count} times`,
       ...broken.filter((each) => each.kind === kind)
-        .slice(0, MAX_STORIES_PER_KIND)
-        .flatMap(storyLines),
+        .slice(0, MAX_EXAMPLES_PER_KIND)
+        .flatMap(exampleLines),
     ])
   );
 }
@@ -147,11 +147,11 @@
  * @param counts Counts by kind.
  * @returns Their sum.
  */
-export function totalOf(counts: VariantSummary["broken"]): number {
+export function totalCount(counts: VariantSummary["broken"]): number {
   return Object.values(counts).reduce((sum, count) => sum + count, 0);
 }
 
-function storyLines(broken: BrokenInRun): string[] {
+function exampleLines(broken: BrokenInRun): string[] {
   const { seed, atMs, subject, detail, story } = broken;
   return [
     `  seed ${seed}, ${Math.round(atMs)} ms, ${subject}: ${detail}`,
@@ -159,21 +159,23 @@
   ];
 }
 
-function times(own: number, other: number): string {
+function formatRatio(own: number, other: number): string {
   return other === 0 ? "-" : `${ratio(own, other).toFixed(2)}`;
 }
 
 /** Tiers in order of the worth of one answer, the highest first. */
-function tiersOf({ tiers }: VariantSummary): string[] {
-  const worth = (tier: string) => tiers[tier].value / tiers[tier].items;
-  return Object.keys(tiers).sort((a, b) => worth(b) - worth(a));
+function tiersByValue({ tiers }: VariantSummary): string[] {
+  const valuePerItem = (tier: string) => tiers[tier].value / tiers[tier].items;
+  return Object.keys(tiers).sort((a, b) => valuePerItem(b) - valuePerItem(a));
 }
 
 function topTierShare(summary: VariantSummary): string {
-  const top = summary.tiers[tiersOf(summary)[0]];
-  return percent(top.answeredInTime, top.items);
+  const top = summary.tiers[tiersByValue(summary)[0]];
+  return formatPercent(top.answeredInTime, top.items);
 }
 
-function waitsOf(wait: VariantSummary["waits"][string] | undefined): string {
+function formatWaits(
+  wait: VariantSummary["waits"][string] | undefined,
+): string {
   return wait === undefined ? "-" : `${wait.p50Ms}/${wait.p95Ms}/${wait.p99Ms}`;
 }
--- a/packages/measure/src/run_scenario.ts
+++ b/packages/measure/src/run_scenario.ts
@@ -1,19 +1,19 @@
 /** Runs one scenario once and sums up what came of it. */
 
 import type { Histogram } from "hdr-histogram-js";
-import type { DeploymentPlan } from "./deployments.ts";
-import { ManualWorld, type Variant } from "./manual_world.ts";
-import type { BrokenPromise } from "./promises.ts";
-import type { TierTally } from "./run_journal.ts";
-import { REPEATS, type Scenario, SCENARIOS } from "./scenarios.ts";
+import type { DeploymentPlan } from "./deployment_plan.ts";
+import { type SchedulerVariant, Simulation } from "./simulation.ts";
+import type { BrokenPromise } from "./promise_checker.ts";
+import type { TierTally } from "./run_recorder.ts";
+import { REPEAT_OPTIONS, type Scenario, SCENARIOS } from "./scenarios.ts";
 import type { WorkItem } from "./work_item.ts";
-import { makeWorkItems } from "./work_items.ts";
+import { createWorkItems } from "./work_item_generator.ts";
 
 /** What to run. */
 export interface RunOptions {
   readonly plan: DeploymentPlan;
   readonly scenario: Scenario;
-  readonly variant: Variant;
+  readonly variant: SchedulerVariant;
   readonly seed: number;
   readonly useAffinity: boolean;
   /** Ends the load earlier than the scenario does. */
@@ -45,9 +45,9 @@
 }
 
 /** The instances find one another before the load begins. */
-const WARM_UP_MS = 5000;
+const WARM_UP_DURATION_MS = 5000;
 /** Time after the last deadline until everything must have ended. */
-const DRAIN_MS = 10_000;
+const DRAIN_DURATION_MS = 10_000;
 
 /**
  * Runs a scenario once.
@@ -58,62 +58,64 @@
 export function runScenario(options: RunOptions): RunResult {
   const { plan, seed } = options;
   const scenario = SCENARIOS[options.scenario];
-  const items = makeWorkItems({
+  const items = createWorkItems({
     deployment: plan.deployment,
     seed,
     durationMs: Math.min(
       scenario.durationMs,
       options.maxDurationMs ?? Infinity,
     ),
-    phases: scenario.phases(plan),
-    repeats: REPEATS,
-  }, plan).map((item) => ({ ...item, atMs: item.atMs + WARM_UP_MS }));
-  const world = new ManualWorld(options);
-  world.start();
-  world.schedule(items);
-  scenario.faults(world, WARM_UP_MS);
-  const lastDeadlineMs = Math.max(...items.map(lastAnswerMs));
-  world.queue.runUntil(lastDeadlineMs + DRAIN_MS);
-  world.checker.finish();
-  return resultOf(world);
+    phases: scenario.loadPhases(plan),
+    repeats: REPEAT_OPTIONS,
+  }, plan).map((item) => ({ ...item, atMs: item.atMs + WARM_UP_DURATION_MS }));
+  const simulation = new Simulation(options);
+  simulation.start();
+  simulation.scheduleItems(items);
+  scenario.scheduleFaults(simulation, WARM_UP_DURATION_MS);
+  const lastDeadlineMs = Math.max(...items.map(deadlineAtMs));
+  simulation.queue.runUntil(lastDeadlineMs + DRAIN_DURATION_MS);
+  simulation.checker.finish();
+  return collectResult(simulation);
 }
 
-function lastAnswerMs(item: WorkItem): number {
+function deadlineAtMs(item: WorkItem): number {
   return item.atMs + item.deadlineMs;
 }
 
-function resultOf(world: ManualWorld): RunResult {
-  const { journal, costs, checker } = world;
-  const work = tokensOf(world);
+function collectResult(simulation: Simulation): RunResult {
+  const { recorder, controlCosts, checker } = simulation;
+  const tokens = countTokens(simulation);
   return {
-    calls: journal.calls,
-    simulatedMs: world.queue.nowMs,
-    instances: world.instances.length,
-    tiers: journal.tiers(),
-    waits: journal.waits(),
-    refusals: Object.fromEntries(journal.refusals),
-    ...work,
-    repeatedPrefixTokens: journal.prefixes.repeatedTokens,
+    calls: recorder.callCount,
+    simulatedMs: simulation.queue.nowMs,
+    instances: simulation.instances.length,
+    tiers: recorder.tallyTiers(),
+    waits: recorder.waitHistogramsByTier(),
+    refusals: Object.fromEntries(recorder.refusalsByReason),
+    ...tokens,
+    repeatedPrefixTokens: recorder.prefixTally.repeatedTokens,
     control: {
-      messages: costs.messages,
-      bytes: costs.bytes,
-      bytesByKind: costs.bytesByKind,
-      coreMs: costs.coreMs,
-      coreEvents: costs.coreEvents,
+      messages: controlCosts.messages,
+      bytes: controlCosts.bytes,
+      bytesByKind: controlCosts.bytesByKind,
+      coreMs: controlCosts.coreMs,
+      coreEvents: controlCosts.coreEvents,
     },
     broken: checker.broken,
   };
 }
 
-function tokensOf(
-  world: ManualWorld,
+function countTokens(
+  simulation: Simulation,
 ): { prefilledTokens: number; wastedTokens: number } {
   let prefilledTokens = 0;
   let wastedTokens = 0;
-  for (const target of world.targets.values()) {
-    for (const [requestId, tokens] of target.workDone().prefilledByRequestId) {
+  for (const target of simulation.targets.values()) {
+    for (
+      const [requestId, tokens] of target.usage().prefilledTokensByRequestId
+    ) {
       prefilledTokens += tokens;
-      wastedTokens += world.journal.wasDelivered(requestId) ? 0 : tokens;
+      wastedTokens += simulation.recorder.wasDelivered(requestId) ? 0 : tokens;
     }
   }
   return { prefilledTokens, wastedTokens };
--- a/packages/measure/src/scaled_plan.ts
+++ b/packages/measure/src/scaled_plan.ts
@@ -2,7 +2,11 @@
 
 import { readSettings } from "@chestnuthatch/settings/read_tree";
 import { Deployment } from "@chestnuthatch/standins/work_kinds";
-import { type DeploymentPlan, planOf, settingsOf } from "./deployments.ts";
+import {
+  type DeploymentPlan,
+  parseSettings,
+  readDeploymentPlan,
+} from "./deployment_plan.ts";
 
 /** How large it is to be. */
 export interface FleetSize {
@@ -11,7 +15,10 @@
 }
 
 /** Limits that do not bind, so that costs are those of the work. */
-const UNBOUND = { maxRequestsPerSecond: 100_000, maxOpenRequests: 100_000 };
+const NON_BINDING_LIMITS = {
+  maxRequestsPerSecond: 100_000,
+  maxOpenRequests: 100_000,
+};
 
 /**
  * Grows the Arusha deployment; its failure domains stay.
@@ -19,10 +26,10 @@
  * @param size How large it is to be.
  * @returns Its plan, with targets and instances spread over the domains.
  */
-export function scaledPlan(size: FleetSize): DeploymentPlan {
-  const plan = planOf(Deployment.ShambaSafi);
+export function createScaledPlan(size: FleetSize): DeploymentPlan {
+  const plan = readDeploymentPlan(Deployment.ShambaSafi);
   const domains = [...plan.settings.regionOfDomain.keys()];
-  const settingsText = scaledSettings(plan.settingsText, {
+  const settingsText = scaleSettings(plan.settingsText, {
     domains,
     targets: size.targets,
   });
@@ -33,38 +40,38 @@
       failureDomain: domains[index % domains.length],
     })),
     settingsText,
-    settings: settingsOf(settingsText),
+    settings: parseSettings(settingsText),
   };
 }
 
-function scaledSettings(
+function scaleSettings(
   settingsText: string,
-  to: { domains: readonly string[]; targets: number },
+  scale: { domains: readonly string[]; targets: number },
 ): string {
-  const read = readSettings(settingsText);
-  if (read.isErr()) {
+  const parsed = readSettings(settingsText);
+  if (parsed.isErr()) {
     throw new Error("the example settings have faults");
   }
-  const tree = read.value;
-  const models = interleave(Object.values(tree.targets));
-  const targets = Array.from({ length: to.targets }, (_, index) => [
+  const tree = parsed.value;
+  const templates = interleaveServices(Object.values(tree.targets));
+  const targets = Array.from({ length: scale.targets }, (_, index) => [
     `target-${index + 1}`,
     {
-      ...models[index % models.length],
-      failureDomain: to.domains[index % to.domains.length],
-      address: `${addressOf(index)}:8101`,
+      ...templates[index % templates.length],
+      failureDomain: scale.domains[index % scale.domains.length],
+      address: `${targetAddress(index)}:8101`,
     },
   ]);
   // JSON is YAML, too.
   return JSON.stringify({
     ...tree,
-    fleet: { ...tree.fleet, ...UNBOUND },
+    fleet: { ...tree.fleet, ...NON_BINDING_LIMITS },
     targets: Object.fromEntries(targets),
   });
 }
 
 /** Puts one service after every two engines, as in the example. */
-function interleave<T extends { kvTokens: number }>(
+function interleaveServices<T extends { kvTokens: number }>(
   targets: readonly T[],
 ): T[] {
   const engines = targets.filter(({ kvTokens }) => kvTokens > 0);
@@ -75,7 +82,7 @@
   ]);
 }
 
-function addressOf(index: number): string {
+function targetAddress(index: number): string {
   const octets = 250;
   return `127.1.${Math.floor(index / octets) + 1}.${index % octets + 1}`;
 }
--- a/packages/measure/src/scenarios.ts
+++ b/packages/measure/src/scenarios.ts
@@ -9,8 +9,8 @@
 } from "@chestnuthatch/standins/workload";
 import { Deployment, WorkKind } from "@chestnuthatch/standins/work_kinds";
 import { capacityPerSecond } from "./capacity.ts";
-import type { DeploymentPlan } from "./deployments.ts";
-import type { ManualWorld } from "./manual_world.ts";
+import type { DeploymentPlan } from "./deployment_plan.ts";
+import type { Simulation } from "./simulation.ts";
 
 /** Names of the scenarios. */
 export enum Scenario {
@@ -29,7 +29,7 @@
 }
 
 /** One scenario. */
-export interface ScenarioPlan {
+export interface ScenarioDefinition {
   readonly durationMs: number;
   /**
    * Gives the load.
@@ -37,41 +37,41 @@
    * @param plan The deployment.
    * @returns Phases in time order.
    */
-  phases(plan: DeploymentPlan): RatePhase[];
+  loadPhases(plan: DeploymentPlan): RatePhase[];
   /**
    * Schedules the faults.
    *
-   * @param world The world.
+   * @param simulation The world.
    * @param startMs When the load begins.
    */
-  faults(world: ManualWorld, startMs: number): void;
+  scheduleFaults(simulation: Simulation, startMs: number): void;
 }
 
 /** Callers whose request has not been answered soon enough post it again. */
-export const REPEATS = { share: 0.05, afterMs: 800 };
+export const REPEAT_OPTIONS = { share: 0.05, afterMs: 800 };
 
-const CALM_SHARE = 0.5;
-const BUSY_SHARE = 0.75;
-const SURGE_SHARE = 2;
+const CALM_LOAD_RATIO = 0.5;
+const BUSY_LOAD_RATIO = 0.75;
+const SURGE_LOAD_RATIO = 2;
 const DURATION_MS = 90_000;
 const SURGE_DURATION_MS = 120_000;
 const SURGE_FROM_MS = 20_000;
 const SURGE_UNTIL_MS = 80_000;
 const FAULT_AT_MS = 30_000;
-const CUT_OFF_MS = 20_000;
-const STORE_AWAY_MS = 30_000;
-const LOST_ANSWERS_MS = 40_000;
+const CUT_OFF_DURATION_MS = 20_000;
+const STORE_AWAY_DURATION_MS = 30_000;
+const LOST_ANSWERS_DURATION_MS = 40_000;
 const LOST_ANSWER_SHARE = 0.2;
-const PAUSE_MS = 5000;
-const STRAGGLER_FACTOR = 5;
-const STRAGGLER_MS = 40_000;
+const PAUSE_DURATION_MS = 5000;
+const STRAGGLER_SLOWDOWN_RATIO = 5;
+const STRAGGLER_DURATION_MS = 40_000;
 
-const RAIN_MIXES: Readonly<Record<Deployment, KindMix>> = {
+const BURST_AFTER_RAIN_MIXES: Readonly<Record<Deployment, KindMix>> = {
   [Deployment.ShambaSafi]: RAIN_MIX,
   [Deployment.SunuRegistrs]: EVENING_MIX,
 };
 
-const LONG_MIXES: Readonly<Record<Deployment, KindMix>> = {
+const EVENING_RUSH_MIXES: Readonly<Record<Deployment, KindMix>> = {
   [Deployment.ShambaSafi]: { ...RAIN_MIX, [WorkKind.SeasonPlan]: 45 },
   [Deployment.SunuRegistrs]: {
     ...EVENING_MIX,
@@ -80,112 +80,137 @@
 };
 
 /** Every scenario, in the order in which it is reported. */
-export const SCENARIOS: Readonly<Record<Scenario, ScenarioPlan>> = {
+export const SCENARIOS: Readonly<Record<Scenario, ScenarioDefinition>> = {
   [Scenario.Calm]: {
     durationMs: DURATION_MS,
-    phases: (plan) => steady(plan, CALM_SHARE),
-    faults: (world, startMs) =>
-      world.queue.at(startMs + FAULT_AT_MS, () => world.changeSettings()),
+    loadPhases: (plan) => steadyPhases(plan, CALM_LOAD_RATIO),
+    scheduleFaults: (simulation, startMs) =>
+      simulation.queue.at(
+        startMs + FAULT_AT_MS,
+        () => simulation.changeSettings(),
+      ),
   },
   [Scenario.BurstAfterRain]: {
     durationMs: SURGE_DURATION_MS,
-    phases: (plan) => surge(plan, RAIN_MIXES[plan.deployment]),
-    faults: () => {},
+    loadPhases: (plan) =>
+      surgePhases(plan, BURST_AFTER_RAIN_MIXES[plan.deployment]),
+    scheduleFaults: () => {},
   },
   [Scenario.EveningRush]: {
     durationMs: SURGE_DURATION_MS,
-    phases: (plan) => surge(plan, LONG_MIXES[plan.deployment]),
-    faults: () => {},
+    loadPhases: (plan) =>
+      surgePhases(plan, EVENING_RUSH_MIXES[plan.deployment]),
+    scheduleFaults: () => {},
   },
-  [Scenario.Straggler]: busy((world, startMs) => {
-    const target = firstEngine(world);
-    const slow = (factor: number) =>
-      world.targets.get(target)
+  [Scenario.Straggler]: busyScenario((simulation, startMs) => {
+    const targetId = firstEngineId(simulation);
+    const setSlowdown = (factor: number) =>
+      simulation.targets.get(targetId)
         ?.setSlowdown(factor);
     const fromMs = startMs + FAULT_AT_MS;
-    world.queue.at(fromMs, () => slow(STRAGGLER_FACTOR));
-    world.queue.at(fromMs + STRAGGLER_MS, () => slow(1));
+    simulation.queue.at(fromMs, () => setSlowdown(STRAGGLER_SLOWDOWN_RATIO));
+    simulation.queue.at(fromMs + STRAGGLER_DURATION_MS, () => setSlowdown(1));
   }),
-  [Scenario.TargetLeaving]: busy((world, startMs) => {
-    const target = firstEngine(world);
-    world.queue.at(startMs + FAULT_AT_MS, () => world.leaveTarget(target));
+  [Scenario.TargetLeaving]: busyScenario((simulation, startMs) => {
+    const targetId = firstEngineId(simulation);
+    simulation.queue.at(
+      startMs + FAULT_AT_MS,
+      () => simulation.startTargetLeaving(targetId),
+    );
   }),
-  [Scenario.TargetKilled]: busy((world, startMs) => {
-    const target = firstEngine(world);
-    world.queue.at(startMs + FAULT_AT_MS, () => world.killTarget(target));
+  [Scenario.TargetKilled]: busyScenario((simulation, startMs) => {
+    const targetId = firstEngineId(simulation);
+    simulation.queue.at(
+      startMs + FAULT_AT_MS,
+      () => simulation.killTarget(targetId),
+    );
   }),
-  [Scenario.HolderKilled]: busy((world, startMs) => {
-    const coordinator = world.coordinatorOf(firstEngine(world));
-    const holder = world.instances.find(({ instanceId }) =>
-      instanceId !== coordinator
+  [Scenario.HolderKilled]: busyScenario((simulation, startMs) => {
+    const coordinatorId = simulation.findCoordinatorId(
+      firstEngineId(simulation),
+    );
+    const holder = simulation.instances.find(({ instanceId }) =>
+      instanceId !== coordinatorId
     )!;
-    world.queue.at(
+    simulation.queue.at(
       startMs + FAULT_AT_MS,
-      () => world.killInstance(holder.instanceId),
+      () => simulation.killInstance(holder.instanceId),
     );
   }),
-  [Scenario.CoordinatorKilled]: busy((world, startMs) => {
-    const coordinator = world.coordinatorOf(firstEngine(world));
-    world.queue.at(
+  [Scenario.CoordinatorKilled]: busyScenario((simulation, startMs) => {
+    const coordinatorId = simulation.findCoordinatorId(
+      firstEngineId(simulation),
+    );
+    simulation.queue.at(
       startMs + FAULT_AT_MS,
-      () => world.killInstance(coordinator),
+      () => simulation.killInstance(coordinatorId),
     );
   }),
-  [Scenario.DomainCutOff]: busy((world, startMs) => {
-    const { failureDomain } = world.instances[0];
+  [Scenario.DomainCutOff]: busyScenario((simulation, startMs) => {
+    const { failureDomain } = simulation.instances[0];
     const fromMs = startMs + FAULT_AT_MS;
-    world.queue.at(fromMs, () => world.network.cutOff(failureDomain));
+    simulation.queue.at(
+      fromMs,
+      () => simulation.network.isolateDomain(failureDomain),
+    );
     // Settings that change meanwhile must reach the domain once it is back.
-    world.queue.at(fromMs + CUT_OFF_MS / 2, () => world.changeSettings());
-    world.queue.at(
-      fromMs + CUT_OFF_MS,
-      () => world.network.heal(failureDomain),
+    simulation.queue.at(
+      fromMs + CUT_OFF_DURATION_MS / 2,
+      () => simulation.changeSettings(),
+    );
+    simulation.queue.at(
+      fromMs + CUT_OFF_DURATION_MS,
+      () => simulation.network.reconnectDomain(failureDomain),
     );
   }),
-  [Scenario.StoreAway]: busy((world, startMs) => {
+  [Scenario.StoreAway]: busyScenario((simulation, startMs) => {
     const fromMs = startMs + FAULT_AT_MS;
-    world.queue.at(fromMs, () => world.platform.setDown(true));
-    world.queue.at(
-      fromMs + STORE_AWAY_MS,
-      () => world.platform.setDown(false),
+    simulation.queue.at(fromMs, () => simulation.platform.setDown(true));
+    simulation.queue.at(
+      fromMs + STORE_AWAY_DURATION_MS,
+      () => simulation.platform.setDown(false),
     );
   }),
-  [Scenario.LostAnswers]: busy((world, startMs) => {
+  [Scenario.LostAnswers]: busyScenario((simulation, startMs) => {
     const fromMs = startMs + FAULT_AT_MS;
-    world.queue.at(
+    simulation.queue.at(
       fromMs,
-      () => world.platform.setLostAnswerShare(LOST_ANSWER_SHARE),
+      () => simulation.platform.setLostAnswerShare(LOST_ANSWER_SHARE),
     );
-    world.queue.at(
-      fromMs + LOST_ANSWERS_MS,
-      () => world.platform.setLostAnswerShare(0),
+    simulation.queue.at(
+      fromMs + LOST_ANSWERS_DURATION_MS,
+      () => simulation.platform.setLostAnswerShare(0),
     );
   }),
-  [Scenario.InstancePaused]: busy((world, startMs) => {
-    const coordinator = world.coordinatorOf(firstEngine(world));
-    world.queue.at(
+  [Scenario.InstancePaused]: busyScenario((simulation, startMs) => {
+    const coordinatorId = simulation.findCoordinatorId(
+      firstEngineId(simulation),
+    );
+    simulation.queue.at(
       startMs + FAULT_AT_MS,
-      () => world.pauseInstance(coordinator, PAUSE_MS),
+      () => simulation.pauseInstance(coordinatorId, PAUSE_DURATION_MS),
     );
   }),
 };
 
-function busy(faults: ScenarioPlan["faults"]): ScenarioPlan {
+function busyScenario(
+  scheduleFaults: ScenarioDefinition["scheduleFaults"],
+): ScenarioDefinition {
   return {
     durationMs: DURATION_MS,
-    phases: (plan) => steady(plan, BUSY_SHARE),
-    faults,
+    loadPhases: (plan) => steadyPhases(plan, BUSY_LOAD_RATIO),
+    scheduleFaults,
   };
 }
 
-function steady(plan: DeploymentPlan, share: number): RatePhase[] {
-  const ratePerSecond = share * capacityPerSecond(plan, undefined);
+function steadyPhases(plan: DeploymentPlan, loadRatio: number): RatePhase[] {
+  const ratePerSecond = loadRatio * capacityPerSecond(plan, undefined);
   return [{ fromMs: 0, ratePerSecond }];
 }
 
-function surge(plan: DeploymentPlan, mix: KindMix): RatePhase[] {
-  const calmPerSecond = CALM_SHARE * capacityPerSecond(plan, undefined);
-  const surgePerSecond = SURGE_SHARE * capacityPerSecond(plan, mix);
+function surgePhases(plan: DeploymentPlan, mix: KindMix): RatePhase[] {
+  const calmPerSecond = CALM_LOAD_RATIO * capacityPerSecond(plan, undefined);
+  const surgePerSecond = SURGE_LOAD_RATIO * capacityPerSecond(plan, mix);
   return [
     { fromMs: 0, ratePerSecond: calmPerSecond },
     { fromMs: SURGE_FROM_MS, ratePerSecond: surgePerSecond, mix },
@@ -193,8 +218,8 @@
   ];
 }
 
-function firstEngine(world: ManualWorld): string {
-  const { targets, pools } = world.plan.settings;
+function firstEngineId(simulation: Simulation): string {
+  const { targets, pools } = simulation.plan.settings;
   const engine = [...targets.values()].find((target) =>
     pools.get(target.pool)?.kind === TargetKind.Engine
   );
--- /dev/null
+++ b/packages/measure/src/simulated_callers.ts
@@ -0,0 +1,217 @@
+/** Callers behind the balancer: they call, wait, come back and hang up. */
+
+import type { Randomness } from "@chestnuthatch/core/randomness";
+import type { Refusal } from "@chestnuthatch/core/request";
+import type { EntryInstance, OutcomeListener } from "./entry_instance.ts";
+import type { EventQueue } from "./event_queue.ts";
+import type { PromiseChecker } from "./promise_checker.ts";
+import type { RunRecorder } from "./run_recorder.ts";
+import {
+  type CallerCall,
+  itemKey,
+  toCallRecord,
+  type WorkItem,
+} from "./work_item.ts";
+
+/** What callers share with the world. */
+export interface CallersContext {
+  readonly queue: EventQueue;
+  readonly random: Randomness;
+  readonly checker: PromiseChecker;
+  readonly recorder: RunRecorder;
+  /** One-way delay to an instance. */
+  readonly oneWayDelayMs: number;
+  readonly instances: () => readonly EntryInstance[];
+}
+
+/** An instance has told a call's outcome this long after the deadline. */
+const MAX_OUTCOME_DELAY_MS = 1000;
+/** Callers hang up this long after their deadline. */
+const CALLER_TIMEOUT_MARGIN_MS = 2000;
+/** The balancer stops sending to a frozen instance after this long. */
+const HEALTH_CHECK_TIMEOUT_MS = 2000;
+const NO_INSTANCE_RETRY_DELAY_MS = 500;
+/** A caller that gave up comes back after this long. */
+const RETRY_DELAY_MS = 1000;
+/** Nobody sends a call that leaves less time than this. */
+const MIN_TIME_LEFT_MS = 200;
+
+/** One item's way through its calls. */
+interface PendingItem {
+  readonly item: WorkItem;
+  retriesLeft: number;
+}
+
+interface OpenCall {
+  readonly call: CallerCall;
+  readonly pending: PendingItem;
+  readonly instance: EntryInstance;
+}
+
+/** Everyone who calls. */
+export class SimulatedCallers implements OutcomeListener {
+  readonly #context: CallersContext;
+  readonly #openCalls = new Map<string, OpenCall>();
+  readonly #pausedSinceMsByInstance = new Map<EntryInstance, number>();
+  #callCount = 0;
+
+  /** @param context What callers share with the world. */
+  constructor(context: CallersContext) {
+    this.#context = context;
+  }
+
+  /** @param items What is wanted, and when. */
+  schedule(items: readonly WorkItem[]): void {
+    const { queue, random, recorder } = this.#context;
+    for (const item of items) {
+      const retriesLeft = random.next() < 0.5 ? 1 : 2;
+      queue.at(item.atMs, () => {
+        recorder.recordItem(item);
+        this.#sendCall({ item, retriesLeft }, item.deadlineMs);
+      });
+    }
+  }
+
+  /** @inheritdoc */
+  onAnswered(requestId: string, text: string): void {
+    const open = this.#closeCall(requestId);
+    if (open !== undefined) {
+      this.#context.recorder.recordAnswer(open.call, text);
+    }
+  }
+
+  /** @inheritdoc */
+  onRefused(requestId: string, refusal: Refusal): void {
+    const open = this.#closeCall(requestId);
+    if (open === undefined) {
+      return;
+    }
+    this.#context.recorder.recordRefusal(refusal.error);
+    if (refusal.mayRetry) {
+      this.#scheduleRetry(open.pending, refusal.retryAfterMs ?? RETRY_DELAY_MS);
+    }
+  }
+
+  /** @inheritdoc */
+  onConnectionLost(requestId: string): void {
+    const open = this.#closeCall(requestId);
+    if (open === undefined) {
+      return;
+    }
+    const { call, pending } = open;
+    this.#context.recorder.recordRefusal("connection_lost");
+    const elapsedMs = this.#context.queue.nowMs - call.sentAtMs;
+    const leftMs = call.deadlineMs - elapsedMs;
+    const mayRetry = itemKey(call.item) !== undefined || call.item.idempotent;
+    if (mayRetry && leftMs >= MIN_TIME_LEFT_MS) {
+      this.#sendCall(pending, leftMs);
+    }
+  }
+
+  #sendCall(pending: PendingItem, deadlineMs: number): void {
+    const { queue } = this.#context;
+    const instance = this.#pickInstance();
+    if (instance === undefined) {
+      const leftMs = deadlineMs - NO_INSTANCE_RETRY_DELAY_MS;
+      if (leftMs >= MIN_TIME_LEFT_MS) {
+        queue.after(
+          NO_INSTANCE_RETRY_DELAY_MS,
+          () => this.#sendCall(pending, leftMs),
+        );
+      }
+      return;
+    }
+    const call: CallerCall = {
+      requestId: `call-${this.#callCount++}`,
+      item: pending.item,
+      sentAtMs: queue.nowMs,
+      deadlineMs: Math.round(deadlineMs),
+    };
+    this.#context.recorder.recordCall(call);
+    this.#openCalls.set(call.requestId, { call, pending, instance });
+    queue.after(
+      this.#context.oneWayDelayMs,
+      () => this.#deliverCall(call, instance),
+    );
+  }
+
+  #deliverCall(call: CallerCall, instance: EntryInstance): void {
+    const { queue, checker } = this.#context;
+    if (!instance.isLive) {
+      this.onConnectionLost(call.requestId);
+      return;
+    }
+    checker.recordCall(toCallRecord(call, instance.instanceId));
+    instance.receiveCall(call);
+    queue.after(
+      call.deadlineMs + MAX_OUTCOME_DELAY_MS,
+      () => this.#checkOutcome(call.requestId),
+    );
+    queue.after(
+      call.deadlineMs + CALLER_TIMEOUT_MARGIN_MS,
+      () => this.#disconnect(call.requestId),
+    );
+  }
+
+  #checkOutcome(requestId: string): void {
+    const open = this.#openCalls.get(requestId);
+    if (open === undefined) {
+      return;
+    }
+    const { queue, checker } = this.#context;
+    const { instance } = open;
+    const sinceResumeMs = queue.nowMs - instance.resumedAtMs;
+    if (!instance.isPaused && sinceResumeMs >= MAX_OUTCOME_DELAY_MS) {
+      checker.checkOutcome(requestId);
+    }
+  }
+
+  #disconnect(requestId: string): void {
+    const open = this.#closeCall(requestId);
+    if (open === undefined) {
+      return;
+    }
+    const { queue, recorder, oneWayDelayMs } = this.#context;
+    recorder.recordRefusal("caller_timeout");
+    queue.after(oneWayDelayMs, () => open.instance.disconnectCaller(requestId));
+    if (open.call.item.idempotent) {
+      this.#scheduleRetry(open.pending, RETRY_DELAY_MS);
+    }
+  }
+
+  #scheduleRetry(pending: PendingItem, delayMs: number): void {
+    if (pending.retriesLeft === 0) {
+      return;
+    }
+    pending.retriesLeft -= 1;
+    this.#context.queue.after(
+      delayMs,
+      () => this.#sendCall(pending, pending.item.deadlineMs),
+    );
+  }
+
+  #closeCall(requestId: string): OpenCall | undefined {
+    const open = this.#openCalls.get(requestId);
+    this.#openCalls.delete(requestId);
+    return open;
+  }
+
+  #pickInstance(): EntryInstance | undefined {
+    const candidates = this.#context.instances().filter((instance) =>
+      instance.isLive && instance.isReady && !this.#failsHealthCheck(instance)
+    );
+    const index = Math.floor(this.#context.random.next() * candidates.length);
+    return candidates[index];
+  }
+
+  #failsHealthCheck(instance: EntryInstance): boolean {
+    const { queue } = this.#context;
+    if (!instance.isPaused) {
+      this.#pausedSinceMsByInstance.delete(instance);
+      return false;
+    }
+    const sinceMs = this.#pausedSinceMsByInstance.get(instance) ?? queue.nowMs;
+    this.#pausedSinceMsByInstance.set(instance, sinceMs);
+    return queue.nowMs - sinceMs > HEALTH_CHECK_TIMEOUT_MS;
+  }
+}
--- a/packages/measure/src/engine_host.ts
+++ b/packages/measure/src/simulated_engine.ts
@@ -12,19 +12,19 @@
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 import type { ScheduledEvent } from "./event_queue.ts";
 import {
-  type HolderEnd,
+  type AttemptListener,
+  type SimulatedTarget,
   TargetConnection,
   type TargetContext,
-  type TargetHost,
+  type TargetUsage,
   type TargetWork,
-  type TargetWorkDone,
-} from "./target_host.ts";
+} from "./simulated_target.ts";
 
 /** Tokens that one block fingerprint stands for. */
 export const BLOCK_TOKENS = 64;
 
 /** What the brief says of engines in general. */
-const ENGINE_TRAITS = {
+const ENGINE_MODEL_OPTIONS = {
   decodeSlowdownPerStream: 0.02,
   blockTokens: BLOCK_TOKENS,
   loadLagMs: 1000,
@@ -36,28 +36,28 @@
 const PREFIX_CACHE_SHARE = 0.5;
 
 /** Engine events are looked for this often at most; tokens come in batches. */
-const PUMP_MS = 10;
+const MIN_ADVANCE_INTERVAL_MS = 10;
 
 /** Token events are handed on in batches of this many, but for the first. */
-const TOKENS_PER_BATCH = 32;
+const MAX_TOKENS_PER_BATCH = 32;
 
 interface OpenAttempt extends AttemptRef {
   connection: TargetConnection;
   readonly reservedKvTokens: number;
-  started: boolean;
-  tokensSeen: number;
+  isStarted: boolean;
+  tokenCount: number;
   batch: { index: number; tokens: number; text: string };
   text: string;
 }
 
 /** Runs an {@link EngineModel} on the manual clock. */
-export class EngineHost implements TargetHost {
+export class SimulatedEngine implements SimulatedTarget {
   readonly settings: TargetSettings;
   readonly #context: TargetContext;
   readonly #model: EngineModel;
-  readonly #open = new Map<string, OpenAttempt>();
+  readonly #openAttempts = new Map<string, OpenAttempt>();
   #reservedKvTokens = 0;
-  #wake: ScheduledEvent | undefined;
+  #nextAdvance: ScheduledEvent | undefined;
 
   /**
    * @param settings The target as the operators describe it.
@@ -70,7 +70,7 @@
     this.settings = settings;
     this.#context = context;
     this.#model = new EngineModel({
-      ...ENGINE_TRAITS,
+      ...ENGINE_MODEL_OPTIONS,
       targetId: settings.id,
       model: context.model,
       slots: settings.slots,
@@ -84,15 +84,15 @@
   }
 
   /** @inheritdoc */
-  get alive(): boolean {
+  get isRunning(): boolean {
     return this.#model.isRunning;
   }
 
   /** @inheritdoc */
-  dispatch(work: TargetWork, holder: HolderEnd): void {
-    this.#context.journal.received(work, this.settings.id);
-    const attempt = this.#remember(work, holder);
-    this.#checkKv(attempt);
+  dispatch(work: TargetWork, listener: AttemptListener): void {
+    this.#context.recorder.recordReceived(work, this.settings.id);
+    const attempt = this.#openAttempt(work, listener);
+    this.#checkKvCapacity(attempt);
     this.#model.submit(
       {
         requestId: work.requestId,
@@ -106,186 +106,187 @@
       },
       this.#context.queue.nowMs,
     );
-    this.#pump();
+    this.#advance();
   }
 
   /** @inheritdoc */
   cancel(attempt: AttemptRef): void {
     this.#model.cancel(attempt, this.#context.queue.nowMs);
-    this.#pump();
+    this.#advance();
   }
 
   /** @inheritdoc */
   resume(
     attempt: AttemptRef,
-    options: { fromToken: number; holder: HolderEnd },
+    options: { fromToken: number; listener: AttemptListener },
   ): void {
-    this.#pump();
-    const connection = this.#connect(options.holder);
+    this.#advance();
+    const connection = this.#connect(options.listener);
     const events = this.#model.resume(attempt, options.fromToken);
     if (events === undefined) {
       connection.close("the engine does not know the attempt");
       return;
     }
-    const open = this.#open.get(keyOf(attempt));
+    const open = this.#openAttempts.get(attemptKey(attempt));
     if (open !== undefined) {
-      open.connection.abandon();
+      open.connection.discard();
       open.connection = connection;
-      open.batch = emptyBatch(open.tokensSeen);
+      open.batch = emptyBatch(open.tokenCount);
     }
-    for (const event of joinTokens(events)) {
-      connection.send((holder) => holder.streamEvent(event));
+    for (const event of mergeTokenEvents(events)) {
+      connection.send((listener) => listener.onStreamEvent(event));
     }
   }
 
   /** @inheritdoc */
   load(): TargetLoad {
     const load = this.#model.load(this.#context.queue.nowMs);
-    this.#pump();
+    this.#advance();
     return load;
   }
 
   /** @inheritdoc */
   cacheEvents(after: number): CacheEventsAnswer {
     const answer = this.#model.cacheEvents(after, this.#context.queue.nowMs);
-    this.#pump();
+    this.#advance();
     return answer;
   }
 
   /** @inheritdoc */
   setSlowdown(factor: number): void {
     this.#model.setSlowdown(factor, this.#context.queue.nowMs);
-    this.#pump();
+    this.#advance();
   }
 
   /** @inheritdoc */
-  leave(): void {
+  startLeaving(): void {
     this.#model.setLeaving(true, this.#context.queue.nowMs);
-    this.#context.checker.targetLeaving(this.settings.id);
-    this.#pump();
+    this.#context.checker.recordTargetLeaving(this.settings.id);
+    this.#advance();
   }
 
   /** @inheritdoc */
   kill(): void {
-    this.#pump();
+    this.#advance();
     this.#model.kill(this.#context.queue.nowMs);
-    this.#wake?.cancel();
-    for (const attempt of this.#open.values()) {
+    this.#nextAdvance?.cancel();
+    for (const attempt of this.#openAttempts.values()) {
       attempt.connection.close("connection reset");
     }
-    this.#open.clear();
+    this.#openAttempts.clear();
     this.#reservedKvTokens = 0;
   }
 
   /** @inheritdoc */
-  workDone(): TargetWorkDone {
+  usage(): TargetUsage {
     return {
-      prefilledByRequestId: this.#model.counts.promptTokensPrefilledByRequestId,
+      prefilledTokensByRequestId:
+        this.#model.counts.promptTokensPrefilledByRequestId,
     };
   }
 
-  #remember(work: TargetWork, holder: HolderEnd): OpenAttempt {
+  #openAttempt(work: TargetWork, listener: AttemptListener): OpenAttempt {
     const attempt: OpenAttempt = {
       requestId: work.requestId,
       attemptNonce: work.attemptNonce,
-      connection: this.#connect(holder),
+      connection: this.#connect(listener),
       reservedKvTokens: work.promptTokens + work.maxOutputTokens,
-      started: false,
-      tokensSeen: 0,
+      isStarted: false,
+      tokenCount: 0,
       batch: emptyBatch(0),
       text: "",
     };
-    this.#open.set(keyOf(work), attempt);
+    this.#openAttempts.set(attemptKey(work), attempt);
     this.#reservedKvTokens += attempt.reservedKvTokens;
     return attempt;
   }
 
-  #connect(holder: HolderEnd): TargetConnection {
+  #connect(listener: AttemptListener): TargetConnection {
     return new TargetConnection(this.#context, {
-      targetDomain: this.settings.failureDomain,
-      holder,
+      targetFailureDomain: this.settings.failureDomain,
+      listener,
     });
   }
 
-  #checkKv(attempt: OpenAttempt): void {
+  #checkKvCapacity(attempt: OpenAttempt): void {
     if (this.#reservedKvTokens > this.settings.kvTokens) {
-      this.#context.checker.kvExceeded(
+      this.#context.checker.recordKvExceeded(
         this.settings.id,
         `${attempt.requestId} brings ${this.#reservedKvTokens} tokens to ` +
-          `${this.settings.kvTokens} in ${this.#open.size} requests`,
+          `${this.settings.kvTokens} in ${this.#openAttempts.size} requests`,
       );
     }
   }
 
-  #pump(): void {
+  #advance(): void {
     const { queue } = this.#context;
     for (const output of this.#model.advance(queue.nowMs)) {
-      this.#handOn(output);
+      this.#processOutput(output);
     }
-    this.#noteStarted();
-    this.#wake?.cancel();
+    this.#recordStartedAttempts();
+    this.#nextAdvance?.cancel();
     const nextMs = this.#model.nextOutputAtMs();
     if (nextMs !== undefined) {
-      const atMs = Math.max(nextMs, queue.nowMs + PUMP_MS);
-      this.#wake = queue.at(atMs, () => this.#pump());
+      const atMs = Math.max(nextMs, queue.nowMs + MIN_ADVANCE_INTERVAL_MS);
+      this.#nextAdvance = queue.at(atMs, () => this.#advance());
     }
   }
 
-  #noteStarted(): void {
+  #recordStartedAttempts(): void {
     const { runsByRequestId } = this.#model.counts;
-    for (const attempt of this.#open.values()) {
-      if (!attempt.started && runsByRequestId.has(attempt.requestId)) {
-        this.#begin(attempt);
+    for (const attempt of this.#openAttempts.values()) {
+      if (!attempt.isStarted && runsByRequestId.has(attempt.requestId)) {
+        this.#recordStarted(attempt);
       }
     }
   }
 
-  #begin(attempt: OpenAttempt): void {
-    attempt.started = true;
-    this.#context.journal.started(attempt.requestId);
+  #recordStarted(attempt: OpenAttempt): void {
+    attempt.isStarted = true;
+    this.#context.recorder.recordStarted(attempt.requestId);
   }
 
-  #handOn(output: EngineOutput): void {
-    const attempt = this.#open.get(keyOf(output));
+  #processOutput(output: EngineOutput): void {
+    const attempt = this.#openAttempts.get(attemptKey(output));
     if (attempt === undefined) {
       return;
     }
     if (output.event.kind === EngineEventKind.Token) {
-      this.#gather(attempt, output.event.text);
+      this.#appendToken(attempt, output.event.text);
       return;
     }
     const { event } = output;
-    this.#flush(attempt);
+    this.#flushBatch(attempt);
     if (event.kind === EngineEventKind.Start) {
-      this.#context.journal.prefilled(attempt.requestId, {
+      this.#context.recorder.recordPrefilled(attempt.requestId, {
         cached: event.cachedTokens,
         prefilled: event.prefilledTokens,
       });
     }
-    this.#endIfOver(attempt, event);
-    attempt.connection.send((holder) => holder.streamEvent(event));
+    this.#closeIfEnded(attempt, event);
+    attempt.connection.send((listener) => listener.onStreamEvent(event));
   }
 
-  #gather(attempt: OpenAttempt, text: string): void {
+  #appendToken(attempt: OpenAttempt, text: string): void {
     attempt.batch.text += text;
     attempt.batch.tokens += 1;
-    attempt.tokensSeen += 1;
+    attempt.tokenCount += 1;
     attempt.text += text;
     if (
-      attempt.tokensSeen === 1 || attempt.batch.tokens >= TOKENS_PER_BATCH
+      attempt.tokenCount === 1 || attempt.batch.tokens >= MAX_TOKENS_PER_BATCH
     ) {
-      this.#flush(attempt);
+      this.#flushBatch(attempt);
     }
   }
 
-  #flush(attempt: OpenAttempt): void {
+  #flushBatch(attempt: OpenAttempt): void {
     const { batch, requestId, attemptNonce } = attempt;
     if (batch.tokens === 0) {
       return;
     }
-    attempt.batch = emptyBatch(attempt.tokensSeen);
-    attempt.connection.send((holder) =>
-      holder.streamEvent({
+    attempt.batch = emptyBatch(attempt.tokenCount);
+    attempt.connection.send((listener) =>
+      listener.onStreamEvent({
         kind: EngineEventKind.Token,
         requestId,
         attemptNonce,
@@ -294,20 +295,23 @@
     );
   }
 
-  #endIfOver(attempt: OpenAttempt, event: EngineEvent): void {
+  #closeIfEnded(attempt: OpenAttempt, event: EngineEvent): void {
     if (
       event.kind !== EngineEventKind.End && event.kind !== EngineEventKind.Error
     ) {
       return;
     }
     if (event.kind === EngineEventKind.End) {
-      this.#context.checker.answerMade(attempt.requestId, attempt.text);
+      this.#context.checker.recordCompleteAnswer(
+        attempt.requestId,
+        attempt.text,
+      );
     }
-    const ran = this.#model.counts.runsByRequestId.has(attempt.requestId);
-    if (!attempt.started && ran) {
-      this.#begin(attempt);
+    const hasRun = this.#model.counts.runsByRequestId.has(attempt.requestId);
+    if (!attempt.isStarted && hasRun) {
+      this.#recordStarted(attempt);
     }
-    this.#open.delete(keyOf(attempt));
+    this.#openAttempts.delete(attemptKey(attempt));
     this.#reservedKvTokens -= attempt.reservedKvTokens;
   }
 }
@@ -316,26 +320,26 @@
   return { index, tokens: 0, text: "" };
 }
 
-function joinTokens(events: readonly EngineEvent[]): EngineEvent[] {
-  const joined: EngineEvent[] = [];
+function mergeTokenEvents(events: readonly EngineEvent[]): EngineEvent[] {
+  const merged: EngineEvent[] = [];
   for (const event of events) {
-    const last = joined.at(-1);
+    const last = merged.at(-1);
     if (
       event.kind === EngineEventKind.Token &&
       last?.kind === EngineEventKind.Token
     ) {
-      joined[joined.length - 1] = {
+      merged[merged.length - 1] = {
         ...last,
         text: last.text + event.text,
         tokens: (last.tokens ?? 1) + 1,
       };
     } else {
-      joined.push(event);
+      merged.push(event);
     }
   }
-  return joined;
+  return merged;
 }
 
-function keyOf({ requestId, attemptNonce }: AttemptRef): string {
+function attemptKey({ requestId, attemptNonce }: AttemptRef): string {
   return `${requestId} ${attemptNonce}`;
 }
--- a/packages/measure/src/network.ts
+++ b/packages/measure/src/simulated_network.ts
@@ -2,19 +2,19 @@
 
 /** Delays of the links, one way, in milliseconds. */
 export interface LinkDelays {
-  readonly withinDomainMs: number;
-  readonly betweenDomainsMs: number;
-  readonly toCallersMs: number;
+  readonly withinDomainDelayMs: number;
+  readonly betweenDomainsDelayMs: number;
+  readonly callerDelayMs: number;
 }
 
 /** How long a connection attempt over a cut link takes to fail. */
 export const CONNECT_TIMEOUT_MS = 1000;
 
 /** Knows the delay and the state of every link. */
-export class Network {
+export class SimulatedNetwork {
   readonly delays: LinkDelays;
-  readonly #cutOff = new Set<string>();
-  readonly #cutFromPlatform = new Set<string>();
+  readonly #isolatedDomains = new Set<string>();
+  readonly #domainsWithoutPlatform = new Set<string>();
 
   /** @param delays Delays of the links. */
   constructor(delays: LinkDelays) {
@@ -26,15 +26,15 @@
    *
    * @param failureDomain The domain.
    */
-  cutOff(failureDomain: string): void {
-    this.#cutOff.add(failureDomain);
-    this.#cutFromPlatform.add(failureDomain);
+  isolateDomain(failureDomain: string): void {
+    this.#isolatedDomains.add(failureDomain);
+    this.#domainsWithoutPlatform.add(failureDomain);
   }
 
   /** @param failureDomain The domain whose links work again. */
-  heal(failureDomain: string): void {
-    this.#cutOff.delete(failureDomain);
-    this.#cutFromPlatform.delete(failureDomain);
+  reconnectDomain(failureDomain: string): void {
+    this.#isolatedDomains.delete(failureDomain);
+    this.#domainsWithoutPlatform.delete(failureDomain);
   }
 
   /**
@@ -44,8 +44,9 @@
    * @param b The other, or the same.
    * @returns True when messages get through.
    */
-  reaches(a: string, b: string): boolean {
-    return a === b || !(this.#cutOff.has(a) || this.#cutOff.has(b));
+  isConnected(a: string, b: string): boolean {
+    return a === b ||
+      !(this.#isolatedDomains.has(a) || this.#isolatedDomains.has(b));
   }
 
   /**
@@ -54,8 +55,8 @@
    * @param failureDomain The domain.
    * @returns True when calls get through.
    */
-  reachesPlatform(failureDomain: string): boolean {
-    return !this.#cutFromPlatform.has(failureDomain);
+  isConnectedToPlatform(failureDomain: string): boolean {
+    return !this.#domainsWithoutPlatform.has(failureDomain);
   }
 
   /**
@@ -67,7 +68,7 @@
    */
   delayMs(from: string, to: string): number {
     return from === to
-      ? this.delays.withinDomainMs
-      : this.delays.betweenDomainsMs;
+      ? this.delays.withinDomainDelayMs
+      : this.delays.betweenDomainsDelayMs;
   }
 }
--- a/packages/measure/src/platform_host.ts
+++ b/packages/measure/src/simulated_platform.ts
@@ -13,7 +13,7 @@
   TransactRequest,
 } from "@chestnuthatch/wire/platform_protocol";
 import type { EventQueue } from "./event_queue.ts";
-import type { Network } from "./network.ts";
+import type { SimulatedNetwork } from "./simulated_network.ts";
 import type { Randomness } from "@chestnuthatch/core/randomness";
 
 /** One version of the settings in the platform's table. */
@@ -24,7 +24,7 @@
 }
 
 /** One way to and through the platform. */
-const ONE_WAY_MS = 2;
+const ONE_WAY_DELAY_MS = 2;
 /** A call to the platform is given up after this long. */
 const CALL_TIMEOUT_MS = 500;
 const LIST_LAG_MS = 5000;
@@ -36,9 +36,9 @@
 export type Reply<T> = (answer: T | undefined) => void;
 
 /** Runs a {@link PlatformModel} on the manual clock. */
-export class PlatformHost {
+export class SimulatedPlatform {
   readonly #queue: EventQueue;
-  readonly #network: Network;
+  readonly #network: SimulatedNetwork;
   readonly #random: Randomness;
   readonly #model = new PlatformModel({
     listLagMs: LIST_LAG_MS,
@@ -50,7 +50,11 @@
 
   /** @param context The clock, the links and a source of randomness. */
   constructor(
-    context: { queue: EventQueue; network: Network; random: Randomness },
+    context: {
+      queue: EventQueue;
+      network: SimulatedNetwork;
+      random: Randomness;
+    },
   ) {
     this.#queue = context.queue;
     this.#network = context.network;
@@ -73,7 +77,7 @@
    * @param listed What the list says of it.
    * @param options Whether the list shows it at once.
    */
-  list(
+  addToList(
     listed: { id: string; kind: ListedKind; failureDomain: string },
     options: { atOnce: boolean },
   ): void {
@@ -85,12 +89,12 @@
   }
 
   /** @param id What the list will show as leaving. */
-  listLeaving(id: string): void {
+  markLeaving(id: string): void {
     this.#model.instanceList.markLeaving(id, this.#queue.nowMs);
   }
 
   /** @param id What the list will show no longer. */
-  unlist(id: string): void {
+  removeFromList(id: string): void {
     this.#model.instanceList.remove(id, this.#queue.nowMs);
   }
 
@@ -132,7 +136,7 @@
    * @param failureDomain Where the reader is.
    * @param reply Told the list, or nothing.
    */
-  readList(failureDomain: string, reply: Reply<InstanceList>): void {
+  readInstanceList(failureDomain: string, reply: Reply<InstanceList>): void {
     const read = (nowMs: number) => this.#model.listInstances(nowMs);
     this.#call(failureDomain, { isWrite: false, run: read, reply });
   }
@@ -222,23 +226,24 @@
     },
   ): void {
     const { isWrite, run, reply } = options;
-    const lose = () =>
+    const failAfterTimeout = () =>
       this.#queue.after(CALL_TIMEOUT_MS, () => reply(undefined));
-    if (!this.#network.reachesPlatform(failureDomain)) {
-      lose();
+    if (!this.#network.isConnectedToPlatform(failureDomain)) {
+      failAfterTimeout();
       return;
     }
-    this.#queue.after(ONE_WAY_MS, () => {
-      const loses = isWrite && this.#random.next() < this.#lostAnswerShare;
+    this.#queue.after(ONE_WAY_DELAY_MS, () => {
+      const isAnswerLost = isWrite &&
+        this.#random.next() < this.#lostAnswerShare;
       const { outcome, answer, delayMs } = run(this.#queue.nowMs);
       if (
-        loses || outcome === PlatformOutcome.Lost ||
-        !this.#network.reachesPlatform(failureDomain)
+        isAnswerLost || outcome === PlatformOutcome.Lost ||
+        !this.#network.isConnectedToPlatform(failureDomain)
       ) {
-        lose();
+        failAfterTimeout();
         return;
       }
-      this.#queue.after(ONE_WAY_MS + delayMs, () => reply(answer));
+      this.#queue.after(ONE_WAY_DELAY_MS + delayMs, () => reply(answer));
     });
   }
 }
--- a/packages/measure/src/service_host.ts
+++ b/packages/measure/src/simulated_service.ts
@@ -7,29 +7,29 @@
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 import type { ScheduledEvent } from "./event_queue.ts";
 import {
-  type HolderEnd,
+  type AttemptListener,
+  type SimulatedTarget,
   TargetConnection,
   type TargetContext,
-  type TargetHost,
+  type TargetUsage,
   type TargetWork,
-  type TargetWorkDone,
-} from "./target_host.ts";
+} from "./simulated_target.ts";
 
 const LOAD_LAG_MS = 1000;
 
 interface OpenCall {
   readonly requestId: string;
   readonly connection: TargetConnection;
-  started: boolean;
+  isStarted: boolean;
 }
 
 /** Runs a {@link ServiceModel} on the manual clock. */
-export class ServiceHost implements TargetHost {
+export class SimulatedService implements SimulatedTarget {
   readonly settings: TargetSettings;
   readonly #context: TargetContext;
   readonly #model: ServiceModel;
-  readonly #open = new Map<string, OpenCall>();
-  #wake: ScheduledEvent | undefined;
+  readonly #openCallsByNonce = new Map<string, OpenCall>();
+  #nextAdvance: ScheduledEvent | undefined;
 
   /**
    * @param settings The target as the operators describe it.
@@ -47,25 +47,29 @@
   }
 
   /** @inheritdoc */
-  get alive(): boolean {
+  get isRunning(): boolean {
     return this.#model.isRunning;
   }
 
   /** @inheritdoc */
-  dispatch(work: TargetWork, holder: HolderEnd): void {
-    const { queue, journal } = this.#context;
-    journal.received(work, this.settings.id);
+  dispatch(work: TargetWork, listener: AttemptListener): void {
+    const { queue, recorder } = this.#context;
+    recorder.recordReceived(work, this.settings.id);
     const connection = new TargetConnection(this.#context, {
-      targetDomain: this.settings.failureDomain,
-      holder,
+      targetFailureDomain: this.settings.failureDomain,
+      listener,
     });
     const { requestId, attemptNonce, idempotencyKey, prompt } = work;
-    this.#open.set(attemptNonce, { requestId, connection, started: false });
+    this.#openCallsByNonce.set(attemptNonce, {
+      requestId,
+      connection,
+      isStarted: false,
+    });
     this.#model.submit(
       { requestId, attemptNonce, idempotencyKey, body: prompt },
       queue.nowMs,
     );
-    this.#pump();
+    this.#advance();
   }
 
   /** @inheritdoc */
@@ -74,9 +78,9 @@
   /** @inheritdoc */
   resume(
     _attempt: AttemptRef,
-    options: { fromToken: number; holder: HolderEnd },
+    options: { fromToken: number; listener: AttemptListener },
   ): void {
-    options.holder.closed("services do not resume");
+    options.listener.onClosed("services do not resume");
   }
 
   /** @inheritdoc */
@@ -95,50 +99,50 @@
   }
 
   /** @inheritdoc */
-  leave(): void {
+  startLeaving(): void {
     this.#model.setLeaving(true, this.#context.queue.nowMs);
-    this.#context.checker.targetLeaving(this.settings.id);
+    this.#context.checker.recordTargetLeaving(this.settings.id);
   }
 
   /** @inheritdoc */
   kill(): void {
-    this.#pump();
+    this.#advance();
     this.#model.kill(this.#context.queue.nowMs);
-    this.#wake?.cancel();
-    for (const { connection } of this.#open.values()) {
+    this.#nextAdvance?.cancel();
+    for (const { connection } of this.#openCallsByNonce.values()) {
       connection.close("connection reset");
     }
-    this.#open.clear();
+    this.#openCallsByNonce.clear();
   }
 
   /** @inheritdoc */
-  workDone(): TargetWorkDone {
-    return { prefilledByRequestId: new Map() };
+  usage(): TargetUsage {
+    return { prefilledTokensByRequestId: new Map() };
   }
 
-  #pump(): void {
+  #advance(): void {
     const { queue } = this.#context;
     const outputs = this.#model.advance(queue.nowMs);
-    this.#noteStarted();
+    this.#recordStartedCalls();
     for (const { attemptNonce, requestId, answer } of outputs) {
-      this.#context.checker.answerMade(requestId, answer.body);
-      const call = this.#open.get(attemptNonce);
-      this.#open.delete(attemptNonce);
-      call?.connection.send((holder) => holder.serviceAnswered(answer));
+      this.#context.checker.recordCompleteAnswer(requestId, answer.body);
+      const call = this.#openCallsByNonce.get(attemptNonce);
+      this.#openCallsByNonce.delete(attemptNonce);
+      call?.connection.send((listener) => listener.onServiceAnswered(answer));
     }
-    this.#wake?.cancel();
+    this.#nextAdvance?.cancel();
     const nextMs = this.#model.nextOutputAtMs();
     if (nextMs !== undefined) {
-      this.#wake = queue.at(nextMs, () => this.#pump());
+      this.#nextAdvance = queue.at(nextMs, () => this.#advance());
     }
   }
 
-  #noteStarted(): void {
+  #recordStartedCalls(): void {
     const { runsByRequestId } = this.#model.counts;
-    for (const call of this.#open.values()) {
-      if (!call.started && runsByRequestId.has(call.requestId)) {
-        call.started = true;
-        this.#context.journal.started(call.requestId);
+    for (const call of this.#openCallsByNonce.values()) {
+      if (!call.isStarted && runsByRequestId.has(call.requestId)) {
+        call.isStarted = true;
+        this.#context.recorder.recordStarted(call.requestId);
       }
     }
   }
--- a/packages/measure/src/target_host.ts
+++ b/packages/measure/src/simulated_target.ts
@@ -9,8 +9,8 @@
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 import type { AttemptRef } from "@chestnuthatch/core/events";
 import type { EventQueue } from "./event_queue.ts";
-import type { Network } from "./network.ts";
-import type { PromiseChecker } from "./promises.ts";
+import type { SimulatedNetwork } from "./simulated_network.ts";
+import type { PromiseChecker } from "./promise_checker.ts";
 
 /** Everything a target is sent with one attempt. */
 export interface TargetWork extends AttemptRef {
@@ -26,35 +26,35 @@
 }
 
 /** The holder's end of a connection to a target. */
-export interface HolderEnd {
+export interface AttemptListener {
   /** Failure domain of the holder. */
   readonly failureDomain: string;
   /** @param event One line of an engine's stream. */
-  streamEvent(event: EngineEvent): void;
+  onStreamEvent(event: EngineEvent): void;
   /** @param answer A service's answer. */
-  serviceAnswered(answer: ServiceAnswer): void;
+  onServiceAnswered(answer: ServiceAnswer): void;
   /** @param reason Why the connection broke. */
-  closed(reason: string): void;
+  onClosed(reason: string): void;
 }
 
 /** What a target notes of the work it was sent. */
-export interface WorkJournal {
+export interface WorkRecorder {
   /**
    * Notes work that reached a target.
    *
    * @param work What came.
    * @param targetId The target.
    */
-  received(work: TargetWork, targetId: string): void;
+  recordReceived(work: TargetWork, targetId: string): void;
   /** @param requestId A request whose work began. */
-  started(requestId: string): void;
+  recordStarted(requestId: string): void;
   /**
    * Notes a prompt that was read.
    *
    * @param requestId The request.
    * @param tokens Its tokens found in the cache, and worked.
    */
-  prefilled(
+  recordPrefilled(
     requestId: string,
     tokens: { cached: number; prefilled: number },
   ): void;
@@ -63,29 +63,29 @@
 /** What every target shares with the world. */
 export interface TargetContext {
   readonly queue: EventQueue;
-  readonly network: Network;
+  readonly network: SimulatedNetwork;
   readonly checker: PromiseChecker;
-  readonly journal: WorkJournal;
+  readonly recorder: WorkRecorder;
   readonly seed: number;
 }
 
 /** What one run has cost a target. */
-export interface TargetWorkDone {
+export interface TargetUsage {
   /** Prompt tokens worked by request id. */
-  readonly prefilledByRequestId: ReadonlyMap<string, number>;
+  readonly prefilledTokensByRequestId: ReadonlyMap<string, number>;
 }
 
 /** A target as the links reach it. */
-export interface TargetHost {
+export interface SimulatedTarget {
   readonly settings: TargetSettings;
-  readonly alive: boolean;
+  readonly isRunning: boolean;
   /**
    * Takes work.
    *
    * @param work The attempt.
-   * @param holder Where its answer goes.
+   * @param listener Where its answer goes.
    */
-  dispatch(work: TargetWork, holder: HolderEnd): void;
+  dispatch(work: TargetWork, listener: AttemptListener): void;
   /** @param attempt The attempt to stop. */
   cancel(attempt: AttemptRef): void;
   /**
@@ -96,7 +96,7 @@
    */
   resume(
     attempt: AttemptRef,
-    options: { fromToken: number; holder: HolderEnd },
+    options: { fromToken: number; listener: AttemptListener },
   ): void;
   /** @returns The target's own stale report. */
   load(): TargetLoad;
@@ -110,50 +110,50 @@
   /** @param factor How many times slower it gets. */
   setSlowdown(factor: number): void;
   /** Makes the target tell that it is leaving. */
-  leave(): void;
+  startLeaving(): void;
   /** Kills the process: everything it does and holds is lost. */
   kill(): void;
   /** @returns What it did in this run. */
-  workDone(): TargetWorkDone;
+  usage(): TargetUsage;
 }
 
 /** A connection that hears nothing this long is given up. */
 const IDLE_TIMEOUT_MS = 2000;
-const RETRANSMIT_MS = 200;
+const RETRANSMIT_INTERVAL_MS = 200;
 
 /** The target's end of a connection; what it sends arrives in order or never. */
 export class TargetConnection {
   readonly #context: Pick<TargetContext, "queue" | "network">;
-  readonly #targetDomain: string;
-  readonly #holder: HolderEnd;
-  #unsent: ((holder: HolderEnd) => void)[] = [];
+  readonly #targetFailureDomain: string;
+  readonly #listener: AttemptListener;
+  #backlog: ((holder: AttemptListener) => void)[] = [];
   #stalledSinceMs: number | undefined;
-  #closed = false;
+  #isClosed = false;
 
   /**
    * @param context The clock and the links.
-   * @param ends The target's domain and the holder's end.
+   * @param endpoints The target's domain and the holder's end.
    */
   constructor(
     context: Pick<TargetContext, "queue" | "network">,
-    ends: { targetDomain: string; holder: HolderEnd },
+    endpoints: { targetFailureDomain: string; listener: AttemptListener },
   ) {
     this.#context = context;
-    this.#targetDomain = ends.targetDomain;
-    this.#holder = ends.holder;
+    this.#targetFailureDomain = endpoints.targetFailureDomain;
+    this.#listener = endpoints.listener;
   }
 
-  /** @param deliver What the holder is told. */
-  send(deliver: (holder: HolderEnd) => void): void {
-    if (this.#closed) {
+  /** @param notify What the holder is told. */
+  send(notify: (listener: AttemptListener) => void): void {
+    if (this.#isClosed) {
       return;
     }
-    if (this.#reaches() && this.#unsent.length === 0) {
-      this.#deliver(deliver);
+    if (this.#isConnected() && this.#backlog.length === 0) {
+      this.#deliver(notify);
       return;
     }
-    this.#unsent.push(deliver);
-    if (this.#unsent.length === 1) {
+    this.#backlog.push(notify);
+    if (this.#backlog.length === 1) {
       this.#stalledSinceMs = this.#context.queue.nowMs;
       this.#retransmit();
     }
@@ -161,48 +161,48 @@
 
   /** @param reason Why the holder's connection breaks. */
   close(reason: string): void {
-    this.send((holder) => holder.closed(reason));
-    this.#closed = this.#unsent.length === 0;
+    this.send((listener) => listener.onClosed(reason));
+    this.#isClosed = this.#backlog.length === 0;
   }
 
   /** Drops the connection without telling the holder anything. */
-  abandon(): void {
-    this.#closed = true;
-    this.#unsent = [];
+  discard(): void {
+    this.#isClosed = true;
+    this.#backlog = [];
   }
 
   #retransmit(): void {
     const { queue } = this.#context;
-    queue.after(RETRANSMIT_MS, () => {
+    queue.after(RETRANSMIT_INTERVAL_MS, () => {
       const stalledMs = queue.nowMs - (this.#stalledSinceMs ?? queue.nowMs);
-      if (this.#closed || this.#unsent.length === 0) {
+      if (this.#isClosed || this.#backlog.length === 0) {
         return;
       }
-      if (this.#reaches()) {
-        this.#unsent.forEach((deliver) => this.#deliver(deliver));
-        this.#unsent = [];
+      if (this.#isConnected()) {
+        this.#backlog.forEach((notify) => this.#deliver(notify));
+        this.#backlog = [];
       } else if (stalledMs > IDLE_TIMEOUT_MS) {
-        this.abandon();
-        this.#holder.closed("nothing came in time");
+        this.discard();
+        this.#listener.onClosed("nothing came in time");
       } else {
         this.#retransmit();
       }
     });
   }
 
-  #deliver(deliver: (holder: HolderEnd) => void): void {
+  #deliver(notify: (listener: AttemptListener) => void): void {
     const { queue, network } = this.#context;
     const delayMs = network.delayMs(
-      this.#targetDomain,
-      this.#holder.failureDomain,
+      this.#targetFailureDomain,
+      this.#listener.failureDomain,
     );
-    queue.after(delayMs, () => deliver(this.#holder));
+    queue.after(delayMs, () => notify(this.#listener));
   }
 
-  #reaches(): boolean {
-    return this.#context.network.reaches(
-      this.#targetDomain,
-      this.#holder.failureDomain,
+  #isConnected(): boolean {
+    return this.#context.network.isConnected(
+      this.#targetFailureDomain,
+      this.#listener.failureDomain,
     );
   }
 }
--- a/packages/measure/src/manual_world.ts
+++ b/packages/measure/src/simulation.ts
@@ -9,86 +9,86 @@
 import { TargetKind } from "@chestnuthatch/wire/work";
 import { ListedKind } from "@chestnuthatch/wire/platform_protocol";
 import { BaselineInstance } from "./baseline_instance.ts";
-import { Callers } from "./callers.ts";
-import { ControlCosts } from "./control_costs.ts";
+import { SimulatedCallers } from "./simulated_callers.ts";
+import { ControlCostCounter } from "./control_cost_counter.ts";
 import { CoreInstance } from "./core_instance.ts";
-import type { DeploymentPlan } from "./deployments.ts";
-import { EngineHost } from "./engine_host.ts";
+import type { DeploymentPlan } from "./deployment_plan.ts";
+import { SimulatedEngine } from "./simulated_engine.ts";
 import type {
   EntryInstance,
   HeldWork,
   InstanceContext,
 } from "./entry_instance.ts";
 import { EventQueue } from "./event_queue.ts";
-import { Network } from "./network.ts";
+import { SimulatedNetwork } from "./simulated_network.ts";
 import { PeerLinks } from "./peer_links.ts";
-import { PlatformHost } from "./platform_host.ts";
+import { SimulatedPlatform } from "./simulated_platform.ts";
 import {
   type CallRecord,
   type LowerTierWork,
   PromiseChecker,
-  type WorldView,
-} from "./promises.ts";
-import { RunJournal } from "./run_journal.ts";
-import { ServiceHost } from "./service_host.ts";
-import type { TargetHost } from "./target_host.ts";
+  type SimulationView,
+} from "./promise_checker.ts";
+import { RunRecorder } from "./run_recorder.ts";
+import { SimulatedService } from "./simulated_service.ts";
+import type { SimulatedTarget } from "./simulated_target.ts";
 import type { WorkItem } from "./work_item.ts";
 
 /** Which scheduler runs. */
-export enum Variant {
+export enum SchedulerVariant {
   Scheduler = "scheduler",
   Baseline = "baseline",
 }
 
 /** How a world is made. */
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly plan: DeploymentPlan;
-  readonly variant: Variant;
+  readonly variant: SchedulerVariant;
   readonly seed: number;
   readonly useAffinity: boolean;
 }
 
-const TICK_SPREAD_MS = 50;
-const RESTART_MS = 5000;
-const INSTANCE_SEED_STEP = 1009;
+const MAX_TICK_OFFSET_MS = 50;
+const RESTART_DELAY_MS = 5000;
+const SEED_STEP = 1009;
 
 /** Everything of one run. */
-export class ManualWorld implements WorldView {
+export class Simulation implements SimulationView {
   readonly queue = new EventQueue();
-  readonly network: Network;
-  readonly platform: PlatformHost;
+  readonly network: SimulatedNetwork;
+  readonly platform: SimulatedPlatform;
   readonly checker = new PromiseChecker(this);
-  readonly journal = new RunJournal({
+  readonly recorder = new RunRecorder({
     queue: this.queue,
     checker: this.checker,
   });
-  readonly costs = new ControlCosts();
-  readonly targets: ReadonlyMap<string, TargetHost>;
+  readonly controlCosts = new ControlCostCounter();
+  readonly targets: ReadonlyMap<string, SimulatedTarget>;
   readonly instances: readonly EntryInstance[];
   readonly plan: DeploymentPlan;
-  readonly #callers: Callers;
+  readonly #callers: SimulatedCallers;
 
   /** @param options How it is made. */
-  constructor(options: WorldOptions) {
+  constructor(options: SimulationOptions) {
     const { plan, seed } = options;
-    const { queue, checker, journal } = this;
+    const { queue, checker, recorder } = this;
     this.plan = plan;
-    this.network = new Network(plan.delays);
-    this.platform = new PlatformHost({
+    this.network = new SimulatedNetwork(plan.delays);
+    this.platform = new SimulatedPlatform({
       queue,
       network: this.network,
       random: seededRandomness(seed + 1),
     });
-    this.targets = this.#makeTargets(seed);
-    this.#callers = new Callers({
+    this.targets = this.#createTargets(seed);
+    this.#callers = new SimulatedCallers({
       queue,
       checker,
-      journal,
+      recorder,
       random: seededRandomness(seed + 2),
-      delayMs: plan.delays.toCallersMs,
+      oneWayDelayMs: plan.delays.callerDelayMs,
       instances: () => this.instances,
     });
-    this.instances = this.#makeInstances(options);
+    this.instances = this.#createInstances(options);
   }
 
   /** Lists and starts everything. */
@@ -101,19 +101,19 @@
     });
     for (const { instanceId, failureDomain } of this.instances) {
       const kind = ListedKind.Entry;
-      this.platform.list({ id: instanceId, kind, failureDomain }, {
+      this.platform.addToList({ id: instanceId, kind, failureDomain }, {
         atOnce: true,
       });
     }
     for (const { settings: { id, failureDomain } } of this.targets.values()) {
       const kind = ListedKind.Target;
-      this.platform.list({ id, kind, failureDomain }, { atOnce: true });
+      this.platform.addToList({ id, kind, failureDomain }, { atOnce: true });
     }
     this.instances.forEach((instance) => instance.start());
   }
 
   /** @param items What callers want. */
-  schedule(items: readonly WorkItem[]): void {
+  scheduleItems(items: readonly WorkItem[]): void {
     this.#callers.schedule(items);
   }
 
@@ -123,33 +123,33 @@
       each.instanceId === instanceId
     );
     instance?.kill();
-    this.queue.after(RESTART_MS, () => instance?.start());
+    this.queue.after(RESTART_DELAY_MS, () => instance?.start());
   }
 
   /**
    * Freezes an instance for a while.
    *
    * @param instanceId The instance.
-   * @param forMs How long.
+   * @param durationMs How long.
    */
-  pauseInstance(instanceId: string, forMs: number): void {
+  pauseInstance(instanceId: string, durationMs: number): void {
     const instance = this.instances.find((each) =>
       each.instanceId === instanceId
     );
     instance?.pause();
-    this.queue.after(forMs, () => instance?.resume());
+    this.queue.after(durationMs, () => instance?.resume());
   }
 
   /** @param targetId A target that leaves: it tells so, the list lags. */
-  leaveTarget(targetId: string): void {
-    this.targets.get(targetId)?.leave();
-    this.platform.listLeaving(targetId);
+  startTargetLeaving(targetId: string): void {
+    this.targets.get(targetId)?.startLeaving();
+    this.platform.markLeaving(targetId);
   }
 
   /** @param targetId A target that dies. */
   killTarget(targetId: string): void {
     this.targets.get(targetId)?.kill();
-    this.platform.unlist(targetId);
+    this.platform.removeFromList(targetId);
   }
 
   /** Commits the next version of the settings, with the same meaning. */
@@ -167,7 +167,7 @@
    * @param targetId A target of the shard.
    * @returns The instance's id.
    */
-  coordinatorOf(targetId: string): string {
+  findCoordinatorId(targetId: string): string {
     const { pool, failureDomain } = this.targets.get(targetId)!.settings;
     const key = shardKey(pool, failureDomain);
     const ranked = this.instances
@@ -183,9 +183,9 @@
   }
 
   /** @inheritdoc */
-  lowerTierWork(call: CallRecord): LowerTierWork[] {
+  findLowerTierWork(call: CallRecord): LowerTierWork[] {
     return this.instances
-      .filter(({ instanceId }) => this.inReach(call.holderId, instanceId))
+      .filter(({ instanceId }) => this.canReach(call.holderId, instanceId))
       .flatMap((instance) =>
         instance.heldWork()
           .filter((work) =>
@@ -194,84 +194,90 @@
           )
           .map((work) => ({
             requestId: work.requestId,
-            description: describeWork(work, instance.instanceId),
+            description: describeHeldWork(work, instance.instanceId),
           }))
       );
   }
 
   /** @inheritdoc */
-  inReach(holderId: string, otherId: string): boolean {
+  canReach(holderId: string, otherId: string): boolean {
     const [holder, other] = [holderId, otherId].map((id) =>
       this.instances.find(({ instanceId }) => instanceId === id)
     );
     return holder !== undefined && other !== undefined && other.isLive &&
       !other.isPaused &&
-      this.network.reaches(holder.failureDomain, other.failureDomain);
+      this.network.isConnected(holder.failureDomain, other.failureDomain);
   }
 
   /** @inheritdoc */
-  story(call: CallRecord): string[] {
+  describeDecisions(call: CallRecord): string[] {
     const holder = this.instances.find(({ instanceId }) =>
       instanceId === call.holderId
     );
-    return holder?.story(call.requestId) ?? [];
+    return holder?.describeDecisions(call.requestId) ?? [];
   }
 
-  #makeTargets(seed: number): Map<string, TargetHost> {
-    const { queue, network, checker, journal } = this;
-    const targets = new Map<string, TargetHost>();
+  #createTargets(seed: number): Map<string, SimulatedTarget> {
+    const { queue, network, checker, recorder } = this;
+    const targets = new Map<string, SimulatedTarget>();
     for (const target of this.plan.settings.targets.values()) {
       const pool = this.plan.settings.pools.get(target.pool)!;
       const context = {
         queue,
         network,
         checker,
-        journal,
-        seed: seed + hash32(target.id) % INSTANCE_SEED_STEP,
+        recorder,
+        seed: seed + hash32(target.id) % SEED_STEP,
         model: pool.model,
       };
-      const host = pool.kind === TargetKind.Engine
-        ? new EngineHost(target, context)
-        : new ServiceHost(target, context);
-      targets.set(target.id, host);
+      const simulated = pool.kind === TargetKind.Engine
+        ? new SimulatedEngine(target, context)
+        : new SimulatedService(target, context);
+      targets.set(target.id, simulated);
     }
     return targets;
   }
 
-  #makeInstances(options: WorldOptions): EntryInstance[] {
+  #createInstances(options: SimulationOptions): EntryInstance[] {
     const { plan, variant, seed, useAffinity } = options;
-    const { queue, network, platform, targets, checker, costs } = this;
+    const { queue, network, platform, targets, checker, controlCosts } = this;
     const context: InstanceContext = {
       queue,
       network,
       platform,
       targets,
       checker,
-      costs,
+      controlCosts,
       useAffinity,
       peers: new PeerLinks(queue, network),
       callers: this.#callers,
     };
     const { loadPollMs } = plan.settings.timing;
-    return plan.instances.map((place, index) => {
-      const own = { ...place, seed: seed + (index + 1) * INSTANCE_SEED_STEP };
-      if (variant === Variant.Baseline) {
-        return new BaselineInstance(context, { ...own, loadPollMs });
+    return plan.instances.map((location, index) => {
+      const instanceOptions = {
+        ...location,
+        seed: seed + (index + 1) * SEED_STEP,
+      };
+      if (variant === SchedulerVariant.Baseline) {
+        return new BaselineInstance(context, {
+          ...instanceOptions,
+          loadPollMs,
+        });
       }
       return new CoreInstance(context, {
-        ...own,
+        ...instanceOptions,
         region: plan.region,
-        seedPeers: plan.instances.filter((peer) => peer !== place)
+        seedPeers: plan.instances.filter((peer) => peer !== location)
           .map((peer) => ({ ...peer, address: `${peer.instanceId}:1` })),
-        tickOffsetMs: TICK_SPREAD_MS * index / plan.instances.length,
+        tickOffsetMs: MAX_TICK_OFFSET_MS * index / plan.instances.length,
       });
     });
   }
 }
 
-function describeWork(work: HeldWork, instanceId: string): string {
-  const doing = work.running ? "runs" : "waits";
+function describeHeldWork(work: HeldWork, instanceId: string): string {
+  const state = work.running ? "runs" : "waits";
   const sinceMs = Math.round(work.heldSinceMs);
-  return `${work.requestId} of tier ${work.tierRank} ${doing} at ` +
+  return `${work.requestId} of tier ${work.tierRank} ${state} at ` +
     `${instanceId}, held since ${sinceMs} ms`;
 }
--- a/packages/measure/src/slopes.ts
+++ b/packages/measure/src/slopes.ts
@@ -1,11 +1,11 @@
 /** The scheduler's own costs by size: bytes, processor time and memory. */
 
 import { capacityPerSecond } from "./capacity.ts";
-import { ManualWorld, Variant } from "./manual_world.ts";
+import { SchedulerVariant, Simulation } from "./simulation.ts";
 import { measureMemory, type MemoryCosts } from "./memory_costs.ts";
-import { type FleetSize, scaledPlan } from "./scaled_plan.ts";
-import { tableLines } from "./text_table.ts";
-import { makeWorkItems } from "./work_items.ts";
+import { createScaledPlan, type FleetSize } from "./scaled_plan.ts";
+import { formatTable } from "./text_table.ts";
+import { createWorkItems } from "./work_item_generator.ts";
 
 /** Costs of control at one size. */
 export interface SizeCosts extends FleetSize {
@@ -27,7 +27,7 @@
   readonly memory: MemoryCosts;
 }
 
-interface Spent {
+interface ControlUsage {
   readonly bytes: number;
   readonly coreMs: number;
   readonly requests: number;
@@ -35,14 +35,14 @@
 
 const INSTANCE_COUNTS = [4, 8, 16, 32, 64, 128];
 const TARGET_COUNTS = [12, 24, 48, 96, 192];
-const INSTANCES_OF_TARGET_SWEEP = 8;
+const TARGET_SWEEP_INSTANCES = 8;
 const TARGETS_PER_INSTANCE = 1.5;
 /** Callers come once the instances have found one another. */
-const LOAD_FROM_MS = 3000;
-const WARM_UP_MS = 10_000;
-const MEASURED_MS = 10_000;
+const LOAD_START_MS = 3000;
+const WARM_UP_DURATION_MS = 10_000;
+const MEASURED_DURATION_MS = 10_000;
 const MS_PER_SECOND = 1000;
-const LOAD_SHARE = 0.5;
+const LOAD_RATIO = 0.5;
 const SEED = 1;
 
 /**
@@ -59,21 +59,21 @@
   const memory = measureMemory();
   printMemory(print, memory);
   const byTargets = TARGET_COUNTS.map((targets) =>
-    costsOf({ instances: INSTANCES_OF_TARGET_SWEEP, targets })
+    measureSizeCosts({ instances: TARGET_SWEEP_INSTANCES, targets })
   );
   printCosts(print, byTargets);
   const byInstances = INSTANCE_COUNTS.filter((count) => count <= maxInstances)
     .map((instances) =>
-      costsOf({ instances, targets: instances * TARGETS_PER_INSTANCE })
+      measureSizeCosts({ instances, targets: instances * TARGETS_PER_INSTANCE })
     );
   printCosts(print, byInstances);
   return { byInstances, byTargets, memory };
 }
 
-function costsOf(size: FleetSize): SizeCosts {
-  const idle = spend(size, 0);
-  const loaded = spend(size, LOAD_SHARE);
-  const nodeSeconds = size.instances * MEASURED_MS / MS_PER_SECOND;
+function measureSizeCosts(size: FleetSize): SizeCosts {
+  const idle = measureUsage(size, 0);
+  const loaded = measureUsage(size, LOAD_RATIO);
+  const nodeSeconds = size.instances * MEASURED_DURATION_MS / MS_PER_SECOND;
   return {
     ...size,
     requests: loaded.requests,
@@ -88,31 +88,34 @@
 }
 
 /** Load begins during the warm-up: the measured time is in full swing. */
-function spend(size: FleetSize, loadShare: number): Spent {
-  const plan = scaledPlan(size);
-  const world = new ManualWorld({
+function measureUsage(size: FleetSize, loadRatio: number): ControlUsage {
+  const plan = createScaledPlan(size);
+  const simulation = new Simulation({
     plan,
-    variant: Variant.Scheduler,
+    variant: SchedulerVariant.Scheduler,
     seed: SEED,
     useAffinity: true,
   });
-  world.start();
-  const endMs = WARM_UP_MS + MEASURED_MS;
-  const ratePerSecond = loadShare * capacityPerSecond(plan, undefined);
-  const items = makeWorkItems({
+  simulation.start();
+  const endMs = WARM_UP_DURATION_MS + MEASURED_DURATION_MS;
+  const ratePerSecond = loadRatio * capacityPerSecond(plan, undefined);
+  const items = createWorkItems({
     deployment: plan.deployment,
     seed: SEED,
     durationMs: endMs,
-    phases: [{ fromMs: LOAD_FROM_MS, ratePerSecond }],
+    phases: [{ fromMs: LOAD_START_MS, ratePerSecond }],
   }, plan);
-  world.schedule(items);
-  world.queue.runUntil(WARM_UP_MS);
-  const before = { bytes: world.costs.bytes, coreMs: world.costs.coreMs };
-  world.queue.runUntil(endMs);
+  simulation.scheduleItems(items);
+  simulation.queue.runUntil(WARM_UP_DURATION_MS);
+  const before = {
+    bytes: simulation.controlCosts.bytes,
+    coreMs: simulation.controlCosts.coreMs,
+  };
+  simulation.queue.runUntil(endMs);
   return {
-    bytes: world.costs.bytes - before.bytes,
-    coreMs: world.costs.coreMs - before.coreMs,
-    requests: items.filter(({ atMs }) => atMs >= WARM_UP_MS).length,
+    bytes: simulation.controlCosts.bytes - before.bytes,
+    coreMs: simulation.controlCosts.coreMs - before.coreMs,
+    requests: items.filter(({ atMs }) => atMs >= WARM_UP_DURATION_MS).length,
   };
 }
 
@@ -124,7 +127,7 @@
     memory: what,
     bytes: Math.round(bytes),
   }));
-  tableLines(rows).forEach(print);
+  formatTable(rows).forEach(print);
   print("");
 }
 
@@ -143,6 +146,6 @@
     "loaded core ms/node/s": cost.loadedCoreMsPerNodeSecond.toFixed(2),
     "core ms/request": cost.coreMsPerRequest.toFixed(2),
   }));
-  tableLines(rows).forEach(print);
+  formatTable(rows).forEach(print);
   print("");
 }
--- a/packages/measure/src/summary.ts
+++ b/packages/measure/src/summary.ts
@@ -1,9 +1,9 @@
 /** Adds up the runs of one scenario and sets them beside the baseline's. */
 
 import { build, type Histogram } from "hdr-histogram-js";
-import type { BrokenPromise, PromiseKind } from "./promises.ts";
+import type { BrokenPromise, PromiseKind } from "./promise_checker.ts";
 import type { RunResult } from "./run_scenario.ts";
-import type { TierTally } from "./run_journal.ts";
+import type { TierTally } from "./run_recorder.ts";
 
 /** Waits until work began, in milliseconds. */
 export interface WaitSummary {
@@ -48,7 +48,7 @@
  */
 export function summarize(results: readonly RunResult[]): VariantSummary {
   const calls = sum(results, (result) => result.calls);
-  const tiers = addTiers(results);
+  const tiers = mergeTiers(results);
   const prefilledTokens = sum(results, (result) => result.prefilledTokens);
   const wastedTokens = sum(results, (result) => result.wastedTokens);
   const bytes = sum(results, ({ control }) => control.bytes);
@@ -61,8 +61,8 @@
     calls,
     tiers,
     valueInTime: sum(Object.values(tiers), (tally) => tally.valueInTime),
-    waits: addWaits(results),
-    refusals: addCounts(results.map((result) => result.refusals)),
+    waits: mergeWaits(results),
+    refusals: sumCounts(results.map((result) => result.refusals)),
     prefilledTokens,
     wastedTokens,
     wastedShare: ratio(wastedTokens, prefilledTokens),
@@ -72,7 +72,7 @@
     ),
     controlBytesPerRequest: ratio(bytes, calls),
     controlBytesPerNodeSecond: ratio(bytes, nodeSeconds),
-    controlBytesByKind: addCounts(
+    controlBytesByKind: sumCounts(
       results.map(({ control }) => control.bytesByKind),
     ),
     coreMsPerRequest: ratio(
@@ -98,12 +98,12 @@
   return items.reduce((total, item) => total + value(item), 0);
 }
 
-function addTiers(results: readonly RunResult[]): Record<string, TierTally> {
+function mergeTiers(results: readonly RunResult[]): Record<string, TierTally> {
   const tiers: Record<string, TierTally> = {};
   for (const result of results) {
     for (const [tier, tally] of result.tiers) {
-      const before = tiers[tier];
-      tiers[tier] = before === undefined ? tally : addTally(before, tally);
+      const previous = tiers[tier];
+      tiers[tier] = previous === undefined ? tally : addTally(previous, tally);
     }
   }
   return tiers;
@@ -120,7 +120,9 @@
   };
 }
 
-function addWaits(results: readonly RunResult[]): Record<string, WaitSummary> {
+function mergeWaits(
+  results: readonly RunResult[],
+): Record<string, WaitSummary> {
   const merged = new Map<string, Histogram>();
   for (const result of results) {
     for (const [tier, histogram] of result.waits) {
@@ -130,11 +132,11 @@
     }
   }
   return Object.fromEntries(
-    [...merged].map(([tier, histogram]) => [tier, waitSummaryOf(histogram)]),
+    [...merged].map(([tier, histogram]) => [tier, summarizeWaits(histogram)]),
   );
 }
 
-function waitSummaryOf(histogram: Histogram): WaitSummary {
+function summarizeWaits(histogram: Histogram): WaitSummary {
   return {
     count: histogram.totalCount,
     p50Ms: histogram.getValueAtPercentile(50),
@@ -143,7 +145,7 @@
   };
 }
 
-function addCounts(
+function sumCounts(
   counts: readonly Readonly<Record<string, number>>[],
 ): Record<string, number> {
   const total: Record<string, number> = {};
--- a/packages/measure/src/target_port.ts
+++ b/packages/measure/src/target_client.ts
@@ -4,16 +4,20 @@
 import type { CacheEventsAnswer } from "@chestnuthatch/wire/target_protocol";
 import type { TargetLoad } from "@chestnuthatch/wire/work";
 import type { InstanceContext } from "./entry_instance.ts";
-import { CONNECT_TIMEOUT_MS } from "./network.ts";
-import type { HolderEnd, TargetHost, TargetWork } from "./target_host.ts";
+import { CONNECT_TIMEOUT_MS } from "./simulated_network.ts";
+import type {
+  AttemptListener,
+  SimulatedTarget,
+  TargetWork,
+} from "./simulated_target.ts";
 
 /** Why a call to a target that is gone fails. */
-export const REFUSED_REASON = "connection refused";
+export const CONNECTION_REFUSED_REASON = "connection refused";
 
 const POLL_TIMEOUT_MS = 500;
 
 /** Calls to targets from one failure domain. */
-export class TargetPort {
+export class TargetClient {
   readonly #context: InstanceContext;
   readonly #failureDomain: string;
 
@@ -37,14 +41,14 @@
     targetId: string,
     options: {
       work: TargetWork;
-      holder: HolderEnd;
-      notSent: (reason: string) => void;
+      listener: AttemptListener;
+      onNotSent: (reason: string) => void;
     },
   ): void {
-    this.#reach(targetId, {
+    this.#connect(targetId, {
       timeoutMs: CONNECT_TIMEOUT_MS,
-      run: (target) => target.dispatch(options.work, options.holder),
-      failed: options.notSent,
+      onConnected: (target) => target.dispatch(options.work, options.listener),
+      onFailed: options.onNotSent,
     });
   }
 
@@ -56,12 +60,16 @@
    */
   resume(
     targetId: string,
-    options: { attempt: AttemptRef; fromToken: number; holder: HolderEnd },
+    options: {
+      attempt: AttemptRef;
+      fromToken: number;
+      listener: AttemptListener;
+    },
   ): void {
-    this.#reach(targetId, {
+    this.#connect(targetId, {
       timeoutMs: CONNECT_TIMEOUT_MS,
-      run: (target) => target.resume(options.attempt, options),
-      failed: (reason) => options.holder.closed(reason),
+      onConnected: (target) => target.resume(options.attempt, options),
+      onFailed: (reason) => options.listener.onClosed(reason),
     });
   }
 
@@ -72,10 +80,10 @@
    * @param attempt The attempt.
    */
   cancel(targetId: string, attempt: AttemptRef): void {
-    this.#reach(targetId, {
+    this.#connect(targetId, {
       timeoutMs: CONNECT_TIMEOUT_MS,
-      run: (target) => target.cancel(attempt),
-      failed: () => {},
+      onConnected: (target) => target.cancel(attempt),
+      onFailed: () => {},
     });
   }
 
@@ -114,54 +122,54 @@
   #poll<T>(
     targetId: string,
     options: {
-      read: (target: TargetHost) => T;
+      read: (target: SimulatedTarget) => T;
       reply: (answer: T | undefined) => void;
     },
   ): void {
-    this.#reach(targetId, {
+    this.#connect(targetId, {
       timeoutMs: POLL_TIMEOUT_MS,
-      run: (target) => {
+      onConnected: (target) => {
         const answer = options.read(target);
         this.#context.queue.after(
           this.#delayMs(target),
           () => options.reply(answer),
         );
       },
-      failed: () => options.reply(undefined),
+      onFailed: () => options.reply(undefined),
     });
   }
 
-  #reach(
+  #connect(
     targetId: string,
     options: {
       timeoutMs: number;
-      run: (target: TargetHost) => void;
-      failed: (reason: string) => void;
+      onConnected: (target: SimulatedTarget) => void;
+      onFailed: (reason: string) => void;
     },
   ): void {
     const { queue, network, targets } = this.#context;
     const target = targets.get(targetId);
     if (
       target === undefined ||
-      !network.reaches(this.#failureDomain, target.settings.failureDomain)
+      !network.isConnected(this.#failureDomain, target.settings.failureDomain)
     ) {
       queue.after(
         options.timeoutMs,
-        () => options.failed("connect timed out"),
+        () => options.onFailed("connect timed out"),
       );
       return;
     }
     const delayMs = this.#delayMs(target);
     queue.after(delayMs, () => {
-      if (target.alive) {
-        options.run(target);
+      if (target.isRunning) {
+        options.onConnected(target);
       } else {
-        queue.after(delayMs, () => options.failed(REFUSED_REASON));
+        queue.after(delayMs, () => options.onFailed(CONNECTION_REFUSED_REASON));
       }
     });
   }
 
-  #delayMs(target: TargetHost): number {
+  #delayMs(target: SimulatedTarget): number {
     return this.#context.network.delayMs(
       this.#failureDomain,
       target.settings.failureDomain,
--- a/packages/measure/src/text_table.ts
+++ b/packages/measure/src/text_table.ts
@@ -1,6 +1,6 @@
 /** Tables of plain text. */
 
-const GAP = "  ";
+const COLUMN_GAP = "  ";
 
 /**
  * Lays out rows in columns.
@@ -8,21 +8,22 @@
  * @param rows Rows with the same columns.
  * @returns The lines, headings first; none for no rows.
  */
-export function tableLines(
+export function formatTable(
   rows: readonly Readonly<Record<string, string | number>>[],
 ): string[] {
   if (rows.length === 0) {
     return [];
   }
   const columns = Object.keys(rows[0]);
-  const cells = [
+  const cellRows = [
     columns,
     ...rows.map((row) => columns.map((c) => `${row[c]}`)),
   ];
   const widths = columns.map((_, index) =>
-    Math.max(...cells.map((line) => line[index].length))
+    Math.max(...cellRows.map((line) => line[index].length))
   );
-  return cells.map((line) =>
-    line.map((cell, index) => cell.padEnd(widths[index])).join(GAP).trimEnd()
+  return cellRows.map((cells) =>
+    cells.map((cell, index) => cell.padEnd(widths[index])).join(COLUMN_GAP)
+      .trimEnd()
   );
 }
--- a/packages/measure/src/work_item.ts
+++ b/packages/measure/src/work_item.ts
@@ -1,6 +1,6 @@
 /** What callers want done. */
 
-import type { CallRecord } from "./promises.ts";
+import type { CallRecord } from "./promise_checker.ts";
 
 /** One thing a caller wants done, whatever it takes. */
 export interface WorkItem {
@@ -40,8 +40,8 @@
  * @param item The item.
  * @returns Workspace and key, or the item's own id.
  */
-export function identityOf(item: WorkItem): string {
-  return keyOf(item) ?? item.itemId;
+export function itemIdentity(item: WorkItem): string {
+  return itemKey(item) ?? item.itemId;
 }
 
 /**
@@ -50,7 +50,7 @@
  * @param item The item.
  * @returns Workspace and key, or nothing where it has no key.
  */
-export function keyOf(item: WorkItem): string | undefined {
+export function itemKey(item: WorkItem): string | undefined {
   return item.idempotencyKey === undefined
     ? undefined
     : `${item.workspace}/${item.idempotencyKey}`;
@@ -63,12 +63,12 @@
  * @param holderId The instance that received it.
  * @returns The record.
  */
-export function callRecordOf(call: CallerCall, holderId: string): CallRecord {
+export function toCallRecord(call: CallerCall, holderId: string): CallRecord {
   const { item } = call;
   return {
     requestId: call.requestId,
-    itemId: identityOf(item),
-    key: keyOf(item),
+    itemId: itemIdentity(item),
+    key: itemKey(item),
     idempotent: item.idempotent,
     pool: item.pool,
     tierRank: item.tierRank,
--- a/packages/measure/src/work_items.ts
+++ b/packages/measure/src/work_item_generator.ts
@@ -6,7 +6,7 @@
   type WorkItem as GeneratedItem,
   type WorkloadOptions,
 } from "@chestnuthatch/standins/workload";
-import { BLOCK_TOKENS } from "./engine_host.ts";
+import { BLOCK_TOKENS } from "./simulated_engine.ts";
 import type { WorkItem } from "./work_item.ts";
 
 /**
@@ -16,16 +16,16 @@
  * @param scope The settings, for tiers and values, and the callers' region.
  * @returns The items in time order.
  */
-export function makeWorkItems(
+export function createWorkItems(
   options: WorkloadOptions,
   scope: { settings: SettingsInForce; region: string },
 ): WorkItem[] {
   return generateWorkload(options).map((item, index) =>
-    itemOf(item, { ...scope, itemId: `item-${index}` })
+    toWorkItem(item, { ...scope, itemId: `item-${index}` })
   );
 }
 
-function itemOf(
+function toWorkItem(
   item: GeneratedItem,
   scope: { settings: SettingsInForce; region: string; itemId: string },
 ): WorkItem {
@@ -48,17 +48,17 @@
     idempotencyKey: item.idempotencyKey,
     prompt: item.uniqueText,
     contentHash: item.uniqueText,
-    blockHashes: blockHashesOf(item),
+    blockHashes: createBlockHashes(item),
   };
 }
 
-function blockHashesOf(item: GeneratedItem): string[] {
-  const blocks = Math.floor(item.promptTokens / BLOCK_TOKENS);
-  const shared = Math.floor(item.prefixTokens / BLOCK_TOKENS);
+function createBlockHashes(item: GeneratedItem): string[] {
+  const blockCount = Math.floor(item.promptTokens / BLOCK_TOKENS);
+  const prefixBlocks = Math.floor(item.prefixTokens / BLOCK_TOKENS);
   return Array.from(
-    { length: blocks },
+    { length: blockCount },
     (_, index) =>
-      index < shared
+      index < prefixBlocks
         ? `${item.prefixId}#${index}`
         : `${item.uniqueText}#${index}`,
   );
