--- a/packages/measure/src/capacity.ts
+++ b/packages/measure/src/capacity.ts
@@ -88,13 +88,13 @@
   );
   const slowdownRatio = 1 +
     DECODE_SLOWDOWN_RATIO_PER_STREAM * Math.max(0, streams - 1);
-  const decodeTokensPerSecond = streams * target.decodeTokensPerSecond /
+  const totalDecodeTokensPerSecond = streams * target.decodeTokensPerSecond /
     slowdownRatio;
   const prefillSeconds = cost.promptTokens / target.prefillTokensPerSecond;
-  const tokensLostToPrefill = decodeTokensPerSecond *
+  const tokensLostToPrefill = totalDecodeTokensPerSecond *
     DECODE_LOSS_SHARE_DURING_PREFILL * prefillSeconds;
   return Math.min(
-    decodeTokensPerSecond / (cost.outputTokens + tokensLostToPrefill),
+    totalDecodeTokensPerSecond / (cost.outputTokens + tokensLostToPrefill),
     1 / prefillSeconds,
   );
 }
--- a/packages/measure/src/claim_client.ts
+++ b/packages/measure/src/claim_client.ts
@@ -79,7 +79,7 @@
    * @param claim The claim.
    * @param reply Told what became of it.
    */
-  writeClaim(claim: Claim, reply: (answer: ClaimResult) => void): void {
+  write(claim: Claim, reply: (answer: ClaimResult) => void): void {
     const pending: PendingWrite = {
       claim,
       reply,
@@ -95,7 +95,7 @@
    *
    * @param claim The claim.
    */
-  voidClaim(claim: Claim): void {
+  void(claim: Claim): void {
     const { nonce } = claim.row;
     if (this.#pendingWritesByNonce.delete(nonce)) {
       this.#inDoubtNonces.add(nonce);
@@ -187,12 +187,12 @@
     });
   }
 
-  #deleteRow(pending: PendingVoid, found: Row): void {
+  #deleteRow(pending: PendingVoid, foundRow: Row): void {
     this.#platform.transact(this.#failureDomain, {
       request: {
-        conditions: [{ key: found.key, version: found.version }],
+        conditions: [{ key: foundRow.key, version: foundRow.version }],
         puts: [],
-        deletes: [found.key],
+        deletes: [foundRow.key],
       },
       reply: (answer) => {
         if (answer?.committed === true) {
@@ -214,11 +214,11 @@
   }
 }
 
-function toClaimResult(own: ClaimRow, found: Row | undefined): ClaimResult {
-  if (found === undefined) {
+function toClaimResult(own: ClaimRow, foundRow: Row | undefined): ClaimResult {
+  if (foundRow === undefined) {
     return { outcome: ClaimOutcome.Unknown };
   }
-  const row = JSON.parse(found.value) as ClaimRow;
+  const row = JSON.parse(foundRow.value) as ClaimRow;
   return row.nonce === own.nonce
     ? { outcome: ClaimOutcome.Held }
     : { outcome: ClaimOutcome.HeldElsewhere, existingRow: row };
--- a/packages/measure/src/core_instance.ts
+++ b/packages/measure/src/core_instance.ts
@@ -58,8 +58,7 @@
   [EffectKind.CancelStream]: ({ targetClient }, effect) =>
     targetClient.cancel(effect.targetId, effect),
   [EffectKind.WriteClaim]: (process, effect) => process.writeClaim(effect),
-  [EffectKind.VoidClaim]: ({ claimClient }, effect) =>
-    claimClient.voidClaim(effect),
+  [EffectKind.VoidClaim]: ({ claimClient }, effect) => claimClient.void(effect),
   [EffectKind.KeepAnswer]: ({ context, options }, effect) =>
     context.platform.putObject(options.failureDomain, effect),
   [EffectKind.ReadKeptAnswer]: (process, effect) =>
@@ -74,9 +73,9 @@
   [EffectKind.SettingsInForce]: ({ context, processName }, effect) =>
     context.checker.recordSettingsInForce(processName, effect.version),
   [EffectKind.ConnectPeer]: (process, effect) =>
-    process.context.peers.connect(process, effect.peerId),
+    process.context.peerLinks.connect(process, effect.peerId),
   [EffectKind.ForgetPeer]: (process, effect) =>
-    process.context.peers.disconnect(process, effect.peerId),
+    process.context.peerLinks.disconnect(process, effect.peerId),
 };
 
 /** One run of an instance's process, from its start to its end. */
@@ -109,7 +108,7 @@
     });
     this.targetClient = new TargetClient(context, options.failureDomain);
     this.claimClient = new ClaimClient(context, options.failureDomain);
-    context.peers.addProcess(this);
+    context.peerLinks.addProcess(this);
     this.#scheduleTick(options.tickOffsetMs);
   }
 
@@ -130,7 +129,7 @@
     this.#isTerminated = true;
     this.mailbox.clear();
     this.claimClient.stop();
-    this.context.peers.removeProcess(this);
+    this.context.peerLinks.removeProcess(this);
     for (const requestId of this.openRequestIds) {
       this.#notifyCaller(() =>
         this.context.callers.onConnectionLost(requestId)
@@ -171,7 +170,7 @@
 
   sendPeer({ peerId, message }: EffectOf<EffectKind.SendPeer>): void {
     this.context.controlCosts.recordMessage(message);
-    this.context.peers.send(this, { toId: peerId, message });
+    this.context.peerLinks.send(this, { toId: peerId, message });
   }
 
   dispatch(effect: EffectOf<EffectKind.Dispatch>): void {
@@ -212,7 +211,7 @@
   }
 
   writeClaim({ requestId, key, row }: EffectOf<EffectKind.WriteClaim>): void {
-    this.claimClient.writeClaim(
+    this.claimClient.write(
       { key, row },
       (answer) =>
         this.deliver({ kind: EventKind.ClaimAnswered, requestId, ...answer }),
--- a/packages/measure/src/deployment_plan.ts
+++ b/packages/measure/src/deployment_plan.ts
@@ -68,11 +68,11 @@
 export function readDeploymentPlan(deployment: Deployment): DeploymentPlan {
   const { region, instanceDomains, betweenDomainsDelayMs } =
     TOPOLOGIES[deployment];
-  const file = new URL(
+  const settingsUrl = new URL(
     `../../../examples/${deployment}/settings.yaml`,
     import.meta.url,
   );
-  const settingsText = readFileSync(file, "utf8");
+  const settingsText = readFileSync(settingsUrl, "utf8");
   return {
     deployment,
     region,
--- a/packages/measure/src/entry_instance.ts
+++ b/packages/measure/src/entry_instance.ts
@@ -34,7 +34,7 @@
 export interface InstanceContext {
   readonly queue: EventQueue;
   readonly network: SimulatedNetwork;
-  readonly peers: PeerLinks;
+  readonly peerLinks: PeerLinks;
   readonly platform: SimulatedPlatform;
   readonly targets: ReadonlyMap<string, SimulatedTarget>;
   readonly checker: PromiseChecker;
--- a/packages/measure/src/measurement.ts
+++ b/packages/measure/src/measurement.ts
@@ -57,31 +57,37 @@
   scope: { deployment: Deployment; scenario: Scenario },
 ): ScenarioMeasurement {
   const plan = readDeploymentPlan(scope.deployment);
-  const run = (rest: Pick<RunOptions, "variant" | "useAffinity">) =>
+  const runEachSeed = (
+    variantOptions: Pick<RunOptions, "variant" | "useAffinity">,
+  ) =>
     Array.from({ length: options.seeds }, (_, index) => ({
       seed: index + 1,
       result: runScenario({
         plan,
         scenario: scope.scenario,
         seed: index + 1,
-        ...rest,
+        ...variantOptions,
       }),
     }));
   const { useAffinity } = options;
-  const scheduler = run({ variant: SchedulerVariant.Scheduler, useAffinity });
-  const baseline = run({
+  const scheduler = runEachSeed({
+    variant: SchedulerVariant.Scheduler,
+    useAffinity,
+  });
+  const baseline = runEachSeed({
     variant: SchedulerVariant.Baseline,
     useAffinity: false,
   });
   const withoutAffinity = options.compareAffinity
-    ? run({ variant: SchedulerVariant.Scheduler, useAffinity: false })
+    ? runEachSeed({ variant: SchedulerVariant.Scheduler, useAffinity: false })
     : undefined;
-  const results = (runs: typeof scheduler) => runs.map(({ result }) => result);
+  const toResults = (runs: typeof scheduler) =>
+    runs.map(({ result }) => result);
   return {
     ...scope,
-    scheduler: summarize(results(scheduler)),
-    baseline: summarize(results(baseline)),
-    withoutAffinity: withoutAffinity && summarize(results(withoutAffinity)),
+    scheduler: summarize(toResults(scheduler)),
+    baseline: summarize(toResults(baseline)),
+    withoutAffinity: withoutAffinity && summarize(toResults(withoutAffinity)),
     broken: scheduler.flatMap(({ seed, result }) =>
       result.broken.map((broken) => ({ seed, ...broken }))
     ),
--- a/packages/measure/src/peer_links.ts
+++ b/packages/measure/src/peer_links.ts
@@ -156,18 +156,25 @@
   }
 
   #openLink(from: PeerProcess, to: PeerProcess): void {
-    const own = this.#linksByProcess.get(from);
-    const other = this.#linksByProcess.get(to);
-    if (own === undefined || own.directionsByPeerId.has(to.instanceId)) {
+    const ownLinks = this.#linksByProcess.get(from);
+    const peerLinks = this.#linksByProcess.get(to);
+    if (
+      ownLinks === undefined || ownLinks.directionsByPeerId.has(to.instanceId)
+    ) {
       return;
     }
-    if (other === undefined) {
+    if (peerLinks === undefined) {
       this.#dial(from, to.instanceId);
       return;
     }
     const link: Link = { ends: [from, to], isOpen: true };
-    own.directionsByPeerId.set(to.instanceId, { from, to, link, backlog: [] });
-    other.directionsByPeerId.set(from.instanceId, {
+    ownLinks.directionsByPeerId.set(to.instanceId, {
+      from,
+      to,
+      link,
+      backlog: [],
+    });
+    peerLinks.directionsByPeerId.set(from.instanceId, {
       from: to,
       to: from,
       link,
--- a/packages/measure/src/promise_checker.ts
+++ b/packages/measure/src/promise_checker.ts
@@ -1,48 +1,66 @@
 /**
- * The users' promises, checked on every run from what targets received and
- * what callers were told.
+ * Checker of the guarantees that users were promised, from the work that
+ * targets received and the outcomes that callers received in a simulated run.
  */
 
 import { ErrorKind, RunState } from "@chestnuthatch/wire/work";
 
-/** What can be broken. */
+/** Guarantees that a run can violate, named after the violation. */
 export enum PromiseKind {
+  /** More than one dispatch under the same request id reached a target. */
   DispatchedTwice = "dispatched_twice",
+  /** Two calls with the same key ran, and they weren't idempotent. */
   NonIdempotentRanTwice = "non_idempotent_ran_twice",
+  /** The answer was no complete answer that a target gave to the item. */
   NotOwnWholeAnswer = "not_own_whole_answer",
+  /** A call was refused as not run, but its work ran before or after. */
   NotRunButRan = "not_run_but_ran",
-  /** Told "not run" by one instance for a key that ran by another. */
+  /** A call was refused as not run, but another call ran its key. */
   NotRunButKeyRan = "not_run_but_key_ran",
-  /** Refused for overload while lower-tier work waited or ran in reach. */
+  /**
+   * A call was refused for overload while an instance that its holder reaches
+   * served lower-tier work or kept it waiting.
+   */
   TierOrder = "tier_order",
-  /** Refused for overload, and lower-tier work was sent while it waited. */
+  /**
+   * A call was refused for overload, and while it waited, lower-tier work was
+   * dispatched.
+   */
   TierOrderWhileWaiting = "tier_order_while_waiting",
+  /** Work reached a target too long after the target announced leaving. */
   DispatchedToLeaving = "dispatched_to_leaving",
+  /** A process went back to an older version of the settings. */
   SettingsReverted = "settings_reverted",
+  /** A call received a second outcome. */
   AnsweredTwice = "answered_twice",
+  /** A call received no outcome within the margin after its deadline. */
   NoOutcome = "no_outcome",
+  /** The work sent to an engine reserves more KV memory than it has. */
   KvExceeded = "kv_exceeded",
 }
 
-/** One broken promise and what is known of it. */
+/** A violation of a promise, with the data to investigate it. */
 export interface BrokenPromise {
   readonly kind: PromiseKind;
   readonly atMs: number;
-  /** The request, target or instance it is about. */
+  /** Id of the request or target, or name of the process, that is affected. */
   readonly subject: string;
   readonly detail: string;
-  /** The request's story as its holder remembers it. */
+  /**
+   * Decisions on the request in the log of its holder, one a line; empty when
+   * the promise isn't about a request.
+   */
   readonly story: readonly string[];
 }
 
-/** One call of a caller at one instance. */
+/** A call that an instance received, as the checks need it. */
 export interface CallRecord {
   /** The call's request id. */
   readonly requestId: string;
-  /** What the caller wants done; calls of the same item may share an answer. */
+  /** Id of the requested work; calls of the same item may share an answer. */
   readonly itemId: string;
-  /** Workspace and idempotency key, where the caller sent one. */
-  readonly key?: string;
+  /** Workspace and idempotency key; absent if the caller sent no key. */
+  readonly workspaceKey?: string;
   readonly idempotent: boolean;
   readonly pool: string;
   readonly tierRank: number;
@@ -50,7 +68,7 @@
   readonly sentAtMs: number;
 }
 
-/** Work as a target received it. */
+/** Work of one attempt as a target received it. */
 export interface ReceivedWork {
   readonly requestId: string;
   readonly targetId: string;
@@ -59,18 +77,22 @@
   readonly tierRank: number;
 }
 
-/** The end of a call as the caller was told it. */
+/** The parts of a refusal that the checks need. */
 export interface CallRefusal {
   readonly error: ErrorKind;
   readonly ran: RunState;
 }
 
-/** Lower-tier work that was there when a call was refused. */
+/** Lower-tier work that an instance held when a call was refused. */
 export interface LowerTierWork {
   readonly requestId: string;
   readonly description: string;
 }
 
+/**
+ * A refusal that violates the tier order, unless the lower-tier work was refused
+ * at the same moment.
+ */
 interface PossibleTierOrderViolation {
   readonly call: CallRecord;
   readonly refusal: CallRefusal;
@@ -79,40 +101,53 @@
   readonly decisions: readonly string[];
 }
 
-/** What the checker must ask of the world around it. */
+/** State of the simulation that the checker reads. */
 export interface SimulationView {
+  /** @returns The simulated time in milliseconds. */
   nowMs(): number;
   /**
-   * Looks for lower-tier work that is served or kept waiting in reach.
+   * Finds work of lower tiers in the call's pool that is waiting or may be
+   * cancelled, at every instance that the call's holder reaches.
    *
    * @param call The call that was refused.
-   * @returns What was found.
+   * @returns The work found; empty if there is none.
    */
   findLowerTierWork(call: CallRecord): readonly LowerTierWork[];
   /**
-   * Tells whether one instance's work reaches the same targets as another's.
+   * Checks whether an instance is running and connected to a call's holder, so
+   * that both compete for the same targets.
    *
-   * @param holderId One instance.
-   * @param otherId Another.
-   * @returns True when both are live and reach each other.
+   * @param holderId Id of the instance that holds the call.
+   * @param otherId Id of the instance to check.
+   * @returns True when the instance is live, not paused and connected to the
+   * holder.
    */
   canReach(holderId: string, otherId: string): boolean;
   /**
-   * Tells a request's story.
+   * Lists the decisions on a call from its holder's log.
    *
-   * @param call The call it is about.
-   * @returns Its steps.
+   * @param call The call.
+   * @returns One line for each decision; empty if the holder isn't running.
    */
   describeDecisions(call: CallRecord): string[];
 }
 
-/** A target may still be sent work this long after its first leaving sign. */
+/**
+ * Time after a target announces that it is leaving during which work may still
+ * reach it.
+ */
 export const LEAVING_GRACE_MS = 3000;
 
-/** A grant made before a request came may arrive at its target this late. */
+/**
+ * Time until work reaches its target after the grant. Work that arrives within
+ * it after a call was sent may have been granted before the call arrived.
+ */
 const MAX_GRANT_DELAY_MS = 50;
 
-/** A refusal or cancellation ordered before may reach its holder this late. */
+/**
+ * Time until a refusal or cancellation reaches its holder. Work refused within
+ * it after a higher-tier refusal counts as refused at the same moment.
+ */
 const MAX_REFUSAL_DELAY_MS = 50;
 
 const OVERLOAD_ERROR_KINDS: ReadonlySet<ErrorKind> = new Set([
@@ -122,8 +157,9 @@
   ErrorKind.Preempted,
 ]);
 
-/** Watches one run and keeps every broken promise. */
+/** Records the events of one run and checks the promises on them. */
 export class PromiseChecker {
+  /** Violations found so far. */
   readonly broken: BrokenPromise[] = [];
   readonly #simulation: SimulationView;
   readonly #callsByRequestId = new Map<string, CallRecord>();
@@ -142,23 +178,32 @@
     (ReceivedWork & { atMs: number })[]
   >();
 
-  /** @param simulation Where the run happens. */
+  /** @param simulation The simulation that the run takes place in. */
   constructor(simulation: SimulationView) {
     this.#simulation = simulation;
   }
 
-  /** @param call A call that an instance received. */
+  /**
+   * Records a call that an instance received.
+   *
+   * @param call The call.
+   */
   recordCall(call: CallRecord): void {
     this.#callsByRequestId.set(call.requestId, call);
   }
 
-  /** @param work A request that a target received. */
+  /**
+   * Records work that a target received, and checks that it was dispatched once
+   * and not to a leaving target.
+   *
+   * @param work The work.
+   */
   recordWorkReceived(work: ReceivedWork): void {
-    const earlier = this.#receivedByRequestId.get(work.requestId) ?? [];
-    earlier.push(work);
-    this.#receivedByRequestId.set(work.requestId, earlier);
-    if (earlier.length > 1) {
-      const targets = earlier.map((each) => each.targetId).join(", ");
+    const receivedWork = this.#receivedByRequestId.get(work.requestId) ?? [];
+    receivedWork.push(work);
+    this.#receivedByRequestId.set(work.requestId, receivedWork);
+    if (receivedWork.length > 1) {
+      const targets = receivedWork.map((each) => each.targetId).join(", ");
       this.#recordBrokenPromise(
         PromiseKind.DispatchedTwice,
         work.requestId,
@@ -171,29 +216,34 @@
     this.#receivedByPool.set(work.pool, poolWork);
   }
 
-  /** @param requestId A request that a target began to work on. */
+  /**
+   * Records that a target started work, and checks that its key didn't run
+   * before.
+   *
+   * @param requestId Id of the request.
+   */
   recordWorkStarted(requestId: string): void {
     this.#startedRequestIds.add(requestId);
     const call = this.#callsByRequestId.get(requestId);
-    if (call?.key === undefined) {
+    if (call?.workspaceKey === undefined) {
       return;
     }
-    const earlierId = this.#startedRequestIdByKey.get(call.key);
-    if (earlierId !== undefined && !call.idempotent) {
+    const earlierRequestId = this.#startedRequestIdByKey.get(call.workspaceKey);
+    if (earlierRequestId !== undefined && !call.idempotent) {
       this.#recordBrokenPromise(
         PromiseKind.NonIdempotentRanTwice,
         requestId,
-        `key ${call.key} also ran as ${earlierId}`,
+        `key ${call.workspaceKey} also ran as ${earlierRequestId}`,
       );
     }
-    this.#startedRequestIdByKey.set(call.key, requestId);
+    this.#startedRequestIdByKey.set(call.workspaceKey, requestId);
   }
 
   /**
-   * Notes the whole answer that a target made.
+   * Records a complete answer that a target produced.
    *
-   * @param requestId The request it was made for.
-   * @param text The whole text.
+   * @param requestId Id of the request that the target received.
+   * @param text The complete text.
    */
   recordCompleteAnswer(requestId: string, text: string): void {
     const itemId = this.#callsByRequestId.get(requestId)?.itemId ?? requestId;
@@ -203,10 +253,11 @@
   }
 
   /**
-   * Notes the answer that a call got.
+   * Records the answer to a call, and checks that a target produced exactly this
+   * text for the item.
    *
-   * @param requestId The call.
-   * @param text The text delivered.
+   * @param requestId Id of the call.
+   * @param text The text that the caller receives.
    */
   recordCallAnswered(requestId: string, text: string): void {
     this.#recordOutcome(requestId);
@@ -222,10 +273,10 @@
   }
 
   /**
-   * Notes the refusal that a call got.
+   * Records the refusal of a call, and checks its run state and the tier order.
    *
-   * @param requestId The call.
-   * @param refusal What it was told.
+   * @param requestId Id of the call.
+   * @param refusal The refusal that the caller receives.
    */
   recordCallRefused(requestId: string, refusal: CallRefusal): void {
     this.#recordOutcome(requestId);
@@ -242,7 +293,11 @@
     }
   }
 
-  /** @param targetId A target that shows its first sign of leaving. */
+  /**
+   * Records that a target announces leaving; only the first time counts.
+   *
+   * @param targetId Id of the target.
+   */
   recordTargetLeaving(targetId: string): void {
     if (!this.#leavingSinceMsByTargetId.has(targetId)) {
       this.#leavingSinceMsByTargetId.set(targetId, this.#simulation.nowMs());
@@ -250,10 +305,11 @@
   }
 
   /**
-   * Notes the settings version that an instance has in force.
+   * Records the settings version that a process applies, and checks that it
+   * isn't older than the one before.
    *
-   * @param processName Names one start of an instance.
-   * @param version The version.
+   * @param processName Name of the process, unique for each start of an instance.
+   * @param version The version in force.
    */
   recordSettingsInForce(processName: string, version: number): void {
     const previousVersion = this.#settingsVersionByProcess.get(processName) ??
@@ -269,9 +325,10 @@
   }
 
   /**
-   * Notes that a call's holder must have told its outcome by now.
+   * Checks that a call has received an outcome; call it once the deadline and
+   * the margin after it have passed.
    *
-   * @param requestId The call.
+   * @param requestId Id of the call.
    */
   checkOutcome(requestId: string): void {
     if (!this.#endedRequestIds.has(requestId)) {
@@ -284,16 +341,19 @@
   }
 
   /**
-   * Notes that a target was sent more than its memory holds.
+   * Records that a target received work for more KV memory than it has.
    *
-   * @param targetId The target.
-   * @param detail The figures, and the request that was too much.
+   * @param targetId Id of the target.
+   * @param detail The amounts in tokens, and the request that exceeded them.
    */
   recordKvExceeded(targetId: string, detail: string): void {
     this.#recordBrokenPromise(PromiseKind.KvExceeded, targetId, detail);
   }
 
-  /** Checks what only the end of the run can show. */
+  /**
+   * Checks the promises that need the whole run: work that ran after a refusal
+   * as not run, and lower-tier work that was served after a refusal.
+   */
   finish(): void {
     for (const possibleViolation of this.#possibleTierOrderViolations) {
       this.#checkTierOrderViolation(possibleViolation);
@@ -310,9 +370,9 @@
   }
 
   /**
-   * Counts broken promises.
+   * Counts the violations by kind.
    *
-   * @returns How many of each kind were broken; kinds kept are left out.
+   * @returns Number of violations of each kind; kinds without any are absent.
    */
   countByKind(): Partial<Record<PromiseKind, number>> {
     const counts: Partial<Record<PromiseKind, number>> = {};
@@ -338,10 +398,10 @@
       call.requestId,
       this.#simulation.nowMs(),
     );
-    if (call.key === undefined || call.idempotent) {
+    if (call.workspaceKey === undefined || call.idempotent) {
       return;
     }
-    const startedRequestId = this.#startedRequestIdByKey.get(call.key);
+    const startedRequestId = this.#startedRequestIdByKey.get(call.workspaceKey);
     if (startedRequestId !== undefined && startedRequestId !== call.requestId) {
       this.#recordBrokenPromise(
         PromiseKind.NotRunButKeyRan,
@@ -352,7 +412,8 @@
   }
 
   #checkTierOrder(call: CallRecord, refusal: CallRefusal): void {
-    // A call that joined another's request runs under that one's id.
+    // A call that joined another call's request runs under that call's id, so
+    // no target receives its own id.
     const dispatched = this.#receivedByRequestId.has(call.requestId) ||
       refusal.ran !== RunState.NotRun;
     if (dispatched && refusal.error !== ErrorKind.Preempted) {
@@ -385,22 +446,22 @@
     }
   }
 
-  /** Work that was refused at the same moment was not served. */
+  /** Lower-tier work that was refused at the same moment was not served. */
   #checkTierOrderViolation(
     { call, refusal, atMs, lowerTierWork, decisions }:
       PossibleTierOrderViolation,
   ): void {
-    const served = lowerTierWork.find(({ requestId }) =>
+    const servedWork = lowerTierWork.find(({ requestId }) =>
       (this.#refusedAtMsByRequestId.get(requestId) ?? Infinity) >
         atMs + MAX_REFUSAL_DELAY_MS
     );
-    if (served !== undefined) {
+    if (servedWork !== undefined) {
       this.broken.push({
         kind: PromiseKind.TierOrder,
         atMs,
         subject: call.requestId,
         detail: `refused as ${refusal.error} in tier ${call.tierRank}: ` +
-          served.description,
+          servedWork.description,
         story: decisions,
       });
     }
@@ -409,21 +470,24 @@
   #findLowerTierDispatch(
     call: CallRecord,
   ): (ReceivedWork & { atMs: number }) | undefined {
-    const sinceMs = call.sentAtMs + MAX_GRANT_DELAY_MS;
+    const dispatchedAfterMs = call.sentAtMs + MAX_GRANT_DELAY_MS;
     return this.#receivedByPool.get(call.pool)?.findLast((work) =>
-      work.atMs > sinceMs && work.tierRank > call.tierRank &&
+      work.atMs > dispatchedAfterMs && work.tierRank > call.tierRank &&
       this.#simulation.canReach(call.holderId, work.holderId)
     );
   }
 
   #checkTargetLeaving(work: ReceivedWork): void {
-    const sinceMs = this.#leavingSinceMsByTargetId.get(work.targetId);
-    const lateMs = this.#simulation.nowMs() - (sinceMs ?? Infinity);
-    if (lateMs > LEAVING_GRACE_MS) {
+    const leavingSinceMs = this.#leavingSinceMsByTargetId.get(work.targetId);
+    const sinceLeavingMs = this.#simulation.nowMs() -
+      (leavingSinceMs ?? Infinity);
+    if (sinceLeavingMs > LEAVING_GRACE_MS) {
       this.#recordBrokenPromise(
         PromiseKind.DispatchedToLeaving,
         work.requestId,
-        `${work.targetId} got it ${Math.round(lateMs)} ms after it began ` +
+        `${work.targetId} got it ${
+          Math.round(sinceLeavingMs)
+        } ms after it began ` +
           "to leave",
       );
     }
--- a/packages/measure/src/promise_checker_test.ts
+++ b/packages/measure/src/promise_checker_test.ts
@@ -27,7 +27,7 @@
   }
 
   describeDecisions(call: CallRecord): string[] {
-    return [`story of ${call.requestId}`];
+    return [`decisions on ${call.requestId}`];
   }
 }
 
@@ -44,7 +44,7 @@
 const KEYED_CALL: CallRecord = {
   ...CALL,
   idempotent: false,
-  key: "meru-plots/k",
+  workspaceKey: "meru-plots/k",
 };
 
 const WORK: ReceivedWork = {
@@ -78,7 +78,7 @@
   return checker.broken.map(({ kind }) => kind);
 }
 
-test("should find nothing wrong with a request that ran once", () => {
+test("should find no violation for a request that ran once", () => {
   const { checker } = setUp(KEYED_CALL);
   checker.recordWorkReceived(WORK);
   checker.recordWorkStarted("call-1");
@@ -89,7 +89,7 @@
   assert.equal(checker.broken, []);
 });
 
-test("should detect a second dispatch, with the request's story", () => {
+test("should detect a second dispatch and list the request's decisions", () => {
   const { checker } = setUp();
   checker.recordWorkReceived(WORK);
   checker.recordWorkReceived({ ...WORK, targetId: "msaidizi-2" });
@@ -98,12 +98,12 @@
     atMs: 1000,
     subject: "call-1",
     detail: "msaidizi-1, msaidizi-2",
-    story: ["story of call-1"],
+    story: ["decisions on call-1"],
   }]);
   assert.equal(checker.countByKind(), { [PromiseKind.DispatchedTwice]: 1 });
 });
 
-test("should detect a key that ran twice, unless it may", () => {
+test("should detect a key that ran twice, unless it is idempotent", () => {
   const { checker } = setUp(KEYED_CALL);
   checker.recordCall({ ...KEYED_CALL, requestId: "call-2" });
   checker.recordWorkStarted("call-1");
@@ -121,7 +121,7 @@
   assert.equal(idempotent.broken, []);
 });
 
-test("should detect fragments and another caller's answer", () => {
+test("should detect incomplete answers and another caller's answer", () => {
   const fragment = setUp().checker;
   fragment.recordCompleteAnswer("call-1", "whole");
   fragment.recordCallAnswered("call-1", "who");
@@ -142,7 +142,7 @@
   assert.equal(checker.broken, []);
 });
 
-test("should detect a run told as not run, also one that came later", () => {
+test("should detect a run after a refusal as not run", () => {
   const { checker } = setUp();
   checker.recordCallRefused("call-1", OVERLOADED);
   checker.recordWorkStarted("call-1");
@@ -150,7 +150,7 @@
   assert.equal(brokenKinds(checker), [PromiseKind.NotRunButRan]);
 });
 
-test("should detect not run told for a key that another call ran", () => {
+test("should detect a refusal as not run for a key that another call ran", () => {
   const { checker } = setUp(KEYED_CALL);
   checker.recordCall({ ...KEYED_CALL, requestId: "call-2" });
   checker.recordWorkStarted("call-1");
@@ -178,7 +178,7 @@
   assert.equal(brokenKinds(checker), [PromiseKind.TierOrder]);
 });
 
-test("should take lower-tier work as served unless it is refused at that moment", () => {
+test("should count lower-tier work as served unless it is refused at the same moment", () => {
   const atOnce = setUp();
   atOnce.simulation.lowerTier = [LOWER_TIER_WORK];
   atOnce.checker.recordCallRefused("call-1", OVERLOADED);
@@ -204,14 +204,14 @@
   assert.equal(brokenKinds(later.checker), [PromiseKind.TierOrder]);
 });
 
-test("should detect lower-tier work that was sent meanwhile", () => {
+test("should detect lower-tier work dispatched while a call waited", () => {
   const { checker } = setUp();
   checker.recordWorkReceived({ ...WORK, requestId: "call-9", tierRank: 2 });
   checker.recordCallRefused("call-1", OVERLOADED);
   assert.equal(brokenKinds(checker), [PromiseKind.TierOrderWhileWaiting]);
 });
 
-test("should leave refusals alone that are not for overload", () => {
+test("should not check the tier order of refusals other than for overload", () => {
   const { simulation, checker } = setUp();
   simulation.lowerTier = [LOWER_TIER_WORK];
   checker.recordCallRefused("call-1", {
@@ -233,7 +233,7 @@
   assert.equal(brokenKinds(checker), [PromiseKind.DispatchedToLeaving]);
 });
 
-test("should detect settings that go back on one process", () => {
+test("should detect a process that goes back to older settings", () => {
   const { checker } = setUp();
   checker.recordSettingsInForce("entry-1/1", 2);
   checker.recordSettingsInForce("entry-1/2", 1);
@@ -242,7 +242,7 @@
   assert.equal(brokenKinds(checker), [PromiseKind.SettingsReverted]);
 });
 
-test("should keep what a target tells of its memory", () => {
+test("should record a target whose KV memory is exceeded", () => {
   const { checker } = setUp();
   checker.recordKvExceeded("msaidizi-1", "130000 of 120000 tokens");
   assert.equal(brokenKinds(checker), [PromiseKind.KvExceeded]);
--- a/packages/measure/src/report.ts
+++ b/packages/measure/src/report.ts
@@ -1,30 +1,30 @@
-/** Prints measurements as text. */
+/** Rows of the printed tables, and lines on broken promises. */
 
 import type { ScenarioMeasurement } from "./measurement.ts";
 import { type BrokenInRun, ratio, type VariantSummary } from "./summary.ts";
 
 type Row = Record<string, string | number>;
 
-/** Stories printed for each kind of promise that was broken. */
+/** Violations printed for each scenario and kind of promise. */
 const MAX_EXAMPLES_PER_KIND = 3;
 
 const PERCENT = 100;
 
 /**
- * Writes a ratio as a percentage.
+ * Formats the share of a part in a whole as a percentage.
  *
- * @param part The part.
- * @param whole The whole.
- * @returns Such as `12.3 %`.
+ * @param part The amount to express as a share.
+ * @param whole The amount that counts as 100 %; 0 gives `0.0 %`.
+ * @returns The percentage with one decimal, such as `12.3 %`.
  */
 export function formatPercent(part: number, whole: number): string {
   return `${(PERCENT * ratio(part, whole)).toFixed(1)} %`;
 }
 
 /**
- * Describes goodput, waste, promises and costs by scenario.
+ * Builds the table of goodput, wasted prefill, costs and broken promises.
  *
- * @param measurements What was measured.
+ * @param measurements The measured scenarios.
  * @returns One row for each scenario.
  */
 export function overviewRows(
@@ -57,38 +57,47 @@
 }
 
 /**
- * Describes goodput and waits by tier.
+ * Builds the table of goodput and waiting times by tier.
  *
- * @param measurements What was measured.
+ * @param measurements The measured scenarios.
  * @returns One row for each scenario and tier.
  */
 export function tierRows(measurements: readonly ScenarioMeasurement[]): Row[] {
   return measurements.flatMap(({ deployment, scenario, ...measured }) => {
     const { scheduler, baseline } = measured;
     return tiersByValue(scheduler).map((tier) => {
-      const own = scheduler.tiers[tier];
-      const other = baseline.tiers[tier];
-      const wait = scheduler.waits[tier];
-      const otherWait = baseline.waits[tier];
+      const schedulerTally = scheduler.tiers[tier];
+      const baselineTally = baseline.tiers[tier];
+      const schedulerWaits = scheduler.waits[tier];
+      const baselineWaits = baseline.waits[tier];
       return {
         deployment,
         scenario,
         tier,
-        items: own.items,
-        "in time": formatPercent(own.answeredInTime, own.items),
-        "baseline in time": formatPercent(other.answeredInTime, other.items),
-        "value x baseline": formatRatio(own.valueInTime, other.valueInTime),
-        "wait p50/p95/p99 ms": formatWaits(wait),
-        "baseline wait": formatWaits(otherWait),
+        items: schedulerTally.items,
+        "in time": formatPercent(
+          schedulerTally.answeredInTime,
+          schedulerTally.items,
+        ),
+        "baseline in time": formatPercent(
+          baselineTally.answeredInTime,
+          baselineTally.items,
+        ),
+        "value x baseline": formatRatio(
+          schedulerTally.valueInTime,
+          baselineTally.valueInTime,
+        ),
+        "wait p50/p95/p99 ms": formatWaits(schedulerWaits),
+        "baseline wait": formatWaits(baselineWaits),
       };
     });
   });
 }
 
 /**
- * Describes what prefix affinity saves.
+ * Builds the table that compares prefill with and without prefix affinity.
  *
- * @param measurements What was measured.
+ * @param measurements The measured scenarios.
  * @returns One row for each scenario that ran with and without it.
  */
 export function affinityRows(
@@ -123,10 +132,10 @@
 }
 
 /**
- * Describes broken promises, with a few stories of each kind.
+ * Lists the broken promises, with the details of a few violations of each kind.
  *
- * @param measurements What was measured.
- * @returns Lines of text; none where every promise held.
+ * @param measurements The measured scenarios.
+ * @returns Lines of text; none if no promise was broken.
  */
 export function brokenPromiseLines(
   measurements: readonly ScenarioMeasurement[],
@@ -142,10 +151,10 @@
 }
 
 /**
- * Adds up broken promises.
+ * Adds up the counts of broken promises.
  *
- * @param counts Counts by kind.
- * @returns Their sum.
+ * @param counts Number of violations by kind of promise.
+ * @returns Number of violations of all kinds.
  */
 export function totalCount(counts: VariantSummary["broken"]): number {
   return Object.values(counts).reduce((sum, count) => sum + count, 0);
@@ -163,7 +172,7 @@
   return other === 0 ? "-" : `${ratio(own, other).toFixed(2)}`;
 }
 
-/** Tiers in order of the worth of one answer, the highest first. */
+/** Tiers by the mean value of one item, the highest first. */
 function tiersByValue({ tiers }: VariantSummary): string[] {
   const valuePerItem = (tier: string) => tiers[tier].value / tiers[tier].items;
   return Object.keys(tiers).sort((a, b) => valuePerItem(b) - valuePerItem(a));
--- a/packages/measure/src/run_recorder.ts
+++ b/packages/measure/src/run_recorder.ts
@@ -1,4 +1,4 @@
-/** What happened to each item and each token in one run. */
+/** Recorder of the outcomes of items and the prefilled tokens of one run. */
 
 import { build, type Histogram } from "hdr-histogram-js";
 import type { EventQueue } from "./event_queue.ts";
@@ -7,19 +7,22 @@
 import type { TargetWork, WorkRecorder } from "./simulated_target.ts";
 import { type CallerCall, itemIdentity, type WorkItem } from "./work_item.ts";
 
-/** What one tier got. */
+/** Counts of one tier's items, and the sums of their values. */
 export interface TierTally {
   items: number;
+  /** Sum of the values of all items. */
   value: number;
   answeredInTime: number;
+  /** Sum of the values of the items answered in time. */
   valueInTime: number;
   answeredLate: number;
   unanswered: number;
 }
 
-/** Prompt tokens read again that some target of the pool had read before. */
+/** Prompt tokens that targets prefilled. */
 export interface PrefixTally {
   prefilledTokens: number;
+  /** Tokens of blocks that a target of the same pool had prefilled before. */
   repeatedTokens: number;
 }
 
@@ -29,7 +32,7 @@
   answered: boolean;
 }
 
-/** Keeps the records of one run. */
+/** Records the calls and the targets' work of one run and adds them up. */
 export class RunRecorder implements WorkRecorder {
   readonly prefixTally: PrefixTally = { prefilledTokens: 0, repeatedTokens: 0 };
   readonly refusalsByReason = new Map<string, number>();
@@ -43,12 +46,17 @@
   readonly #seenBlocksByPool = new Map<string, Set<string>>();
   readonly #deliveredRequestIds = new Set<string>();
 
-  /** @param context The clock and the checks. */
+  /** @param context The clock, and the checker that work is reported to. */
   constructor(context: { queue: EventQueue; checker: PromiseChecker }) {
     this.#context = context;
   }
 
-  /** @param item An item that comes up. */
+  /**
+   * Records an item when its time has come; items that share an idempotency key
+   * count once.
+   *
+   * @param item The item.
+   */
   recordItem(item: WorkItem): void {
     const identity = itemIdentity(item);
     if (!this.#outcomesByItemId.has(identity)) {
@@ -60,17 +68,21 @@
     }
   }
 
-  /** @param call A call that was sent. */
+  /**
+   * Records a call that a caller sent.
+   *
+   * @param call The call.
+   */
   recordCall(call: CallerCall): void {
     this.callCount += 1;
     this.#callsByRequestId.set(call.requestId, call);
   }
 
   /**
-   * Notes an answer that its caller got.
+   * Records an answer that a caller received.
    *
    * @param call The call.
-   * @param text The answer.
+   * @param text The text of the answer.
    */
   recordAnswer(call: CallerCall, text: string): void {
     const outcome = this.#outcomesByItemId.get(itemIdentity(call.item))!;
@@ -80,7 +92,11 @@
     this.#deliveredRequestIds.add(readRequestId(text));
   }
 
-  /** @param reason Why a call was not answered. */
+  /**
+   * Counts a call that received no answer.
+   *
+   * @param reason Kind of the refusal or failure.
+   */
   recordRefusal(reason: string): void {
     this.refusalsByReason.set(
       reason,
@@ -125,19 +141,19 @@
   }
 
   /**
-   * Tells whether an answer that came from some work was delivered.
+   * Checks whether a caller received the answer to a target's work.
    *
-   * @param requestId The request id that the target saw.
-   * @returns True when a caller got it.
+   * @param requestId Id of the request that the target received.
+   * @returns True when a caller received an answer produced for the request.
    */
   wasDelivered(requestId: string): boolean {
     return this.#deliveredRequestIds.has(requestId);
   }
 
   /**
-   * Sums up what each tier got.
+   * Adds up the outcomes of the recorded items by tier.
    *
-   * @returns Tallies by tier.
+   * @returns Tallies by the tier's name.
    */
   tallyTiers(): Map<string, TierTally> {
     const tallies = new Map<string, TierTally>();
@@ -151,9 +167,9 @@
   }
 
   /**
-   * Gives the waits of a tier's calls until their work began.
+   * Returns the times from the sending of calls to the start of their work.
    *
-   * @returns Histograms in milliseconds, by tier.
+   * @returns Histograms in milliseconds, by the tier's name.
    */
   waitHistogramsByTier(): ReadonlyMap<string, Histogram> {
     return this.#waitHistogramsByTier;
@@ -191,7 +207,7 @@
   }
 }
 
-/** Answers begin with the id of the request that they were made for. */
+/** Reads the request id that simulated targets put at the start of answers. */
 function readRequestId(text: string): string {
   return text.slice(1, text.indexOf("|"));
 }
--- a/packages/measure/src/run_scenario.ts
+++ b/packages/measure/src/run_scenario.ts
@@ -1,4 +1,4 @@
-/** Runs one scenario once and sums up what came of it. */
+/** Simulation of one scenario with one seed, and its results. */
 
 import type { Histogram } from "hdr-histogram-js";
 import type { DeploymentPlan } from "./deployment_plan.ts";
@@ -9,51 +9,60 @@
 import type { WorkItem } from "./work_item.ts";
 import { createWorkItems } from "./work_item_generator.ts";
 
-/** What to run. */
+/** Scenario, scheduler variant and seed of a run. */
 export interface RunOptions {
   readonly plan: DeploymentPlan;
   readonly scenario: Scenario;
   readonly variant: SchedulerVariant;
   readonly seed: number;
+  /** Whether the scheduler places requests by cached prefixes. */
   readonly useAffinity: boolean;
-  /** Ends the load earlier than the scenario does. */
+  /** Upper bound on the duration of the load; the scenario's own if absent. */
   readonly maxDurationMs?: number;
 }
 
-/** Bytes and processor time spent on control in one run. */
+/** Messages between instances and CPU time of their cores in one run. */
 export interface ControlTally {
   readonly messages: number;
   readonly bytes: number;
   readonly bytesByKind: Readonly<Record<string, number>>;
+  /** Time spent in the scheduler cores, in real milliseconds. */
   readonly coreMs: number;
+  /** Number of events that the scheduler cores handled. */
   readonly coreEvents: number;
 }
 
-/** What came of one run. */
+/** Counts and costs of one run. */
 export interface RunResult {
+  /** Number of calls sent, retries included. */
   readonly calls: number;
   readonly simulatedMs: number;
+  /** Number of entry instances. */
   readonly instances: number;
   readonly tiers: ReadonlyMap<string, TierTally>;
+  /** Times until work started, in milliseconds, by tier. */
   readonly waits: ReadonlyMap<string, Histogram>;
+  /** Number of calls without an answer, by reason. */
   readonly refusals: Readonly<Record<string, number>>;
   readonly prefilledTokens: number;
+  /** Prefilled tokens of requests whose answer no caller received. */
   readonly wastedTokens: number;
+  /** Tokens that a target of the same pool had prefilled before. */
   readonly repeatedPrefixTokens: number;
   readonly control: ControlTally;
   readonly broken: readonly BrokenPromise[];
 }
 
-/** The instances find one another before the load begins. */
+/** Time for the instances to connect to each other before the load starts. */
 const WARM_UP_DURATION_MS = 5000;
-/** Time after the last deadline until everything must have ended. */
+/** Time after the last deadline until the run ends. */
 const DRAIN_DURATION_MS = 10_000;
 
 /**
- * Runs a scenario once.
+ * Simulates a scenario once.
  *
- * @param options What to run.
- * @returns What came of it.
+ * @param options Scenario, scheduler variant and seed.
+ * @returns Counts, costs and broken promises of the run.
  */
 export function runScenario(options: RunOptions): RunResult {
   const { plan, seed } = options;
--- a/packages/measure/src/run_scenario_test.ts
+++ b/packages/measure/src/run_scenario_test.ts
@@ -20,7 +20,7 @@
   });
 }
 
-test("should break no promise on a calm day and answer everything", () => {
+test("should answer every item in time and break no promise under calm load", () => {
   const result = runShortScenario(SchedulerVariant.Scheduler, 1);
   const summary = summarize([result]);
   assert.equal(result.broken, []);
@@ -31,7 +31,7 @@
   }
 });
 
-test("should give the same run for the same seed", () => {
+test("should repeat a run exactly for the same seed", () => {
   const [first, second] = [0, 1].map(() =>
     summarize([runShortScenario(SchedulerVariant.Scheduler, 2)])
   );
@@ -40,7 +40,7 @@
   assert.equal(firstFacts, secondFacts);
 });
 
-test("should run the baseline on the same work", () => {
+test("should run the baseline on the same items", () => {
   const scheduler = summarize([
     runShortScenario(SchedulerVariant.Scheduler, 1),
   ]);
--- a/packages/measure/src/scaled_plan.ts
+++ b/packages/measure/src/scaled_plan.ts
@@ -1,4 +1,4 @@
-/** A deployment grown to other numbers of instances and targets. */
+/** Plan of a deployment scaled to any number of instances and targets. */
 
 import { readSettings } from "@chestnuthatch/settings/read_tree";
 import { Deployment } from "@chestnuthatch/standins/work_kinds";
@@ -8,23 +8,24 @@
   readDeploymentPlan,
 } from "./deployment_plan.ts";
 
-/** How large it is to be. */
+/** Number of instances and targets of a fleet. */
 export interface FleetSize {
   readonly instances: number;
   readonly targets: number;
 }
 
-/** Limits that do not bind, so that costs are those of the work. */
+/** Limits that are never reached, so that they don't affect the costs. */
 const NON_BINDING_LIMITS = {
   maxRequestsPerSecond: 100_000,
   maxOpenRequests: 100_000,
 };
 
 /**
- * Grows the Arusha deployment; its failure domains stay.
+ * Scales the Shamba Safi deployment. Its failure domains stay; instances and
+ * targets are spread evenly over them.
  *
- * @param size How large it is to be.
- * @returns Its plan, with targets and instances spread over the domains.
+ * @param size Number of instances and targets.
+ * @returns The plan of the scaled deployment.
  */
 export function createScaledPlan(size: FleetSize): DeploymentPlan {
   const plan = readDeploymentPlan(Deployment.ShambaSafi);
@@ -62,7 +63,7 @@
       address: `${targetAddress(index)}:8101`,
     },
   ]);
-  // JSON is YAML, too.
+  // The settings are read as YAML, which JSON is a subset of.
   return JSON.stringify({
     ...tree,
     fleet: { ...tree.fleet, ...NON_BINDING_LIMITS },
@@ -70,7 +71,7 @@
   });
 }
 
-/** Puts one service after every two engines, as in the example. */
+/** Orders the templates so that one service follows every two engines. */
 function interleaveServices<T extends { kvTokens: number }>(
   targets: readonly T[],
 ): T[] {
--- a/packages/measure/src/simulated_callers.ts
+++ b/packages/measure/src/simulated_callers.ts
@@ -44,7 +44,7 @@
 
 interface OpenCall {
   readonly call: CallerCall;
-  readonly pending: PendingItem;
+  readonly pendingItem: PendingItem;
   readonly instance: EntryInstance;
 }
 
@@ -61,7 +61,7 @@
   }
 
   /** @param items What is wanted, and when. */
-  schedule(items: readonly WorkItem[]): void {
+  scheduleItems(items: readonly WorkItem[]): void {
     const { queue, random, recorder } = this.#context;
     for (const item of items) {
       const retriesLeft = random.next() < 0.5 ? 1 : 2;
@@ -74,61 +74,64 @@
 
   /** @inheritdoc */
   onAnswered(requestId: string, text: string): void {
-    const open = this.#closeCall(requestId);
-    if (open !== undefined) {
-      this.#context.recorder.recordAnswer(open.call, text);
+    const openCall = this.#closeCall(requestId);
+    if (openCall !== undefined) {
+      this.#context.recorder.recordAnswer(openCall.call, text);
     }
   }
 
   /** @inheritdoc */
   onRefused(requestId: string, refusal: Refusal): void {
-    const open = this.#closeCall(requestId);
-    if (open === undefined) {
+    const openCall = this.#closeCall(requestId);
+    if (openCall === undefined) {
       return;
     }
     this.#context.recorder.recordRefusal(refusal.error);
     if (refusal.mayRetry) {
-      this.#scheduleRetry(open.pending, refusal.retryAfterMs ?? RETRY_DELAY_MS);
+      this.#scheduleRetry(
+        openCall.pendingItem,
+        refusal.retryAfterMs ?? RETRY_DELAY_MS,
+      );
     }
   }
 
   /** @inheritdoc */
   onConnectionLost(requestId: string): void {
-    const open = this.#closeCall(requestId);
-    if (open === undefined) {
+    const openCall = this.#closeCall(requestId);
+    if (openCall === undefined) {
       return;
     }
-    const { call, pending } = open;
+    const { call, pendingItem } = openCall;
     this.#context.recorder.recordRefusal("connection_lost");
     const elapsedMs = this.#context.queue.nowMs - call.sentAtMs;
-    const leftMs = call.deadlineMs - elapsedMs;
+    const timeLeftMs = call.deadlineMs - elapsedMs;
     const mayRetry = itemKey(call.item) !== undefined || call.item.idempotent;
-    if (mayRetry && leftMs >= MIN_TIME_LEFT_MS) {
-      this.#sendCall(pending, leftMs);
+    if (mayRetry && timeLeftMs >= MIN_TIME_LEFT_MS) {
+      this.#sendCall(pendingItem, timeLeftMs);
     }
   }
 
-  #sendCall(pending: PendingItem, deadlineMs: number): void {
+  #sendCall(pendingItem: PendingItem, deadlineMs: number): void {
     const { queue } = this.#context;
     const instance = this.#pickInstance();
     if (instance === undefined) {
-      const leftMs = deadlineMs - NO_INSTANCE_RETRY_DELAY_MS;
-      if (leftMs >= MIN_TIME_LEFT_MS) {
+      const timeLeftMs = deadlineMs - NO_INSTANCE_RETRY_DELAY_MS;
+      if (timeLeftMs >= MIN_TIME_LEFT_MS) {
         queue.after(
           NO_INSTANCE_RETRY_DELAY_MS,
-          () => this.#sendCall(pending, leftMs),
+          () => this.#sendCall(pendingItem, timeLeftMs),
         );
       }
       return;
     }
     const call: CallerCall = {
       requestId: `call-${this.#callCount++}`,
-      item: pending.item,
+      item: pendingItem.item,
       sentAtMs: queue.nowMs,
       deadlineMs: Math.round(deadlineMs),
     };
     this.#context.recorder.recordCall(call);
-    this.#openCalls.set(call.requestId, { call, pending, instance });
+    this.#openCalls.set(call.requestId, { call, pendingItem, instance });
     queue.after(
       this.#context.oneWayDelayMs,
       () => this.#deliverCall(call, instance),
@@ -149,51 +152,54 @@
     );
     queue.after(
       call.deadlineMs + CALLER_TIMEOUT_MARGIN_MS,
-      () => this.#disconnect(call.requestId),
+      () => this.#timeOutCall(call.requestId),
     );
   }
 
   #checkOutcome(requestId: string): void {
-    const open = this.#openCalls.get(requestId);
-    if (open === undefined) {
+    const openCall = this.#openCalls.get(requestId);
+    if (openCall === undefined) {
       return;
     }
     const { queue, checker } = this.#context;
-    const { instance } = open;
+    const { instance } = openCall;
     const sinceResumeMs = queue.nowMs - instance.resumedAtMs;
     if (!instance.isPaused && sinceResumeMs >= MAX_OUTCOME_DELAY_MS) {
       checker.checkOutcome(requestId);
     }
   }
 
-  #disconnect(requestId: string): void {
-    const open = this.#closeCall(requestId);
-    if (open === undefined) {
+  #timeOutCall(requestId: string): void {
+    const openCall = this.#closeCall(requestId);
+    if (openCall === undefined) {
       return;
     }
     const { queue, recorder, oneWayDelayMs } = this.#context;
     recorder.recordRefusal("caller_timeout");
-    queue.after(oneWayDelayMs, () => open.instance.disconnectCaller(requestId));
-    if (open.call.item.idempotent) {
-      this.#scheduleRetry(open.pending, RETRY_DELAY_MS);
+    queue.after(
+      oneWayDelayMs,
+      () => openCall.instance.disconnectCaller(requestId),
+    );
+    if (openCall.call.item.idempotent) {
+      this.#scheduleRetry(openCall.pendingItem, RETRY_DELAY_MS);
     }
   }
 
-  #scheduleRetry(pending: PendingItem, delayMs: number): void {
-    if (pending.retriesLeft === 0) {
+  #scheduleRetry(pendingItem: PendingItem, delayMs: number): void {
+    if (pendingItem.retriesLeft === 0) {
       return;
     }
-    pending.retriesLeft -= 1;
+    pendingItem.retriesLeft -= 1;
     this.#context.queue.after(
       delayMs,
-      () => this.#sendCall(pending, pending.item.deadlineMs),
+      () => this.#sendCall(pendingItem, pendingItem.item.deadlineMs),
     );
   }
 
   #closeCall(requestId: string): OpenCall | undefined {
-    const open = this.#openCalls.get(requestId);
+    const openCall = this.#openCalls.get(requestId);
     this.#openCalls.delete(requestId);
-    return open;
+    return openCall;
   }
 
   #pickInstance(): EntryInstance | undefined {
--- a/packages/measure/src/simulated_engine.ts
+++ b/packages/measure/src/simulated_engine.ts
@@ -127,11 +127,11 @@
       connection.close("the engine does not know the attempt");
       return;
     }
-    const open = this.#openAttempts.get(attemptKey(attempt));
-    if (open !== undefined) {
-      open.connection.discard();
-      open.connection = connection;
-      open.batch = emptyBatch(open.tokenCount);
+    const openAttempt = this.#openAttempts.get(attemptKey(attempt));
+    if (openAttempt !== undefined) {
+      openAttempt.connection.discard();
+      openAttempt.connection = connection;
+      openAttempt.batch = emptyBatch(openAttempt.tokenCount);
     }
     for (const event of mergeTokenEvents(events)) {
       connection.send((listener) => listener.onStreamEvent(event));
@@ -227,8 +227,11 @@
     this.#nextAdvance?.cancel();
     const nextMs = this.#model.nextOutputAtMs();
     if (nextMs !== undefined) {
-      const atMs = Math.max(nextMs, queue.nowMs + MIN_ADVANCE_INTERVAL_MS);
-      this.#nextAdvance = queue.at(atMs, () => this.#advance());
+      const advanceAtMs = Math.max(
+        nextMs,
+        queue.nowMs + MIN_ADVANCE_INTERVAL_MS,
+      );
+      this.#nextAdvance = queue.at(advanceAtMs, () => this.#advance());
     }
   }
 
--- a/packages/measure/src/simulated_platform.ts
+++ b/packages/measure/src/simulated_platform.ts
@@ -138,7 +138,11 @@
    */
   readInstanceList(failureDomain: string, reply: Reply<InstanceList>): void {
     const read = (nowMs: number) => this.#model.listInstances(nowMs);
-    this.#call(failureDomain, { isWrite: false, run: read, reply });
+    this.#callPlatform(failureDomain, {
+      isWrite: false,
+      operation: read,
+      reply,
+    });
   }
 
   /**
@@ -151,9 +155,9 @@
     failureDomain: string,
     options: { request: TransactRequest; reply: Reply<TransactAnswer> },
   ): void {
-    this.#call(failureDomain, {
+    this.#callPlatform(failureDomain, {
       isWrite: true,
-      run: (nowMs) => this.#model.transact(options.request, nowMs),
+      operation: (nowMs) => this.#model.transact(options.request, nowMs),
       reply: options.reply,
     });
   }
@@ -168,9 +172,9 @@
     failureDomain: string,
     options: { key: string; reply: Reply<{ row: Row | undefined }> },
   ): void {
-    this.#call(failureDomain, {
+    this.#callPlatform(failureDomain, {
       isWrite: false,
-      run: (nowMs) => this.#model.read([options.key], nowMs),
+      operation: (nowMs) => this.#model.read([options.key], nowMs),
       reply: (answer) =>
         options.reply(
           answer === undefined ? undefined : {
@@ -190,9 +194,9 @@
     failureDomain: string,
     object: { key: string; content: string },
   ): void {
-    this.#call(failureDomain, {
+    this.#callPlatform(failureDomain, {
       isWrite: true,
-      run: (nowMs) => this.#model.putObject(object, nowMs),
+      operation: (nowMs) => this.#model.putObject(object, nowMs),
       reply: () => {},
     });
   }
@@ -210,22 +214,22 @@
       reply: Reply<{ content: string | undefined }>;
     },
   ): void {
-    this.#call(failureDomain, {
+    this.#callPlatform(failureDomain, {
       isWrite: false,
-      run: (nowMs) => this.#model.getObject(options.key, nowMs),
+      operation: (nowMs) => this.#model.getObject(options.key, nowMs),
       reply: options.reply,
     });
   }
 
-  #call<T>(
+  #callPlatform<T>(
     failureDomain: string,
     options: {
       isWrite: boolean;
-      run: (nowMs: number) => PlatformReply<T>;
+      operation: (nowMs: number) => PlatformReply<T>;
       reply: Reply<T>;
     },
   ): void {
-    const { isWrite, run, reply } = options;
+    const { isWrite, operation: run, reply } = options;
     const failAfterTimeout = () =>
       this.#queue.after(CALL_TIMEOUT_MS, () => reply(undefined));
     if (!this.#network.isConnectedToPlatform(failureDomain)) {
--- a/packages/measure/src/simulation.ts
+++ b/packages/measure/src/simulation.ts
@@ -114,7 +114,7 @@
 
   /** @param items What callers want. */
   scheduleItems(items: readonly WorkItem[]): void {
-    this.#callers.schedule(items);
+    this.#callers.scheduleItems(items);
   }
 
   /** @param instanceId An instance that is killed, and replaced later. */
@@ -170,11 +170,11 @@
   findCoordinatorId(targetId: string): string {
     const { pool, failureDomain } = this.targets.get(targetId)!.settings;
     const key = shardKey(pool, failureDomain);
-    const ranked = this.instances
+    const rankedInstanceIds = this.instances
       .filter((instance) => instance.failureDomain === failureDomain)
       .map(({ instanceId }) => instanceId)
       .sort((a, b) => hash32(`${key}/${b}`) - hash32(`${key}/${a}`));
-    return ranked[0];
+    return rankedInstanceIds[0];
   }
 
   /** @inheritdoc */
@@ -230,10 +230,10 @@
         seed: seed + hash32(target.id) % SEED_STEP,
         model: pool.model,
       };
-      const simulated = pool.kind === TargetKind.Engine
+      const simulatedTarget = pool.kind === TargetKind.Engine
         ? new SimulatedEngine(target, context)
         : new SimulatedService(target, context);
-      targets.set(target.id, simulated);
+      targets.set(target.id, simulatedTarget);
     }
     return targets;
   }
@@ -249,7 +249,7 @@
       checker,
       controlCosts,
       useAffinity,
-      peers: new PeerLinks(queue, network),
+      peerLinks: new PeerLinks(queue, network),
       callers: this.#callers,
     };
     const { loadPollMs } = plan.settings.timing;
--- a/packages/measure/src/summary.ts
+++ b/packages/measure/src/summary.ts
@@ -123,16 +123,18 @@
 function mergeWaits(
   results: readonly RunResult[],
 ): Record<string, WaitSummary> {
-  const merged = new Map<string, Histogram>();
+  const histogramsByTier = new Map<string, Histogram>();
   for (const result of results) {
     for (const [tier, histogram] of result.waits) {
-      const total = merged.get(tier) ?? build();
-      total.add(histogram);
-      merged.set(tier, total);
+      const mergedHistogram = histogramsByTier.get(tier) ?? build();
+      mergedHistogram.add(histogram);
+      histogramsByTier.set(tier, mergedHistogram);
     }
   }
   return Object.fromEntries(
-    [...merged].map(([tier, histogram]) => [tier, summarizeWaits(histogram)]),
+    [...histogramsByTier].map((
+      [tier, histogram],
+    ) => [tier, summarizeWaits(histogram)]),
   );
 }
 
--- a/packages/measure/src/work_item.ts
+++ b/packages/measure/src/work_item.ts
@@ -68,7 +68,7 @@
   return {
     requestId: call.requestId,
     itemId: itemIdentity(item),
-    key: itemKey(item),
+    workspaceKey: itemKey(item),
     idempotent: item.idempotent,
     pool: item.pool,
     tierRank: item.tierRank,
