--- a/packages/measure/src/baseline_instance.ts
+++ b/packages/measure/src/baseline_instance.ts
@@ -1,7 +1,7 @@
 /**
- * The comparison: an instance that picks the better of two random targets by
- * their stale load reports, first come first served and without tiers, and
- * sends work on at once, so that it queues inside the targets.
+ * Entry instance to compare the scheduler with. It picks the less loaded of two
+ * random targets by their delayed load reports. It ignores tiers and dispatches
+ * every call at once, so that requests queue inside the targets.
  */
 
 import {
@@ -26,7 +26,7 @@
 import { TargetClient } from "./target_client.ts";
 import { type CallerCall, toCallRecord } from "./work_item.ts";
 
-/** How one baseline instance is made. */
+/** Identity, location, random seed and timing of a baseline instance. */
 export interface BaselineInstanceOptions extends InstanceLocation {
   readonly seed: number;
   readonly loadPollMs: number;
@@ -34,16 +34,17 @@
 
 interface Attempt {
   readonly call: CallerCall;
-  /** Id that targets see: that of the call, or of its retry. */
+  /** Id that the target receives: the call's own, or one for its retry. */
   readonly requestId: string;
   readonly targetId: string;
   readonly isRetry: boolean;
+  /** Text received so far. */
   text: string;
 }
 
 const RETRY_AFTER_MS = 1000;
 
-/** Sends every call to a target at once. */
+/** Entry instance without a queue, which dispatches every call at once. */
 export class BaselineInstance implements EntryInstance {
   readonly instanceId: string;
   readonly failureDomain: string;
@@ -53,15 +54,15 @@
   readonly #random: Randomness;
   readonly #mailbox = new Mailbox();
   readonly #loadsByTargetId = new Map<string, TargetLoad>();
-  /** The running attempt of each open call. */
+  /** Current attempt of each open call, by the call's id. */
   readonly #attemptsByRequestId = new Map<string, Attempt>();
   #incarnation = 0;
   #isRunning = false;
   #resumedAtMs = -Infinity;
 
   /**
-   * @param context The world.
-   * @param options Who the instance is.
+   * @param context The parts of the simulation that the instance uses.
+   * @param options Identity, location, random seed and timing of the instance.
    */
   constructor(context: InstanceContext, options: BaselineInstanceOptions) {
     this.instanceId = options.instanceId;
--- a/packages/measure/src/capacity.ts
+++ b/packages/measure/src/capacity.ts
@@ -1,4 +1,4 @@
-/** How many requests a second a deployment can serve, from rates and mix. */
+/** Estimate of the request rate that a deployment's targets can serve. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import {
@@ -8,12 +8,13 @@
 } from "@chestnuthatch/standins/workload";
 import type { DeploymentPlan } from "./deployment_plan.ts";
 
-/** Mean cost of a pool's requests. */
+/** Mean token counts of the requests to one pool. */
 interface MeanCost {
-  /** Share of all requests that go to the pool. */
+  /** Share (0 to 1) of the deployment's requests that go to the pool. */
   readonly requestShare: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
+  /** KV memory that a request reserves: prompt and longest output. */
   readonly reservedTokens: number;
 }
 
@@ -22,16 +23,18 @@
 const SAMPLE_SEED = 1;
 const MS_PER_SECOND = 1000;
 
-/** What stand-in engines lose to one more stream, and to a prompt beside. */
+/** Relative slowdown of a stand-in engine's streams for each further one. */
 const DECODE_SLOWDOWN_RATIO_PER_STREAM = 0.02;
+/** Share of a stand-in engine's decode rate that is lost during prefill. */
 const DECODE_LOSS_SHARE_DURING_PREFILL = 0.5;
 
 /**
- * Works out a deployment's capacity; prefix caches are not counted.
+ * Estimates a deployment's capacity. Prefix caches are not taken into account.
  *
- * @param plan The deployment.
- * @param mix Weights of kinds.
- * @returns Requests a second of the whole mix, bound by the tightest pool.
+ * @param plan The deployment's targets and their rates.
+ * @param mix Weights of the kinds of requests; those of a normal load if absent.
+ * @returns Requests per second of the whole mix, limited by the pool that
+ * saturates first.
  */
 export function capacityPerSecond(
   plan: DeploymentPlan,
--- a/packages/measure/src/claim_client.ts
+++ b/packages/measure/src/claim_client.ts
@@ -1,6 +1,7 @@
 /**
- * How one process writes and voids claims: a lost answer is settled by reading
- * the row back and comparing nonces, and an absent row is written again.
+ * Client through which one process writes and voids claims on the platform. If
+ * the answer to a write is lost, the client reads the row back and compares
+ * nonces; if the row is absent, it writes the row again.
  */
 
 import { ClaimOutcome, type ClaimRow } from "@chestnuthatch/core/events";
@@ -11,19 +12,19 @@
 import type { EventQueue } from "./event_queue.ts";
 import type { SimulatedPlatform } from "./simulated_platform.ts";
 
-/** A claim row and its key. */
+/** A claim row and its key in the platform's table. */
 export interface Claim {
   readonly key: string;
   readonly row: ClaimRow;
 }
 
-/** What became of a claim. */
+/** Result of writing a claim. */
 export interface ClaimResult {
   readonly outcome: ClaimOutcome;
   readonly existingRow?: ClaimRow;
 }
 
-/** A write that has not been settled yet. */
+/** A write whose result is not known yet. */
 interface PendingWrite {
   readonly claim: Claim;
   readonly reply: (answer: ClaimResult) => void;
@@ -31,9 +32,10 @@
   backoffMs: number;
 }
 
-/** A row that is to be deleted. */
+/** A claim row to delete. */
 interface PendingVoid {
   readonly claim: Claim;
+  /** Successive reads that found no row, deletions included. */
   absentReads: number;
   backoffMs: number;
 }
@@ -42,10 +44,13 @@
 const MIN_BACKOFF_MS = 50;
 const MAX_WRITE_BACKOFF_MS = 1000;
 const MAX_VOID_BACKOFF_MS = 30_000;
-/** Reads that must find a row absent while a write of it is in doubt. */
+/**
+ * Reads that must find no row before a claim counts as void, if a write of it
+ * may still take effect.
+ */
 const MIN_ABSENT_READS_IN_DOUBT = 6;
 
-/** Writes and voids the claims of one process. */
+/** Writes and voids the claims of one process, with retries. */
 export class ClaimClient {
   readonly #queue: EventQueue;
   readonly #platform: SimulatedPlatform;
@@ -55,8 +60,8 @@
   #isStopped = false;
 
   /**
-   * @param context The clock and the platform.
-   * @param failureDomain Where the process stands.
+   * @param context The clock, and the platform that stores the claims.
+   * @param failureDomain Failure domain that the process runs in.
    */
   constructor(
     context: { queue: EventQueue; platform: SimulatedPlatform },
@@ -67,17 +72,17 @@
     this.#failureDomain = failureDomain;
   }
 
-  /** Ends everything, as when the process dies. */
+  /** Abandons all writes and deletions, as when the process is killed. */
   stop(): void {
     this.#isStopped = true;
     this.#pendingWritesByNonce.clear();
   }
 
   /**
-   * Writes a claim row if there is none.
+   * Writes a claim row unless one exists under the key.
    *
-   * @param claim The claim.
-   * @param reply Told what became of it.
+   * @param claim The claim to write.
+   * @param reply Receives the result, unless the claim is voided before.
    */
   write(claim: Claim, reply: (answer: ClaimResult) => void): void {
     const pending: PendingWrite = {
@@ -91,9 +96,10 @@
   }
 
   /**
-   * Deletes a claim row, if it is the given one.
+   * Deletes a claim row, unless the row under its key has another nonce. A write
+   * of the claim that is still under way is abandoned.
    *
-   * @param claim The claim.
+   * @param claim The claim to delete.
    */
   void(claim: Claim): void {
     const { nonce } = claim.row;
--- a/packages/measure/src/control_cost_counter.ts
+++ b/packages/measure/src/control_cost_counter.ts
@@ -1,4 +1,4 @@
-/** What the instances spend on control: bytes between them, processor time. */
+/** Counter of the messages between instances and their cores' CPU time. */
 
 import { encodeFrame } from "@chestnuthatch/wire/frame_codec";
 import type {
@@ -6,16 +6,22 @@
   PeerMessageKind,
 } from "@chestnuthatch/wire/peer_messages";
 
-/** Counts of one run. */
+/** Counts what the instances of one run spend on coordination. */
 export class ControlCostCounter {
   messages = 0;
+  /** Size of the encoded frames of all messages. */
   bytes = 0;
-  /** Processor time inside the cores. */
+  /** Time spent in the cores, in real milliseconds. */
   coreMs = 0;
+  /** Number of events that the cores handled. */
   coreEvents = 0;
   readonly bytesByKind: Partial<Record<PeerMessageKind, number>> = {};
 
-  /** @param message A message sent from one instance to another. */
+  /**
+   * Counts a message that one instance sends to another.
+   *
+   * @param message The message.
+   */
   recordMessage(message: PeerMessage): void {
     const frame = encodeFrame(message);
     const bytes = frame.isOk() ? frame.value.length : 0;
@@ -25,7 +31,11 @@
     this.bytesByKind[message.kind] = previousBytes + bytes;
   }
 
-  /** @param durationMs Time that a core took to handle one event. */
+  /**
+   * Counts an event that a core handled.
+   *
+   * @param durationMs Time that the core took, in real milliseconds.
+   */
   recordEvent(durationMs: number): void {
     this.coreMs += durationMs;
     this.coreEvents += 1;
--- a/packages/measure/src/core_instance.ts
+++ b/packages/measure/src/core_instance.ts
@@ -1,4 +1,4 @@
-/** An entry instance that runs the real core on the manual clock. */
+/** Entry instance that runs the real scheduler core on the simulated clock. */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -36,19 +36,22 @@
   [K in EffectKind]?: (process: CoreProcess, effect: EffectOf<K>) => void;
 };
 
-/** How one core instance is made. */
+/** Identity, location and random seed of a core instance. */
 export interface CoreInstanceOptions extends InstanceLocation {
   readonly region: string;
   readonly seedPeers: readonly SeedPeer[];
   readonly seed: number;
-  /** First tick after the start, so that instances do not tick together. */
+  /** Time from the start to the first tick, so that instances tick apart. */
   readonly tickOffsetMs: number;
 }
 
 const TICK_INTERVAL_MS = 50;
 const MAX_LOGGED_DECISIONS = 20_000;
 
-/** Clocks of different machines have nothing to do with one another. */
+/**
+ * Bound on the random offset of each process's clock. Offsets make sure that
+ * the core doesn't compare times of different processes.
+ */
 const MAX_CLOCK_OFFSET_MS = 1_000_000;
 
 const EFFECT_HANDLERS: EffectHandlers = {
@@ -78,7 +81,7 @@
     process.context.peerLinks.disconnect(process, effect.peerId),
 };
 
-/** One run of an instance's process, from its start to its end. */
+/** Process of an instance, from its start until it is killed. */
 class CoreProcess implements PeerProcess {
   readonly context: InstanceContext;
   readonly options: CoreInstanceOptions;
@@ -120,7 +123,7 @@
     return this.options.failureDomain;
   }
 
-  /** Names this process among all that ran as the instance. */
+  /** Name that is unique among all processes of all instances. */
   get processName(): string {
     return `${this.instanceId}/${this.incarnation}`;
   }
@@ -351,7 +354,7 @@
       if (this.#isTerminated) {
         return;
       }
-      // A paused process misses its ticks; it does not make up for them.
+      // A paused process misses its ticks and doesn't run them later.
       if (!this.mailbox.isPaused) {
         this.#handleEvent({ kind: EventKind.Tick });
       }
@@ -360,7 +363,7 @@
   }
 }
 
-/** An instance whose process can be killed and started anew. */
+/** Entry instance with a scheduler core, which can be killed and restarted. */
 export class CoreInstance implements EntryInstance {
   readonly #context: InstanceContext;
   readonly #options: CoreInstanceOptions;
@@ -369,8 +372,8 @@
   #resumedAtMs = -Infinity;
 
   /**
-   * @param context The world.
-   * @param options Who the instance is.
+   * @param context The parts of the simulation that the instance uses.
+   * @param options Identity, location and random seed of the instance.
    */
   constructor(context: InstanceContext, options: CoreInstanceOptions) {
     this.#context = context;
@@ -408,7 +411,7 @@
     return this.#resumedAtMs;
   }
 
-  /** The running core; nothing while the process is dead. */
+  /** The core of the running process; undefined while there is none. */
   get core(): SchedulerCore | undefined {
     return this.#process?.core;
   }
--- a/packages/measure/src/deployment_plan.ts
+++ b/packages/measure/src/deployment_plan.ts
@@ -1,4 +1,4 @@
-/** The two deployments of the brief: domains, links, instances, settings. */
+/** Plans of the two example deployments: instances, links and settings. */
 
 import { readFileSync } from "node:fs";
 import { buildSettings } from "@chestnuthatch/settings/settings_in_force";
@@ -9,20 +9,23 @@
 import type { InstanceLocation } from "./entry_instance.ts";
 import type { LinkDelays } from "./simulated_network.ts";
 
-/** What the harness must know of a deployment. */
+/** Instances, link delays and settings of a deployment to simulate. */
 export interface DeploymentPlan {
   readonly deployment: Deployment;
   readonly region: string;
   readonly instances: readonly InstanceLocation[];
   readonly delays: LinkDelays;
+  /** Text of the settings in YAML. */
   readonly settingsText: string;
   readonly settings: SettingsInForce;
 }
 
+/** Region and failure domains of a deployment. */
 interface DeploymentTopology {
   readonly region: string;
   /** Failure domain of each entry instance. */
   readonly instanceDomains: readonly string[];
+  /** One-way delay between two failure domains. */
   readonly betweenDomainsDelayMs: number;
 }
 
@@ -60,10 +63,10 @@
 };
 
 /**
- * Reads a deployment's example settings.
+ * Creates a deployment's plan from its example settings.
  *
  * @param deployment The deployment.
- * @returns The plan of its world.
+ * @returns The plan with the settings read from the examples folder.
  */
 export function readDeploymentPlan(deployment: Deployment): DeploymentPlan {
   const { region, instanceDomains, betweenDomainsDelayMs } =
@@ -91,10 +94,11 @@
 }
 
 /**
- * Reads a settings text.
+ * Parses a settings text.
  *
- * @param settingsText YAML without faults.
- * @returns The settings as version 1.
+ * @param settingsText Settings in YAML.
+ * @returns The settings in force as version 1.
+ * @throws {Error} If the text is not valid settings.
  */
 export function parseSettings(settingsText: string): SettingsInForce {
   const tree = readSettings(settingsText);
--- a/packages/measure/src/entry_instance.ts
+++ b/packages/measure/src/entry_instance.ts
@@ -1,4 +1,4 @@
-/** An entry instance as callers, the balancer and the faults see it. */
+/** Interface of simulated entry instances, and of those who call them. */
 
 import type { Refusal } from "@chestnuthatch/core/request";
 import type { ControlCostCounter } from "./control_cost_counter.ts";
@@ -10,27 +10,31 @@
 import type { SimulatedTarget } from "./simulated_target.ts";
 import type { CallerCall } from "./work_item.ts";
 
-/** Where the outcomes of calls go. */
+/** Receiver of the outcomes of calls, on the callers' side. */
 export interface OutcomeListener {
   /**
-   * Delivers an answer.
+   * Receives an answer.
    *
-   * @param requestId The call.
-   * @param text The text.
+   * @param requestId Id of the call.
+   * @param text The text of the answer.
    */
   onAnswered(requestId: string, text: string): void;
   /**
-   * Delivers a refusal.
+   * Receives a refusal.
    *
-   * @param requestId The call.
-   * @param refusal What it is told.
+   * @param requestId Id of the call.
+   * @param refusal Reason, run state and retry delay.
    */
   onRefused(requestId: string, refusal: Refusal): void;
-  /** @param requestId A call whose connection broke. */
+  /**
+   * Handles a connection that broke before the call received an outcome.
+   *
+   * @param requestId Id of the call.
+   */
   onConnectionLost(requestId: string): void;
 }
 
-/** What an instance shares with the world. */
+/** Parts of the simulation that an instance uses. */
 export interface InstanceContext {
   readonly queue: EventQueue;
   readonly network: SimulatedNetwork;
@@ -40,54 +44,68 @@
   readonly checker: PromiseChecker;
   readonly callers: OutcomeListener;
   readonly controlCosts: ControlCostCounter;
-  /** Whether schedulers see the fingerprints of prompt blocks. */
+  /**
+   * Whether scheduler cores receive the hashes of prompt blocks, by which they
+   * place requests where a prefix is cached.
+   */
   readonly useAffinity: boolean;
 }
 
-/** Where an instance stands. */
+/** An instance's id and the failure domain that it runs in. */
 export interface InstanceLocation {
   readonly instanceId: string;
   readonly failureDomain: string;
 }
 
-/** Work that an instance holds. */
+/** A request that an instance holds. */
 export interface HeldWork {
   readonly requestId: string;
   readonly pool: string;
   readonly tierRank: number;
+  /** Simulated time at which the request arrived. */
   readonly heldSinceMs: number;
+  /** Whether the request was dispatched to a target. */
   readonly running: boolean;
-  /** Whether a running stream of it may be cancelled. */
+  /** Whether the scheduler may cancel the request while it runs. */
   readonly cancellable: boolean;
 }
 
-/** An entry instance. */
+/** A simulated entry instance, whose process can be killed and paused. */
 export interface EntryInstance extends InstanceLocation {
+  /** Whether the process runs, paused or not. */
   readonly isLive: boolean;
   readonly isPaused: boolean;
-  /** Whether the balancer may send it callers. */
+  /** Whether the load balancer may send calls to the instance. */
   readonly isReady: boolean;
-  /** When it last woke from a pause; -Infinity when it never was paused. */
+  /** Time of the last resumption; -Infinity if the process was never paused. */
   readonly resumedAtMs: number;
-  /** Starts its process, anew after a kill. */
+  /** Starts a new process. */
   start(): void;
-  /** Kills its process; its open calls are lost. */
+  /** Kills the process; the connections of its open calls break. */
   kill(): void;
-  /** Freezes its process. */
+  /** Pauses the process. */
   pause(): void;
-  /** Lets its process go on; what came meanwhile is handled in order. */
+  /** Resumes the process, which handles what arrived meanwhile in order. */
   resume(): void;
-  /** @param call A call that arrives. */
+  /**
+   * Receives a call.
+   *
+   * @param call The call.
+   */
   receiveCall(call: CallerCall): void;
-  /** @param requestId A call whose caller hangs up. */
+  /**
+   * Handles a caller that closed its connection.
+   *
+   * @param requestId Id of the call.
+   */
   disconnectCaller(requestId: string): void;
-  /** @returns What it holds now. */
+  /** @returns The requests that the instance holds now. */
   heldWork(): HeldWork[];
   /**
-   * Tells a request's story.
+   * Lists the decisions on a request from the instance's log.
    *
-   * @param requestId The request.
-   * @returns Its steps.
+   * @param requestId Id of the request.
+   * @returns One line for each decision; empty if the log holds none.
    */
   describeDecisions(requestId: string): string[];
 }
--- a/packages/measure/src/event_queue.ts
+++ b/packages/measure/src/event_queue.ts
@@ -1,25 +1,29 @@
-/** A manual clock with the events that are still to come, in order of time. */
+/** Simulated clock with a priority queue of scheduled events. */
 
-/** An event that is still to come. */
+/** Handle of a scheduled event. */
 export interface ScheduledEvent {
-  /** Keeps the event from happening. */
+  /** Prevents the event from running. */
   cancel(): void;
 }
 
 interface QueuedEvent {
   readonly atMs: number;
-  /** Events of the same time happen in the order they were scheduled. */
+  /** Sequence number; events of the same time run in scheduling order. */
   readonly order: number;
+  /** Undefined once the event is cancelled. */
   callback: (() => void) | undefined;
 }
 
-/** Runs events in order of time; time stands still between them. */
+/**
+ * Clock that runs scheduled events in order of time. Its time advances only from
+ * event to event, never while an event runs.
+ */
 export class EventQueue {
   readonly #heap: QueuedEvent[] = [];
   #nowMs = 0;
   #nextOrder = 0;
 
-  /** The time on the manual clock. */
+  /** Current simulated time in milliseconds. */
   get nowMs(): number {
     return this.#nowMs;
   }
@@ -27,9 +31,9 @@
   /**
    * Schedules an event.
    *
-   * @param atMs When it happens; a time in the past means now.
-   * @param callback What happens.
-   * @returns A handle that cancels it.
+   * @param atMs Time of the event; a time in the past counts as now.
+   * @param callback Function that the event runs.
+   * @returns A handle to cancel the event.
    */
   at(atMs: number, callback: () => void): ScheduledEvent {
     const event: QueuedEvent = {
@@ -42,20 +46,20 @@
   }
 
   /**
-   * Schedules an event some time from now.
+   * Schedules an event after a delay.
    *
-   * @param delayMs How long from now.
-   * @param callback What happens.
-   * @returns A handle that cancels it.
+   * @param delayMs Time from now until the event.
+   * @param callback Function that the event runs.
+   * @returns A handle to cancel the event.
    */
   after(delayMs: number, callback: () => void): ScheduledEvent {
     return this.at(this.#nowMs + delayMs, callback);
   }
 
   /**
-   * Lets time pass.
+   * Runs all events up to a time and advances the clock to it.
    *
-   * @param untilMs The time to stop at; events of that time still happen.
+   * @param untilMs Time to stop at; events of exactly this time still run.
    */
   runUntil(untilMs: number): void {
     for (
--- a/packages/measure/src/event_queue_test.ts
+++ b/packages/measure/src/event_queue_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { EventQueue } from "./event_queue.ts";
 
-test("should run events in order of time, then of scheduling", () => {
+test("should run events by time, and at the same time in scheduling order", () => {
   const queue = new EventQueue();
   const seen: string[] = [];
   queue.at(20, () => seen.push(`b@${queue.nowMs}`));
@@ -14,7 +14,7 @@
   assert.is(queue.nowMs, 30);
 });
 
-test("should run events that events schedule, but no cancelled one", () => {
+test("should run events scheduled by events, but no cancelled event", () => {
   const queue = new EventQueue();
   const seen: string[] = [];
   const cancelled = queue.at(8, () => seen.push("cancelled"));
@@ -26,7 +26,7 @@
   assert.equal(seen, ["later@10"]);
 });
 
-test("should keep the order of many events", () => {
+test("should run many events in order of time", () => {
   const queue = new EventQueue();
   const seen: number[] = [];
   for (let i = 0; i < 1000; i++) {
--- a/packages/measure/src/mailbox.ts
+++ b/packages/measure/src/mailbox.ts
@@ -1,6 +1,9 @@
-/** What reaches a process that can be paused. */
+/** Mailbox of a simulated process that can be paused. */
 
-/** Runs deliveries at once, or in order after a pause. */
+/**
+ * Runs the deliveries to a process: at once while the process runs, in order of
+ * arrival after it resumes from a pause.
+ */
 export class Mailbox {
   #isPaused = false;
   #backlog: (() => void)[] = [];
@@ -10,7 +13,11 @@
     return this.#isPaused;
   }
 
-  /** @param callback What reaches the process. */
+  /**
+   * Delivers an event to the process.
+   *
+   * @param callback Function that handles the event.
+   */
   deliver(callback: () => void): void {
     if (this.#isPaused) {
       this.#backlog.push(callback);
@@ -19,12 +26,12 @@
     }
   }
 
-  /** Holds back deliveries from now on. */
+  /** Queues deliveries from now on. */
   pause(): void {
     this.#isPaused = true;
   }
 
-  /** Runs what was held back, then everything at once again. */
+  /** Runs the queued deliveries; later ones run at once again. */
   resume(): void {
     const backlog = this.#backlog;
     this.#backlog = [];
@@ -32,7 +39,7 @@
     backlog.forEach((callback) => callback());
   }
 
-  /** Forgets what was held back, as when the process dies. */
+  /** Discards the queued deliveries, as when the process is killed. */
   clear(): void {
     this.#isPaused = false;
     this.#backlog = [];
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -1,4 +1,7 @@
-/** `npm run measure`: runs scenarios, prints a report, writes JSON. */
+/**
+ * Program of `npm run measure`: simulates scenarios, prints their results as
+ * tables and writes them to a JSON file.
+ */
 
 import { mkdirSync, writeFileSync } from "node:fs";
 import { dirname } from "node:path";
--- a/packages/measure/src/measurement.ts
+++ b/packages/measure/src/measurement.ts
@@ -1,4 +1,4 @@
-/** Runs scenarios with the scheduler and the baseline, on the same seeds. */
+/** Runs of scenarios with the scheduler and the baseline on the same seeds. */
 
 import type { Deployment } from "@chestnuthatch/standins/work_kinds";
 import { readDeploymentPlan } from "./deployment_plan.ts";
@@ -7,34 +7,35 @@
 import type { Scenario } from "./scenarios.ts";
 import { type BrokenInRun, summarize, type VariantSummary } from "./summary.ts";
 
-/** What to measure. */
+/** Deployments, scenarios and variants to measure. */
 export interface MeasurementOptions {
   readonly deployments: readonly Deployment[];
   readonly scenarios: readonly Scenario[];
+  /** Number of runs of each scenario, with the seeds 1 and up. */
   readonly seeds: number;
-  /** Whether schedulers place by prefix affinity. */
+  /** Whether the scheduler places requests by cached prefixes. */
   readonly useAffinity: boolean;
-  /** Whether the scheduler runs a second time without affinity. */
+  /** Whether to run the scheduler a second time without prefix affinity. */
   readonly compareAffinity: boolean;
 }
 
-/** One scenario of one deployment. */
+/** Results of one scenario on one deployment. */
 export interface ScenarioMeasurement {
   readonly deployment: Deployment;
   readonly scenario: Scenario;
   readonly scheduler: VariantSummary;
   readonly baseline: VariantSummary;
-  /** The scheduler without prefix affinity, where that was compared. */
+  /** Results without prefix affinity; absent unless compared. */
   readonly withoutAffinity?: VariantSummary;
-  /** Promises that the scheduler broke. */
+  /** Promises that were broken in the scheduler's runs. */
   readonly broken: readonly BrokenInRun[];
 }
 
 /**
- * Measures everything that was asked for.
+ * Runs each scenario on each deployment.
  *
- * @param options What to measure.
- * @param onMeasured Told each scenario once it is done.
+ * @param options Deployments, scenarios and variants to measure.
+ * @param onMeasured Receives each measurement once it is complete.
  * @returns One measurement for each deployment and scenario.
  */
 export function measure(
--- a/packages/measure/src/memory_costs.ts
+++ b/packages/measure/src/memory_costs.ts
@@ -1,4 +1,4 @@
-/** Memory that a core keeps for each thing it knows, by heap differences. */
+/** Heap that a scheduler core uses per request, ask, member and target. */
 
 import process from "node:process";
 import { setFlagsFromString } from "node:v8";
@@ -12,12 +12,13 @@
 import type { DeploymentPlan } from "./deployment_plan.ts";
 import { createScaledPlan } from "./scaled_plan.ts";
 
-/** Bytes of heap for one of each. */
+/** Bytes of heap for one item of each kind. */
 export interface MemoryCosts {
   readonly heldRequestBytes: number;
   readonly waitingAskBytes: number;
   readonly memberBytes: number;
   readonly targetBytes: number;
+  /** One block hash in a prefix index. */
   readonly prefixBlockBytes: number;
 }
 
@@ -34,10 +35,10 @@
 const POOL = "msaidizi";
 
 /**
- * Measures memory. Garbage is collected before each reading of the heap, so
- * that figures repeat to a few percent.
+ * Measures the heap before and after adding many items of each kind. Garbage is
+ * collected before each reading, so that results repeat to within a few percent.
  *
- * @returns Bytes for one of each thing.
+ * @returns Bytes of heap for one item of each kind.
  */
 export function measureMemory(): MemoryCosts {
   return {
@@ -63,7 +64,7 @@
   const beforeBytes = readHeapBytes();
   const filled = fill();
   const afterBytes = readHeapBytes();
-  // Keeps what was filled alive until after the reading.
+  // The use of `filled` keeps the items alive until after the second reading.
   return filled === undefined ? 0 : (afterBytes - beforeBytes) / count;
 }
 
@@ -71,8 +72,8 @@
   const core = createReadyCore(
     createScaledPlan({ instances: 2, targets: MIN_TARGET_COUNT }),
   );
-  // With every target silent nothing is granted: requests stay held, and the
-  // asks go to a peer that never answers.
+  // No target has reported its load, so nothing is granted. Requests stay held,
+  // and their asks go to a peer that never answers.
   connectPeer(core);
   return () => {
     for (let index = 0; index < HELD_REQUEST_COUNT; index++) {
@@ -264,7 +265,7 @@
   );
 }
 
-/** As long as the fingerprints that travel with asks. */
+/** Creates a hash as long as the block hashes in asks. */
 function blockHash(index: number): string {
   const base = 36 ** 7;
   return (base + index).toString(36);
--- a/packages/measure/src/peer_links.ts
+++ b/packages/measure/src/peer_links.ts
@@ -1,4 +1,4 @@
-/** Links between entry instances: whoever dials, both ends may send. */
+/** Simulated links between entry instances. */
 
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
 import type { EventQueue } from "./event_queue.ts";
@@ -7,25 +7,33 @@
   type SimulatedNetwork,
 } from "./simulated_network.ts";
 
-/** One running process of an entry instance, as its peers reach it. */
+/** A running process of an entry instance, as its peers reach it. */
 export interface PeerProcess {
   readonly instanceId: string;
   readonly incarnation: number;
   readonly failureDomain: string;
-  /** @param peerId The peer that this one can now send to. */
+  /**
+   * Handles a link that opened.
+   *
+   * @param peerId Id of the instance that messages can now be sent to.
+   */
   onPeerConnected(peerId: string): void;
-  /** @param peerId The peer that this one can no longer send to. */
+  /**
+   * Handles a link that closed.
+   *
+   * @param peerId Id of the instance that messages can't be sent to any more.
+   */
   onPeerDisconnected(peerId: string): void;
   /**
-   * Takes a message.
+   * Receives a message.
    *
-   * @param from The sender.
+   * @param from The process that sent the message.
    * @param message The message.
    */
   onPeerMessage(from: PeerProcess, message: PeerMessage): void;
 }
 
-/** A link over a cut network counts as broken after this long. */
+/** Time after which a link with an undelivered message closes. */
 const SILENCE_TIMEOUT_MS = 1500;
 const REDIAL_DELAY_MS = 250;
 
@@ -34,21 +42,24 @@
   readonly from: PeerProcess;
   readonly to: PeerProcess;
   readonly link: Link;
-  /** Sent while the network is cut, to be sent again when it heals. */
+  /** Messages sent while the network is cut, not delivered yet. */
   backlog: PeerMessage[];
 }
 
+/** An open link; both processes may send, whichever of them dialled. */
 interface Link {
   readonly ends: readonly [PeerProcess, PeerProcess];
   isOpen: boolean;
 }
 
+/** Links of one process. */
 interface ProcessLinks {
+  /** Instances that the process dials again whenever their link closes. */
   readonly wantedPeerIds: Set<string>;
   readonly directionsByPeerId: Map<string, LinkDirection>;
 }
 
-/** Carries messages between entry instances. */
+/** Opens links between entry instances and delivers messages over them. */
 export class PeerLinks {
   readonly #queue: EventQueue;
   readonly #network: SimulatedNetwork;
@@ -56,15 +67,19 @@
   readonly #linksByProcess = new Map<PeerProcess, ProcessLinks>();
 
   /**
-   * @param queue The clock.
-   * @param network The links between domains.
+   * @param queue The simulated clock.
+   * @param network The network between the failure domains.
    */
   constructor(queue: EventQueue, network: SimulatedNetwork) {
     this.#queue = queue;
     this.#network = network;
   }
 
-  /** @param peerProcess A process that has started. */
+  /**
+   * Adds a process that has started.
+   *
+   * @param peerProcess The process.
+   */
   addProcess(peerProcess: PeerProcess): void {
     this.#processesById.set(peerProcess.instanceId, peerProcess);
     this.#linksByProcess.set(peerProcess, {
@@ -73,7 +88,11 @@
     });
   }
 
-  /** @param peerProcess A process that has died. */
+  /**
+   * Removes a process that has ended; its links close.
+   *
+   * @param peerProcess The process.
+   */
   removeProcess(peerProcess: PeerProcess): void {
     const links = this.#linksByProcess.get(peerProcess);
     this.#processesById.delete(peerProcess.instanceId);
@@ -87,10 +106,10 @@
   }
 
   /**
-   * Keeps a link, dialling again whenever it breaks.
+   * Opens a link to an instance, and opens it again whenever it closes.
    *
    * @param from The process that dials.
-   * @param toId The instance it dials.
+   * @param toId Id of the instance to connect to.
    */
   connect(from: PeerProcess, toId: string): void {
     const links = this.#linksByProcess.get(from);
@@ -101,10 +120,11 @@
   }
 
   /**
-   * Keeps a link no longer; it ends where the other end does not want it.
+   * Stops keeping a link open. The link closes unless the other process keeps it
+   * open too.
    *
    * @param from The process that dialled.
-   * @param toId The instance it dialled.
+   * @param toId Id of the instance to disconnect from.
    */
   disconnect(from: PeerProcess, toId: string): void {
     const links = this.#linksByProcess.get(from);
@@ -116,10 +136,10 @@
   }
 
   /**
-   * Sends a message, if there is a link.
+   * Sends a message; it is dropped if there is no open link.
    *
-   * @param from The sender.
-   * @param options The receiver's id, and the message.
+   * @param from The process that sends.
+   * @param options Id of the receiving instance, and the message.
    */
   send(
     from: PeerProcess,
--- a/packages/measure/src/placement_costs.ts
+++ b/packages/measure/src/placement_costs.ts
@@ -1,8 +1,7 @@
 /**
- * Processor time that the routed form's coordinator takes for each request, by
- * the size of the fleet, the number of targets and how full they are. One
- * coordinator decides for the whole fleet, so this bounds how large a fleet can
- * be.
+ * CPU time that the coordinator of `@chestnuthatch/routing` takes for each
+ * request, by the size of the fleet, the number of targets and their load. One
+ * coordinator decides for the whole fleet, so this limits the size of a fleet.
  */
 
 import { performance } from "node:perf_hooks";
@@ -36,20 +35,20 @@
 import { EventQueue } from "./event_queue.ts";
 import { formatTable } from "./text_table.ts";
 
-/** A fleet, and what is asked of it. */
+/** Size of a fleet and the load on its targets. */
 interface PlacementLoad {
   readonly instances: number;
   readonly targets: number;
-  /** Requests against what the targets can do; above 1 a queue stands. */
+  /** Ratio of the request rate to capacity; above 1, requests queue up. */
   readonly load: number;
 }
 
-/** Costs of placement under one load. */
+/** CPU time that placement takes under one load. */
 export interface PlacementCosts extends PlacementLoad {
   readonly requestsPerSecond: number;
   readonly refusedShare: number;
   readonly coreMsPerRequest: number;
-  /** Share of one core that the coordinator needs. */
+  /** Share (0 to 1) of one CPU core that the coordinator uses. */
   readonly coreShare: number;
 }
 
@@ -64,7 +63,9 @@
 ];
 
 const SLOTS_PER_TARGET = 8;
+/** Mean time from the placement of a request to its end. */
 const MEAN_SERVICE_TIME_MS = 700;
+/** Time from the placement of a request to its first event. */
 const FIRST_EVENT_DELAY_MS = 120;
 const TICK_INTERVAL_MS = 20;
 const REPORT_INTERVAL_MS = 500;
@@ -75,10 +76,10 @@
 const SEED = 1;
 
 /**
- * Measures the coordinator alone, on a manual clock.
+ * Measures the coordinator alone, on a simulated clock.
  *
- * @param print Takes the lines of the report.
- * @returns Costs under each load.
+ * @param print Prints a line of the report.
+ * @returns CPU time under each load.
  */
 export function measurePlacement(
   print: (line: string) => void,
@@ -99,7 +100,7 @@
   return costs;
 }
 
-/** One load, played. */
+/** Simulation of one load on a coordinator. */
 class PlacementSimulation {
   readonly #load: PlacementLoad;
   readonly #queue = new EventQueue();
@@ -204,7 +205,7 @@
     this.#runTimed(() => this.#coordinator.ask(ask, scope));
   }
 
-  /** Runs a call of the coordinator, and acts on what it decides. */
+  /** Calls the coordinator, adds up its time and applies its decisions. */
   #runTimed(call: () => readonly AskDecision[]): void {
     const startedAtMs = performance.now();
     const decisions = call();
--- a/packages/measure/src/scenarios.ts
+++ b/packages/measure/src/scenarios.ts
@@ -1,4 +1,4 @@
-/** What is measured: loads and faults, by name. */
+/** Scenarios to simulate: the load and the injected faults of each. */
 
 import { TargetKind } from "@chestnuthatch/wire/work";
 import {
@@ -12,44 +12,58 @@
 import type { DeploymentPlan } from "./deployment_plan.ts";
 import type { Simulation } from "./simulation.ts";
 
-/** Names of the scenarios. */
+/** Scenarios, by the names that are used on the command line and in reports. */
 export enum Scenario {
+  /** Low load, with a change of the settings. */
   Calm = "calm",
+  /** Overload by the mix of kinds that is usual in a surge. */
   BurstAfterRain = "burst-after-rain",
+  /** Overload with a larger share of long requests. */
   EveningRush = "evening-rush",
+  /** An engine becomes slow for a while. */
   Straggler = "straggler",
+  /** An engine announces that it is leaving. */
   TargetLeaving = "target-leaving",
+  /** An engine is killed. */
   TargetKilled = "target-killed",
+  /** An instance is killed that doesn't coordinate the first engine. */
   HolderKilled = "holder-killed",
+  /** The coordinator of the first engine's shard is killed. */
   CoordinatorKilled = "coordinator-killed",
+  /** A failure domain is isolated, and the settings change meanwhile. */
   DomainCutOff = "domain-cut-off",
+  /** The platform doesn't answer for a while. */
   StoreAway = "store-away",
+  /** Answers to writes on the platform get lost for a while. */
   LostAnswers = "lost-answers",
+  /** The coordinator of the first engine's shard is paused. */
   InstancePaused = "instance-paused",
 }
 
-/** One scenario. */
+/** Duration, load and faults of a scenario. */
 export interface ScenarioDefinition {
+  /** Duration of the load. */
   readonly durationMs: number;
   /**
-   * Gives the load.
+   * Returns the load on a deployment.
    *
-   * @param plan The deployment.
-   * @returns Phases in time order.
+   * @param plan The deployment, whose capacity determines the request rates.
+   * @returns Phases of constant request rate in time order.
    */
   loadPhases(plan: DeploymentPlan): RatePhase[];
   /**
    * Schedules the faults.
    *
-   * @param simulation The world.
-   * @param startMs When the load begins.
+   * @param simulation The simulation to inject the faults into.
+   * @param startMs Time at which the load starts.
    */
   scheduleFaults(simulation: Simulation, startMs: number): void;
 }
 
-/** Callers whose request has not been answered soon enough post it again. */
+/** Repetition by callers who don't receive an answer soon enough. */
 export const REPEAT_OPTIONS = { share: 0.05, afterMs: 800 };
 
+/** Ratio of the request rate to the deployment's capacity. */
 const CALM_LOAD_RATIO = 0.5;
 const BUSY_LOAD_RATIO = 0.75;
 const SURGE_LOAD_RATIO = 2;
@@ -153,7 +167,7 @@
       fromMs,
       () => simulation.network.isolateDomain(failureDomain),
     );
-    // Settings that change meanwhile must reach the domain once it is back.
+    // The isolated domain must receive this change once it is reconnected.
     simulation.queue.at(
       fromMs + CUT_OFF_DURATION_MS / 2,
       () => simulation.changeSettings(),
--- a/packages/measure/src/simulated_callers.ts
+++ b/packages/measure/src/simulated_callers.ts
@@ -1,4 +1,7 @@
-/** Callers behind the balancer: they call, wait, come back and hang up. */
+/**
+ * Simulated callers and the load balancer between them and the instances.
+ * Callers send items, retry refused ones and close calls that take too long.
+ */
 
 import type { Randomness } from "@chestnuthatch/core/randomness";
 import type { Refusal } from "@chestnuthatch/core/request";
@@ -13,30 +16,31 @@
   type WorkItem,
 } from "./work_item.ts";
 
-/** What callers share with the world. */
+/** Parts of the simulation that the callers use. */
 export interface CallersContext {
   readonly queue: EventQueue;
   readonly random: Randomness;
   readonly checker: PromiseChecker;
   readonly recorder: RunRecorder;
-  /** One-way delay to an instance. */
+  /** One-way delay between a caller and an instance. */
   readonly oneWayDelayMs: number;
+  /** Returns the instances that the load balancer chooses from. */
   readonly instances: () => readonly EntryInstance[];
 }
 
-/** An instance has told a call's outcome this long after the deadline. */
+/** Time after a call's deadline by which it must have received an outcome. */
 const MAX_OUTCOME_DELAY_MS = 1000;
-/** Callers hang up this long after their deadline. */
+/** Time after its deadline at which a caller closes an open call. */
 const CALLER_TIMEOUT_MARGIN_MS = 2000;
-/** The balancer stops sending to a frozen instance after this long. */
+/** Time after which the load balancer skips a paused instance. */
 const HEALTH_CHECK_TIMEOUT_MS = 2000;
 const NO_INSTANCE_RETRY_DELAY_MS = 500;
-/** A caller that gave up comes back after this long. */
+/** Delay of a retry after a timeout, or a refusal without a retry delay. */
 const RETRY_DELAY_MS = 1000;
-/** Nobody sends a call that leaves less time than this. */
+/** Callers send no call with less time left than this. */
 const MIN_TIME_LEFT_MS = 200;
 
-/** One item's way through its calls. */
+/** An item and the number of retries that its caller will still make. */
 interface PendingItem {
   readonly item: WorkItem;
   retriesLeft: number;
@@ -48,19 +52,23 @@
   readonly instance: EntryInstance;
 }
 
-/** Everyone who calls. */
+/** All callers of a simulation, and the load balancer in front of instances. */
 export class SimulatedCallers implements OutcomeListener {
   readonly #context: CallersContext;
   readonly #openCalls = new Map<string, OpenCall>();
   readonly #pausedSinceMsByInstance = new Map<EntryInstance, number>();
   #callCount = 0;
 
-  /** @param context What callers share with the world. */
+  /** @param context The parts of the simulation that the callers use. */
   constructor(context: CallersContext) {
     this.#context = context;
   }
 
-  /** @param items What is wanted, and when. */
+  /**
+   * Schedules the first call of each item.
+   *
+   * @param items The items with the times of their calls.
+   */
   scheduleItems(items: readonly WorkItem[]): void {
     const { queue, random, recorder } = this.#context;
     for (const item of items) {
--- a/packages/measure/src/simulated_engine.ts
+++ b/packages/measure/src/simulated_engine.ts
@@ -1,4 +1,4 @@
-/** A model engine of the measured world. */
+/** Simulated model engine that processes prompts as a stand-in engine does. */
 
 import type { AttemptRef } from "@chestnuthatch/core/events";
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
@@ -20,10 +20,10 @@
   type TargetWork,
 } from "./simulated_target.ts";
 
-/** Tokens that one block fingerprint stands for. */
+/** Number of prompt tokens that one block hash covers. */
 export const BLOCK_TOKENS = 64;
 
-/** What the brief says of engines in general. */
+/** Options that all simulated engines share. */
 const ENGINE_MODEL_OPTIONS = {
   decodeSlowdownPerStream: 0.02,
   blockTokens: BLOCK_TOKENS,
@@ -32,21 +32,27 @@
   cacheEventLossShare: 0.1,
 };
 
-/** Share of an engine's KV memory that keeps prefixes. */
+/** Share of an engine's KV memory that caches prefixes. */
 const PREFIX_CACHE_SHARE = 0.5;
 
-/** Engine events are looked for this often at most; tokens come in batches. */
+/**
+ * Shortest time between two scheduled steps of the engine model, so that the
+ * tokens of several streams come out in one step.
+ */
 const MIN_ADVANCE_INTERVAL_MS = 10;
 
-/** Token events are handed on in batches of this many, but for the first. */
+/** Tokens sent in one event at most; the first token is sent at once. */
 const MAX_TOKENS_PER_BATCH = 32;
 
+/** An attempt that the engine has not ended yet. */
 interface OpenAttempt extends AttemptRef {
   connection: TargetConnection;
   readonly reservedKvTokens: number;
   isStarted: boolean;
   tokenCount: number;
+  /** Tokens not sent yet, and the index of the first of them. */
   batch: { index: number; tokens: number; text: string };
+  /** All text produced so far. */
   text: string;
 }
 
@@ -60,8 +66,8 @@
   #nextAdvance: ScheduledEvent | undefined;
 
   /**
-   * @param settings The target as the operators describe it.
-   * @param context The world around it, and the model it serves.
+   * @param settings The target's entry in the settings.
+   * @param context Parts of the simulation, and the model that the engine serves.
    */
   constructor(
     settings: TargetSettings,
--- a/packages/measure/src/simulated_network.ts
+++ b/packages/measure/src/simulated_network.ts
@@ -1,48 +1,53 @@
-/** Links between failure domains, and which of them are cut. */
+/** Simulated network between failure domains, the platform and callers. */
 
-/** Delays of the links, one way, in milliseconds. */
+/** One-way delays of the links in milliseconds. */
 export interface LinkDelays {
   readonly withinDomainDelayMs: number;
   readonly betweenDomainsDelayMs: number;
   readonly callerDelayMs: number;
 }
 
-/** How long a connection attempt over a cut link takes to fail. */
+/** Time until a connection attempt over a cut link fails. */
 export const CONNECT_TIMEOUT_MS = 1000;
 
-/** Knows the delay and the state of every link. */
+/** Delays of the links, and which failure domains are isolated. */
 export class SimulatedNetwork {
   readonly delays: LinkDelays;
   readonly #isolatedDomains = new Set<string>();
   readonly #domainsWithoutPlatform = new Set<string>();
 
-  /** @param delays Delays of the links. */
+  /** @param delays One-way delays of the links. */
   constructor(delays: LinkDelays) {
     this.delays = delays;
   }
 
   /**
-   * Cuts a domain off from the other domains and from the platform.
+   * Cuts the links from a failure domain to all others and to the platform.
+   * Its links to callers keep working.
    *
-   * @param failureDomain The domain.
+   * @param failureDomain The failure domain to isolate.
    */
   isolateDomain(failureDomain: string): void {
     this.#isolatedDomains.add(failureDomain);
     this.#domainsWithoutPlatform.add(failureDomain);
   }
 
-  /** @param failureDomain The domain whose links work again. */
+  /**
+   * Restores the links of an isolated failure domain.
+   *
+   * @param failureDomain The failure domain to reconnect.
+   */
   reconnectDomain(failureDomain: string): void {
     this.#isolatedDomains.delete(failureDomain);
     this.#domainsWithoutPlatform.delete(failureDomain);
   }
 
   /**
-   * Tells whether two domains reach each other.
+   * Checks whether two failure domains are connected.
    *
-   * @param a One domain.
-   * @param b The other, or the same.
-   * @returns True when messages get through.
+   * @param a The first failure domain.
+   * @param b The second failure domain; may be the first.
+   * @returns True when messages between them arrive.
    */
   isConnected(a: string, b: string): boolean {
     return a === b ||
@@ -50,20 +55,20 @@
   }
 
   /**
-   * Tells whether a domain reaches the platform.
+   * Checks whether a failure domain is connected to the platform.
    *
-   * @param failureDomain The domain.
-   * @returns True when calls get through.
+   * @param failureDomain The failure domain.
+   * @returns True when calls to the platform arrive.
    */
   isConnectedToPlatform(failureDomain: string): boolean {
     return !this.#domainsWithoutPlatform.has(failureDomain);
   }
 
   /**
-   * Tells how long a message takes.
+   * Returns the delay of a message between two failure domains.
    *
-   * @param from The sender's domain.
-   * @param to The receiver's domain.
+   * @param from The sender's failure domain.
+   * @param to The receiver's failure domain.
    * @returns The one-way delay in milliseconds.
    */
   delayMs(from: string, to: string): number {
--- a/packages/measure/src/simulated_platform.ts
+++ b/packages/measure/src/simulated_platform.ts
@@ -1,4 +1,4 @@
-/** The platform of the measured world, behind links and with faults. */
+/** Simulated platform behind links that can be cut, with injected faults. */
 
 import {
   PlatformModel,
@@ -23,16 +23,16 @@
   readonly changeId: string;
 }
 
-/** One way to and through the platform. */
+/** One-way delay between an instance and the platform. */
 const ONE_WAY_DELAY_MS = 2;
-/** A call to the platform is given up after this long. */
+/** Time after which a call to the platform without an answer fails. */
 const CALL_TIMEOUT_MS = 500;
 const LIST_LAG_MS = 5000;
 const WRITES_PER_SECOND = 300;
 const READS_PER_SECOND = 2000;
 const SETTINGS_KEY = "settings/current";
 
-/** Told the answer, or nothing when none came. */
+/** Receives the answer of a call, or undefined if none arrived. */
 export type Reply<T> = (answer: T | undefined) => void;
 
 /** Runs a {@link PlatformModel} on the manual clock. */
@@ -48,7 +48,7 @@
   });
   #lostAnswerShare = 0;
 
-  /** @param context The clock, the links and a source of randomness. */
+  /** @param context The clock, the network and a source of randomness. */
   constructor(
     context: {
       queue: EventQueue;
@@ -61,21 +61,29 @@
     this.#random = context.random;
   }
 
-  /** @param down Whether every call fails from now on. */
+  /**
+   * Starts or ends an outage of the platform.
+   *
+   * @param down Whether every call fails from now on.
+   */
   setDown(down: boolean): void {
     this.#model.setDown(down);
   }
 
-  /** @param share Share of writes whose answer is lost after their effect. */
+  /**
+   * Makes answers to writes get lost after the write took effect.
+   *
+   * @param share Share (0 to 1) of the writes whose answer is lost.
+   */
   setLostAnswerShare(share: number): void {
     this.#lostAnswerShare = share;
   }
 
   /**
-   * Puts an instance or a target on the list.
+   * Adds an instance or a target to the instance list.
    *
-   * @param listed What the list says of it.
-   * @param options Whether the list shows it at once.
+   * @param listed Id, kind and failure domain of the new entry.
+   * @param options `atOnce` makes the entry visible without the list's lag.
    */
   addToList(
     listed: { id: string; kind: ListedKind; failureDomain: string },
@@ -88,12 +96,22 @@
     );
   }
 
-  /** @param id What the list will show as leaving. */
+  /**
+   * Marks an entry of the instance list as leaving; readers see it after the
+   * list's lag.
+   *
+   * @param id Id of the instance or target.
+   */
   markLeaving(id: string): void {
     this.#model.instanceList.markLeaving(id, this.#queue.nowMs);
   }
 
-  /** @param id What the list will show no longer. */
+  /**
+   * Removes an entry from the instance list; readers see it after the list's
+   * lag.
+   *
+   * @param id Id of the instance or target.
+   */
   removeFromList(id: string): void {
     this.#model.instanceList.remove(id, this.#queue.nowMs);
   }
@@ -101,7 +119,8 @@
   /**
    * Commits a version of the settings, as an operator does.
    *
-   * @param settings The version.
+   * @param settings The version to commit; its number must be the next one.
+   * @throws {Error} If the platform doesn't commit the version.
    */
   commitSettings(settings: StoredSettings): void {
     const reply = this.#model.transact({
@@ -117,8 +136,9 @@
   /**
    * Reads the settings.
    *
-   * @param failureDomain Where the reader is.
-   * @param reply Told the version in the table, or nothing.
+   * @param failureDomain Failure domain of the reader.
+   * @param reply Receives the current version, or undefined if there is none or
+   * no answer arrived.
    */
   readSettings(failureDomain: string, reply: Reply<StoredSettings>): void {
     this.readRow(failureDomain, {
@@ -131,10 +151,10 @@
   }
 
   /**
-   * Reads the list.
+   * Reads the instance list.
    *
-   * @param failureDomain Where the reader is.
-   * @param reply Told the list, or nothing.
+   * @param failureDomain Failure domain of the reader.
+   * @param reply Receives the list, or undefined if no answer arrived.
    */
   readInstanceList(failureDomain: string, reply: Reply<InstanceList>): void {
     const read = (nowMs: number) => this.#model.listInstances(nowMs);
@@ -148,8 +168,8 @@
   /**
    * Runs a transaction on the table.
    *
-   * @param failureDomain Where the writer is.
-   * @param options The transaction, and who is told how it ended.
+   * @param failureDomain Failure domain of the writer.
+   * @param options The transaction, and the receiver of its result.
    */
   transact(
     failureDomain: string,
@@ -165,8 +185,8 @@
   /**
    * Reads a row of the table.
    *
-   * @param failureDomain Where the reader is.
-   * @param options Its key, and who is told what was found.
+   * @param failureDomain Failure domain of the reader.
+   * @param options The key, and the receiver of the row or its absence.
    */
   readRow(
     failureDomain: string,
@@ -185,10 +205,10 @@
   }
 
   /**
-   * Writes an object.
+   * Writes an object; the writer doesn't learn whether that succeeded.
    *
-   * @param failureDomain Where the writer is.
-   * @param object Its key and content.
+   * @param failureDomain Failure domain of the writer.
+   * @param object Key and content of the object.
    */
   putObject(
     failureDomain: string,
@@ -204,8 +224,8 @@
   /**
    * Reads an object.
    *
-   * @param failureDomain Where the reader is.
-   * @param options Its key, and who is told its content.
+   * @param failureDomain Failure domain of the reader.
+   * @param options The key, and the receiver of the content or its absence.
    */
   getObject(
     failureDomain: string,
--- a/packages/measure/src/simulated_service.ts
+++ b/packages/measure/src/simulated_service.ts
@@ -1,4 +1,4 @@
-/** A plain service of the measured world. */
+/** Simulated service that answers calls as a stand-in service does. */
 
 import type { AttemptRef } from "@chestnuthatch/core/events";
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
@@ -17,6 +17,7 @@
 
 const LOAD_LAG_MS = 1000;
 
+/** A call that the service has not answered yet. */
 interface OpenCall {
   readonly requestId: string;
   readonly connection: TargetConnection;
@@ -32,8 +33,8 @@
   #nextAdvance: ScheduledEvent | undefined;
 
   /**
-   * @param settings The target as the operators describe it.
-   * @param context The world around it.
+   * @param settings The target's entry in the settings.
+   * @param context The parts of the simulation that the service uses.
    */
   constructor(settings: TargetSettings, context: TargetContext) {
     this.settings = settings;
--- a/packages/measure/src/simulated_target.ts
+++ b/packages/measure/src/simulated_target.ts
@@ -1,4 +1,4 @@
-/** A target of the measured world: a stand-in behind links that can break. */
+/** Interface of simulated targets, and their connections to holders. */
 
 import type { TargetSettings } from "@chestnuthatch/settings/policy";
 import type {
@@ -12,7 +12,7 @@
 import type { SimulatedNetwork } from "./simulated_network.ts";
 import type { PromiseChecker } from "./promise_checker.ts";
 
-/** Everything a target is sent with one attempt. */
+/** The request of one attempt, as it is dispatched to a target. */
 export interface TargetWork extends AttemptRef {
   readonly holderId: string;
   readonly pool: string;
@@ -25,34 +25,50 @@
   readonly blockHashes: readonly string[];
 }
 
-/** The holder's end of a connection to a target. */
+/** Receiver of the events of an attempt, on the holder's side. */
 export interface AttemptListener {
   /** Failure domain of the holder. */
   readonly failureDomain: string;
-  /** @param event One line of an engine's stream. */
+  /**
+   * Receives an event of an engine's stream.
+   *
+   * @param event The event.
+   */
   onStreamEvent(event: EngineEvent): void;
-  /** @param answer A service's answer. */
+  /**
+   * Receives the answer of a service.
+   *
+   * @param answer The answer.
+   */
   onServiceAnswered(answer: ServiceAnswer): void;
-  /** @param reason Why the connection broke. */
+  /**
+   * Handles a connection that broke before the attempt ended.
+   *
+   * @param reason Cause of the failure.
+   */
   onClosed(reason: string): void;
 }
 
-/** What a target notes of the work it was sent. */
+/** Recorder of the work that targets receive and do. */
 export interface WorkRecorder {
   /**
-   * Notes work that reached a target.
+   * Records work that reached a target.
    *
-   * @param work What came.
-   * @param targetId The target.
+   * @param work The work.
+   * @param targetId Id of the target.
    */
   recordReceived(work: TargetWork, targetId: string): void;
-  /** @param requestId A request whose work began. */
+  /**
+   * Records that a target started work.
+   *
+   * @param requestId Id of the request.
+   */
   recordStarted(requestId: string): void;
   /**
-   * Notes a prompt that was read.
+   * Records that an engine prefilled a prompt.
    *
-   * @param requestId The request.
-   * @param tokens Its tokens found in the cache, and worked.
+   * @param requestId Id of the request.
+   * @param tokens Prompt tokens found in the prefix cache, and those prefilled.
    */
   recordPrefilled(
     requestId: string,
@@ -60,7 +76,7 @@
   ): void;
 }
 
-/** What every target shares with the world. */
+/** Parts of the simulation that a target uses, and its random seed. */
 export interface TargetContext {
   readonly queue: EventQueue;
   readonly network: SimulatedNetwork;
@@ -69,59 +85,71 @@
   readonly seed: number;
 }
 
-/** What one run has cost a target. */
+/** Work that a target has done in one run. */
 export interface TargetUsage {
-  /** Prompt tokens worked by request id. */
+  /** Prompt tokens prefilled, by request id. */
   readonly prefilledTokensByRequestId: ReadonlyMap<string, number>;
 }
 
-/** A target as the links reach it. */
+/** A simulated target, which runs a stand-in's model. */
 export interface SimulatedTarget {
   readonly settings: TargetSettings;
   readonly isRunning: boolean;
   /**
-   * Takes work.
+   * Starts an attempt.
    *
-   * @param work The attempt.
-   * @param listener Where its answer goes.
+   * @param work The request of the attempt.
+   * @param listener Receiver of the attempt's events.
    */
   dispatch(work: TargetWork, listener: AttemptListener): void;
-  /** @param attempt The attempt to stop. */
+  /**
+   * Cancels an attempt; services ignore it.
+   *
+   * @param attempt The attempt.
+   */
   cancel(attempt: AttemptRef): void;
   /**
-   * Takes a new connection for a stream that broke.
+   * Resumes a stream over a new connection after the old one broke.
    *
    * @param attempt The attempt.
-   * @param options The first token wanted, and where the stream goes.
+   * @param options Index of the first token to send, and the receiver of the
+   * stream's events.
    */
   resume(
     attempt: AttemptRef,
     options: { fromToken: number; listener: AttemptListener },
   ): void;
-  /** @returns The target's own stale report. */
+  /** @returns The load that the target reports, which lags behind its real one. */
   load(): TargetLoad;
   /**
-   * Reads cache events.
+   * Reads the events of the prefix cache.
    *
-   * @param after Sequence number read last.
-   * @returns The next events; none from a service.
+   * @param after Sequence number of the last event read.
+   * @returns The events after it; none from a service.
    */
   cacheEvents(after: number): CacheEventsAnswer;
-  /** @param factor How many times slower it gets. */
+  /**
+   * Makes the target a straggler.
+   *
+   * @param factor How many times as long the work takes; 1 for normal speed.
+   */
   setSlowdown(factor: number): void;
-  /** Makes the target tell that it is leaving. */
+  /** Makes the target announce that it is leaving. */
   startLeaving(): void;
-  /** Kills the process: everything it does and holds is lost. */
+  /** Kills the target: it loses its work, and its connections break. */
   kill(): void;
-  /** @returns What it did in this run. */
+  /** @returns The work that the target has done in this run. */
   usage(): TargetUsage;
 }
 
-/** A connection that hears nothing this long is given up. */
+/** Time without progress after which the holder closes the connection. */
 const IDLE_TIMEOUT_MS = 2000;
 const RETRANSMIT_INTERVAL_MS = 200;
 
-/** The target's end of a connection; what it sends arrives in order or never. */
+/**
+ * Connection from a target to the holder of an attempt. Events sent while the
+ * link is cut are sent again once it works; they arrive in order or not at all.
+ */
 export class TargetConnection {
   readonly #context: Pick<TargetContext, "queue" | "network">;
   readonly #targetFailureDomain: string;
@@ -131,8 +159,8 @@
   #isClosed = false;
 
   /**
-   * @param context The clock and the links.
-   * @param endpoints The target's domain and the holder's end.
+   * @param context The clock and the network.
+   * @param endpoints The target's failure domain, and the receiver at the holder.
    */
   constructor(
     context: Pick<TargetContext, "queue" | "network">,
@@ -143,7 +171,11 @@
     this.#listener = endpoints.listener;
   }
 
-  /** @param notify What the holder is told. */
+  /**
+   * Sends an event to the holder.
+   *
+   * @param notify Function that passes the event to the receiver.
+   */
   send(notify: (listener: AttemptListener) => void): void {
     if (this.#isClosed) {
       return;
@@ -159,13 +191,17 @@
     }
   }
 
-  /** @param reason Why the holder's connection breaks. */
+  /**
+   * Breaks the connection; the holder is notified after all earlier events.
+   *
+   * @param reason Cause of the failure.
+   */
   close(reason: string): void {
     this.send((listener) => listener.onClosed(reason));
     this.#isClosed = this.#backlog.length === 0;
   }
 
-  /** Drops the connection without telling the holder anything. */
+  /** Closes the connection without notifying the holder. */
   discard(): void {
     this.#isClosed = true;
     this.#backlog = [];
--- a/packages/measure/src/simulation.ts
+++ b/packages/measure/src/simulation.ts
@@ -1,6 +1,7 @@
 /**
- * A deployment on a manual clock: entry instances over fakes of everything
- * around them. Not a cluster simulator: it keeps just what decisions see.
+ * Simulation of a deployment: real entry instances on a simulated clock, with
+ * simulated targets, platform, network and callers. It models only what the
+ * scheduler's decisions depend on.
  */
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
@@ -34,25 +35,31 @@
 import type { SimulatedTarget } from "./simulated_target.ts";
 import type { WorkItem } from "./work_item.ts";
 
-/** Which scheduler runs. */
+/** Kind of entry instances that a simulation runs. */
 export enum SchedulerVariant {
+  /** Instances that run the scheduler core. */
   Scheduler = "scheduler",
+  /** Instances that pick the better of two random targets. */
   Baseline = "baseline",
 }
 
-/** How a world is made. */
+/** Deployment, scheduler variant and seed of a simulation. */
 export interface SimulationOptions {
   readonly plan: DeploymentPlan;
   readonly variant: SchedulerVariant;
   readonly seed: number;
+  /** Whether the scheduler places requests by cached prefixes. */
   readonly useAffinity: boolean;
 }
 
+/** Range that the first ticks of the instances are spread over. */
 const MAX_TICK_OFFSET_MS = 50;
+/** Time from the kill of an instance until it starts again. */
 const RESTART_DELAY_MS = 5000;
+/** Distance between the seeds of instances, and range of those of targets. */
 const SEED_STEP = 1009;
 
-/** Everything of one run. */
+/** All parts of one simulated run, and the faults that can be injected. */
 export class Simulation implements SimulationView {
   readonly queue = new EventQueue();
   readonly network: SimulatedNetwork;
@@ -68,7 +75,7 @@
   readonly plan: DeploymentPlan;
   readonly #callers: SimulatedCallers;
 
-  /** @param options How it is made. */
+  /** @param options Deployment, scheduler variant and seed. */
   constructor(options: SimulationOptions) {
     const { plan, seed } = options;
     const { queue, checker, recorder } = this;
@@ -91,7 +98,9 @@
     this.instances = this.#createInstances(options);
   }
 
-  /** Lists and starts everything. */
+  /**
+   * Commits the settings, fills the instance list and starts all instances.
+   */
   start(): void {
     const { settingsText } = this.plan;
     this.platform.commitSettings({
@@ -112,12 +121,20 @@
     this.instances.forEach((instance) => instance.start());
   }
 
-  /** @param items What callers want. */
+  /**
+   * Schedules the calls of the callers.
+   *
+   * @param items The items with the times of their calls.
+   */
   scheduleItems(items: readonly WorkItem[]): void {
     this.#callers.scheduleItems(items);
   }
 
-  /** @param instanceId An instance that is killed, and replaced later. */
+  /**
+   * Kills an instance and starts it again later.
+   *
+   * @param instanceId Id of the instance.
+   */
   killInstance(instanceId: string): void {
     const instance = this.instances.find((each) =>
       each.instanceId === instanceId
@@ -127,10 +144,10 @@
   }
 
   /**
-   * Freezes an instance for a while.
+   * Pauses an instance and resumes it later.
    *
-   * @param instanceId The instance.
-   * @param durationMs How long.
+   * @param instanceId Id of the instance.
+   * @param durationMs Length of the pause.
    */
   pauseInstance(instanceId: string, durationMs: number): void {
     const instance = this.instances.find((each) =>
@@ -140,19 +157,28 @@
     this.queue.after(durationMs, () => instance?.resume());
   }
 
-  /** @param targetId A target that leaves: it tells so, the list lags. */
+  /**
+   * Makes a target leave: it announces so at once, and the instance list shows
+   * it after its lag.
+   *
+   * @param targetId Id of the target.
+   */
   startTargetLeaving(targetId: string): void {
     this.targets.get(targetId)?.startLeaving();
     this.platform.markLeaving(targetId);
   }
 
-  /** @param targetId A target that dies. */
+  /**
+   * Kills a target and removes it from the instance list.
+   *
+   * @param targetId Id of the target.
+   */
   killTarget(targetId: string): void {
     this.targets.get(targetId)?.kill();
     this.platform.removeFromList(targetId);
   }
 
-  /** Commits the next version of the settings, with the same meaning. */
+  /** Commits version 2 of the settings, which differs only in a comment. */
   changeSettings(): void {
     this.platform.commitSettings({
       version: 2,
@@ -162,10 +188,11 @@
   }
 
   /**
-   * Finds the instance that coordinates a shard while all are alive.
+   * Finds the coordinator of a target's shard, provided that all instances are
+   * alive: the instance of the shard's failure domain with the highest hash.
    *
-   * @param targetId A target of the shard.
-   * @returns The instance's id.
+   * @param targetId Id of a target of the shard.
+   * @returns Id of the coordinating instance.
    */
   findCoordinatorId(targetId: string): string {
     const { pool, failureDomain } = this.targets.get(targetId)!.settings;
--- a/packages/measure/src/slopes.ts
+++ b/packages/measure/src/slopes.ts
@@ -1,4 +1,4 @@
-/** The scheduler's own costs by size: bytes, processor time and memory. */
+/** Bytes, CPU time and memory that the scheduler uses, by size of the fleet. */
 
 import { capacityPerSecond } from "./capacity.ts";
 import { SchedulerVariant, Simulation } from "./simulation.ts";
@@ -7,26 +7,34 @@
 import { formatTable } from "./text_table.ts";
 import { createWorkItems } from "./work_item_generator.ts";
 
-/** Costs of control at one size. */
+/** Costs of coordination in a fleet of one size. */
 export interface SizeCosts extends FleetSize {
+  /** Number of requests in the measured time under load. */
   readonly requests: number;
+  /** Requests per second and instance. */
   readonly requestsPerNodeSecond: number;
+  /** Bytes sent between instances without load, per second and instance. */
   readonly idleBytesPerNodeSecond: number;
+  /** Bytes sent between instances under load, per second and instance. */
   readonly loadedBytesPerNodeSecond: number;
-  /** What load adds to the idle bytes, for each request. */
+  /** Bytes that load adds to those without load, per request. */
   readonly bytesPerRequest: number;
+  /** Time in the cores without load, per second and instance. */
   readonly idleCoreMsPerNodeSecond: number;
+  /** Time in the cores under load, per second and instance. */
   readonly loadedCoreMsPerNodeSecond: number;
+  /** Time in the cores that load adds to that without load, per request. */
   readonly coreMsPerRequest: number;
 }
 
-/** Everything measured. */
+/** Costs by number of instances and by number of targets, and memory. */
 export interface Slopes {
   readonly byInstances: readonly SizeCosts[];
   readonly byTargets: readonly SizeCosts[];
   readonly memory: MemoryCosts;
 }
 
+/** Messages between instances and time in the cores of one measured time. */
 interface ControlUsage {
   readonly bytes: number;
   readonly coreMs: number;
@@ -37,7 +45,7 @@
 const TARGET_COUNTS = [12, 24, 48, 96, 192];
 const TARGET_SWEEP_INSTANCES = 8;
 const TARGETS_PER_INSTANCE = 1.5;
-/** Callers come once the instances have found one another. */
+/** Start of the load; by then the instances are connected to each other. */
 const LOAD_START_MS = 3000;
 const WARM_UP_DURATION_MS = 10_000;
 const MEASURED_DURATION_MS = 10_000;
@@ -46,11 +54,11 @@
 const SEED = 1;
 
 /**
- * Measures costs over sizes.
+ * Measures the scheduler's costs in fleets of several sizes.
  *
- * @param print Takes the lines of the report.
- * @param maxInstances Leaves larger fleets out.
- * @returns Everything measured.
+ * @param print Prints a line of the report.
+ * @param maxInstances Number of instances above which fleets are left out.
+ * @returns Costs by number of instances and of targets, and memory.
  */
 export function measureSlopes(
   print: (line: string) => void,
@@ -87,7 +95,7 @@
   };
 }
 
-/** Load begins during the warm-up: the measured time is in full swing. */
+/** Measures after a warm-up, during which the load has become steady. */
 function measureUsage(size: FleetSize, loadRatio: number): ControlUsage {
   const plan = createScaledPlan(size);
   const simulation = new Simulation({
--- a/packages/measure/src/summary.ts
+++ b/packages/measure/src/summary.ts
@@ -1,39 +1,51 @@
-/** Adds up the runs of one scenario and sets them beside the baseline's. */
+/** Sums over the runs of one scenario with one scheduler variant. */
 
 import { build, type Histogram } from "hdr-histogram-js";
 import type { BrokenPromise, PromiseKind } from "./promise_checker.ts";
 import type { RunResult } from "./run_scenario.ts";
 import type { TierTally } from "./run_recorder.ts";
 
-/** Waits until work began, in milliseconds. */
+/** Percentiles of the time from sending a call to the start of its work. */
 export interface WaitSummary {
+  /** Number of calls whose work started. */
   readonly count: number;
   readonly p50Ms: number;
   readonly p95Ms: number;
   readonly p99Ms: number;
 }
 
-/** One variant's runs of one scenario, added up over seeds. */
+/** Sums over the runs of one scenario with one variant and all seeds. */
 export interface VariantSummary {
   readonly runs: number;
+  /** Number of calls sent, retries included. */
   readonly calls: number;
   readonly tiers: Readonly<Record<string, TierTally>>;
+  /** Sum of the values of the items answered in time. */
   readonly valueInTime: number;
+  /** Times until work started, by tier. */
   readonly waits: Readonly<Record<string, WaitSummary>>;
+  /** Number of calls without an answer, by reason. */
   readonly refusals: Readonly<Record<string, number>>;
   readonly prefilledTokens: number;
+  /** Prefilled tokens of requests whose answer no caller received. */
   readonly wastedTokens: number;
+  /** Share (0 to 1) of the wasted in the prefilled tokens. */
   readonly wastedShare: number;
+  /** Tokens that a target of the same pool had prefilled before. */
   readonly repeatedPrefixTokens: number;
+  /** Bytes of messages between instances, per call. */
   readonly controlBytesPerRequest: number;
+  /** Bytes of messages between instances, per second and instance. */
   readonly controlBytesPerNodeSecond: number;
+  /** Bytes of messages between instances, by kind of message. */
   readonly controlBytesByKind: Readonly<Record<string, number>>;
-  /** Processor time of the cores alone, as this machine gave it. */
+  /** Time in the scheduler cores per call; depends on the machine. */
   readonly coreMsPerRequest: number;
+  /** Number of violations by kind of promise. */
   readonly broken: Readonly<Partial<Record<PromiseKind, number>>>;
 }
 
-/** A broken promise with where it happened. */
+/** A broken promise with the seed of the run in which it was found. */
 export interface BrokenInRun extends BrokenPromise {
   readonly seed: number;
 }
@@ -41,10 +53,10 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Adds up runs.
+ * Adds up the results of runs.
  *
- * @param results Runs of one scenario and variant.
- * @returns Their sums.
+ * @param results Results of one scenario and variant, one for each seed.
+ * @returns Sums over all runs, and ratios of them.
  */
 export function summarize(results: readonly RunResult[]): VariantSummary {
   const calls = sum(results, (result) => result.calls);
@@ -84,11 +96,11 @@
 }
 
 /**
- * Divides, where there is something to divide by.
+ * Divides, and returns 0 instead of dividing by 0.
  *
- * @param part The part.
- * @param whole The whole.
- * @returns The ratio; 0 for no whole.
+ * @param part The dividend.
+ * @param whole The divisor.
+ * @returns The ratio; 0 if the divisor is 0.
  */
 export function ratio(part: number, whole: number): number {
   return whole === 0 ? 0 : part / whole;
--- a/packages/measure/src/target_client.ts
+++ b/packages/measure/src/target_client.ts
@@ -1,4 +1,4 @@
-/** How an entry instance reaches targets over links that can break. */
+/** Client through which an entry instance calls simulated targets. */
 
 import type { AttemptRef } from "@chestnuthatch/core/events";
 import type { CacheEventsAnswer } from "@chestnuthatch/wire/target_protocol";
@@ -11,19 +11,19 @@
   TargetWork,
 } from "./simulated_target.ts";
 
-/** Why a call to a target that is gone fails. */
+/** Reason of a failed call to a target that isn't running. */
 export const CONNECTION_REFUSED_REASON = "connection refused";
 
 const POLL_TIMEOUT_MS = 500;
 
-/** Calls to targets from one failure domain. */
+/** Calls targets from one failure domain, over links that can be cut. */
 export class TargetClient {
   readonly #context: InstanceContext;
   readonly #failureDomain: string;
 
   /**
-   * @param context The world.
-   * @param failureDomain Where the instance stands.
+   * @param context The parts of the simulation that the client uses.
+   * @param failureDomain Failure domain that the instance runs in.
    */
   constructor(context: InstanceContext, failureDomain: string) {
     this.#context = context;
@@ -31,11 +31,11 @@
   }
 
   /**
-   * Sends work.
+   * Dispatches an attempt.
    *
-   * @param targetId The target.
-   * @param options The work, where its answer goes, and who is told that no
-   * byte of it left.
+   * @param targetId Id of the target.
+   * @param options The request, the receiver of its events, and `onNotSent`, which
+   * is called if no byte of the request was sent.
    */
   dispatch(
     targetId: string,
@@ -53,10 +53,11 @@
   }
 
   /**
-   * Asks for the rest of a stream.
+   * Resumes the stream of an attempt.
    *
-   * @param targetId The target.
-   * @param options The attempt, the first token wanted and where it goes.
+   * @param targetId Id of the target.
+   * @param options The attempt, the index of the first token to send, and the
+   * receiver of the stream's events.
    */
   resume(
     targetId: string,
@@ -74,9 +75,9 @@
   }
 
   /**
-   * Stops a stream.
+   * Cancels an attempt; failures are ignored.
    *
-   * @param targetId The target.
+   * @param targetId Id of the target.
    * @param attempt The attempt.
    */
   cancel(targetId: string, attempt: AttemptRef): void {
@@ -88,10 +89,10 @@
   }
 
   /**
-   * Reads a target's load.
+   * Reads the load that a target reports.
    *
-   * @param targetId The target.
-   * @param reply Told the load, or nothing when it did not answer.
+   * @param targetId Id of the target.
+   * @param reply Receives the load, or undefined if the target didn't answer.
    */
   pollLoad(
     targetId: string,
@@ -101,10 +102,11 @@
   }
 
   /**
-   * Reads a target's cache events.
+   * Reads the events of a target's prefix cache.
    *
-   * @param targetId The target.
-   * @param options The sequence read last, and who is told.
+   * @param targetId Id of the target.
+   * @param options Sequence number of the last event read, and the receiver of the
+   * events, which gets undefined if the target didn't answer.
    */
   pollCacheEvents(
     targetId: string,
--- a/packages/measure/src/text_table.ts
+++ b/packages/measure/src/text_table.ts
@@ -1,12 +1,12 @@
-/** Tables of plain text. */
+/** Formatting of tables as plain text. */
 
 const COLUMN_GAP = "  ";
 
 /**
- * Lays out rows in columns.
+ * Formats rows as a table with aligned columns.
  *
- * @param rows Rows with the same columns.
- * @returns The lines, headings first; none for no rows.
+ * @param rows Rows with the same keys, which become the column headings.
+ * @returns The lines, headings first; none if there are no rows.
  */
 export function formatTable(
   rows: readonly Readonly<Record<string, string | number>>[],
--- a/packages/measure/src/work_item.ts
+++ b/packages/measure/src/work_item.ts
@@ -1,54 +1,57 @@
-/** What callers want done. */
+/** Items of work that callers request, and their calls. */
 
 import type { CallRecord } from "./promise_checker.ts";
 
-/** One thing a caller wants done, whatever it takes. */
+/** A piece of work that a caller requests, with one or more calls. */
 export interface WorkItem {
   readonly itemId: string;
+  /** Time of the first call. */
   readonly atMs: number;
   readonly workspace: string;
   readonly tier: string;
   readonly tierRank: number;
-  /** Worth of an answer in time. */
+  /** Value of an answer before the deadline, as the policy sets it. */
   readonly value: number;
   readonly pool: string;
-  /** Model of the pool; empty for services. */
+  /** Model that the pool serves; empty for services. */
   readonly model: string;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
+  /** Time from a call until its answer is late. */
   readonly deadlineMs: number;
   readonly idempotent: boolean;
   readonly idempotencyKey?: string;
-  /** Short text that stands for the prompt and tells the answer's length. */
+  /** Short text in place of the prompt, from which the answer's length follows. */
   readonly prompt: string;
   readonly contentHash: string;
   readonly blockHashes: readonly string[];
 }
 
-/** One call about an item at one entry instance. */
+/** A call with which a caller requests an item from an entry instance. */
 export interface CallerCall {
   readonly requestId: string;
   readonly item: WorkItem;
   readonly sentAtMs: number;
-  /** Time the caller will wait for this call. */
+  /** Time from sending the call until its answer is late. */
   readonly deadlineMs: number;
 }
 
 /**
- * Names what a caller wants done, the same for calls that share a key.
+ * Returns the identity of an item; items that share an idempotency key within a
+ * workspace have the same identity.
  *
  * @param item The item.
- * @returns Workspace and key, or the item's own id.
+ * @returns Workspace and key, or the item's own id if it has no key.
  */
 export function itemIdentity(item: WorkItem): string {
   return itemKey(item) ?? item.itemId;
 }
 
 /**
- * Names an item's idempotency key within its workspace.
+ * Returns an item's idempotency key, qualified by its workspace.
  *
  * @param item The item.
- * @returns Workspace and key, or nothing where it has no key.
+ * @returns Workspace and key, or undefined if the item has no key.
  */
 export function itemKey(item: WorkItem): string | undefined {
   return item.idempotencyKey === undefined
@@ -57,11 +60,11 @@
 }
 
 /**
- * Describes a call to the checks.
+ * Converts a call to the record that promises are checked on.
  *
  * @param call The call.
- * @param holderId The instance that received it.
- * @returns The record.
+ * @param holderId Id of the instance that received the call.
+ * @returns The record of the call.
  */
 export function toCallRecord(call: CallerCall, holderId: string): CallRecord {
   const { item } = call;
--- a/packages/measure/src/work_item_generator.ts
+++ b/packages/measure/src/work_item_generator.ts
@@ -1,4 +1,4 @@
-/** Turns the generated workload into what callers of the world want done. */
+/** Generator of the items that simulated callers request. */
 
 import type { SettingsInForce } from "@chestnuthatch/settings/policy";
 import {
@@ -10,10 +10,10 @@
 import type { WorkItem } from "./work_item.ts";
 
 /**
- * Makes the items of one run.
+ * Generates the items of one run.
  *
- * @param options What to generate.
- * @param scope The settings, for tiers and values, and the callers' region.
+ * @param options Deployment, seed, duration and load of the workload.
+ * @param scope The settings that give ranks and values, and the callers' region.
  * @returns The items in time order.
  */
 export function createWorkItems(
