--- a/packages/measure/src/capacity.ts
+++ b/packages/measure/src/capacity.ts
@@ -32,7 +32,7 @@
  * Estimates a deployment's capacity. Prefix caches are not taken into account.
  *
  * @param plan The deployment's targets and their rates.
- * @param mix Weights of the kinds of requests; those of a normal load if absent.
+ * @param mix Weights of the kinds of requests; the normal ones if absent.
  * @returns Requests per second of the whole mix, limited by the pool that
  * saturates first.
  */
--- a/packages/measure/src/claim_client.ts
+++ b/packages/measure/src/claim_client.ts
@@ -21,7 +21,8 @@
 /** Result of writing a claim. */
 export interface ClaimResult {
   readonly outcome: ClaimOutcome;
-  readonly existingRow?: ClaimRow;
+  /** The row found under the key, if it is another claim. */
+  readonly found?: ClaimRow;
 }
 
 /** A write whose result is not known yet. */
@@ -96,8 +97,8 @@
   }
 
   /**
-   * Deletes a claim row, unless the row under its key has another nonce. A write
-   * of the claim that is still under way is abandoned.
+   * Deletes a claim row, unless the row under its key has another nonce. A
+   * write of the claim that is still in flight is abandoned.
    *
    * @param claim The claim to delete.
    */
@@ -227,7 +228,7 @@
   const row = JSON.parse(foundRow.value) as ClaimRow;
   return row.nonce === own.nonce
     ? { outcome: ClaimOutcome.Held }
-    : { outcome: ClaimOutcome.HeldElsewhere, existingRow: row };
+    : { outcome: ClaimOutcome.HeldElsewhere, found: row };
 }
 
 function readNonce(row: Row): string {
--- a/packages/measure/src/event_queue.ts
+++ b/packages/measure/src/event_queue.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Clock that runs scheduled events in order of time. Its time advances only from
- * event to event, never while an event runs.
+ * Clock that runs scheduled events in order of time. Its time advances only
+ * from event to event, never while an event runs.
  */
 export class EventQueue {
   readonly #heap: QueuedEvent[] = [];
--- a/packages/measure/src/memory_costs.ts
+++ b/packages/measure/src/memory_costs.ts
@@ -36,7 +36,7 @@
 
 /**
  * Measures the heap before and after adding many items of each kind. Garbage is
- * collected before each reading, so that results repeat to within a few percent.
+ * collected before each reading, so that results differ by a few percent only.
  *
  * @returns Bytes of heap for one item of each kind.
  */
--- a/packages/measure/src/peer_links.ts
+++ b/packages/measure/src/peer_links.ts
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Stops keeping a link open. The link closes unless the other process keeps it
-   * open too.
+   * Stops keeping a link open. The link closes unless the other process keeps
+   * it open too.
    *
    * @param from The process that dialled.
    * @param toId Id of the instance to disconnect from.
--- a/packages/measure/src/promise_checker.ts
+++ b/packages/measure/src/promise_checker.ts
@@ -90,8 +90,8 @@
 }
 
 /**
- * A refusal that violates the tier order, unless the lower-tier work was refused
- * at the same moment.
+ * A refusal that violates the tier order, unless the lower-tier work was
+ * refused at the same moment.
  */
 interface PossibleTierOrderViolation {
   readonly call: CallRecord;
@@ -253,8 +253,8 @@
   }
 
   /**
-   * Records the answer to a call, and checks that a target produced exactly this
-   * text for the item.
+   * Records the answer to a call, and checks that a target produced exactly
+   * this text for the item.
    *
    * @param requestId Id of the call.
    * @param text The text that the caller receives.
@@ -308,7 +308,7 @@
    * Records the settings version that a process applies, and checks that it
    * isn't older than the one before.
    *
-   * @param processName Name of the process, unique for each start of an instance.
+   * @param processName Name of the process; another one after each restart.
    * @param version The version in force.
    */
   recordSettingsInForce(processName: string, version: number): void {
--- a/packages/measure/src/simulated_engine.ts
+++ b/packages/measure/src/simulated_engine.ts
@@ -56,7 +56,7 @@
   text: string;
 }
 
-/** Runs an {@link EngineModel} on the manual clock. */
+/** Runs an {@link EngineModel} on the simulated clock. */
 export class SimulatedEngine implements SimulatedTarget {
   readonly settings: TargetSettings;
   readonly #context: TargetContext;
@@ -67,7 +67,7 @@
 
   /**
    * @param settings The target's entry in the settings.
-   * @param context Parts of the simulation, and the model that the engine serves.
+   * @param context Parts of the simulation, and the model that is served.
    */
   constructor(
     settings: TargetSettings,
--- a/packages/measure/src/simulated_platform.ts
+++ b/packages/measure/src/simulated_platform.ts
@@ -35,7 +35,7 @@
 /** Receives the answer of a call, or undefined if none arrived. */
 export type Reply<T> = (answer: T | undefined) => void;
 
-/** Runs a {@link PlatformModel} on the manual clock. */
+/** Runs a {@link PlatformModel} on the simulated clock. */
 export class SimulatedPlatform {
   readonly #queue: EventQueue;
   readonly #network: SimulatedNetwork;
--- a/packages/measure/src/simulated_service.ts
+++ b/packages/measure/src/simulated_service.ts
@@ -24,7 +24,7 @@
   isStarted: boolean;
 }
 
-/** Runs a {@link ServiceModel} on the manual clock. */
+/** Runs a {@link ServiceModel} on the simulated clock. */
 export class SimulatedService implements SimulatedTarget {
   readonly settings: TargetSettings;
   readonly #context: TargetContext;
--- a/packages/measure/src/simulated_target.ts
+++ b/packages/measure/src/simulated_target.ts
@@ -119,7 +119,7 @@
     attempt: AttemptRef,
     options: { fromToken: number; listener: AttemptListener },
   ): void;
-  /** @returns The load that the target reports, which lags behind its real one. */
+  /** @returns The reported load, which lags behind the real one. */
   load(): TargetLoad;
   /**
    * Reads the events of the prefix cache.
@@ -160,7 +160,7 @@
 
   /**
    * @param context The clock and the network.
-   * @param endpoints The target's failure domain, and the receiver at the holder.
+   * @param endpoints The target's failure domain, and the holder's receiver.
    */
   constructor(
     context: Pick<TargetContext, "queue" | "network">,
--- a/packages/measure/src/target_client.ts
+++ b/packages/measure/src/target_client.ts
@@ -34,8 +34,8 @@
    * Dispatches an attempt.
    *
    * @param targetId Id of the target.
-   * @param options The request, the receiver of its events, and `onNotSent`, which
-   * is called if no byte of the request was sent.
+   * @param options The request, the receiver of its events, and `onNotSent`,
+   * which is called if no byte of the request was sent.
    */
   dispatch(
     targetId: string,
@@ -105,8 +105,8 @@
    * Reads the events of a target's prefix cache.
    *
    * @param targetId Id of the target.
-   * @param options Sequence number of the last event read, and the receiver of the
-   * events, which gets undefined if the target didn't answer.
+   * @param options Sequence number of the last event read, and the receiver of
+   * the events, which gets undefined if the target didn't answer.
    */
   pollCacheEvents(
     targetId: string,
--- a/packages/measure/src/work_item.ts
+++ b/packages/measure/src/work_item.ts
@@ -21,7 +21,7 @@
   readonly deadlineMs: number;
   readonly idempotent: boolean;
   readonly idempotencyKey?: string;
-  /** Short text in place of the prompt, from which the answer's length follows. */
+  /** Short text in place of the prompt; it determines the answer's length. */
   readonly prompt: string;
   readonly contentHash: string;
   readonly blockHashes: readonly string[];
--- a/packages/measure/src/work_item_generator.ts
+++ b/packages/measure/src/work_item_generator.ts
@@ -13,7 +13,7 @@
  * Generates the items of one run.
  *
  * @param options Deployment, seed, duration and load of the workload.
- * @param scope The settings that give ranks and values, and the callers' region.
+ * @param scope Settings with the tiers' policies, and the callers' region.
  * @returns The items in time order.
  */
 export function createWorkItems(
