--- a/packages/measure/src/baseline_instance.ts
+++ b/packages/measure/src/baseline_instance.ts
@@ -131,7 +131,7 @@
   }
 
   /** @inheritdoc */
-  disconnectCaller(requestId: string): void {
+  onCallerDisconnected(requestId: string): void {
     this.#deliver(() => {
       const attempt = this.#attemptsByRequestId.get(requestId);
       if (attempt !== undefined) {
@@ -158,11 +158,11 @@
     return [];
   }
 
-  #deliver(run: () => void): void {
+  #deliver(callback: () => void): void {
     const incarnation = this.#incarnation;
     this.#mailbox.deliver(() => {
       if (this.#isRunning && incarnation === this.#incarnation) {
-        run();
+        callback();
       }
     });
   }
--- a/packages/measure/src/core_instance.ts
+++ b/packages/measure/src/core_instance.ts
@@ -90,8 +90,10 @@
   readonly targetClient: TargetClient;
   readonly claimClient: ClaimClient;
   readonly mailbox = new Mailbox();
+  /** Calls that have received no outcome. */
   readonly openRequestIds = new Set<string>();
   readonly #callsByRequestId = new Map<string, CallerCall>();
+  /** Difference of the process's clock to the simulated clock. */
   readonly clockOffsetMs: number;
   #isTerminated = false;
 
@@ -448,7 +450,7 @@
   }
 
   /** @inheritdoc */
-  disconnectCaller(requestId: string): void {
+  onCallerDisconnected(requestId: string): void {
     this.#process?.openRequestIds.delete(requestId);
     this.#process?.deliver({ kind: EventKind.CallerHungUp, requestId });
   }
--- a/packages/measure/src/entry_instance.ts
+++ b/packages/measure/src/entry_instance.ts
@@ -98,7 +98,7 @@
    *
    * @param requestId Id of the call.
    */
-  disconnectCaller(requestId: string): void;
+  onCallerDisconnected(requestId: string): void;
   /** @returns The requests that the instance holds now. */
   heldWork(): HeldWork[];
   /**
--- a/packages/measure/src/memory_costs.ts
+++ b/packages/measure/src/memory_costs.ts
@@ -18,7 +18,7 @@
   readonly waitingAskBytes: number;
   readonly memberBytes: number;
   readonly targetBytes: number;
-  /** One block hash in a prefix index. */
+  /** Bytes for one block hash in a prefix index. */
   readonly prefixBlockBytes: number;
 }
 
--- a/packages/measure/src/placement_costs.ts
+++ b/packages/measure/src/placement_costs.ts
@@ -46,7 +46,9 @@
 /** CPU time that placement takes under one load. */
 export interface PlacementCosts extends PlacementLoad {
   readonly requestsPerSecond: number;
+  /** Share (0 to 1) of the requests that the coordinator refused. */
   readonly refusedShare: number;
+  /** Time in the coordinator per request, in real milliseconds. */
   readonly coreMsPerRequest: number;
   /** Share (0 to 1) of one CPU core that the coordinator uses. */
   readonly coreShare: number;
--- a/packages/measure/src/run_recorder.ts
+++ b/packages/measure/src/run_recorder.ts
@@ -26,6 +26,7 @@
   repeatedTokens: number;
 }
 
+/** An item and whether any of its calls was answered. */
 interface ItemOutcome {
   readonly item: WorkItem;
   answeredInTime: boolean;
@@ -35,7 +36,9 @@
 /** Records the calls and the targets' work of one run and adds them up. */
 export class RunRecorder implements WorkRecorder {
   readonly prefixTally: PrefixTally = { prefilledTokens: 0, repeatedTokens: 0 };
+  /** Number of calls without an answer, by reason. */
   readonly refusalsByReason = new Map<string, number>();
+  /** Number of calls sent, retries included. */
   callCount = 0;
   readonly #context: { queue: EventQueue; checker: PromiseChecker };
   readonly #outcomesByItemId = new Map<string, ItemOutcome>();
--- a/packages/measure/src/scaled_plan.ts
+++ b/packages/measure/src/scaled_plan.ts
@@ -51,7 +51,7 @@
 ): string {
   const parsed = readSettings(settingsText);
   if (parsed.isErr()) {
-    throw new Error("the example settings have faults");
+    throw new Error("the example settings are not valid");
   }
   const tree = parsed.value;
   const templates = interleaveServices(Object.values(tree.targets));
--- a/packages/measure/src/scenarios.ts
+++ b/packages/measure/src/scenarios.ts
@@ -16,7 +16,7 @@
 export enum Scenario {
   /** Low load, with a change of the settings. */
   Calm = "calm",
-  /** Overload by the mix of kinds that is usual in a surge. */
+  /** Overload with the deployment's mix of kinds during a surge. */
   BurstAfterRain = "burst-after-rain",
   /** Overload with a larger share of long requests. */
   EveningRush = "evening-rush",
@@ -63,9 +63,11 @@
 /** Repetition by callers who don't receive an answer soon enough. */
 export const REPEAT_OPTIONS = { share: 0.05, afterMs: 800 };
 
-/** Ratio of the request rate to the deployment's capacity. */
+/** Request rate relative to the deployment's capacity, without overload. */
 const CALM_LOAD_RATIO = 0.5;
+/** Request rate relative to the deployment's capacity, while faults happen. */
 const BUSY_LOAD_RATIO = 0.75;
+/** Request rate relative to the capacity for the surge's own mix of kinds. */
 const SURGE_LOAD_RATIO = 2;
 const DURATION_MS = 90_000;
 const SURGE_DURATION_MS = 120_000;
--- a/packages/measure/src/simulated_callers.ts
+++ b/packages/measure/src/simulated_callers.ts
@@ -186,7 +186,7 @@
     recorder.recordRefusal("caller_timeout");
     queue.after(
       oneWayDelayMs,
-      () => openCall.instance.disconnectCaller(requestId),
+      () => openCall.instance.onCallerDisconnected(requestId),
     );
     if (openCall.call.item.idempotent) {
       this.#scheduleRetry(openCall.pendingItem, RETRY_DELAY_MS);
--- a/packages/measure/src/simulated_platform.ts
+++ b/packages/measure/src/simulated_platform.ts
@@ -82,16 +82,16 @@
   /**
    * Adds an instance or a target to the instance list.
    *
-   * @param listed Id, kind and failure domain of the new entry.
+   * @param entry Id, kind and failure domain of the new entry.
    * @param options `atOnce` makes the entry visible without the list's lag.
    */
   addToList(
-    listed: { id: string; kind: ListedKind; failureDomain: string },
+    entry: { id: string; kind: ListedKind; failureDomain: string },
     options: { atOnce: boolean },
   ): void {
     const atMs = options.atOnce ? -Infinity : this.#queue.nowMs;
     this.#model.instanceList.put(
-      { ...listed, address: `${listed.id}:1`, leaving: false },
+      { ...entry, address: `${entry.id}:1`, leaving: false },
       atMs,
     );
   }
--- a/packages/measure/src/simulated_target.ts
+++ b/packages/measure/src/simulated_target.ts
@@ -154,7 +154,7 @@
   readonly #context: Pick<TargetContext, "queue" | "network">;
   readonly #targetFailureDomain: string;
   readonly #listener: AttemptListener;
-  #backlog: ((holder: AttemptListener) => void)[] = [];
+  #backlog: ((listener: AttemptListener) => void)[] = [];
   #stalledSinceMs: number | undefined;
   #isClosed = false;
 
--- a/packages/measure/src/slopes.ts
+++ b/packages/measure/src/slopes.ts
@@ -34,7 +34,7 @@
   readonly memory: MemoryCosts;
 }
 
-/** Messages between instances and time in the cores of one measured time. */
+/** Bytes between instances, time in the cores and requests, as measured. */
 interface ControlUsage {
   readonly bytes: number;
   readonly coreMs: number;
@@ -131,8 +131,8 @@
   print: (line: string) => void,
   memory: MemoryCosts,
 ): void {
-  const rows = Object.entries(memory).map(([what, bytes]) => ({
-    memory: what,
+  const rows = Object.entries(memory).map(([name, bytes]) => ({
+    memory: name,
     bytes: Math.round(bytes),
   }));
   formatTable(rows).forEach(print);
