--- a/packages/measure/src/deployments.ts
+++ b/packages/measure/src/deployment_plan.ts
@@ -1,4 +1,4 @@
-/** The two deployments of the brief: domains, links, instances, settings. */
+/** Plans of the two example deployments: instances, links and settings. */
 
 import { readFileSync } from "node:fs";
 import { resolveSettings } from "@chestnuthatch/settings/resolve_settings";
@@ -6,30 +6,33 @@
 import { describeFault } from "@chestnuthatch/settings/settings_fault";
 import type { SettingsInForce } from "@chestnuthatch/settings/settings_types";
 import { Deployment } from "@chestnuthatch/standins/work_kinds";
-import type { InstancePlace } from "./entry_instance.ts";
-import type { LinkDelays } from "./network.ts";
+import type { InstanceLocation } from "./entry_instance.ts";
+import type { LinkDelays } from "./simulated_network.ts";
 
-/** What the harness must know of a deployment. */
+/** Instances, link delays and settings of a deployment to simulate. */
 export interface DeploymentPlan {
   readonly deployment: Deployment;
   readonly region: string;
-  readonly instances: readonly InstancePlace[];
+  readonly instances: readonly InstanceLocation[];
   readonly delays: LinkDelays;
+  /** Text of the settings in YAML. */
   readonly settingsText: string;
   readonly settings: SettingsInForce;
 }
 
-interface DeploymentFacts {
+/** Region and failure domains of a deployment. */
+interface DeploymentTopology {
   readonly region: string;
   /** Failure domain of each entry instance. */
   readonly instanceDomains: readonly string[];
-  readonly betweenDomainsMs: number;
+  /** One-way delay between two failure domains. */
+  readonly betweenDomainsDelayMs: number;
 }
 
-const WITHIN_DOMAIN_MS = 0.2;
-const TO_CALLERS_MS = 1;
+const WITHIN_DOMAIN_DELAY_MS = 0.2;
+const CALLER_DELAY_MS = 1;
 
-const FACTS: Readonly<Record<Deployment, DeploymentFacts>> = {
+const TOPOLOGIES: Readonly<Record<Deployment, DeploymentTopology>> = {
   [Deployment.ShambaSafi]: {
     region: "arusha",
     instanceDomains: [
@@ -42,7 +45,7 @@
       "tengeru",
       "tengeru",
     ],
-    betweenDomainsMs: 1,
+    betweenDomainsDelayMs: 1,
   },
   [Deployment.SunuRegistrs]: {
     region: "riga",
@@ -55,23 +58,24 @@
       "riga-c",
       "riga-c",
     ],
-    betweenDomainsMs: 1.5,
+    betweenDomainsDelayMs: 1.5,
   },
 };
 
 /**
- * Reads a deployment's example settings.
+ * Creates a deployment's plan from its example settings.
  *
  * @param deployment The deployment.
- * @returns The plan of its world.
+ * @returns The plan with the settings read from the examples folder.
  */
-export function planOf(deployment: Deployment): DeploymentPlan {
-  const { region, instanceDomains, betweenDomainsMs } = FACTS[deployment];
-  const file = new URL(
+export function readDeploymentPlan(deployment: Deployment): DeploymentPlan {
+  const { region, instanceDomains, betweenDomainsDelayMs } =
+    TOPOLOGIES[deployment];
+  const settingsUrl = new URL(
     `../../../examples/${deployment}/settings.yaml`,
     import.meta.url,
   );
-  const settingsText = readFileSync(file, "utf8");
+  const settingsText = readFileSync(settingsUrl, "utf8");
   return {
     deployment,
     region,
@@ -80,22 +84,23 @@
       failureDomain,
     })),
     delays: {
-      withinDomainMs: WITHIN_DOMAIN_MS,
-      betweenDomainsMs,
-      toCallersMs: TO_CALLERS_MS,
+      withinDomainDelayMs: WITHIN_DOMAIN_DELAY_MS,
+      betweenDomainsDelayMs,
+      callerDelayMs: CALLER_DELAY_MS,
     },
     settingsText,
-    settings: settingsOf(settingsText),
+    settings: parseSettings(settingsText),
   };
 }
 
 /**
- * Reads a settings text.
+ * Parses a settings text.
  *
- * @param settingsText YAML without faults.
- * @returns The settings as version 1.
+ * @param settingsText Settings in YAML.
+ * @returns The settings in force as version 1.
+ * @throws {Error} If the text is not valid settings.
  */
-export function settingsOf(settingsText: string): SettingsInForce {
+export function parseSettings(settingsText: string): SettingsInForce {
   const tree = readSettings(settingsText);
   if (tree.isErr()) {
     throw new Error(tree.error.map(describeFault).join("\n"));
--- a/packages/measure/src/event_queue.ts
+++ b/packages/measure/src/event_queue.ts
@@ -1,25 +1,29 @@
-/** A manual clock with the events that are still to come, in order of time. */
+/** Simulated clock with a priority queue of scheduled events. */
 
-/** An event that is still to come. */
+/** Handle of a scheduled event. */
 export interface ScheduledEvent {
-  /** Keeps the event from happening. */
+  /** Prevents the event from running. */
   cancel(): void;
 }
 
 interface QueuedEvent {
   readonly atMs: number;
-  /** Events of the same time happen in the order they were scheduled. */
+  /** Sequence number; events of the same time run in scheduling order. */
   readonly order: number;
-  run: (() => void) | undefined;
+  /** Undefined once the event is cancelled. */
+  callback: (() => void) | undefined;
 }
 
-/** Runs events in order of time; time stands still between them. */
+/**
+ * Clock that runs scheduled events in order of time. Its time advances only
+ * from event to event, never while an event runs.
+ */
 export class EventQueue {
   readonly #heap: QueuedEvent[] = [];
   #nowMs = 0;
   #nextOrder = 0;
 
-  /** The time on the manual clock. */
+  /** Current simulated time in milliseconds. */
   get nowMs(): number {
     return this.#nowMs;
   }
@@ -27,35 +31,35 @@
   /**
    * Schedules an event.
    *
-   * @param atMs When it happens; a time in the past means now.
-   * @param run What happens.
-   * @returns A handle that cancels it.
+   * @param atMs Time of the event; a time in the past counts as now.
+   * @param callback Function that the event runs.
+   * @returns A handle to cancel the event.
    */
-  at(atMs: number, run: () => void): ScheduledEvent {
+  at(atMs: number, callback: () => void): ScheduledEvent {
     const event: QueuedEvent = {
       atMs: Math.max(atMs, this.#nowMs),
       order: this.#nextOrder++,
-      run,
+      callback,
     };
     this.#push(event);
-    return { cancel: () => event.run = undefined };
+    return { cancel: () => event.callback = undefined };
   }
 
   /**
-   * Schedules an event some time from now.
+   * Schedules an event after a delay.
    *
-   * @param delayMs How long from now.
-   * @param run What happens.
-   * @returns A handle that cancels it.
+   * @param delayMs Time from now until the event.
+   * @param callback Function that the event runs.
+   * @returns A handle to cancel the event.
    */
-  after(delayMs: number, run: () => void): ScheduledEvent {
-    return this.at(this.#nowMs + delayMs, run);
+  after(delayMs: number, callback: () => void): ScheduledEvent {
+    return this.at(this.#nowMs + delayMs, callback);
   }
 
   /**
-   * Lets time pass.
+   * Runs all events up to a time and advances the clock to it.
    *
-   * @param untilMs The time to stop at; events of that time still happen.
+   * @param untilMs Time to stop at; events of exactly this time still run.
    */
   runUntil(untilMs: number): void {
     for (
@@ -65,7 +69,7 @@
     ) {
       this.#popFirst();
       this.#nowMs = first.atMs;
-      first.run?.();
+      first.callback?.();
     }
     this.#nowMs = untilMs;
   }
--- a/packages/measure/src/mailbox.ts
+++ b/packages/measure/src/mailbox.ts
@@ -1,40 +1,47 @@
-/** What reaches a process that can be paused. */
+/** Mailbox of a simulated process that can be paused. */
 
-/** Runs deliveries at once, or in order after a pause. */
+/**
+ * Runs the deliveries to a process: at once while the process runs, in order of
+ * arrival after it resumes from a pause.
+ */
 export class Mailbox {
-  #paused = false;
+  #isPaused = false;
   #backlog: (() => void)[] = [];
 
   /** Whether the process is paused. */
   get isPaused(): boolean {
-    return this.#paused;
+    return this.#isPaused;
   }
 
-  /** @param run What reaches the process. */
-  deliver(run: () => void): void {
-    if (this.#paused) {
-      this.#backlog.push(run);
+  /**
+   * Delivers an event to the process.
+   *
+   * @param callback Function that handles the event.
+   */
+  deliver(callback: () => void): void {
+    if (this.#isPaused) {
+      this.#backlog.push(callback);
     } else {
-      run();
+      callback();
     }
   }
 
-  /** Holds back deliveries from now on. */
+  /** Queues deliveries from now on. */
   pause(): void {
-    this.#paused = true;
+    this.#isPaused = true;
   }
 
-  /** Runs what was held back, then everything at once again. */
+  /** Runs the queued deliveries; later ones run at once again. */
   resume(): void {
     const backlog = this.#backlog;
     this.#backlog = [];
-    this.#paused = false;
-    backlog.forEach((run) => run());
+    this.#isPaused = false;
+    backlog.forEach((callback) => callback());
   }
 
-  /** Forgets what was held back, as when the process dies. */
+  /** Discards the queued deliveries, as when the process is killed. */
   clear(): void {
-    this.#paused = false;
+    this.#isPaused = false;
     this.#backlog = [];
   }
 }
--- a/packages/measure/src/measurement.ts
+++ b/packages/measure/src/measurement.ts
@@ -1,52 +1,53 @@
-/** Runs scenarios with the scheduler and the baseline, on the same seeds. */
+/** Runs of scenarios with the scheduler and the baseline on the same seeds. */
 
 import type { Deployment } from "@chestnuthatch/standins/work_kinds";
-import { planOf } from "./deployments.ts";
-import { Variant } from "./manual_world.ts";
+import { readDeploymentPlan } from "./deployment_plan.ts";
+import { SchedulerVariant } from "./simulation.ts";
 import { type RunOptions, runScenario } from "./run_scenario.ts";
 import type { Scenario } from "./scenarios.ts";
 import { type BrokenInRun, summarize, type VariantSummary } from "./summary.ts";
 
-/** What to measure. */
+/** Deployments, scenarios and variants to measure. */
 export interface MeasurementOptions {
   readonly deployments: readonly Deployment[];
   readonly scenarios: readonly Scenario[];
+  /** Number of runs of each scenario, with the seeds 1 and up. */
   readonly seeds: number;
-  /** Whether schedulers place by prefix affinity. */
+  /** Whether the scheduler places requests by cached prefixes. */
   readonly useAffinity: boolean;
-  /** Whether the scheduler runs a second time without affinity. */
+  /** Whether to run the scheduler a second time without prefix affinity. */
   readonly compareAffinity: boolean;
 }
 
-/** One scenario of one deployment. */
+/** Results of one scenario on one deployment. */
 export interface ScenarioMeasurement {
   readonly deployment: Deployment;
   readonly scenario: Scenario;
   readonly scheduler: VariantSummary;
   readonly baseline: VariantSummary;
-  /** The scheduler without prefix affinity, where that was compared. */
+  /** Results without prefix affinity; absent unless compared. */
   readonly withoutAffinity?: VariantSummary;
-  /** Promises that the scheduler broke. */
+  /** Promises that were broken in the scheduler's runs. */
   readonly broken: readonly BrokenInRun[];
 }
 
 /**
- * Measures everything that was asked for.
+ * Runs each scenario on each deployment.
  *
- * @param options What to measure.
- * @param progress Told each scenario once it is done.
+ * @param options Deployments, scenarios and variants to measure.
+ * @param onMeasured Receives each measurement once it is complete.
  * @returns One measurement for each deployment and scenario.
  */
 export function measure(
   options: MeasurementOptions,
-  progress: (done: ScenarioMeasurement) => void,
+  onMeasured: (measurement: ScenarioMeasurement) => void,
 ): ScenarioMeasurement[] {
   const measurements: ScenarioMeasurement[] = [];
   for (const deployment of options.deployments) {
     for (const scenario of options.scenarios) {
-      const done = measureScenario(options, { deployment, scenario });
-      measurements.push(done);
-      progress(done);
+      const measurement = measureScenario(options, { deployment, scenario });
+      measurements.push(measurement);
+      onMeasured(measurement);
     }
   }
   return measurements;
@@ -54,31 +55,40 @@
 
 function measureScenario(
   options: MeasurementOptions,
-  what: { deployment: Deployment; scenario: Scenario },
+  scope: { deployment: Deployment; scenario: Scenario },
 ): ScenarioMeasurement {
-  const plan = planOf(what.deployment);
-  const run = (rest: Pick<RunOptions, "variant" | "useAffinity">) =>
+  const plan = readDeploymentPlan(scope.deployment);
+  const runEachSeed = (
+    variantOptions: Pick<RunOptions, "variant" | "useAffinity">,
+  ) =>
     Array.from({ length: options.seeds }, (_, index) => ({
       seed: index + 1,
       result: runScenario({
         plan,
-        scenario: what.scenario,
+        scenario: scope.scenario,
         seed: index + 1,
-        ...rest,
+        ...variantOptions,
       }),
     }));
   const { useAffinity } = options;
-  const scheduler = run({ variant: Variant.Scheduler, useAffinity });
-  const baseline = run({ variant: Variant.Baseline, useAffinity: false });
+  const scheduler = runEachSeed({
+    variant: SchedulerVariant.Scheduler,
+    useAffinity,
+  });
+  const baseline = runEachSeed({
+    variant: SchedulerVariant.Baseline,
+    useAffinity: false,
+  });
   const withoutAffinity = options.compareAffinity
-    ? run({ variant: Variant.Scheduler, useAffinity: false })
+    ? runEachSeed({ variant: SchedulerVariant.Scheduler, useAffinity: false })
     : undefined;
-  const results = (runs: typeof scheduler) => runs.map(({ result }) => result);
+  const toResults = (runs: typeof scheduler) =>
+    runs.map(({ result }) => result);
   return {
-    ...what,
-    scheduler: summarize(results(scheduler)),
-    baseline: summarize(results(baseline)),
-    withoutAffinity: withoutAffinity && summarize(results(withoutAffinity)),
+    ...scope,
+    scheduler: summarize(toResults(scheduler)),
+    baseline: summarize(toResults(baseline)),
+    withoutAffinity: withoutAffinity && summarize(toResults(withoutAffinity)),
     broken: scheduler.flatMap(({ seed, result }) =>
       result.broken.map((broken) => ({ seed, ...broken }))
     ),
--- a/packages/measure/src/peer_links.ts
+++ b/packages/measure/src/peer_links.ts
@@ -1,221 +1,261 @@
-/** Links between entry instances: whoever dials, both ends may send. */
+/** Simulated links between entry instances. */
 
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
 import type { EventQueue } from "./event_queue.ts";
-import { CONNECT_TIMEOUT_MS, type Network } from "./network.ts";
+import {
+  CONNECT_TIMEOUT_MS,
+  type SimulatedNetwork,
+} from "./simulated_network.ts";
 
-/** One running process of an entry instance, as its peers reach it. */
-export interface PeerNode {
+/** A running process of an entry instance, as its peers reach it. */
+export interface PeerProcess {
   readonly instanceId: string;
   readonly incarnation: number;
   readonly failureDomain: string;
-  /** @param peerId The peer that this one can now send to. */
-  peerConnected(peerId: string): void;
-  /** @param peerId The peer that this one can no longer send to. */
-  peerDisconnected(peerId: string): void;
   /**
-   * Takes a message.
+   * Handles a link that opened.
    *
-   * @param from The sender.
+   * @param peerId Id of the instance that messages can now be sent to.
+   */
+  onPeerConnected(peerId: string): void;
+  /**
+   * Handles a link that closed.
+   *
+   * @param peerId Id of the instance that messages can't be sent to any more.
+   */
+  onPeerDisconnected(peerId: string): void;
+  /**
+   * Receives a message.
+   *
+   * @param from The process that sent the message.
    * @param message The message.
    */
-  peerMessage(from: PeerNode, message: PeerMessage): void;
+  onPeerMessage(from: PeerProcess, message: PeerMessage): void;
 }
 
-/** A link over a cut network counts as broken after this long. */
-const SILENCE_MS = 1500;
-const REDIAL_MS = 250;
+/** Time after which a link with an undelivered message closes. */
+const SILENCE_TIMEOUT_MS = 1500;
+const REDIAL_DELAY_MS = 250;
 
 /** One direction of an open link. */
-interface Direction {
-  readonly from: PeerNode;
-  readonly to: PeerNode;
+interface LinkDirection {
+  readonly from: PeerProcess;
+  readonly to: PeerProcess;
   readonly link: Link;
-  /** Sent while the network is cut, to be sent again when it heals. */
-  unsent: PeerMessage[];
+  /** Messages sent while the network is cut, not delivered yet. */
+  backlog: PeerMessage[];
 }
 
+/** An open link; both processes may send, whichever of them dialled. */
 interface Link {
-  readonly ends: readonly [PeerNode, PeerNode];
+  readonly ends: readonly [PeerProcess, PeerProcess];
   isOpen: boolean;
 }
 
-interface NodeState {
-  readonly wantedIds: Set<string>;
-  readonly directions: Map<string, Direction>;
+/** Links of one process. */
+interface ProcessLinks {
+  /** Instances that the process dials again whenever their link closes. */
+  readonly wantedPeerIds: Set<string>;
+  readonly directionsByPeerId: Map<string, LinkDirection>;
 }
 
-/** Carries messages between entry instances. */
+/** Opens links between entry instances and delivers messages over them. */
 export class PeerLinks {
   readonly #queue: EventQueue;
-  readonly #network: Network;
-  readonly #live = new Map<string, PeerNode>();
-  readonly #states = new Map<PeerNode, NodeState>();
+  readonly #network: SimulatedNetwork;
+  readonly #processesById = new Map<string, PeerProcess>();
+  readonly #linksByProcess = new Map<PeerProcess, ProcessLinks>();
 
   /**
-   * @param queue The clock.
-   * @param network The links between domains.
+   * @param queue The simulated clock.
+   * @param network The network between the failure domains.
    */
-  constructor(queue: EventQueue, network: Network) {
+  constructor(queue: EventQueue, network: SimulatedNetwork) {
     this.#queue = queue;
     this.#network = network;
   }
 
-  /** @param node A process that has started. */
-  join(node: PeerNode): void {
-    this.#live.set(node.instanceId, node);
-    this.#states.set(node, { wantedIds: new Set(), directions: new Map() });
+  /**
+   * Adds a process that has started.
+   *
+   * @param peerProcess The process.
+   */
+  addProcess(peerProcess: PeerProcess): void {
+    this.#processesById.set(peerProcess.instanceId, peerProcess);
+    this.#linksByProcess.set(peerProcess, {
+      wantedPeerIds: new Set(),
+      directionsByPeerId: new Map(),
+    });
   }
 
-  /** @param node A process that has died. */
-  leave(node: PeerNode): void {
-    const state = this.#states.get(node);
-    this.#live.delete(node.instanceId);
-    this.#states.delete(node);
-    for (const { to, link } of state?.directions.values() ?? []) {
-      this.#queue.after(this.#delayMs(node, to), () => this.#lose(link));
+  /**
+   * Removes a process that has ended; its links close.
+   *
+   * @param peerProcess The process.
+   */
+  removeProcess(peerProcess: PeerProcess): void {
+    const links = this.#linksByProcess.get(peerProcess);
+    this.#processesById.delete(peerProcess.instanceId);
+    this.#linksByProcess.delete(peerProcess);
+    for (const { to, link } of links?.directionsByPeerId.values() ?? []) {
+      this.#queue.after(
+        this.#delayMs(peerProcess, to),
+        () => this.#closeLink(link),
+      );
     }
   }
 
   /**
-   * Keeps a link, dialling again whenever it breaks.
+   * Opens a link to an instance, and opens it again whenever it closes.
    *
    * @param from The process that dials.
-   * @param toId The instance it dials.
+   * @param toId Id of the instance to connect to.
    */
-  connect(from: PeerNode, toId: string): void {
-    const state = this.#states.get(from);
-    if (state !== undefined && !state.wantedIds.has(toId)) {
-      state.wantedIds.add(toId);
+  connect(from: PeerProcess, toId: string): void {
+    const links = this.#linksByProcess.get(from);
+    if (links !== undefined && !links.wantedPeerIds.has(toId)) {
+      links.wantedPeerIds.add(toId);
       this.#dial(from, toId);
     }
   }
 
   /**
-   * Keeps a link no longer; it ends where the other end does not want it.
+   * Stops keeping a link open. The link closes unless the other process keeps
+   * it open too.
    *
    * @param from The process that dialled.
-   * @param toId The instance it dialled.
+   * @param toId Id of the instance to disconnect from.
    */
-  forget(from: PeerNode, toId: string): void {
-    const state = this.#states.get(from);
-    state?.wantedIds.delete(toId);
-    const direction = state?.directions.get(toId);
-    if (direction !== undefined && !this.#wants(direction.to, from)) {
-      this.#lose(direction.link);
+  disconnect(from: PeerProcess, toId: string): void {
+    const links = this.#linksByProcess.get(from);
+    links?.wantedPeerIds.delete(toId);
+    const direction = links?.directionsByPeerId.get(toId);
+    if (direction !== undefined && !this.#wantsLink(direction.to, from)) {
+      this.#closeLink(direction.link);
     }
   }
 
   /**
-   * Sends a message, if there is a link.
+   * Sends a message; it is dropped if there is no open link.
    *
-   * @param from The sender.
-   * @param options The receiver's id, and the message.
+   * @param from The process that sends.
+   * @param options Id of the receiving instance, and the message.
    */
   send(
-    from: PeerNode,
+    from: PeerProcess,
     options: { toId: string; message: PeerMessage },
   ): void {
-    const direction = this.#states.get(from)?.directions.get(options.toId);
+    const direction = this.#linksByProcess.get(from)?.directionsByPeerId.get(
+      options.toId,
+    );
     if (direction === undefined) {
       return;
     }
-    direction.unsent.push(options.message);
-    if (this.#reaches(direction)) {
+    direction.backlog.push(options.message);
+    if (this.#isConnected(direction)) {
       this.#flush(direction);
-    } else if (direction.unsent.length === 1) {
-      this.#watchSilence(direction);
+    } else if (direction.backlog.length === 1) {
+      this.#closeAfterSilence(direction);
     }
   }
 
-  #dial(from: PeerNode, toId: string): void {
-    const state = this.#states.get(from);
-    if (!state?.wantedIds.has(toId) || state.directions.has(toId)) {
+  #dial(from: PeerProcess, toId: string): void {
+    const links = this.#linksByProcess.get(from);
+    if (!links?.wantedPeerIds.has(toId) || links.directionsByPeerId.has(toId)) {
       return;
     }
-    const to = this.#live.get(toId);
+    const to = this.#processesById.get(toId);
     if (to === undefined) {
-      this.#queue.after(REDIAL_MS, () => this.#dial(from, toId));
-    } else if (!this.#reaches({ from, to })) {
+      this.#queue.after(REDIAL_DELAY_MS, () => this.#dial(from, toId));
+    } else if (!this.#isConnected({ from, to })) {
       this.#queue.after(CONNECT_TIMEOUT_MS, () => this.#dial(from, toId));
     } else {
       const roundTripMs = 2 * this.#delayMs(from, to);
-      this.#queue.after(roundTripMs, () => this.#open(from, to));
+      this.#queue.after(roundTripMs, () => this.#openLink(from, to));
     }
   }
 
-  #open(from: PeerNode, to: PeerNode): void {
-    const own = this.#states.get(from);
-    const other = this.#states.get(to);
-    if (own === undefined || own.directions.has(to.instanceId)) {
+  #openLink(from: PeerProcess, to: PeerProcess): void {
+    const ownLinks = this.#linksByProcess.get(from);
+    const peerLinks = this.#linksByProcess.get(to);
+    if (
+      ownLinks === undefined || ownLinks.directionsByPeerId.has(to.instanceId)
+    ) {
       return;
     }
-    if (other === undefined) {
+    if (peerLinks === undefined) {
       this.#dial(from, to.instanceId);
       return;
     }
     const link: Link = { ends: [from, to], isOpen: true };
-    own.directions.set(to.instanceId, { from, to, link, unsent: [] });
-    other.directions.set(from.instanceId, {
+    ownLinks.directionsByPeerId.set(to.instanceId, {
+      from,
+      to,
+      link,
+      backlog: [],
+    });
+    peerLinks.directionsByPeerId.set(from.instanceId, {
       from: to,
       to: from,
       link,
-      unsent: [],
+      backlog: [],
     });
-    from.peerConnected(to.instanceId);
-    to.peerConnected(from.instanceId);
+    from.onPeerConnected(to.instanceId);
+    to.onPeerConnected(from.instanceId);
   }
 
-  #lose(link: Link): void {
+  #closeLink(link: Link): void {
     if (!link.isOpen) {
       return;
     }
     link.isOpen = false;
     const [a, b] = link.ends;
-    this.#loseEnd(a, b);
-    this.#loseEnd(b, a);
+    this.#closeDirection(a, b);
+    this.#closeDirection(b, a);
   }
 
-  #loseEnd(node: PeerNode, peer: PeerNode): void {
-    const state = this.#states.get(node);
-    if (state?.directions.delete(peer.instanceId)) {
-      node.peerDisconnected(peer.instanceId);
-      this.#dial(node, peer.instanceId);
+  #closeDirection(peerProcess: PeerProcess, peer: PeerProcess): void {
+    const links = this.#linksByProcess.get(peerProcess);
+    if (links?.directionsByPeerId.delete(peer.instanceId)) {
+      peerProcess.onPeerDisconnected(peer.instanceId);
+      this.#dial(peerProcess, peer.instanceId);
     }
   }
 
-  #flush(direction: Direction): void {
-    const { from, to, unsent } = direction;
-    direction.unsent = [];
+  #flush(direction: LinkDirection): void {
+    const { from, to, backlog: messages } = direction;
+    direction.backlog = [];
     this.#queue.after(this.#delayMs(from, to), () => {
-      if (this.#live.get(to.instanceId) === to) {
-        unsent.forEach((message) => to.peerMessage(from, message));
+      if (this.#processesById.get(to.instanceId) === to) {
+        messages.forEach((message) => to.onPeerMessage(from, message));
       }
     });
   }
 
-  #watchSilence(direction: Direction): void {
-    this.#queue.after(SILENCE_MS, () => {
-      if (!direction.link.isOpen || direction.unsent.length === 0) {
+  #closeAfterSilence(direction: LinkDirection): void {
+    this.#queue.after(SILENCE_TIMEOUT_MS, () => {
+      if (!direction.link.isOpen || direction.backlog.length === 0) {
         return;
       }
-      if (this.#reaches(direction)) {
+      if (this.#isConnected(direction)) {
         this.#flush(direction);
       } else {
-        this.#lose(direction.link);
+        this.#closeLink(direction.link);
       }
     });
   }
 
-  #wants(node: PeerNode, peer: PeerNode): boolean {
-    return this.#states.get(node)?.wantedIds.has(peer.instanceId) ?? false;
+  #wantsLink(peerProcess: PeerProcess, peer: PeerProcess): boolean {
+    return this.#linksByProcess.get(peerProcess)?.wantedPeerIds.has(
+      peer.instanceId,
+    ) ?? false;
   }
 
-  #reaches({ from, to }: { from: PeerNode; to: PeerNode }): boolean {
-    return this.#network.reaches(from.failureDomain, to.failureDomain);
+  #isConnected({ from, to }: { from: PeerProcess; to: PeerProcess }): boolean {
+    return this.#network.isConnected(from.failureDomain, to.failureDomain);
   }
 
-  #delayMs(from: PeerNode, to: PeerNode): number {
+  #delayMs(from: PeerProcess, to: PeerProcess): number {
     return this.#network.delayMs(from.failureDomain, to.failureDomain);
   }
 }
--- a/packages/measure/src/scaled_plan.ts
+++ b/packages/measure/src/scaled_plan.ts
@@ -1,28 +1,36 @@
-/** A deployment grown to other numbers of instances and targets. */
+/** Plan of a deployment scaled to any number of instances and targets. */
 
 import { readSettings } from "@chestnuthatch/settings/read_settings";
 import { Deployment } from "@chestnuthatch/standins/work_kinds";
-import { type DeploymentPlan, planOf, settingsOf } from "./deployments.ts";
+import {
+  type DeploymentPlan,
+  parseSettings,
+  readDeploymentPlan,
+} from "./deployment_plan.ts";
 
-/** How large it is to be. */
+/** Number of instances and targets of a fleet. */
 export interface FleetSize {
   readonly instances: number;
   readonly targets: number;
 }
 
-/** Limits that do not bind, so that costs are those of the work. */
-const UNBOUND = { maxRequestsPerSecond: 100_000, maxOpenRequests: 100_000 };
+/** Limits that are never reached, so that they don't affect the costs. */
+const NON_BINDING_LIMITS = {
+  maxRequestsPerSecond: 100_000,
+  maxOpenRequests: 100_000,
+};
 
 /**
- * Grows the Arusha deployment; its failure domains stay.
+ * Scales the Shamba Safi deployment. Its failure domains stay; instances and
+ * targets are spread evenly over them.
  *
- * @param size How large it is to be.
- * @returns Its plan, with targets and instances spread over the domains.
+ * @param size Number of instances and targets.
+ * @returns The plan of the scaled deployment.
  */
-export function scaledPlan(size: FleetSize): DeploymentPlan {
-  const plan = planOf(Deployment.ShambaSafi);
+export function createScaledPlan(size: FleetSize): DeploymentPlan {
+  const plan = readDeploymentPlan(Deployment.ShambaSafi);
   const domains = [...plan.settings.regionOfDomain.keys()];
-  const settingsText = scaledSettings(plan.settingsText, {
+  const settingsText = scaleSettings(plan.settingsText, {
     domains,
     targets: size.targets,
   });
@@ -33,38 +41,38 @@
       failureDomain: domains[index % domains.length],
     })),
     settingsText,
-    settings: settingsOf(settingsText),
+    settings: parseSettings(settingsText),
   };
 }
 
-function scaledSettings(
+function scaleSettings(
   settingsText: string,
-  to: { domains: readonly string[]; targets: number },
+  scale: { domains: readonly string[]; targets: number },
 ): string {
-  const read = readSettings(settingsText);
-  if (read.isErr()) {
-    throw new Error("the example settings have faults");
+  const parsed = readSettings(settingsText);
+  if (parsed.isErr()) {
+    throw new Error("the example settings are not valid");
   }
-  const tree = read.value;
-  const models = interleave(Object.values(tree.targets));
-  const targets = Array.from({ length: to.targets }, (_, index) => [
+  const tree = parsed.value;
+  const templates = interleaveServices(Object.values(tree.targets));
+  const targets = Array.from({ length: scale.targets }, (_, index) => [
     `target-${index + 1}`,
     {
-      ...models[index % models.length],
-      failureDomain: to.domains[index % to.domains.length],
-      address: `${addressOf(index)}:8101`,
+      ...templates[index % templates.length],
+      failureDomain: scale.domains[index % scale.domains.length],
+      address: `${targetAddress(index)}:8101`,
     },
   ]);
-  // JSON is YAML, too.
+  // The settings are read as YAML, which JSON is a subset of.
   return JSON.stringify({
     ...tree,
-    fleet: { ...tree.fleet, ...UNBOUND },
+    fleet: { ...tree.fleet, ...NON_BINDING_LIMITS },
     targets: Object.fromEntries(targets),
   });
 }
 
-/** Puts one service after every two engines, as in the example. */
-function interleave<T extends { kvTokens: number }>(
+/** Orders the templates so that one service follows every two engines. */
+function interleaveServices<T extends { kvTokens: number }>(
   targets: readonly T[],
 ): T[] {
   const engines = targets.filter(({ kvTokens }) => kvTokens > 0);
@@ -75,7 +83,7 @@
   ]);
 }
 
-function addressOf(index: number): string {
+function targetAddress(index: number): string {
   const octets = 250;
   return `127.1.${Math.floor(index / octets) + 1}.${index % octets + 1}`;
 }
--- a/packages/measure/src/platform_host.ts
+++ b/packages/measure/src/simulated_platform.ts
@@ -1,4 +1,4 @@
-/** The platform of the measured world, behind links and with faults. */
+/** Simulated platform behind links that can be cut, with injected faults. */
 
 import {
   PlatformModel,
@@ -13,7 +13,7 @@
   TransactRequest,
 } from "@chestnuthatch/wire/platform_protocol";
 import type { EventQueue } from "./event_queue.ts";
-import type { Network } from "./network.ts";
+import type { SimulatedNetwork } from "./simulated_network.ts";
 import type { RandomSource } from "@chestnuthatch/core/random_source";
 
 /** One version of the settings in the platform's table. */
@@ -23,22 +23,22 @@
   readonly changeId: string;
 }
 
-/** One way to and through the platform. */
-const ONE_WAY_MS = 2;
-/** A call to the platform is given up after this long. */
+/** One-way delay between an instance and the platform. */
+const ONE_WAY_DELAY_MS = 2;
+/** Time after which a call to the platform without an answer fails. */
 const CALL_TIMEOUT_MS = 500;
 const LIST_LAG_MS = 5000;
 const WRITES_PER_SECOND = 300;
 const READS_PER_SECOND = 2000;
 const SETTINGS_KEY = "settings/current";
 
-/** Told the answer, or nothing when none came. */
+/** Receives the answer of a call, or undefined if none arrived. */
 export type Reply<T> = (answer: T | undefined) => void;
 
-/** Runs a {@link PlatformModel} on the manual clock. */
-export class PlatformHost {
+/** Runs a {@link PlatformModel} on the simulated clock. */
+export class SimulatedPlatform {
   readonly #queue: EventQueue;
-  readonly #network: Network;
+  readonly #network: SimulatedNetwork;
   readonly #random: RandomSource;
   readonly #model = new PlatformModel({
     listLagMs: LIST_LAG_MS,
@@ -48,56 +48,79 @@
   });
   #lostAnswerShare = 0;
 
-  /** @param context The clock, the links and a source of randomness. */
+  /** @param context The clock, the network and a source of randomness. */
   constructor(
-    context: { queue: EventQueue; network: Network; random: RandomSource },
+    context: {
+      queue: EventQueue;
+      network: SimulatedNetwork;
+      random: RandomSource;
+    },
   ) {
     this.#queue = context.queue;
     this.#network = context.network;
     this.#random = context.random;
   }
 
-  /** @param down Whether every call fails from now on. */
+  /**
+   * Starts or ends an outage of the platform.
+   *
+   * @param down Whether every call fails from now on.
+   */
   setDown(down: boolean): void {
     this.#model.setDown(down);
   }
 
-  /** @param share Share of writes whose answer is lost after their effect. */
+  /**
+   * Makes answers to writes get lost after the write took effect.
+   *
+   * @param share Share (0 to 1) of the writes whose answer is lost.
+   */
   setLostAnswerShare(share: number): void {
     this.#lostAnswerShare = share;
   }
 
   /**
-   * Puts an instance or a target on the list.
+   * Adds an instance or a target to the instance list.
    *
-   * @param listed What the list says of it.
-   * @param options Whether the list shows it at once.
+   * @param entry Id, kind and failure domain of the new entry.
+   * @param options `atOnce` makes the entry visible without the list's lag.
    */
-  list(
-    listed: { id: string; kind: ListedKind; failureDomain: string },
+  addToList(
+    entry: { id: string; kind: ListedKind; failureDomain: string },
     options: { atOnce: boolean },
   ): void {
     const atMs = options.atOnce ? -Infinity : this.#queue.nowMs;
     this.#model.instanceList.put(
-      { ...listed, address: `${listed.id}:1`, leaving: false },
+      { ...entry, address: `${entry.id}:1`, leaving: false },
       atMs,
     );
   }
 
-  /** @param id What the list will show as leaving. */
-  listLeaving(id: string): void {
+  /**
+   * Marks an entry of the instance list as leaving; readers see it after the
+   * list's lag.
+   *
+   * @param id Id of the instance or target.
+   */
+  markLeaving(id: string): void {
     this.#model.instanceList.markLeaving(id, this.#queue.nowMs);
   }
 
-  /** @param id What the list will show no longer. */
-  unlist(id: string): void {
+  /**
+   * Removes an entry from the instance list; readers see it after the list's
+   * lag.
+   *
+   * @param id Id of the instance or target.
+   */
+  removeFromList(id: string): void {
     this.#model.instanceList.remove(id, this.#queue.nowMs);
   }
 
   /**
    * Commits a version of the settings, as an operator does.
    *
-   * @param settings The version.
+   * @param settings The version to commit; its number must be the next one.
+   * @throws {Error} If the platform doesn't commit the version.
    */
   commitSettings(settings: StoredSettings): void {
     const reply = this.#model.transact({
@@ -113,8 +136,9 @@
   /**
    * Reads the settings.
    *
-   * @param failureDomain Where the reader is.
-   * @param reply Told the version in the table, or nothing.
+   * @param failureDomain Failure domain of the reader.
+   * @param reply Receives the current version, or undefined if there is none or
+   * no answer arrived.
    */
   readSettings(failureDomain: string, reply: Reply<StoredSettings>): void {
     this.readRow(failureDomain, {
@@ -127,29 +151,33 @@
   }
 
   /**
-   * Reads the list.
+   * Reads the instance list.
    *
-   * @param failureDomain Where the reader is.
-   * @param reply Told the list, or nothing.
+   * @param failureDomain Failure domain of the reader.
+   * @param reply Receives the list, or undefined if no answer arrived.
    */
-  readList(failureDomain: string, reply: Reply<InstanceList>): void {
+  readInstanceList(failureDomain: string, reply: Reply<InstanceList>): void {
     const read = (nowMs: number) => this.#model.listInstances(nowMs);
-    this.#call(failureDomain, { isWrite: false, run: read, reply });
+    this.#callPlatform(failureDomain, {
+      isWrite: false,
+      operation: read,
+      reply,
+    });
   }
 
   /**
    * Runs a transaction on the table.
    *
-   * @param failureDomain Where the writer is.
-   * @param options The transaction, and who is told how it ended.
+   * @param failureDomain Failure domain of the writer.
+   * @param options The transaction, and the receiver of its result.
    */
   transact(
     failureDomain: string,
     options: { request: TransactRequest; reply: Reply<TransactAnswer> },
   ): void {
-    this.#call(failureDomain, {
+    this.#callPlatform(failureDomain, {
       isWrite: true,
-      run: (nowMs) => this.#model.transact(options.request, nowMs),
+      operation: (nowMs) => this.#model.transact(options.request, nowMs),
       reply: options.reply,
     });
   }
@@ -157,16 +185,16 @@
   /**
    * Reads a row of the table.
    *
-   * @param failureDomain Where the reader is.
-   * @param options Its key, and who is told what was found.
+   * @param failureDomain Failure domain of the reader.
+   * @param options The key, and the receiver of the row or its absence.
    */
   readRow(
     failureDomain: string,
     options: { key: string; reply: Reply<{ row: Row | undefined }> },
   ): void {
-    this.#call(failureDomain, {
+    this.#callPlatform(failureDomain, {
       isWrite: false,
-      run: (nowMs) => this.#model.read([options.key], nowMs),
+      operation: (nowMs) => this.#model.read([options.key], nowMs),
       reply: (answer) =>
         options.reply(
           answer === undefined ? undefined : {
@@ -177,18 +205,18 @@
   }
 
   /**
-   * Writes an object.
+   * Writes an object; the writer doesn't learn whether that succeeded.
    *
-   * @param failureDomain Where the writer is.
-   * @param object Its key and content.
+   * @param failureDomain Failure domain of the writer.
+   * @param object Key and content of the object.
    */
   putObject(
     failureDomain: string,
     object: { key: string; content: string },
   ): void {
-    this.#call(failureDomain, {
+    this.#callPlatform(failureDomain, {
       isWrite: true,
-      run: (nowMs) => this.#model.putObject(object, nowMs),
+      operation: (nowMs) => this.#model.putObject(object, nowMs),
       reply: () => {},
     });
   }
@@ -196,8 +224,8 @@
   /**
    * Reads an object.
    *
-   * @param failureDomain Where the reader is.
-   * @param options Its key, and who is told its content.
+   * @param failureDomain Failure domain of the reader.
+   * @param options The key, and the receiver of the content or its absence.
    */
   getObject(
     failureDomain: string,
@@ -206,39 +234,40 @@
       reply: Reply<{ content: string | undefined }>;
     },
   ): void {
-    this.#call(failureDomain, {
+    this.#callPlatform(failureDomain, {
       isWrite: false,
-      run: (nowMs) => this.#model.getObject(options.key, nowMs),
+      operation: (nowMs) => this.#model.getObject(options.key, nowMs),
       reply: options.reply,
     });
   }
 
-  #call<T>(
+  #callPlatform<T>(
     failureDomain: string,
     options: {
       isWrite: boolean;
-      run: (nowMs: number) => PlatformReply<T>;
+      operation: (nowMs: number) => PlatformReply<T>;
       reply: Reply<T>;
     },
   ): void {
-    const { isWrite, run, reply } = options;
-    const lose = () =>
+    const { isWrite, operation: run, reply } = options;
+    const failAfterTimeout = () =>
       this.#queue.after(CALL_TIMEOUT_MS, () => reply(undefined));
-    if (!this.#network.reachesPlatform(failureDomain)) {
-      lose();
+    if (!this.#network.isConnectedToPlatform(failureDomain)) {
+      failAfterTimeout();
       return;
     }
-    this.#queue.after(ONE_WAY_MS, () => {
-      const loses = isWrite && this.#random.next() < this.#lostAnswerShare;
+    this.#queue.after(ONE_WAY_DELAY_MS, () => {
+      const isAnswerLost = isWrite &&
+        this.#random.next() < this.#lostAnswerShare;
       const { outcome, answer, delayMs } = run(this.#queue.nowMs);
       if (
-        loses || outcome === PlatformOutcome.Lost ||
-        !this.#network.reachesPlatform(failureDomain)
+        isAnswerLost || outcome === PlatformOutcome.Lost ||
+        !this.#network.isConnectedToPlatform(failureDomain)
       ) {
-        lose();
+        failAfterTimeout();
         return;
       }
-      this.#queue.after(ONE_WAY_MS + delayMs, () => reply(answer));
+      this.#queue.after(ONE_WAY_DELAY_MS + delayMs, () => reply(answer));
     });
   }
 }
--- a/packages/measure/src/slopes.ts
+++ b/packages/measure/src/slopes.ts
@@ -1,33 +1,41 @@
-/** The scheduler's own costs by size: bytes, processor time and memory. */
+/** Bytes, CPU time and memory that the scheduler uses, by size of the fleet. */
 
 import { capacityPerSecond } from "./capacity.ts";
-import { ManualWorld, Variant } from "./manual_world.ts";
+import { SchedulerVariant, Simulation } from "./simulation.ts";
 import { measureMemory, type MemoryCosts } from "./memory_costs.ts";
-import { type FleetSize, scaledPlan } from "./scaled_plan.ts";
-import { tableLines } from "./text_table.ts";
-import { makeWorkItems } from "./work_items.ts";
+import { createScaledPlan, type FleetSize } from "./scaled_plan.ts";
+import { formatTable } from "./text_table.ts";
+import { createWorkItems } from "./work_item_generator.ts";
 
-/** Costs of control at one size. */
+/** Costs of coordination in a fleet of one size. */
 export interface SizeCosts extends FleetSize {
+  /** Number of requests in the measured time under load. */
   readonly requests: number;
+  /** Requests per second and instance. */
   readonly requestsPerNodeSecond: number;
+  /** Bytes sent between instances without load, per second and instance. */
   readonly idleBytesPerNodeSecond: number;
+  /** Bytes sent between instances under load, per second and instance. */
   readonly loadedBytesPerNodeSecond: number;
-  /** What load adds to the idle bytes, for each request. */
+  /** Bytes that load adds to those without load, per request. */
   readonly bytesPerRequest: number;
+  /** Time in the cores without load, per second and instance. */
   readonly idleCoreMsPerNodeSecond: number;
+  /** Time in the cores under load, per second and instance. */
   readonly loadedCoreMsPerNodeSecond: number;
+  /** Time in the cores that load adds to that without load, per request. */
   readonly coreMsPerRequest: number;
 }
 
-/** Everything measured. */
+/** Costs by number of instances and by number of targets, and memory. */
 export interface Slopes {
   readonly byInstances: readonly SizeCosts[];
   readonly byTargets: readonly SizeCosts[];
   readonly memory: MemoryCosts;
 }
 
-interface Spent {
+/** Bytes between instances, time in the cores and requests, as measured. */
+interface ControlUsage {
   readonly bytes: number;
   readonly coreMs: number;
   readonly requests: number;
@@ -35,22 +43,22 @@
 
 const INSTANCE_COUNTS = [4, 8, 16, 32, 64, 128];
 const TARGET_COUNTS = [12, 24, 48, 96, 192];
-const INSTANCES_OF_TARGET_SWEEP = 8;
+const TARGET_SWEEP_INSTANCES = 8;
 const TARGETS_PER_INSTANCE = 1.5;
-/** Callers come once the instances have found one another. */
-const LOAD_FROM_MS = 3000;
-const WARM_UP_MS = 10_000;
-const MEASURED_MS = 10_000;
+/** Start of the load; by then the instances are connected to each other. */
+const LOAD_START_MS = 3000;
+const WARM_UP_DURATION_MS = 10_000;
+const MEASURED_DURATION_MS = 10_000;
 const MS_PER_SECOND = 1000;
-const LOAD_SHARE = 0.5;
+const LOAD_RATIO = 0.5;
 const SEED = 1;
 
 /**
- * Measures costs over sizes.
+ * Measures the scheduler's costs in fleets of several sizes.
  *
- * @param print Takes the lines of the report.
- * @param maxInstances Leaves larger fleets out.
- * @returns Everything measured.
+ * @param print Prints a line of the report.
+ * @param maxInstances Number of instances above which fleets are left out.
+ * @returns Costs by number of instances and of targets, and memory.
  */
 export function measureSlopes(
   print: (line: string) => void,
@@ -59,21 +67,21 @@
   const memory = measureMemory();
   printMemory(print, memory);
   const byTargets = TARGET_COUNTS.map((targets) =>
-    costsOf({ instances: INSTANCES_OF_TARGET_SWEEP, targets })
+    measureSizeCosts({ instances: TARGET_SWEEP_INSTANCES, targets })
   );
   printCosts(print, byTargets);
   const byInstances = INSTANCE_COUNTS.filter((count) => count <= maxInstances)
     .map((instances) =>
-      costsOf({ instances, targets: instances * TARGETS_PER_INSTANCE })
+      measureSizeCosts({ instances, targets: instances * TARGETS_PER_INSTANCE })
     );
   printCosts(print, byInstances);
   return { byInstances, byTargets, memory };
 }
 
-function costsOf(size: FleetSize): SizeCosts {
-  const idle = spend(size, 0);
-  const loaded = spend(size, LOAD_SHARE);
-  const nodeSeconds = size.instances * MEASURED_MS / MS_PER_SECOND;
+function measureSizeCosts(size: FleetSize): SizeCosts {
+  const idle = measureUsage(size, 0);
+  const loaded = measureUsage(size, LOAD_RATIO);
+  const nodeSeconds = size.instances * MEASURED_DURATION_MS / MS_PER_SECOND;
   return {
     ...size,
     requests: loaded.requests,
@@ -87,32 +95,35 @@
   };
 }
 
-/** Load begins during the warm-up: the measured time is in full swing. */
-function spend(size: FleetSize, loadShare: number): Spent {
-  const plan = scaledPlan(size);
-  const world = new ManualWorld({
+/** Measures after a warm-up, during which the load has become steady. */
+function measureUsage(size: FleetSize, loadRatio: number): ControlUsage {
+  const plan = createScaledPlan(size);
+  const simulation = new Simulation({
     plan,
-    variant: Variant.Scheduler,
+    variant: SchedulerVariant.Scheduler,
     seed: SEED,
     useAffinity: true,
   });
-  world.start();
-  const endMs = WARM_UP_MS + MEASURED_MS;
-  const ratePerSecond = loadShare * capacityPerSecond(plan, undefined);
-  const items = makeWorkItems({
+  simulation.start();
+  const endMs = WARM_UP_DURATION_MS + MEASURED_DURATION_MS;
+  const ratePerSecond = loadRatio * capacityPerSecond(plan, undefined);
+  const items = createWorkItems({
     deployment: plan.deployment,
     seed: SEED,
     durationMs: endMs,
-    phases: [{ fromMs: LOAD_FROM_MS, ratePerSecond }],
+    phases: [{ fromMs: LOAD_START_MS, ratePerSecond }],
   }, plan);
-  world.schedule(items);
-  world.queue.runUntil(WARM_UP_MS);
-  const before = { bytes: world.costs.bytes, coreMs: world.costs.coreMs };
-  world.queue.runUntil(endMs);
+  simulation.scheduleItems(items);
+  simulation.queue.runUntil(WARM_UP_DURATION_MS);
+  const before = {
+    bytes: simulation.controlCosts.bytes,
+    coreMs: simulation.controlCosts.coreMs,
+  };
+  simulation.queue.runUntil(endMs);
   return {
-    bytes: world.costs.bytes - before.bytes,
-    coreMs: world.costs.coreMs - before.coreMs,
-    requests: items.filter(({ atMs }) => atMs >= WARM_UP_MS).length,
+    bytes: simulation.controlCosts.bytes - before.bytes,
+    coreMs: simulation.controlCosts.coreMs - before.coreMs,
+    requests: items.filter(({ atMs }) => atMs >= WARM_UP_DURATION_MS).length,
   };
 }
 
@@ -120,11 +131,11 @@
   print: (line: string) => void,
   memory: MemoryCosts,
 ): void {
-  const rows = Object.entries(memory).map(([what, bytes]) => ({
-    memory: what,
+  const rows = Object.entries(memory).map(([name, bytes]) => ({
+    memory: name,
     bytes: Math.round(bytes),
   }));
-  tableLines(rows).forEach(print);
+  formatTable(rows).forEach(print);
   print("");
 }
 
@@ -143,6 +154,6 @@
     "loaded core ms/node/s": cost.loadedCoreMsPerNodeSecond.toFixed(2),
     "core ms/request": cost.coreMsPerRequest.toFixed(2),
   }));
-  tableLines(rows).forEach(print);
+  formatTable(rows).forEach(print);
   print("");
 }
--- a/packages/measure/src/text_table.ts
+++ b/packages/measure/src/text_table.ts
@@ -1,28 +1,29 @@
-/** Tables of plain text. */
+/** Formatting of tables as plain text. */
 
-const GAP = "  ";
+const COLUMN_GAP = "  ";
 
 /**
- * Lays out rows in columns.
+ * Formats rows as a table with aligned columns.
  *
- * @param rows Rows with the same columns.
- * @returns The lines, headings first; none for no rows.
+ * @param rows Rows with the same keys, which become the column headings.
+ * @returns The lines, headings first; none if there are no rows.
  */
-export function tableLines(
+export function formatTable(
   rows: readonly Readonly<Record<string, string | number>>[],
 ): string[] {
   if (rows.length === 0) {
     return [];
   }
   const columns = Object.keys(rows[0]);
-  const cells = [
+  const cellRows = [
     columns,
     ...rows.map((row) => columns.map((c) => `${row[c]}`)),
   ];
   const widths = columns.map((_, index) =>
-    Math.max(...cells.map((line) => line[index].length))
+    Math.max(...cellRows.map((line) => line[index].length))
   );
-  return cells.map((line) =>
-    line.map((cell, index) => cell.padEnd(widths[index])).join(GAP).trimEnd()
+  return cellRows.map((cells) =>
+    cells.map((cell, index) => cell.padEnd(widths[index])).join(COLUMN_GAP)
+      .trimEnd()
   );
 }
