--- a/tests/process_kept_connections_test.ts
+++ b/tests/process_kept_connections_test.ts
@@ -1,7 +1,10 @@
 /** Kept connections of callers while processes get signals. */
 
 import { setTimeout as sleep } from "node:timers/promises";
-import { tallyOf, unkept } from "@chestnuthatch/platform/connection_checks";
+import {
+  countByOutcome,
+  findCallFaults,
+} from "@chestnuthatch/platform/connection_checks";
 import {
   CallKind,
   EVENTS,
@@ -68,10 +71,10 @@
   fleet: SoakFleet,
   results: readonly ConnectionResult[],
 ): string[] {
-  return unkept(results, {
-    seen: fleet.targets.flatMap(({ target }) => target.seen),
-    lines: fleet.instances.flatMap(({ lines }) => lines),
-    events: EVENTS,
+  return findCallFaults(results, {
+    targetRequests: fleet.targets.flatMap(({ target }) => target.seen),
+    logLines: fleet.instances.flatMap(({ lines }) => lines),
+    eventCounts: EVENTS,
   });
 }
 
@@ -235,7 +238,7 @@
     fleet.configure({ routes: longRoutes() });
     const results = await sending;
     assert.equal(faultsOf(fleet, results), []);
-    const tally = tallyOf(results);
+    const tally = countByOutcome(results);
     assert.ok(tally[200]! > 0 && tally[503]! > 0, JSON.stringify(tally));
     assert.is((await outlasting).answer, undefined);
     assert.equal(await ended, CLEAN_END);
@@ -301,7 +304,11 @@
         answer?.status ===
           (ran.has(requestId) ? HTTP_BAD_GATEWAY : HTTP_UNAVAILABLE)
       );
-      assert.is(told.length, results.length, JSON.stringify(tallyOf(results)));
+      assert.is(
+        told.length,
+        results.length,
+        JSON.stringify(countByOutcome(results)),
+      );
     }, instances));
 }
 
@@ -357,7 +364,7 @@
     goesOn = false;
     const results = (await Promise.all(sending)).flat();
     assert.equal(faultsOf(fleet, results), []);
-    assert.ok(tallyOf(results)[200]! > 0);
+    assert.ok(countByOutcome(results)[200]! > 0);
   }));
 
 const GRACE_CHANGES = [
