--- a/packages/gateway/src/attempt_recorder.ts
+++ b/packages/gateway/src/attempt_recorder.ts
@@ -136,7 +136,9 @@
   recordSilent(attempt: TargetAttempt): void {
     const { board, clock } = this.#parts;
     const { failureDomain } = attempt.options.target;
-    if (board.cutDomains.targetUnreachable(failureDomain, clock.nowMs())) {
+    if (
+      board.unreachableDomains.targetUnreachable(failureDomain, clock.nowMs())
+    ) {
       this.#log("failure domain unreachable", { failureDomain });
     }
   }
--- a/packages/gateway/src/coordinator_failure_detector.ts
+++ b/packages/gateway/src/coordinator_failure_detector.ts
@@ -44,7 +44,7 @@
   /** The answer is overdue, but the instance still sends messages. */
   Late = "late",
   /** The instance has failed or cannot be reached. */
-  Gone = "gone",
+  Failed = "gone",
 }
 
 /** Assesses coordinators by their messages and by the usual answer time. */
@@ -120,7 +120,7 @@
     const answersNothing =
       nowMs - Math.max(answeredAtMs, sinceMs) >= MAX_SILENCE_TIMEOUT_MS;
     return isSilent || answersNothing
-      ? Responsiveness.Gone
+      ? Responsiveness.Failed
       : Responsiveness.Late;
   }
 
--- a/packages/gateway/src/coordinator_failure_detector_test.ts
+++ b/packages/gateway/src/coordinator_failure_detector_test.ts
@@ -29,7 +29,7 @@
     answer(atMs, 3);
   }
   assert.is(responsiveness(1000, 1100), Responsiveness.InTime);
-  assert.is(responsiveness(1000, 1130), Responsiveness.Gone);
+  assert.is(responsiveness(1000, 1130), Responsiveness.Failed);
 });
 
 test("a coordinator that still sends heartbeats is late, not failed", () => {
@@ -54,7 +54,7 @@
   for (let atMs = 0; atMs < 2000; atMs += 50) {
     answer(atMs, atMs % 100 === 0 ? 100 : 900);
   }
-  assert.is(responsiveness(2000, 2400), Responsiveness.Gone);
+  assert.is(responsiveness(2000, 2400), Responsiveness.Failed);
 });
 
 test("heartbeats without an answer for 400 ms show a failed coordinator", () => {
@@ -64,7 +64,7 @@
     heartbeat(atMs);
   }
   assert.is(responsiveness(1000, 1390), Responsiveness.Late);
-  assert.is(responsiveness(1000, 1400), Responsiveness.Gone);
+  assert.is(responsiveness(1000, 1400), Responsiveness.Failed);
 });
 
 test.run();
--- a/packages/gateway/src/loop_watch.ts
+++ b/packages/gateway/src/event_loop_monitor.ts
@@ -37,7 +37,7 @@
 const MIN_BASELINE_TASKS = 10;
 
 /** Collaborators of a `LoopWatch`. */
-export interface LoopWatchParts {
+export interface EventLoopMonitorParts {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
@@ -48,8 +48,8 @@
 }
 
 /** Measures the event loop's delay, and detects overload. */
-export class LoopWatch {
-  readonly #parts: LoopWatchParts;
+export class EventLoopMonitor {
+  readonly #parts: EventLoopMonitorParts;
   readonly #tasksByKind = new Map<string, { count: number; tookMs: number }>();
   #loggedAtMs = 0;
   #maxDelayMs = 0;
@@ -62,7 +62,7 @@
   #isLoaded = false;
 
   /** @param parts Collaborators. */
-  constructor(parts: LoopWatchParts) {
+  constructor(parts: EventLoopMonitorParts) {
     this.#parts = parts;
   }
 
--- a/packages/gateway/src/loop_watch_test.ts
+++ b/packages/gateway/src/event_loop_monitor_test.ts
@@ -3,12 +3,12 @@
 import * as assert from "uvu/assert";
 import { EventLog } from "./event_log.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
-import { LoopWatch } from "./loop_watch.ts";
+import { EventLoopMonitor } from "./event_loop_monitor.ts";
 
 const TICK_MS = 20;
 
-/** A watch on a process with simulated tasks and busy time. */
-function watchedProcess() {
+/** Monitors a process with simulated tasks and busy time. */
+function monitoredProcess() {
   let nowMs = 0;
   let busyMs = 0;
   const lines: string[] = [];
@@ -20,7 +20,7 @@
   });
   const clock = { nowMs: () => nowMs };
   const log = new EventLog(clock, "i1", output);
-  const watch = new LoopWatch({
+  const monitor = new EventLoopMonitor({
     clock,
     log,
     metrics: new GatewayMetrics(),
@@ -33,34 +33,34 @@
   ) => {
     for (const untilMs = nowMs + forMs; nowMs < untilMs;) {
       for (let task = 0; task < of.tasksPerTick; task++) {
-        watch.runTask("ask", () => {});
+        monitor.runTask("ask", () => {});
       }
       nowMs += TICK_MS;
       busyMs += of.busyShare * TICK_MS;
-      watch.recordTimer(of.lateMs ?? 0);
+      monitor.recordTimer(of.lateMs ?? 0);
     }
     log.flush();
   };
-  return { watch, run, lines };
+  return { monitor, run, lines };
 }
 
 test("a busy process with its usual throughput is loaded", () => {
-  const { watch, run } = watchedProcess();
+  const { monitor, run } = monitoredProcess();
   run(5000, { busyShare: 0.3, tasksPerTick: 6 });
-  assert.not.ok(watch.isLoaded);
+  assert.not.ok(monitor.isLoaded);
   run(500, { busyShare: 1, tasksPerTick: 20 });
-  assert.ok(watch.isLoaded);
+  assert.ok(monitor.isLoaded);
 });
 
 test("a busy process with little throughput is slow, and not loaded", () => {
-  const { watch, run } = watchedProcess();
+  const { monitor, run } = monitoredProcess();
   run(5000, { busyShare: 0.3, tasksPerTick: 6 });
   run(500, { busyShare: 1, tasksPerTick: 3 });
-  assert.not.ok(watch.isLoaded);
+  assert.not.ok(monitor.isLoaded);
 });
 
 test("a delayed event loop is logged with the tasks that it ran", () => {
-  const { run, lines } = watchedProcess();
+  const { run, lines } = monitoredProcess();
   run(2000, { busyShare: 0.5, tasksPerTick: 1, lateMs: 30 });
   assert.equal(lines, []);
   run(1000, { busyShare: 0.5, tasksPerTick: 1, lateMs: 80 });
--- a/packages/gateway/src/fleet_state_sync.ts
+++ b/packages/gateway/src/fleet_state_sync.ts
@@ -36,7 +36,7 @@
 const PEER_TARGETS_INTERVAL_MS = 500;
 
 /** Time for which heartbeats repeat a change of a target. */
-const TARGET_NEWS_LIFETIME_MS = 2500;
+const TARGET_CHANGE_LIFETIME_MS = 2500;
 
 /** Receives roll-out orders, and the progress of roll-outs. */
 export interface RolloutSink {
@@ -47,7 +47,7 @@
   /** All pools with a roll-out order were read. */
   ordersListed(pools: ReadonlySet<string>): void;
   /** Another instance reported the progress of roll-outs. */
-  newsReceived(news: readonly RolloutUpdate[]): void;
+  updatesReceived(updates: readonly RolloutUpdate[]): void;
   /** The fleet's last record of the progress of roll-outs was read. */
   recordRead(record: readonly RolloutUpdate[], recordAgeMs: number): void;
   /** The platform's store was restored from an older copy. */
@@ -66,9 +66,9 @@
   /** Called with the fleet's last record of the spending of workspaces. */
   onSpendingRead(record: readonly SpendingHistory[], ageMs: number): void;
   /** Called with suspect requests from the store or another instance. */
-  onSuspectsReceived(news: readonly SuspectUpdate[]): void;
+  onSuspectsReceived(updates: readonly SuspectUpdate[]): void;
   /** Called with rate limits of targets that another instance reports. */
-  onRateLimitsReceived(news: readonly RateLimitUpdate[]): void;
+  onRateLimitsReceived(updates: readonly RateLimitUpdate[]): void;
   /** Called when keep-alive connections may be stalled. */
   onConnectionStalled(): void;
   /** Called when the fleet's latest records may be lost from the store. */
@@ -88,7 +88,7 @@
   /** Newest version of targets that a heartbeat reported, and since when. */
   #peerTargetsVersion = 0;
   #peerTargetsVersionAtMs = 0;
-  #targetNews: { change: TargetRowChange; untilMs: number }[] = [];
+  #recentTargetChanges: { change: TargetRowChange; untilMs: number }[] = [];
 
   /** @param parts Dependencies and callbacks. */
   constructor(parts: FleetStateParts) {
@@ -146,12 +146,12 @@
   }
 
   /** @returns Recent changes of targets, to be sent with heartbeats. */
-  targetNews(): TargetRowChange[] {
+  recentTargetChanges(): TargetRowChange[] {
     const nowMs = this.#parts.clock.nowMs();
-    this.#targetNews = this.#targetNews.filter(({ untilMs }) =>
-      untilMs > nowMs
-    );
-    return this.#targetNews.map(({ change }) => change);
+    this.#recentTargetChanges = this.#recentTargetChanges.filter((
+      { untilMs },
+    ) => untilMs > nowMs);
+    return this.#recentTargetChanges.map(({ change }) => change);
   }
 
   /** @param configuration Configuration that was read from the platform. */
@@ -193,7 +193,7 @@
     if (isFirst) {
       // Not sent with heartbeats: the others have read the list themselves.
       this.#logFirstList(updates, version);
-      this.#targetNews = [];
+      this.#recentTargetChanges = [];
     } else {
       this.#targetsUpdated(updates);
     }
@@ -367,7 +367,7 @@
    */
   heartbeatReceived(heartbeat: Heartbeat): void {
     // First, as roll-outs decide whether changed targets may be used.
-    this.#parts.rollouts.newsReceived(heartbeat.rollouts ?? []);
+    this.#parts.rollouts.updatesReceived(heartbeat.rollouts ?? []);
     this.targetsChanged(heartbeat.targetNews);
     if (heartbeat.suspects !== undefined) {
       this.#parts.onSuspectsReceived(heartbeat.suspects);
@@ -428,11 +428,11 @@
     const { board: { targets }, clock } = this.#parts;
     const target = targets.get(targetId);
     if (target !== undefined) {
-      this.#targetNews = this.#targetNews.filter(({ change }) =>
-        change.targetId !== targetId
-      );
-      const untilMs = clock.nowMs() + TARGET_NEWS_LIFETIME_MS;
-      this.#targetNews.push({ change: changeOf(target), untilMs });
+      this.#recentTargetChanges = this.#recentTargetChanges.filter((
+        { change },
+      ) => change.targetId !== targetId);
+      const untilMs = clock.nowMs() + TARGET_CHANGE_LIFETIME_MS;
+      this.#recentTargetChanges.push({ change: changeOf(target), untilMs });
     }
   }
 }
--- a/packages/gateway/src/fleet_state_sync_test.ts
+++ b/packages/gateway/src/fleet_state_sync_test.ts
@@ -37,7 +37,7 @@
       ordered: () => {},
       withdrawn: () => {},
       ordersListed: () => {},
-      newsReceived: () => {},
+      updatesReceived: () => {},
       recordRead: () => {},
       storeRestored: () => {},
     },
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -20,7 +20,7 @@
 import { TargetDirectory } from "@chestnuthatch/routing/target_directory";
 import { TargetHealth } from "@chestnuthatch/routing/target_health";
 import { TargetRateLimits } from "@chestnuthatch/routing/target_rate_limits";
-import { TargetPaces } from "@chestnuthatch/routing/target_paces";
+import { LatencyModels } from "@chestnuthatch/routing/latency_models";
 import { TargetBackoffs } from "@chestnuthatch/routing/target_backoffs";
 import { TargetSignalHandler } from "./target_signal_handler.ts";
 import { EventLog, type LogFacts, LogPart } from "./event_log.ts";
@@ -31,7 +31,7 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { GracefulStop } from "./graceful_stop.ts";
 import { hostPortOf } from "./host_port.ts";
-import { LoopWatch } from "./loop_watch.ts";
+import { EventLoopMonitor } from "./event_loop_monitor.ts";
 import { HeartbeatExchange } from "./heartbeat_exchange.ts";
 import { SnapshotServer } from "./snapshot_server.ts";
 import { PeerSocket } from "./peer_socket.ts";
@@ -75,20 +75,20 @@
   readonly #metrics = new GatewayMetrics();
   readonly #self: MemberInfo;
   readonly #socket: PeerSocket;
-  readonly #catalog: SnapshotServer;
+  readonly #snapshotServer: SnapshotServer;
   readonly #connections = new TargetConnections();
   readonly #coordinator: Coordinator;
   readonly #placementClient: PlacementClient;
-  readonly #membership: HeartbeatExchange;
+  readonly #heartbeatExchange: HeartbeatExchange;
   readonly #fleetState: FleetStateSync;
   readonly #spending: SpendingRecorder;
   readonly #suspects: SuspectRecorder;
   readonly #rollouts: RolloutController;
   readonly #targetSignals: TargetSignalHandler;
-  readonly #targetMaintenance: TargetCleanup;
+  readonly #targetCleanup: TargetCleanup;
   readonly #front: FrontServer;
   readonly #status: StatusServer;
-  readonly #loopWatch: LoopWatch;
+  readonly #eventLoopMonitor: EventLoopMonitor;
   #askCounter = 0;
   #isLeaving = false;
   #isClosed = false;
@@ -126,10 +126,10 @@
       configurationAge: new ConfigurationAge(),
       targets: new TargetDirectory(),
       members,
-      cutDomains: new UnreachableDomains(members),
+      unreachableDomains: new UnreachableDomains(members),
       health: new TargetHealth(),
       rateLimits: new TargetRateLimits(),
-      paces: new TargetPaces(),
+      latencyModels: new LatencyModels(),
       backoffs: new TargetBackoffs(),
       suspects: new SuspectRequests(),
       rollouts: new Rollouts(settings.exposure),
@@ -169,7 +169,7 @@
       metrics: this.#metrics,
       reachesStore: () => this.#fleetState.reachesStore,
     });
-    this.#targetMaintenance = new TargetCleanup({
+    this.#targetCleanup = new TargetCleanup({
       board: this.board,
       clock: this.#clock,
       coordinator: this.#coordinator,
@@ -183,12 +183,12 @@
       onLeaving: (targetId) => this.#fleetState.targetLeaving(targetId),
     });
     this.#fleetState = this.#createFleetState();
-    this.#catalog = new SnapshotServer((kind) =>
+    this.#snapshotServer = new SnapshotServer((kind) =>
       this.#fleetState.snapshotOf(kind)
     );
-    this.#membership = this.#createMembership();
+    this.#heartbeatExchange = this.#createHeartbeatExchange();
     this.#front = new FrontServer(this.#createParts(options.protocol));
-    this.#loopWatch = new LoopWatch({
+    this.#eventLoopMonitor = new EventLoopMonitor({
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
@@ -291,12 +291,12 @@
     const settings = this.#settings;
     const { host } = hostPortOf(settings.peerAddress);
     await this.#socket.open(settings.peerAddress, (message, from) => {
-      this.#loopWatch.runTask(
+      this.#eventLoopMonitor.runTask(
         message.kind,
         () => this.#handlePeerMessage(message, from),
       );
     });
-    await this.#catalog.open(`${host}:${settings.catalogPort}`);
+    await this.#snapshotServer.open(`${host}:${settings.snapshotPort}`);
     await this.#status.open(settings.statusAddress, settings.metricsAddress);
     await this.#front.open(settings.callerAddress);
     this.#platform.start(this.#self, this.#fleetState);
@@ -323,7 +323,7 @@
 
   async #stop(): Promise<void> {
     this.#isLeaving = true;
-    this.#membership.announceLeaving();
+    this.#heartbeatExchange.announceLeaving();
     await new GracefulStop({
       front: this.#front,
       clock: this.#clock,
@@ -357,7 +357,7 @@
     this.#front.close();
     this.#platform.stop();
     this.#status.close();
-    this.#catalog.close();
+    this.#snapshotServer.close();
     this.#connections.close();
     this.#socket.close();
     this.#log.flush();
@@ -365,7 +365,7 @@
 
   #handlePeerMessage(message: RoutingMessage, fromAddress: string): void {
     if (message.kind === MessageKind.Heartbeat) {
-      this.#membership.heartbeatReceived(message);
+      this.#heartbeatExchange.heartbeatReceived(message);
       const isCoordinator =
         message.from.instanceId === this.#placementClient.coordinatorId;
       if (isCoordinator && message.spending !== undefined) {
@@ -399,7 +399,7 @@
 
   /** Time until the next tick is needed. */
   #tickDelayMs(): number {
-    const untilHeartbeatMs = this.#membership.untilHeartbeatMs(
+    const untilHeartbeatMs = this.#heartbeatExchange.untilHeartbeatMs(
       this.#clock.nowMs(),
     );
     return this.#placementClient.hasWaiting
@@ -410,8 +410,8 @@
   #tick(): void {
     const nowMs = this.#clock.nowMs();
     this.#lateMs = nowMs - this.#tickDueMs;
-    this.#loopWatch.recordTimer(this.#lateMs);
-    this.board.members.isLoaded = this.#loopWatch.isLoaded;
+    this.#eventLoopMonitor.recordTimer(this.#lateMs);
+    this.board.members.isLoaded = this.#eventLoopMonitor.isLoaded;
     if (this.#lateMs > MIN_STALL_MS) {
       // Holders have moved to another coordinator meanwhile. Their reports will
       // restore what is still open.
@@ -425,9 +425,9 @@
       nowMs - this.#startedAtMs,
       nowMs,
     );
-    this.#loopWatch.runTask("tick", () => {
+    this.#eventLoopMonitor.runTask("tick", () => {
       this.#fleetState.tick();
-      this.#membership.tick();
+      this.#heartbeatExchange.tick();
       this.#placementClient.tick();
     });
     this.#updateCoordinatorRole();
@@ -498,12 +498,11 @@
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
-      snapshotPort: this.#settings.catalogPort,
+      snapshotPort: this.#settings.snapshotPort,
       configurationApplyMs: () => this.#settings.configurationApplyMs,
       rollouts: this.#rollouts,
       followsStore: () => this.#shouldFollowStore(),
-      onTargetsChanged: (changes) =>
-        this.#targetMaintenance.applyChanges(changes),
+      onTargetsChanged: (changes) => this.#targetCleanup.applyChanges(changes),
       onConfigurationChanged: (configuration) =>
         this.#applyLimits(configuration),
       onSpendingRead: (record, ageMs) =>
@@ -520,7 +519,7 @@
     });
   }
 
-  #createMembership(): HeartbeatExchange {
+  #createHeartbeatExchange(): HeartbeatExchange {
     return new HeartbeatExchange({
       board: this.board,
       clock: this.#clock,
@@ -543,7 +542,7 @@
       rollouts: () => this.board.rollouts.updatesToSend(this.#clock.nowMs()),
       rateLimits: (of) =>
         this.board.rateLimits.updatesToSend(this.#clock.nowMs(), of),
-      targetNews: () => this.#fleetState.targetNews(),
+      targetChanges: () => this.#fleetState.recentTargetChanges(),
     }, this.#self);
   }
 
@@ -551,7 +550,7 @@
   #shouldFollowStore(): boolean {
     const { coordinatorId } = this.#placementClient;
     return coordinatorId === this.#self.instanceId ||
-      !this.#membership.reachesStore(coordinatorId);
+      !this.#heartbeatExchange.reachesStore(coordinatorId);
   }
 
   #applyLimits(configuration: FleetConfiguration): void {
--- a/packages/gateway/src/gateway_connections_test.ts
+++ b/packages/gateway/src/gateway_connections_test.ts
@@ -94,7 +94,7 @@
     statusAddress: ANY_PORT,
     metricsAddress: ANY_PORT,
     peerAddress: ANY_PORT,
-    catalogPort: 0,
+    snapshotPort: 0,
     seedAddresses: [],
     cores: 1,
     graceMs: GRACE_MS,
--- a/packages/gateway/src/gateway_settings.ts
+++ b/packages/gateway/src/gateway_settings.ts
@@ -15,8 +15,8 @@
   readonly metricsAddress: string;
   /** `ip:port` of the UDP socket for messages between instances. */
   readonly peerAddress: string;
-  /** TCP port that serves other instances what is too large for a datagram. */
-  readonly catalogPort: number;
+  /** TCP port that serves snapshots that are too large for a datagram to peers. */
+  readonly snapshotPort: number;
   /** Peer addresses of instances that heartbeats are sent to first. */
   readonly seedAddresses: readonly string[];
   /** Processor cores that the instance may use; may be a fraction. */
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -112,7 +112,7 @@
     suspects: () => [],
     rollouts: () => [],
     rateLimits: (of) => board.rateLimits.updatesToSend(clock.nowMs(), of),
-    targetNews: () => [],
+    targetChanges: () => [],
   }, self);
   let wasCoordinator = false;
   const tick = () => {
--- a/packages/gateway/src/heartbeat_exchange.ts
+++ b/packages/gateway/src/heartbeat_exchange.ts
@@ -20,7 +20,7 @@
 import { Rotation } from "./rotation.ts";
 
 /**
- * Time between two heartbeats; four may be lost before a member counts as gone.
+ * Time between two heartbeats; four may be lost before a member counts as failed.
  */
 const HEARTBEAT_INTERVAL_MS = 220;
 
@@ -37,7 +37,7 @@
  * Changes of targets that one heartbeat carries: 3 KB, so that it fits into a
  * datagram and does not saturate the network links of small instances.
  */
-const MAX_TARGET_NEWS = 24;
+const MAX_TARGET_CHANGES = 24;
 
 /** Rate limits that one heartbeat carries; more are sent in rotation. */
 const MAX_RATE_LIMITS = 24;
@@ -84,7 +84,7 @@
   /** @returns Rate limits of targets, including recently lifted ones. */
   rateLimits(of: { onlyChanged: boolean }): readonly RateLimitUpdate[];
   /** @returns Recent changes of targets. */
-  targetNews(): readonly TargetRowChange[];
+  targetChanges(): readonly TargetRowChange[];
 }
 
 /**
@@ -102,8 +102,8 @@
    */
   readonly #digestReceiverRotation = new Rotation();
   readonly #rateLimitRotation = new Rotation();
-  readonly #urgentNewsRotation = new Rotation();
-  readonly #newsRotation = new Rotation();
+  readonly #urgentChangeRotation = new Rotation();
+  readonly #otherChangeRotation = new Rotation();
   #heartbeatAtMs = -Infinity;
   #aliveIds = new Set<string>();
   /** Members whose last heartbeat says that they reach the platform's store. */
@@ -182,7 +182,7 @@
       members.memberReported(other, nowMs);
     }
     if (isNew && heartbeat.from.instanceId !== members.selfId) {
-      // So that the new member learns of this instance at once, too.
+      // So that the new member adds this instance to its view at once, too.
       this.#sendHeartbeat([heartbeat.from.address], true);
     }
   }
@@ -239,7 +239,7 @@
     const ageMs = board.configurationAge.ageMs(nowMs);
     const others = this.#memberRotation.next(alive, MAX_DIGEST_MEMBERS)
       .filter(({ instanceId }) => instanceId !== board.members.selfId)
-      .map(memberNewsOf);
+      .map(memberInfoOf);
     const includesAll = this.#includesAll(isDigest);
     const suspects = includesAll ? this.#parts.suspects() : [];
     const rollouts = this.#parts.rollouts();
@@ -257,7 +257,7 @@
       ...(suspects.length > 0 ? { suspects } : undefined),
       ...(rollouts.length > 0 ? { rollouts } : undefined),
       ...(rateLimits.length > 0 ? { rateLimits } : undefined),
-      targetNews: this.#targetNewsToSend(includesAll),
+      targetNews: this.#targetChangesToSend(includesAll),
     });
   }
 
@@ -277,23 +277,23 @@
   }
 
   /** Leaving targets in every heartbeat, the rest in rotation. */
-  #targetNewsToSend(includesAll: boolean): TargetRowChange[] {
-    const news = this.#parts.targetNews();
-    const urgent = this.#urgentNewsRotation.next(
-      news.filter(isUrgent),
-      MAX_TARGET_NEWS,
+  #targetChangesToSend(includesAll: boolean): TargetRowChange[] {
+    const changes = this.#parts.targetChanges();
+    const urgent = this.#urgentChangeRotation.next(
+      changes.filter(isUrgent),
+      MAX_TARGET_CHANGES,
     );
     if (!includesAll || !this.#sendsNewTargets()) {
       return urgent;
     }
-    const others = news.filter((change) => !isUrgent(change));
-    const capacity = MAX_TARGET_NEWS - urgent.length;
-    return [...urgent, ...this.#newsRotation.next(others, capacity)];
+    const others = changes.filter((change) => !isUrgent(change));
+    const capacity = MAX_TARGET_CHANGES - urgent.length;
+    return [...urgent, ...this.#otherChangeRotation.next(others, capacity)];
   }
 
   /**
    * In a large fleet, only the coordinator sends new targets, unless it does
-   * not reach the store and so does not learn of them itself.
+   * not reach the store and so cannot read them there.
    */
   #sendsNewTargets(): boolean {
     const { members } = this.#parts.board;
@@ -316,10 +316,10 @@
     }
     for (const instanceId of this.#aliveIds) {
       if (!alive.has(instanceId)) {
-        const heardAtMs = members.get(instanceId)?.lastHeartbeatAtMs;
+        const lastHeartbeatAtMs = members.get(instanceId)?.lastHeartbeatAtMs;
         this.#parts.log.warn(LogPart.Members, "member silent", {
           member: instanceId,
-          silentMs: heardAtMs && Math.round(nowMs - heardAtMs),
+          silentMs: lastHeartbeatAtMs && Math.round(nowMs - lastHeartbeatAtMs),
           alive: alive.size,
         });
       }
@@ -333,7 +333,7 @@
   return entry === undefined || entry.leaving;
 }
 
-function memberNewsOf(member: MemberRecord): MemberInfo {
-  const { lastHeartbeatAtMs: _, ...news } = member;
-  return news;
+function memberInfoOf(member: MemberRecord): MemberInfo {
+  const { lastHeartbeatAtMs: _, ...info } = member;
+  return info;
 }
--- a/packages/gateway/src/heartbeat_exchange_test.ts
+++ b/packages/gateway/src/heartbeat_exchange_test.ts
@@ -30,7 +30,7 @@
 
 /** Heartbeats that an instance sends, which receives heartbeats of others. */
 function heartbeatsOf(
-  news: readonly TargetRowChange[],
+  changes: readonly TargetRowChange[],
   { count, others = 1, reachesStore = true, limits = 0 }: {
     count: number;
     others?: number;
@@ -69,7 +69,7 @@
     suspects: () => [],
     rollouts: () => [],
     rateLimits: (of) => board.rateLimits.updatesToSend(nowMs, of),
-    targetNews: () => news,
+    targetChanges: () => changes,
   }, self);
   exchange.heartbeatReceived({
     kind: MessageKind.Heartbeat,
@@ -91,11 +91,11 @@
 }
 
 test("a heartbeat fits a datagram regardless of the number of changes", () => {
-  const news = Array.from(
+  const changes = Array.from(
     { length: 100 },
     (_, index) => changeOf(index, index >= 90),
   );
-  const heartbeats = heartbeatsOf(news, { count: 10 });
+  const heartbeats = heartbeatsOf(changes, { count: 10 });
   assert.ok(heartbeats.every(({ targetNews }) => targetNews.length <= 24));
   const sent = new Set(
     heartbeats.flatMap((heartbeat) =>
@@ -106,26 +106,26 @@
 });
 
 test("each heartbeat carries all leaving targets first", () => {
-  const news = Array.from(
+  const changes = Array.from(
     { length: 100 },
     (_, index) => changeOf(index, index >= 90),
   );
-  for (const { targetNews } of heartbeatsOf(news, { count: 3 })) {
+  for (const { targetNews } of heartbeatsOf(changes, { count: 3 })) {
     const leaving = targetNews.filter(({ entry }) => entry?.leaving === true);
     assert.is(leaving.length, 10);
   }
 });
 
 test("in a large fleet, only the coordinator announces new targets", () => {
-  const news = Array.from(
+  const changes = Array.from(
     { length: 30 },
     (_, index) => changeOf(index, index >= 20),
   );
-  const heartbeats = heartbeatsOf(news, { count: 10, others: 63 });
+  const heartbeats = heartbeatsOf(changes, { count: 10, others: 63 });
   const sent = heartbeats.flatMap(({ targetNews }) => targetNews);
   assert.ok(sent.length > 0);
   assert.ok(sent.every(({ entry }) => entry?.leaving === true));
-  const sentWithoutStore = heartbeatsOf(news, {
+  const sentWithoutStore = heartbeatsOf(changes, {
     count: 10,
     others: 63,
     reachesStore: false,
--- a/packages/gateway/src/placement_client.ts
+++ b/packages/gateway/src/placement_client.ts
@@ -99,7 +99,7 @@
   readonly #selector: CoordinatorSelector;
   readonly #service: PlacementService;
   readonly #reporter: HolderReporter;
-  readonly #answerWatch: CoordinatorFailureDetector;
+  readonly #failureDetector: CoordinatorFailureDetector;
   readonly #refusals = new RecentRefusals();
   #lateNoticeSentAtMs = -Infinity;
 
@@ -116,7 +116,7 @@
       startedAtMs,
       spendingReportedAtMs: (id) => parts.coordinator.spendingReportedAtMs(id),
     });
-    this.#answerWatch = new CoordinatorFailureDetector(board.members);
+    this.#failureDetector = new CoordinatorFailureDetector(board.members);
     this.#service = new PlacementService({
       coordinator: parts.coordinator,
       clock: parts.clock,
@@ -178,7 +178,7 @@
   /** Estimates how long an ask stays unsent, from the asks sent before it. */
   #unsentWaitMs(openAsk: OpenAsk): number {
     return this.#openAsks.unsentCountUpTo(openAsk) *
-      this.#answerWatch.meanAnswerMs /
+      this.#failureDetector.meanAnswerMs /
       MAX_UNACKNOWLEDGED_ASKS;
   }
 
@@ -251,7 +251,7 @@
     const nowMs = this.#nowMs();
     if (fromId !== undefined && ANSWER_KINDS.has(message.kind)) {
       const tookMs = this.#firstAnswerMs(message, fromId);
-      this.#answerWatch.recordAnswer(fromId, { nowMs, tookMs });
+      this.#failureDetector.recordAnswer(fromId, { nowMs, tookMs });
     }
     switch (message.kind) {
       case MessageKind.Ask:
@@ -336,8 +336,11 @@
     const { coordinatorId, firstSentAtMs: sinceMs } = openAsk;
     const sign = openAsk.acknowledged
       ? Responsiveness.InTime
-      : this.#answerWatch.responsivenessOf(coordinatorId, { sinceMs, nowMs });
-    if (sign === Responsiveness.Gone) {
+      : this.#failureDetector.responsivenessOf(coordinatorId, {
+        sinceMs,
+        nowMs,
+      });
+    if (sign === Responsiveness.Failed) {
       this.#skipCoordinator(coordinatorId, nowMs);
       this.#sendDrop(coordinatorId, openAsk.ask.askId);
       this.#sendTo(this.#self(), openAsk);
@@ -375,7 +378,7 @@
       figures: {
         heldBack: Number(isUnsent(openAsk)),
         unheardMs: Math.round(nowMs - openAsk.openedAtMs),
-        answersTakeMs: Math.round(this.#answerWatch.meanAnswerMs),
+        answersTakeMs: Math.round(this.#failureDetector.meanAnswerMs),
       },
     });
   }
@@ -400,14 +403,14 @@
       openAsk.acknowledged = false;
       openAsk.resendAfterMs = Math.max(
         MIN_RESEND_MS,
-        this.#answerWatch.usualAnswerMs,
+        this.#failureDetector.usualAnswerMs,
       );
     }
     openAsk.sentAtMs = nowMs;
     // The objective also has to cover the way to the coordinator and back.
     const roundTripMs = this.#isSelf(member.instanceId)
       ? 0
-      : this.#answerWatch.meanAnswerMs;
+      : this.#failureDetector.meanAnswerMs;
     const ask = {
       ...openAsk.ask,
       objectiveLeftMs: openAsk.ask.objectiveLeftMs - elapsedMs - roundTripMs,
@@ -508,7 +511,7 @@
       this.#send(instanceId, { kind: MessageKind.PassedOver });
       this.#parts.log.warn(LogPart.Placement, "coordinator is silent", {
         coordinatorId: instanceId,
-        silentMs: Math.round(this.#answerWatch.silenceTimeoutMs),
+        silentMs: Math.round(this.#failureDetector.silenceTimeoutMs),
       });
     }
   }
--- a/packages/gateway/src/rate_limits_test.ts
+++ b/packages/gateway/src/rate_limits_test.ts
@@ -176,7 +176,7 @@
         if (limitPerS === undefined) {
           node.rateLimits.notAdvertised(targetId, { sentAtMs, nowMs });
         } else {
-          this.#noteAdvertised(holderId, targetId);
+          this.#recordAdvertised(holderId, targetId);
           node.rateLimits.advertised(targetId, limitPerS, nowMs);
         }
         const end = { askId, targetId, pool: "p", promptTokens: 500 };
@@ -189,7 +189,7 @@
     });
   }
 
-  #noteAdvertised(holderId: string, targetId: string): void {
+  #recordAdvertised(holderId: string, targetId: string): void {
     const byHolder = this.#advertisedAtMs.get(targetId) ??
       new Map<string, number>();
     this.#advertisedAtMs.set(targetId, byHolder);
--- a/packages/gateway/src/rollout_controller.ts
+++ b/packages/gateway/src/rollout_controller.ts
@@ -102,9 +102,9 @@
     }
   }
 
-  /** @param news Progress of roll-outs that another instance reported. */
-  newsReceived(news: readonly RolloutUpdate[]): void {
-    news.forEach((each) => this.#merge(each, "peer"));
+  /** @param updates Progress of roll-outs that another instance reported. */
+  updatesReceived(updates: readonly RolloutUpdate[]): void {
+    updates.forEach((each) => this.#merge(each, "peer"));
   }
 
   /**
@@ -164,10 +164,10 @@
     }
   }
 
-  #merge(news: RolloutUpdate, by: string): void {
+  #merge(update: RolloutUpdate, by: string): void {
     const { board: { rollouts }, log } = this.#parts;
-    if (rollouts.merge(news, this.#nowMs())) {
-      log.info(LogPart.Rollouts, "roll-out update received", { ...news, by });
+    if (rollouts.merge(update, this.#nowMs())) {
+      log.info(LogPart.Rollouts, "roll-out update received", { ...update, by });
     }
   }
 
--- a/packages/gateway/src/rollout_controller_test.ts
+++ b/packages/gateway/src/rollout_controller_test.ts
@@ -108,7 +108,7 @@
   const node = new Node(row);
   node.controller.ordered(ORDER);
   await node.run(1000);
-  node.controller.newsReceived([decided(RolloutPhase.Completing)]);
+  node.controller.updatesReceived([decided(RolloutPhase.Completing)]);
   await node.run(1000);
   assert.equal(row.states, [RolloutState.Running, RolloutState.Completed]);
   assert.is(node.phase, RolloutPhase.Completed);
@@ -141,9 +141,9 @@
     node.controller.ordered(ORDER);
     await node.run(500);
   }
-  first.controller.newsReceived([decided(RolloutPhase.RollingBack)]);
+  first.controller.updatesReceived([decided(RolloutPhase.RollingBack)]);
   await first.run(500);
-  second.controller.newsReceived([decided(RolloutPhase.Completing)]);
+  second.controller.updatesReceived([decided(RolloutPhase.Completing)]);
   await second.run(1000);
   assert.equal(row.states, [RolloutState.Running, RolloutState.RolledBack]);
   assert.is(second.phase, RolloutPhase.RolledBack);
@@ -165,7 +165,7 @@
   const row = new StatusRow();
   const node = new Node(row);
   node.controller.ordered(ORDER);
-  node.controller.newsReceived([decided(RolloutPhase.RollingBack)]);
+  node.controller.updatesReceived([decided(RolloutPhase.RollingBack)]);
   await node.run(1000);
   row.rowVersion = 0;
   row.state = undefined;
@@ -180,7 +180,7 @@
   const row = new StatusRow();
   const before = new Node(row);
   before.controller.ordered(ORDER);
-  before.controller.newsReceived([decided(RolloutPhase.RollingBack)]);
+  before.controller.updatesReceived([decided(RolloutPhase.RollingBack)]);
   await before.run(1000);
   const after = new Node(row);
   after.controller.ordered(ORDER);
--- a/packages/gateway/src/routed_request.ts
+++ b/packages/gateway/src/routed_request.ts
@@ -88,7 +88,7 @@
     this.#progress = new StreamProgress(options.call.facts.resumeAfter);
     this.#silenceTimer = new SilenceTimer(
       options.call,
-      parts.board.paces,
+      parts.board.latencyModels,
       (silentMs) => this.#askForOtherTarget(silentMs),
     );
   }
@@ -201,7 +201,7 @@
     this.#isCharged = true;
     if (this.#attempt !== undefined) {
       // The silent target may still answer, and the other one may reject.
-      this.#standby.keep(this.#attempt);
+      this.#standby.hold(this.#attempt);
     }
     this.#send(target, decision);
   }
@@ -288,7 +288,7 @@
       return;
     }
     const other = this.#attempt;
-    this.#attempt = this.#standby.take();
+    this.#attempt = this.#standby.release();
     if (other !== undefined) {
       this.#recorder.cancel(other);
     }
@@ -366,7 +366,7 @@
     reason: string,
   ): void {
     if (this.#standby.holds(attempt)) {
-      this.#standby.take();
+      this.#standby.release();
       this.#closeAttempt(attempt, end, reason);
       return;
     }
@@ -376,7 +376,7 @@
     // A pending ask for another target no longer has the current facts.
     this.#dropAsk();
     this.#closeAttempt(attempt, end, reason);
-    const standby = this.#standby.take();
+    const standby = this.#standby.release();
     if (standby === undefined) {
       this.#takeNextStep(end, attempt);
       return;
@@ -464,7 +464,7 @@
 
   /** Cancels the request's attempts and its ask, and finishes it. */
   #cancel(): void {
-    for (const attempt of [this.#attempt, this.#standby.take()]) {
+    for (const attempt of [this.#attempt, this.#standby.release()]) {
       if (attempt !== undefined) {
         this.#recorder.cancel(attempt);
       }
--- a/packages/gateway/src/silence_limits.ts
+++ b/packages/gateway/src/silence_limits.ts
@@ -1,7 +1,7 @@
 /** Timeouts after which a request at a silent target is retried elsewhere. */
 
 import type { RoutePolicy } from "@chestnuthatch/routing/fleet_configuration";
-import type { TargetPace } from "@chestnuthatch/routing/target_pace";
+import type { LatencyModel } from "@chestnuthatch/routing/latency_model";
 
 /**
  * Share of the longest gap that callers accept, after which a stream moves. In
@@ -30,7 +30,7 @@
 export interface SilentStream {
   readonly route: RoutePolicy;
   /** Measured speed of the stream's target. */
-  readonly pace: TargetPace;
+  readonly latencyModel: LatencyModel;
   readonly promptTokens: number;
   /** Longest gap between two events sent to the caller so far, in ms. */
   readonly longestSeenGapMs: number;
@@ -43,12 +43,12 @@
  * @returns A duration in milliseconds.
  */
 export function gapLimitMs(
-  { route, pace, promptTokens, longestSeenGapMs }: SilentStream,
+  { route, latencyModel, promptTokens, longestSeenGapMs }: SilentStream,
 ): number {
   const { longestGapMs } = route;
-  const usualMs = USUAL_GAP_RATIO * pace.eventGapMs;
+  const usualMs = USUAL_GAP_RATIO * latencyModel.eventGapMs;
   const limitMs = Math.max(LONGEST_GAP_SHARE * longestGapMs, usualMs);
-  const gapOnMoveMs = limitMs + pace.firstEventMs(promptTokens, 0);
+  const gapOnMoveMs = limitMs + latencyModel.firstEventMs(promptTokens, 0);
   const canResumeInTime =
     Math.max(longestSeenGapMs, gapOnMoveMs) <= longestGapMs;
   return canResumeInTime
--- a/packages/gateway/src/silence_limits_test.ts
+++ b/packages/gateway/src/silence_limits_test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { routeOf } from "@chestnuthatch/routing/routing_test_support";
-import { TargetPace } from "@chestnuthatch/routing/target_pace";
+import { LatencyModel } from "@chestnuthatch/routing/latency_model";
 import { gapLimitMs } from "./silence_limits.ts";
 
 const ROUTE = routeOf({ longestGapMs: 200 });
@@ -9,7 +9,7 @@
 function streamOf(promptTokens: number, longestSeenGapMs = 0) {
   return {
     route: ROUTE,
-    pace: new TargetPace(),
+    latencyModel: new LatencyModel(),
     promptTokens,
     longestSeenGapMs,
   };
@@ -28,11 +28,11 @@
 });
 
 test("the timeout grows with the usual gap of a slow target", () => {
-  const pace = new TargetPace();
+  const latencyModel = new LatencyModel();
   for (let i = 0; i < 60; i++) {
-    pace.learnEventGap(150);
+    latencyModel.recordEventGap(150);
   }
-  const limitMs = gapLimitMs({ ...streamOf(500), pace });
+  const limitMs = gapLimitMs({ ...streamOf(500), latencyModel });
   assert.ok(limitMs > 590, String(limitMs));
 });
 
--- a/packages/gateway/src/silence_timer.ts
+++ b/packages/gateway/src/silence_timer.ts
@@ -1,7 +1,7 @@
 /** Timeout for a target that stops sending while its request may be retried. */
 
 import { mayRunAgain } from "@chestnuthatch/routing/next_step";
-import type { TargetPaces } from "@chestnuthatch/routing/target_paces";
+import type { LatencyModels } from "@chestnuthatch/routing/latency_models";
 import type { RoutedCall } from "./routed_call.ts";
 import { firstEventLimitMs, gapLimitMs } from "./silence_limits.ts";
 import type { TargetAttempt } from "./target_attempt.ts";
@@ -18,22 +18,22 @@
 /** Timer of one request, restarted with each event. */
 export class SilenceTimer {
   readonly #call: RoutedCall;
-  readonly #paces: TargetPaces;
+  readonly #latencyModels: LatencyModels;
   readonly #onSilent: (silentMs: number) => void;
   #timer?: NodeJS.Timeout;
 
   /**
    * @param call The request.
-   * @param paces Measured speeds of the targets.
+   * @param latencyModels Latency models of the targets.
    * @param onSilent Called on a timeout, with its length in milliseconds.
    */
   constructor(
     call: RoutedCall,
-    paces: TargetPaces,
+    latencyModels: LatencyModels,
     onSilent: (silentMs: number) => void,
   ) {
     this.#call = call;
-    this.#paces = paces;
+    this.#latencyModels = latencyModels;
     this.#onSilent = onSilent;
   }
 
@@ -74,7 +74,7 @@
       ? firstEventLimitMs(route, expectedMs)
       : gapLimitMs({
         route,
-        pace: this.#paces.of(target.targetId),
+        latencyModel: this.#latencyModels.get(target.targetId),
         promptTokens: facts.tokens?.prompt ?? 0,
         longestSeenGapMs,
       });
--- a/packages/gateway/src/standby_attempt.ts
+++ b/packages/gateway/src/standby_attempt.ts
@@ -26,7 +26,7 @@
    *
    * @param attempt The attempt at the silent target.
    */
-  keep(attempt: TargetAttempt): void {
+  hold(attempt: TargetAttempt): void {
     this.expire();
     this.#attempt = attempt;
     this.#timer = setTimeout(() => {
@@ -45,7 +45,7 @@
   }
 
   /** @returns The held attempt, if any, which is released without expiring. */
-  take(): TargetAttempt | undefined {
+  release(): TargetAttempt | undefined {
     const attempt = this.#attempt;
     clearTimeout(this.#timer);
     this.#attempt = undefined;
@@ -54,7 +54,7 @@
 
   /** Expires the held attempt, if any, at once. */
   expire(): void {
-    const attempt = this.take();
+    const attempt = this.release();
     if (attempt !== undefined) {
       this.#onExpired(attempt);
     }
--- a/packages/gateway/src/suspect_recorder.ts
+++ b/packages/gateway/src/suspect_recorder.ts
@@ -51,13 +51,13 @@
   /**
    * Merges suspects into the board, and logs them if any is new.
    *
-   * @param news Suspects from another instance, or from the fleet's record.
+   * @param updates Suspects from another instance, or from the fleet's record.
    */
-  received(news: readonly SuspectUpdate[]): void {
+  received(updates: readonly SuspectUpdate[]): void {
     const { board: { suspects }, clock, log } = this.#parts;
-    const count = suspects.merge(news, clock.nowMs());
+    const count = suspects.merge(updates, clock.nowMs());
     if (count > 0) {
-      const fingerprints = news.map(({ fingerprint }) => fingerprint);
+      const fingerprints = updates.map(({ fingerprint }) => fingerprint);
       log.info(LogPart.Targets, "suspects received", { count, fingerprints });
     }
   }
--- a/packages/gateway/src/target_cleanup.ts
+++ b/packages/gateway/src/target_cleanup.ts
@@ -32,7 +32,8 @@
    * @param changes Changed targets, each with the kind of change.
    */
   applyChanges(changes: readonly TargetEvent[]): void {
-    const { board: { targets, paces, rateLimits }, clock } = this.#parts;
+    const { board: { targets, latencyModels, rateLimits }, clock } =
+      this.#parts;
     const nowMs = clock.nowMs();
     for (const { targetId, kind } of changes) {
       if (kind === TargetEventKind.Restarted) {
@@ -42,14 +43,14 @@
     targets.evictExpired(nowMs);
     const all = targets.all();
     const targetIds = new Set(all.map(({ targetId }) => targetId));
-    paces.keepOnly(targetIds);
+    latencyModels.keepOnly(targetIds);
     rateLimits.keepOnly(targetIds);
     const usable = all.filter((target) => targets.isUsable(target, nowMs));
     const addresses = new Set(usable.map(({ address }) => address));
     this.#parts.connections.keepOnly(addresses);
   }
 
-  /** Resets a target's state, except its pace, which depends on its machine. */
+  /** Resets a target's state, except its latency model, which depends on its hardware. */
   #resetRestarted(targetId: string, nowMs: number): void {
     const { board, coordinator, connections } = this.#parts;
     board.health.restarted(targetId);
--- a/packages/gateway/src/target_signal_handler.ts
+++ b/packages/gateway/src/target_signal_handler.ts
@@ -86,10 +86,10 @@
     }
   }
 
-  /** @param news Rate limits of targets that another instance reported. */
-  rateLimitsReceived(news: readonly RateLimitUpdate[]): void {
+  /** @param updates Rate limits of targets that another instance reported. */
+  rateLimitsReceived(updates: readonly RateLimitUpdate[]): void {
     const { board: { rateLimits }, clock } = this.#parts;
-    for (const change of rateLimits.merge(news, clock.nowMs())) {
+    for (const change of rateLimits.merge(updates, clock.nowMs())) {
       this.#rateLimitChanged(change, SignalSource.Peer);
     }
   }
--- a/packages/gateway/src/work_ask_of.ts
+++ b/packages/gateway/src/work_ask_of.ts
@@ -109,7 +109,7 @@
   const excluded = new Set([
     ...mandatory,
     ...board.health.paused(nowMs),
-    ...board.cutDomains.unreachableTargets(usable, nowMs)
+    ...board.unreachableDomains.unreachableTargets(usable, nowMs)
       .map(({ targetId }) => targetId),
   ]);
   const isAnyEligible = usable.some(({ targetId }) => !excluded.has(targetId));
--- a/packages/measure/src/placement_costs.ts
+++ b/packages/measure/src/placement_costs.ts
@@ -24,7 +24,7 @@
 import { TargetHealth } from "@chestnuthatch/routing/target_health";
 import { SuspectRequests } from "@chestnuthatch/routing/suspect_requests";
 import { TargetRateLimits } from "@chestnuthatch/routing/target_rate_limits";
-import { TargetPaces } from "@chestnuthatch/routing/target_paces";
+import { LatencyModels } from "@chestnuthatch/routing/latency_models";
 import { TargetBackoffs } from "@chestnuthatch/routing/target_backoffs";
 import {
   AskCause,
@@ -287,10 +287,10 @@
     targets,
     members,
     configurationAge: new ConfigurationAge(),
-    cutDomains: new UnreachableDomains(members),
+    unreachableDomains: new UnreachableDomains(members),
     health: new TargetHealth(),
     rateLimits: new TargetRateLimits(),
-    paces: new TargetPaces(),
+    latencyModels: new LatencyModels(),
     backoffs: new TargetBackoffs(),
     suspects: new SuspectRequests(),
     rollouts: new Rollouts({ share: 0.1, slack: 50 }),
--- a/packages/routing/src/candidate_index.ts
+++ b/packages/routing/src/candidate_index.ts
@@ -14,7 +14,7 @@
  */
 const MIN_LOCAL_COMPARED = 48;
 
-/** Maximum age of the cached mean pace of a large pool. */
+/** Maximum age of the cached mean latency model of a large pool. */
 const TYPICAL_MAX_AGE_MS = 100;
 
 /**
@@ -159,12 +159,12 @@
   }
 
   /**
-   * Returns a target that stands for the pool's average in predictions. Its
-   * pace is cached for a large pool.
+   * Returns a target that stands for the pool's average in predictions. It is
+   * cached for a large pool.
    *
    * @param nowMs Current local time in milliseconds.
-   * @returns An idle candidate with the mean pace of all targets; undefined
-   * where there are none.
+   * @returns An idle candidate with the mean latency model of all targets;
+   * undefined where there are none.
    */
   typical(nowMs: number): Candidate | undefined {
     const isStale = this.size <= MAX_COMPARED ||
--- a/packages/routing/src/candidate_index_test.ts
+++ b/packages/routing/src/candidate_index_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { CandidateIndex } from "./candidate_index.ts";
 import { type Candidate, IDLE_USE } from "./target_choice.ts";
-import { TargetPace } from "./target_pace.ts";
+import { LatencyModel } from "./latency_model.ts";
 
 const DOMAINS = ["a", "b", "c", "d"];
 const SLOTS = 2;
@@ -20,7 +20,7 @@
     rowVersion: 1,
     warmAtMs: 0,
   };
-  return { target, use: IDLE_USE, pace: new TargetPace() };
+  return { target, use: IDLE_USE, latencyModel: new LatencyModel() };
 }
 
 function indexOf(count: number): CandidateIndex {
--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -32,7 +32,7 @@
   baselineFirstEventMs,
   INITIAL_CALL_MS,
   INITIAL_EVENT_GAP_MS,
-} from "./target_pace.ts";
+} from "./latency_model.ts";
 
 /**
  * Minimum age of work that is released because a holder's report does not list
@@ -174,7 +174,7 @@
       route: work?.route,
       nowMs,
     });
-    this.#board.paces.learn(end, { isStream, tokensAhead });
+    this.#board.latencyModels.recordEnd(end, { isStream, tokensAhead });
     if (work !== undefined && !end.failed && end.firstMs !== undefined) {
       scheduler.recordFirstEvent(end.promptTokens, end.firstMs);
     }
--- a/packages/routing/src/target_pace.ts
+++ b/packages/routing/src/latency_model.ts
@@ -28,24 +28,24 @@
 
 const PAIRS_PER_M = 1e6;
 
-/** Latency estimates of one target. */
-export class TargetPace {
+/** Latency model of one target. */
+export class LatencyModel {
   /** Ratio of the observed times to the first event to the baseline. */
   #slownessRatio = 1;
   #eventGapMs = INITIAL_EVENT_GAP_MS;
   #callMs = INITIAL_CALL_MS;
 
   /**
-   * Averages the estimates of several targets.
+   * Averages the models of several targets.
    *
-   * @param paces Estimates of at least one target.
-   * @returns Estimates whose predictions are the means of theirs.
+   * @param models Models of at least one target.
+   * @returns A model whose predictions are the means of theirs.
    */
-  static mean(paces: readonly TargetPace[]): TargetPace {
-    const mean = new TargetPace();
-    mean.#slownessRatio = meanOf(paces.map((pace) => pace.#slownessRatio));
-    mean.#eventGapMs = meanOf(paces.map((pace) => pace.#eventGapMs));
-    mean.#callMs = meanOf(paces.map((pace) => pace.#callMs));
+  static mean(models: readonly LatencyModel[]): LatencyModel {
+    const mean = new LatencyModel();
+    mean.#slownessRatio = meanOf(models.map((model) => model.#slownessRatio));
+    mean.#eventGapMs = meanOf(models.map((model) => model.#eventGapMs));
+    mean.#callMs = meanOf(models.map((model) => model.#callMs));
     return mean;
   }
 
@@ -61,12 +61,12 @@
       baselineFirstEventMs(promptTokens, tokensAhead);
   }
 
-  /** Estimated time between two events of one stream. */
+  /** Estimated time between two events of a stream, in milliseconds. */
   get eventGapMs(): number {
     return this.#eventGapMs;
   }
 
-  /** Estimated duration of a plain call. */
+  /** Estimated duration of a plain call, in milliseconds. */
   get callMs(): number {
     return this.#callMs;
   }
@@ -78,15 +78,16 @@
    * @param tokensAhead Prompt tokens that the target had queued before it.
    * @param tookMs Time to the first event.
    */
-  learnFirstEvent(
+  recordFirstEvent(
     promptTokens: number,
     tokensAhead: number,
     tookMs: number,
   ): void {
-    const observed = tookMs / baselineFirstEventMs(promptTokens, tokensAhead);
+    const observedRatio = tookMs /
+      baselineFirstEventMs(promptTokens, tokensAhead);
     this.#slownessRatio = smoothed(
       this.#slownessRatio,
-      Math.min(MAX_SLOWNESS_RATIO, Math.max(MIN_SLOWNESS_RATIO, observed)),
+      Math.min(MAX_SLOWNESS_RATIO, Math.max(MIN_SLOWNESS_RATIO, observedRatio)),
     );
   }
 
@@ -95,7 +96,7 @@
    *
    * @param gapMs Mean time between the events of a stream that ended.
    */
-  learnEventGap(gapMs: number): void {
+  recordEventGap(gapMs: number): void {
     this.#eventGapMs = smoothed(this.#eventGapMs, gapMs);
   }
 
@@ -104,7 +105,7 @@
    *
    * @param tookMs Duration of a plain call.
    */
-  learnCall(tookMs: number): void {
+  recordCall(tookMs: number): void {
     this.#callMs = smoothed(this.#callMs, tookMs);
   }
 }
--- a/packages/routing/src/member_view.ts
+++ b/packages/routing/src/member_view.ts
@@ -24,9 +24,9 @@
 }
 
 /**
- * Time without a heartbeat after which a member counts as gone, in
+ * Time without a heartbeat after which a member counts as failed, in
  * milliseconds: four heartbeat intervals, so that a live member is only
- * declared gone if three heartbeats in a row are lost.
+ * declared failed if three heartbeats in a row are lost.
  */
 export const MEMBER_TIMEOUT_MS = 900;
 
@@ -41,7 +41,7 @@
 export const HEARTBEAT_FANOUT = 5;
 
 /**
- * In a large fleet, a member counts as gone after this time for each heartbeat
+ * In a large fleet, a member counts as failed after this time for each heartbeat
  * of a round over the whole fleet. It makes two and a half rounds, which
  * tolerates the loss of one datagram.
  */
@@ -288,7 +288,7 @@
   /**
    * Failure domains all of whose instances have an overdue heartbeat. Instances
    * of a partitioned domain hand out their own part of the allotments even
-   * before any of them counts as gone here.
+   * before any of them counts as failed here.
    */
   #overdueDomains(nowMs: number): ReadonlySet<string> {
     const overdue = this.overdue(nowMs);
--- a/packages/routing/src/late_margin.ts
+++ b/packages/routing/src/prediction_margin.ts
@@ -1,7 +1,7 @@
 /**
- * Adaptive margin that decides when a queued request counts as late: a running
- * estimate of a quantile of the ratio of actual to predicted times to the first
- * event.
+ * Adaptive safety margin for predicted times to the first event: a running
+ * estimate of a quantile of the ratio of actual to predicted times. It decides
+ * when a queued request counts as late.
  *
  * When a pool is full, queued requests are placed just before their latest
  * start time, so a systematic prediction error makes most of them late at once.
@@ -29,11 +29,14 @@
  */
 const STEP_RATIO = 0.05;
 
-/** Margin within which a fixed share of the first events arrive. */
-export class LateMargin {
+/**
+ * Factor by which predicted times to the first event are multiplied, so that a
+ * fixed share of first events arrive in time.
+ */
+export class PredictionMargin {
   #ratio = INITIAL_MARGIN_RATIO;
 
-  /** Ratio to the predicted time within which a first event is expected. */
+  /** Factor on the predicted time, from 1.1 to 4. */
   get ratio(): number {
     return this.#ratio;
   }
@@ -44,10 +47,13 @@
    * @param durationMs Time to the first event.
    * @param predictedMs Time predicted for an idle target.
    */
-  learn(durationMs: number, predictedMs: number): void {
+  record(durationMs: number, predictedMs: number): void {
     const isWithin = durationMs <= this.#ratio * predictedMs;
-    const moved = this.#ratio +
+    const adjustedRatio = this.#ratio +
       (isWithin ? -(1 - WITHIN_SHARE) : WITHIN_SHARE) * STEP_RATIO;
-    this.#ratio = Math.min(MAX_MARGIN_RATIO, Math.max(MIN_MARGIN_RATIO, moved));
+    this.#ratio = Math.min(
+      MAX_MARGIN_RATIO,
+      Math.max(MIN_MARGIN_RATIO, adjustedRatio),
+    );
   }
 }
--- a/packages/routing/src/queue_order.ts
+++ b/packages/routing/src/queue_order.ts
@@ -114,13 +114,13 @@
 }
 
 /**
- * Computes the sort key of a request from the mean pace of the targets, so that
- * its cost does not grow with their number.
+ * Computes the sort key of a request from the mean latency model of the
+ * targets, so that its cost does not grow with their number.
  *
  * @param work The queued request.
- * @param of An idle target with the mean pace, absent where there is none; and
- * the ratio of actual to predicted times to the first event that is allowed
- * for.
+ * @param of An idle target with the mean latency model, absent where there is
+ * none; and the factor by which the predicted time to the first event is
+ * multiplied.
  * @returns The sort key.
  */
 export function orderKeyOf(
--- a/packages/routing/src/rank_load.ts
+++ b/packages/routing/src/rank_load.ts
@@ -5,7 +5,7 @@
  * A request of a low rank waits not only for those ahead of it, but also for
  * those of higher ranks that arrive before its turn. Where higher ranks alone
  * fill a pool, its wait lasts as long as their surge. If it is refused at once,
- * its caller retries when the pool has room again.
+ * its caller retries when the pool has capacity again.
  */
 
 /**
--- a/packages/routing/src/routing_board.ts
+++ b/packages/routing/src/routing_board.ts
@@ -13,24 +13,24 @@
 import type { TargetDirectory } from "./target_directory.ts";
 import type { TargetHealth } from "./target_health.ts";
 import type { TargetRateLimits } from "./target_rate_limits.ts";
-import type { TargetPaces } from "./target_paces.ts";
+import type { LatencyModels } from "./latency_models.ts";
 import type { TargetBackoffs } from "./target_backoffs.ts";
 
 /** Shared routing state of one instance. */
 export interface RoutingBoard {
   /**
    * Routes, pools and workspaces of the configuration in force. Written by the
-   * configuration keeper; absent until a version is known.
+   * `ConfigurationSync`; absent until a version is known.
    */
   routes?: RouteTable;
   /**
-   * Age of the configuration. Written by the configuration keeper, from the
-   * store and from peers.
+   * Age of the configuration. Written by the `ConfigurationSync`, from the store
+   * and from peers.
    */
   readonly configurationAge: ConfigurationAge;
-  /** Known targets. Written by the target keeper. */
+  /** Known targets. Written by the `FleetStateSync`. */
   readonly targets: TargetDirectory;
-  /** Known instances. Written by the membership keeper. */
+  /** Known instances. Written by the `HeartbeatExchange`. */
   readonly members: MemberView;
   /**
    * Health of targets. Written by the holder, from the outcomes of its own
@@ -41,24 +41,24 @@
    * Failure domains that this instance cannot reach. Written by the holder,
    * from targets that did not respond at all.
    */
-  readonly cutDomains: UnreachableDomains;
+  readonly unreachableDomains: UnreachableDomains;
   /**
-   * Rate limits that targets advertise. Written by the signal keeper, from
-   * answers of targets and from peers.
+   * Rate limits that targets advertise. Written by the `TargetSignalHandler`,
+   * from answers of targets and from peers.
    */
   readonly rateLimits: TargetRateLimits;
   /**
-   * Backoff periods of targets. Written by the signal keeper, from targets that
-   * rejected requests.
+   * Backoff periods of targets. Written by the `TargetSignalHandler`, from
+   * targets that rejected requests.
    */
   readonly backoffs: TargetBackoffs;
   /**
-   * Learned latencies of targets. Written by the coordinator, from the outcomes
-   * of work.
+   * Latency models of targets. Written by the coordinator, from the outcomes of
+   * work.
    */
-  readonly paces: TargetPaces;
+  readonly latencyModels: LatencyModels;
   /**
-   * Roll-outs of new versions. Written by the roll-out keeper, and by the
+   * Roll-outs of new versions. Written by the `RolloutController`, and by the
    * coordinator from answers.
    */
   readonly rollouts: Rollouts;
--- a/packages/routing/src/routing_test_support.ts
+++ b/packages/routing/src/routing_test_support.ts
@@ -15,12 +15,12 @@
 import { TargetDirectory } from "./target_directory.ts";
 import { TargetHealth } from "./target_health.ts";
 import { TargetRateLimits } from "./target_rate_limits.ts";
-import { TargetPaces } from "./target_paces.ts";
+import { LatencyModels } from "./latency_models.ts";
 import { TargetBackoffs } from "./target_backoffs.ts";
 import { AskCause, type WorkAsk } from "./work_ask.ts";
 
 /**
- * Builds the membership news of an instance.
+ * Builds the `MemberInfo` of an instance.
  *
  * @param instanceId Id of the instance.
  * @param overrides Fields that differ from an instance in failure domain `a`.
@@ -129,10 +129,10 @@
     targets,
     members,
     configurationAge: new ConfigurationAge(),
-    cutDomains: new UnreachableDomains(members),
+    unreachableDomains: new UnreachableDomains(members),
     health: new TargetHealth(),
     rateLimits: new TargetRateLimits(),
-    paces: new TargetPaces(),
+    latencyModels: new LatencyModels(),
     backoffs: new TargetBackoffs(),
     suspects: new SuspectRequests(),
     rollouts: new Rollouts({ share: 0.1, slack: 50 }),
--- a/packages/routing/src/target_choice.ts
+++ b/packages/routing/src/target_choice.ts
@@ -1,7 +1,7 @@
 /** Chooses the target that is expected to complete a request first. */
 
 import type { KnownTarget } from "./target_directory.ts";
-import { TargetPace } from "./target_pace.ts";
+import { LatencyModel } from "./latency_model.ts";
 import type { WorkAsk } from "./work_ask.ts";
 
 /**
@@ -38,7 +38,7 @@
 export interface Candidate {
   readonly target: KnownTarget;
   readonly use: TargetUse;
-  readonly pace: TargetPace;
+  readonly latencyModel: LatencyModel;
   /** Capacity of the KV cache of a model engine; absent for plain services. */
   readonly kvCapacityTokens?: number;
 }
@@ -126,8 +126,8 @@
  * Builds a candidate that stands for the average of a pool in predictions.
  *
  * @param candidates Targets of one pool.
- * @returns An idle candidate with their mean pace; undefined where there are
- * none.
+ * @returns An idle candidate with their mean latency model; undefined where
+ * there are none.
  */
 export function typicalOf(
   candidates: readonly Candidate[],
@@ -136,7 +136,9 @@
   return first && {
     ...first,
     use: IDLE_USE,
-    pace: TargetPace.mean(candidates.map(({ pace }) => pace)),
+    latencyModel: LatencyModel.mean(
+      candidates.map(({ latencyModel }) => latencyModel),
+    ),
   };
 }
 
@@ -163,12 +165,12 @@
   ask: Pick<WorkAsk, "promptTokens">,
   use: TargetUse,
 ): number {
-  const { pace, kvCapacityTokens } = candidate;
+  const { latencyModel, kvCapacityTokens } = candidate;
   if (kvCapacityTokens !== undefined) {
-    return pace.firstEventMs(ask.promptTokens, use.tokensAhead);
+    return latencyModel.firstEventMs(ask.promptTokens, use.tokensAhead);
   }
   // A plain service shares its processor among the calls that it runs.
-  return pace.callMs * (1 + use.running / candidate.target.slots);
+  return latencyModel.callMs * (1 + use.running / candidate.target.slots);
 }
 
 /**
@@ -184,5 +186,5 @@
     return 0;
   }
   const events = EXPECTED_OUTPUT_SHARE * ask.outputTokens / TOKENS_PER_EVENT;
-  return events * candidate.pace.eventGapMs;
+  return events * candidate.latencyModel.eventGapMs;
 }
--- a/packages/routing/src/target_selector.ts
+++ b/packages/routing/src/target_selector.ts
@@ -198,7 +198,7 @@
     return {
       target,
       use: this.#placed.use(targetId),
-      pace: this.#board.paces.of(targetId),
+      latencyModel: this.#board.latencyModels.get(targetId),
       kvCapacityTokens: this.#policy()?.engine?.kvCapacityTokens,
     };
   }
--- a/packages/routing/src/waiting_queue.ts
+++ b/packages/routing/src/waiting_queue.ts
@@ -2,7 +2,7 @@
  * Queue of one pool: the requests that wait for a target, with their sort keys.
  */
 
-import { LateMargin } from "./late_margin.ts";
+import { PredictionMargin } from "./prediction_margin.ts";
 import {
   firstInOrder,
   inOrder,
@@ -27,9 +27,9 @@
 /** Queued requests by ask. */
 export class WaitingQueue {
   readonly #byAsk = new Map<string, KeyedWork>();
-  readonly #margin = new LateMargin();
+  readonly #margin = new PredictionMargin();
   #reorderedAtMs = -Infinity;
-  /** Idle target with the pool's mean pace at the last reorder. */
+  /** Idle target with the pool's mean latency model at the last reorder. */
   #typical?: Candidate;
 
   /** Number of queued requests. */
@@ -95,8 +95,8 @@
   /**
    * Recomputes all sort keys and returns the whole queue in order.
    *
-   * @param typical Idle target with the pool's mean pace; absent where the pool
-   * has no targets.
+   * @param typical Idle target with the pool's mean latency model; absent where
+   * the pool has no targets.
    * @param context Promoted ranks and the current local time.
    * @returns All requests, the next one first.
    */
@@ -137,7 +137,7 @@
   recordFirstEvent(promptTokens: number, firstMs: number): void {
     if (this.#typical !== undefined) {
       const predictedMs = firstMsAt(this.#typical, { promptTokens }, IDLE_USE);
-      this.#margin.learn(firstMs, predictedMs);
+      this.#margin.record(firstMs, predictedMs);
     }
   }
 
