--- a/packages/gateway/src/front_server.ts
+++ b/packages/gateway/src/front_server.ts
@@ -65,7 +65,7 @@
 const LEAVING_RETRY_AFTER_MS = 50;
 
 /** Factor by which answers to the same caller differ in size. */
-const SLOW_ANSWER_FACTOR = 1.5;
+const SLOW_ANSWER_RATIO = 1.5;
 
 /** Result of the admission check: an error, or where the request is routed. */
 type Admission =
@@ -300,7 +300,7 @@
   /** Whether its caller may read too slowly for an answer before the exit. */
   #mayOutlastShutdown({ socket }: IncomingMessage): boolean {
     const slowestMs = this.#connections.slowestAnswerMs(socket);
-    return SLOW_ANSWER_FACTOR * slowestMs > this.#timeToAbortMs();
+    return SLOW_ANSWER_RATIO * slowestMs > this.#timeToAbortMs();
   }
 
   #admit(request: IncomingMessage, facts: CallMetadata): Admission {
--- a/packages/gateway/src/gateway_settings.ts
+++ b/packages/gateway/src/gateway_settings.ts
@@ -15,7 +15,7 @@
   readonly metricsAddress: string;
   /** `ip:port` of the UDP socket for messages between instances. */
   readonly peerAddress: string;
-  /** TCP port that serves snapshots that are too large for a datagram to peers. */
+  /** TCP port of the server of snapshots, which exceed a datagram. */
   readonly snapshotPort: number;
   /** Peer addresses of instances that heartbeats are sent to first. */
   readonly seedAddresses: readonly string[];
--- a/packages/gateway/src/heartbeat_exchange.ts
+++ b/packages/gateway/src/heartbeat_exchange.ts
@@ -20,7 +20,8 @@
 import { Rotation } from "./rotation.ts";
 
 /**
- * Time between two heartbeats; four may be lost before a member counts as failed.
+ * Time between two heartbeats; four may be lost before a member counts as
+ * failed.
  */
 const HEARTBEAT_INTERVAL_MS = 220;
 
--- a/packages/gateway/src/silence_timer.ts
+++ b/packages/gateway/src/silence_timer.ts
@@ -74,7 +74,7 @@
       ? firstEventLimitMs(route, expectedMs)
       : gapLimitMs({
         route,
-        latencyModel: this.#latencyModels.get(target.targetId),
+        latencyModel: this.#latencyModels.of(target.targetId),
         promptTokens: facts.tokens?.prompt ?? 0,
         longestSeenGapMs,
       });
--- a/packages/gateway/src/target_cleanup.ts
+++ b/packages/gateway/src/target_cleanup.ts
@@ -50,7 +50,10 @@
     this.#parts.connections.keepOnly(addresses);
   }
 
-  /** Resets a target's state, except its latency model, which depends on its hardware. */
+  /**
+   * Resets a target's state, except its latency model, which depends on its
+   * hardware.
+   */
   #resetRestarted(targetId: string, nowMs: number): void {
     const { board, coordinator, connections } = this.#parts;
     board.health.restarted(targetId);
--- a/packages/routing/src/candidate_index.ts
+++ b/packages/routing/src/candidate_index.ts
@@ -6,16 +6,16 @@
 import { type Candidate, type TargetUse, typicalOf } from "./target_choice.ts";
 
 /** Upper bound of free targets that are compared for one request. */
-const MAX_COMPARED = 64;
+const MAX_COMPARED_TARGETS = 64;
 
 /**
  * Lower bound of compared targets that are in the request's own failure domain,
  * if it has as many free ones.
  */
-const MIN_LOCAL_COMPARED = 48;
+const MIN_LOCAL_COMPARED_TARGETS = 48;
 
 /** Maximum age of the cached mean latency model of a large pool. */
-const TYPICAL_MAX_AGE_MS = 100;
+const MAX_TYPICAL_AGE_MS = 100;
 
 /**
  * Unordered set of free targets of one failure domain with constant-time
@@ -134,7 +134,7 @@
    * with each call, most of them in the holder's domain.
    */
   sampleFree(failureDomain: string): Candidate[] {
-    if (this.#freeCount <= MAX_COMPARED) {
+    if (this.#freeCount <= MAX_COMPARED_TARGETS) {
       return this.allFree();
     }
     const local = this.#freeByDomain.get(failureDomain);
@@ -143,9 +143,11 @@
     const otherCount = others.reduce((sum, { size }) => sum + size, 0);
     const localCount = Math.min(
       local?.size ?? 0,
-      Math.max(MIN_LOCAL_COMPARED, MAX_COMPARED - otherCount),
+      Math.max(MIN_LOCAL_COMPARED_TARGETS, MAX_COMPARED_TARGETS - otherCount),
+    );
+    const perDomain = Math.ceil(
+      (MAX_COMPARED_TARGETS - localCount) / others.length,
     );
-    const perDomain = Math.ceil((MAX_COMPARED - localCount) / others.length);
     const ids = [
       local?.sample(localCount) ?? [],
       ...others.map((l) => l.sample(perDomain)),
@@ -167,8 +169,8 @@
    * undefined where there are none.
    */
   typical(nowMs: number): Candidate | undefined {
-    const isStale = this.size <= MAX_COMPARED ||
-      nowMs - this.#typicalAtMs >= TYPICAL_MAX_AGE_MS;
+    const isStale = this.size <= MAX_COMPARED_TARGETS ||
+      nowMs - this.#typicalAtMs >= MAX_TYPICAL_AGE_MS;
     if (isStale) {
       this.#typical = typicalOf(this.all());
       this.#typicalAtMs = nowMs;
--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -77,7 +77,7 @@
  * Queues and places the asks of all holders that reach this instance.
  *
  * An ask is a holder's request for a slot at a target of a pool; a holder is
- * the instance that keeps a caller's connection.
+ * the instance that has the caller's connection.
  */
 export class Coordinator {
   readonly #board: RoutingBoard;
@@ -431,7 +431,8 @@
     }
     const budget = this.#budget(ask.pool);
     if (
-      ask.cause === AskCause.Repeat && !budget.tryTake(scope.share, scope.nowMs)
+      ask.cause === AskCause.Repeat &&
+      !budget.tryConsume(scope.share, scope.nowMs)
     ) {
       const refusal = {
         askId,
--- a/packages/routing/src/coordinator_test.ts
+++ b/packages/routing/src/coordinator_test.ts
@@ -172,7 +172,7 @@
 function coordinatorOfBusyFastTarget(): Coordinator {
   const board = boardOf(["fast", "slow"]);
   for (let i = 0; i < 40; i++) {
-    board.latencyModels.get("slow").recordFirstEvent(1000, 0, 180);
+    board.latencyModels.of("slow").recordFirstEvent(1000, 0, 180);
   }
   const coordinator = new Coordinator(board, BOUNDS);
   coordinator.ask(askOf("a1"), scope(0));
--- a/packages/routing/src/latency_models.ts
+++ b/packages/routing/src/latency_models.ts
@@ -13,7 +13,7 @@
    * @param targetId Id of the target.
    * @returns Its model; one with initial estimates if nothing was observed yet.
    */
-  get(targetId: string): LatencyModel {
+  of(targetId: string): LatencyModel {
     let model = this.#byId.get(targetId);
     if (model === undefined) {
       model = new LatencyModel();
@@ -33,7 +33,7 @@
     end: WorkEnd,
     of: { isStream: boolean; tokensAhead: number },
   ): void {
-    const model = this.get(end.targetId);
+    const model = this.of(end.targetId);
     if (end.failed || end.firstMs === undefined) {
       return;
     }
--- a/packages/routing/src/member_view.ts
+++ b/packages/routing/src/member_view.ts
@@ -5,7 +5,7 @@
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
 
-/** What this instance knows of one entry instance of the fleet. */
+/** Record of one entry instance of the fleet, kept by this instance. */
 export interface MemberRecord {
   readonly instanceId: string;
   /** `ip:port` of its peer socket. */
@@ -41,9 +41,9 @@
 export const HEARTBEAT_FANOUT = 5;
 
 /**
- * In a large fleet, a member counts as failed after this time for each heartbeat
- * of a round over the whole fleet. It makes two and a half rounds, which
- * tolerates the loss of one datagram.
+ * In a large fleet, a member counts as failed after this time for each
+ * heartbeat of a round over the whole fleet. It makes two and a half rounds,
+ * which tolerates the loss of one datagram.
  */
 const ROUND_TIMEOUT_MS = 550;
 
@@ -63,7 +63,7 @@
 /**
  * Time since a member's last heartbeat after which the next one is overdue: one
  * heartbeat interval and the network delay. If the coordinator does not answer,
- * members whose heartbeat is not overdue are asked for a place first.
+ * members whose heartbeat is not overdue are asked for a placement first.
  */
 const HEARTBEAT_OVERDUE_MS = 330;
 
@@ -75,7 +75,7 @@
 /**
  * Time within which the first heartbeat of a member that others reported should
  * arrive. Until then the member counts towards the fleet's size, so that an
- * instance that has just started does not take itself for the whole fleet.
+ * instance that has just started does not count as the whole fleet.
  */
 const MEMBER_JOIN_GRACE_MS = 2000;
 
@@ -130,7 +130,7 @@
    */
   isLoaded = false;
   readonly #byId = new Map<string, MemberRecord>();
-  /** Local time since which each member has kept the spending of workspaces. */
+  /** Local time since which each member has recorded the spending of workspaces. */
   readonly #memorySinceMs = new Map<string, number>();
   /** Since when heartbeats of a silent coordinator candidate are awaited. */
   readonly #awaitedSinceMs = new Map<string, number>();
@@ -161,7 +161,7 @@
    *
    * @param info Description of the member in its heartbeat.
    * @param nowMs The local time.
-   * @returns Whether the member counted as gone, or was unknown, before.
+   * @returns Whether the member counted as failed, or was unknown, before.
    */
   heartbeatReceived(info: MemberInfo, nowMs: number): boolean {
     const known = this.#byId.get(info.instanceId);
@@ -345,7 +345,7 @@
   }
 
   /**
-   * Returns how long the fleet as a whole has kept the spending of workspaces.
+   * Returns how long the fleet as a whole has recorded the spending of workspaces.
    * What one instance lost with a restart, others still have.
    *
    * @param ownMs Time since this instance started, in milliseconds.
@@ -358,7 +358,7 @@
   }
 
   /**
-   * Records for how long a member has kept the spending of workspaces, by which
+   * Records for how long a member has recorded the spending of workspaces, by which
    * its uptime is estimated.
    *
    * @param instanceId Id of the member.
@@ -370,8 +370,8 @@
   }
 
   /**
-   * Records that a member asked this instance for places and got no answer in
-   * time. If enough members did, this instance stands aside: all members
+   * Records that a member asked this instance for placements and got no answer
+   * in time. If enough members did, this instance stands aside: all members
    * replace it at the same time, so that the next coordinator can hand out the
    * whole of the allotments.
    *
--- a/packages/routing/src/peer_messages.ts
+++ b/packages/routing/src/peer_messages.ts
@@ -12,11 +12,11 @@
 export enum MessageKind {
   /** Liveness and gossip that each instance sends to others periodically. */
   Heartbeat = "beat",
-  /** A holder requests a place for one of its requests from the coordinator. */
+  /** A holder requests a placement for a request from the coordinator. */
   Ask = "ask",
   /** The coordinator confirms that an ask arrived and waits. */
   Queued = "queued",
-  /** The coordinator grants a place for an ask, or refuses it. */
+  /** The coordinator places a request, or refuses it. */
   Decision = "decision",
   /** The first part of an answer arrived from the target. */
   FirstSeen = "first_seen",
@@ -30,7 +30,7 @@
    * The coordinator has no record of asks that a holder reported as waiting.
    */
   Unknown = "unknown",
-  /** The sender asked the receiver for places and got no answer in time. */
+  /** The sender asked the receiver for placements and got no answer in time. */
   PassedOver = "passed_over",
 }
 
@@ -175,7 +175,7 @@
   z.object({
     kind: z.literal(MessageKind.Heartbeat),
     from: member,
-    /** Time for which the sender has kept the spending of workspaces. */
+    /** Time for which the sender has recorded the spending of workspaces. */
     memoryMs: z.number(),
     /** Version of the configuration that the sender applies; 0 for none. */
     configurationVersion: z.number(),
--- a/packages/routing/src/pool_scheduler.ts
+++ b/packages/routing/src/pool_scheduler.ts
@@ -49,7 +49,7 @@
 const MIN_SLOTS = 0.1;
 
 /** Upper bound of requests that are skipped while a free slot is filled. */
-const MAX_SKIPPED = 8;
+const MAX_SKIPPED_REQUESTS = 8;
 
 /**
  * Age at which a decision counts as lost if its holder still waits for it.
@@ -335,7 +335,7 @@
     const context = this.#orderContext(nowMs);
     const skipped = new Set<string>();
     const decisions: AskDecision[] = [];
-    while (pass.targets.hasFree && skipped.size < MAX_SKIPPED) {
+    while (pass.targets.hasFree && skipped.size < MAX_SKIPPED_REQUESTS) {
       const next = this.#waiting.next(context, skipped);
       if (next === undefined) {
         break;
--- a/packages/routing/src/rank_shares.ts
+++ b/packages/routing/src/rank_shares.ts
@@ -35,7 +35,7 @@
  * Minimum number of requests of a rank below which its share is not
  * significant.
  */
-const MIN_COUNT = 3;
+const MIN_REQUESTS = 3;
 
 interface Counts {
   served: number;
@@ -102,7 +102,7 @@
     for (const rank of [...this.#byRank.keys()].sort((a, b) => a - b)) {
       const { served, refused, workMs } = this.#decayed(rank, nowMs);
       const total = served + refused;
-      if (total < MIN_COUNT) {
+      if (total < MIN_REQUESTS) {
         continue;
       }
       const share = served / total;
--- a/packages/routing/src/rate_limiter.ts
+++ b/packages/routing/src/rate_limiter.ts
@@ -10,7 +10,7 @@
 
 /** Capacity of a bucket, as time at the target's rate. */
 const BURST_S = 0.5;
-const MIN_BURST = 1;
+const MIN_BURST_TOKENS = 1;
 
 /**
  * Lower bound of the rate at which a limited target is probed: only its answers
@@ -102,7 +102,7 @@
       this.#buckets.set(targetId, bucket);
     }
     const elapsedS = (nowMs - bucket.filledAtMs) / MS_PER_S;
-    const capacity = Math.max(MIN_BURST, perS * BURST_S);
+    const capacity = Math.max(MIN_BURST_TOKENS, perS * BURST_S);
     bucket.tokens = Math.min(capacity, bucket.tokens + perS * elapsedS);
     bucket.filledAtMs = nowMs;
     return bucket;
--- a/packages/routing/src/refused_callers.ts
+++ b/packages/routing/src/refused_callers.ts
@@ -8,7 +8,7 @@
  */
 
 /** Retention of a refusal: refused callers retry within their own deadlines. */
-const MAX_AGE_MS = 15_000;
+const RETENTION_MS = 15_000;
 
 /** Recently refused requests, by the hash that all attempts at one share. */
 export class RefusedCallers {
@@ -47,13 +47,13 @@
   firstAttemptAtMs(callHash: number, nowMs: number): number {
     const refused = this.#byCall.get(callHash);
     const isRecent = refused !== undefined &&
-      nowMs - refused.refusedAtMs <= MAX_AGE_MS;
+      nowMs - refused.refusedAtMs <= RETENTION_MS;
     return isRecent ? refused.firstAttemptAtMs : nowMs;
   }
 
   #evictExpired(nowMs: number): void {
     for (const [callHash, { refusedAtMs }] of this.#byCall) {
-      if (nowMs - refusedAtMs <= MAX_AGE_MS) {
+      if (nowMs - refusedAtMs <= RETENTION_MS) {
         return;
       }
       this.#byCall.delete(callHash);
--- a/packages/routing/src/reported_spending.ts
+++ b/packages/routing/src/reported_spending.ts
@@ -3,10 +3,10 @@
 import type { WorkspaceSpending } from "./spending_log.ts";
 
 /**
- * Total below the cost of any request; what is left below it is a rounding
- * error.
+ * Least total in cost units that counts. It is below the cost of any request,
+ * so that a smaller rest is a rounding error.
  */
-const NEGLIGIBLE = 0.001;
+const MIN_TOTAL_COST = 0.001;
 
 /**
  * Totals by workspace over all holders. A report costs time in proportion to
@@ -44,7 +44,7 @@
 
   #add(workspace: string, amount: number): void {
     const total = (this.#totals.get(workspace) ?? 0) + amount;
-    if (total > NEGLIGIBLE) {
+    if (total > MIN_TOTAL_COST) {
       this.#totals.set(workspace, total);
     } else {
       this.#totals.delete(workspace);
--- a/packages/routing/src/retry_budget.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -56,14 +56,14 @@
   }
 
   /**
-   * Takes one repeat from the budget, if any is left.
+   * Consumes one repeat of the budget, if any is left.
    *
    * @param share Share (0 to 1) of the fleet's slack that this instance may
    * use.
    * @param nowMs Current local time in milliseconds.
    * @returns Whether the repeat may be sent.
    */
-  tryTake(share: number, nowMs: number): boolean {
+  tryConsume(share: number, nowMs: number): boolean {
     const slice = this.#slice(nowMs);
     let first = 0;
     let repeats = 0;
--- a/packages/routing/src/rollout_steps.ts
+++ b/packages/routing/src/rollout_steps.ts
@@ -33,7 +33,7 @@
 export interface StepInput {
   /** Time since the order, relative to the time that the order allows. */
   readonly ageRatio: number;
-  /** Time since this instance entered the phase or learned of it. */
+  /** Time since this instance entered the phase or received it. */
   readonly phaseAgeMs: number;
   readonly verdict: Verdict;
   /** Slots of all usable targets of the new version. */
--- a/packages/routing/src/rollouts.ts
+++ b/packages/routing/src/rollouts.ts
@@ -1,5 +1,5 @@
 /**
- * Roll-outs that this instance knows of: which targets may get requests, and
+ * Roll-outs known to this instance: which targets may get requests, and
  * how a roll-out proceeds.
  *
  * The requests of a canary version are limited by rate and not by a count. A
@@ -77,7 +77,7 @@
   readonly order: RolloutOrder;
   orderedAtMs: number;
   phase: RolloutPhase;
-  /** When this instance entered the phase or learned of it. */
+  /** When this instance entered the phase or received an update with it. */
   phaseAtMs: number;
   readonly evidence: VersionEvidence;
   /** Cached split of the pool's targets by version. */
@@ -379,8 +379,8 @@
     const unproven = this.#unprovenVersions.get(pool) ?? new Set();
     this.#unprovenVersions.set(pool, unproven);
     rollout.targets = undefined;
-    // Once its completion may be written, targets of the old version may be
-    // gone.
+    // Once its completion may be written, targets of the old version may have
+    // stopped.
     if (STATE_OF[phase] === RolloutState.Completed) {
       unproven.delete(version);
     } else {
--- a/packages/routing/src/routing_board.ts
+++ b/packages/routing/src/routing_board.ts
@@ -24,8 +24,8 @@
    */
   routes?: RouteTable;
   /**
-   * Age of the configuration. Written by the `ConfigurationSync`, from the store
-   * and from peers.
+   * Age of the configuration. Written by the `ConfigurationSync`, from the
+   * store and from peers.
    */
   readonly configurationAge: ConfigurationAge;
   /** Known targets. Written by the `FleetStateSync`. */
--- a/packages/routing/src/spending_log.ts
+++ b/packages/routing/src/spending_log.ts
@@ -38,11 +38,14 @@
   // remaining spending must never be treated as older than it may be.
   const expiredSeconds = Math.ceil(ageMs / MS_PER_S);
   const elapsedSeconds = Math.floor(ageMs / MS_PER_S);
-  const kept = bySecond.slice(0, Math.max(0, bySecond.length - expiredSeconds));
+  const unexpired = bySecond.slice(
+    0,
+    Math.max(0, bySecond.length - expiredSeconds),
+  );
   const aged = {
     workspace,
-    spent: sumOf(kept),
-    bySecond: [...new Array<number>(elapsedSeconds).fill(0), ...kept],
+    spent: sumOf(unexpired),
+    bySecond: [...new Array<number>(elapsedSeconds).fill(0), ...unexpired],
   };
   return withRecentCost(aged, spent - aged.spent);
 }
--- a/packages/routing/src/target_directory.ts
+++ b/packages/routing/src/target_directory.ts
@@ -16,7 +16,7 @@
   readonly failureDomain: string;
   readonly slots: number;
   readonly leaving: boolean;
-  /** Set if its answers announced that it is leaving, whatever its row says. */
+  /** Set if its answers announced that it is leaving, whatever its row states. */
   readonly announcedLeaving?: boolean;
   /** Version of its software. */
   readonly version: string;
@@ -24,7 +24,7 @@
   readonly coldMs?: number;
 }
 
-/** What this instance knows of one target. */
+/** Record of a target: its newest row, and times derived from it. */
 export interface KnownTarget extends TargetEntry {
   /** Version of the newest row that was applied for it. */
   readonly rowVersion: number;
@@ -44,7 +44,7 @@
   readonly entry?: TargetEntry;
 }
 
-/** Kinds of changes in what this instance knows of a target. */
+/** Kinds of changes to the record of a target. */
 export enum TargetEventKind {
   Added = "added",
   Leaving = "leaving",
@@ -54,7 +54,7 @@
   Updated = "updated",
 }
 
-/** A change in what this instance knows of a target. */
+/** A change to the record of a target. */
 export interface TargetEvent {
   readonly targetId: string;
   readonly kind: TargetEventKind;
@@ -100,7 +100,7 @@
 
   /**
    * Records that the list was restored from an older copy. It may lack targets
-   * that are alive, and still contain some that are gone.
+   * that are alive, and still contain some that no longer exist.
    *
    * @param nowMs The local time.
    */
@@ -122,7 +122,7 @@
 
   /**
    * Records that a target announced in an answer that it is leaving, which may
-   * happen before its row says so.
+   * happen before its row states it.
    *
    * @param targetId Id of the target.
    * @returns The resulting change of the target, if any.
@@ -152,14 +152,14 @@
     nowMs: number,
   ): TargetEvent[] {
     const listed = new Set(entries.map(({ targetId }) => targetId));
-    const gone = [...this.#byId.values()].filter((known) =>
+    const missing = [...this.#byId.values()].filter((known) =>
       known.removedAtMs === undefined && known.rowVersion <= version &&
       !listed.has(known.targetId)
     ).map(({ targetId }) => ({ targetId, rowVersion: version }));
     const current = entries.filter(({ targetId }) =>
       !this.#isStaleRow(targetId, nowMs)
     );
-    return this.apply([...current, ...gone], nowMs);
+    return this.apply([...current, ...missing], nowMs);
   }
 
   /**
@@ -175,7 +175,7 @@
    *
    * @param target The target.
    * @param nowMs The local time.
-   * @returns False once the target is leaving or gone.
+   * @returns False once the target is leaving or was removed.
    */
   isUsable(target: KnownTarget, nowMs: number): boolean {
     if (target.leaving) {
@@ -250,8 +250,8 @@
     if (entry === undefined) {
       return this.#remove(known, rowVersion, nowMs);
     }
-    // A delayed row of a leaving target may still say that it is not leaving. A
-    // delayed row of its earlier process may say that it is: that one applies
+    // A delayed row of a leaving target may still state that it is not leaving. A
+    // delayed row of its earlier process may state that it is: that one applies
     // until the next row, as sending work to a leaving target is worse than
     // sending none for a short time.
     const before = known !== undefined && !hasRestarted(known, entry)
--- a/packages/routing/src/target_selector.ts
+++ b/packages/routing/src/target_selector.ts
@@ -198,7 +198,7 @@
     return {
       target,
       use: this.#placed.use(targetId),
-      latencyModel: this.#board.latencyModels.get(targetId),
+      latencyModel: this.#board.latencyModels.of(targetId),
       kvCapacityTokens: this.#policy()?.engine?.kvCapacityTokens,
     };
   }
--- a/packages/routing/src/version_answers.ts
+++ b/packages/routing/src/version_answers.ts
@@ -26,7 +26,7 @@
 /**
  * An answer is a stall if it took this many times its target's lower quartile.
  */
-const STALL_FACTOR = 2.5;
+const STALL_RATIO = 2.5;
 
 /** Least number of times of a target for quartiles to be computed. */
 const MIN_TARGET_TIMES = 4;
@@ -122,7 +122,7 @@
     const tally = emptyTally();
     for (const times of this.timesByTarget.values()) {
       if (times.length >= MIN_TARGET_TIMES) {
-        const limit = STALL_FACTOR * quartilesOf(times).lower;
+        const limit = STALL_RATIO * quartilesOf(times).lower;
         times.forEach((time) => countAnswer(tally, time > limit));
       }
     }
--- a/packages/routing/src/version_evidence.ts
+++ b/packages/routing/src/version_evidence.ts
@@ -102,14 +102,14 @@
 /**
  * The new version is slow if its quartiles are this many times the old one's.
  */
-const SLOW_FACTOR = 2.2;
+const SLOW_RATIO = 2.2;
 
 /**
  * The factor by which the new version's quartiles may exceed the old one's
  * after promotion. It is larger, as a burst of requests slows targets under
  * full load.
  */
-const PROMOTED_SLOW_FACTOR = 3;
+const PROMOTED_SLOW_RATIO = 3;
 
 /**
  * Targets with enough times that the comparison needs, or all if there are
@@ -157,7 +157,7 @@
   (canary, baseline, { length: newTargets }) => {
     return isVersionSlower(canary, baseline, {
         newTargets,
-        factor: SLOW_FACTOR,
+        factor: SLOW_RATIO,
       })
       ? "slow"
       : undefined;
@@ -172,7 +172,7 @@
 
 const PROMOTED_COMPARISONS: readonly Comparison[] = [
   (canary, baseline, { length: newTargets }) => {
-    const factor = PROMOTED_SLOW_FACTOR;
+    const factor = PROMOTED_SLOW_RATIO;
     return isVersionSlower(canary, baseline, { newTargets, factor })
       ? "slow under all of the load"
       : undefined;
@@ -332,6 +332,6 @@
   }
   const otherRatio = quartilesOf(others).median /
     quartilesOf(usualOthers).median;
-  const factor = SLOW_FACTOR * Math.max(1, otherRatio);
+  const factor = SLOW_RATIO * Math.max(1, otherRatio);
   return areSlower(quartilesOf(own), quartilesOf(usual), factor);
 }
--- a/packages/routing/src/work_ask.ts
+++ b/packages/routing/src/work_ask.ts
@@ -18,7 +18,7 @@
 
 /**
  * An ask: a holder's request for a slot at a target. The holder is the instance
- * that keeps the caller's connection.
+ * that has the caller's connection.
  */
 export interface WorkAsk {
   /** Unique in the fleet; a repeat of the request is asked under a new id. */
