--- a/packages/gateway/src/allotment_in_partition_test.ts
+++ b/packages/gateway/src/allotment_in_partition_test.ts
@@ -4,9 +4,9 @@
  *
  * Guards against running more within one window than the bound and its
  * tolerance allow, which was seen once by 0.3 %. Until the coordinator counted
- * as failed, each holder placed requests from a share of the allotment by itself
- * and ignored the spending in the coordinator's last heartbeat, and both sides
- * of the partition allocated the whole allotment for 0.9 s. The partition
+ * as failed, each holder placed requests from a share of the allotment by
+ * itself and ignored the spending in the coordinator's last heartbeat, and both
+ * sides of the partition allocated the whole allotment for 0.9 s. The partition
  * therefore starts at different moments between two heartbeats.
  */
 
--- a/packages/gateway/src/caller_connection.ts
+++ b/packages/gateway/src/caller_connection.ts
@@ -17,7 +17,7 @@
   /** The instance closed it after an answer with `Connection: close`. */
   AfterAnswer = "after_answer",
   /** The instance aborted an answer that had begun. */
-  BrokenOff = "broken_off",
+  Aborted = "broken_off",
   /** The caller closed it. */
   CallerLeft = "caller_left",
   /** The caller or the network reset it, or a write to it failed. */
--- a/packages/gateway/src/caller_connections.ts
+++ b/packages/gateway/src/caller_connections.ts
@@ -20,7 +20,10 @@
 /** Counts of open connections and unfinished answers at one time. */
 export interface OpenConnections {
   readonly openConnections: number;
-  /** Requests that were read and whose answers are not written out. */
+  /**
+   * Number of requests that were read and whose answers are not written out.
+   * The name is a key of log lines.
+   */
   readonly owedAnswers: number;
   /** Buffered bytes of these answers. */
   readonly waitingBytes: number;
--- a/packages/gateway/src/caller_connections_test.ts
+++ b/packages/gateway/src/caller_connections_test.ts
@@ -341,7 +341,7 @@
 
 testOn("an answer aborted by the instance is logged", async (harness) => {
   await harness.request("/begun");
-  harness.connections.recordEnd(harness.latest!, ConnectionEnd.BrokenOff);
+  harness.connections.recordEnd(harness.latest!, ConnectionEnd.Aborted);
   harness.latest!.response.destroy();
   assert.equal(await harness.linesOf(1), [{
     ...LINE,
--- a/packages/gateway/src/coordinator_selector.ts
+++ b/packages/gateway/src/coordinator_selector.ts
@@ -25,8 +25,8 @@
 /** The cached result of one evaluation of the members. */
 interface Selection {
   readonly validUntilMs: number;
-  /** Value of `MemberView.changes` that the selection was made at. */
-  readonly changes: number;
+  /** Value of `MemberView.revision` that the selection was made at. */
+  readonly revision: number;
   readonly coordinator: MemberRecord;
   /** Share of the fleet's allotments that this instance hands out. */
   readonly share: number;
@@ -101,16 +101,16 @@
   }
 
   #selectionAt(nowMs: number): Selection {
-    const { revision: changes } = this.#members;
+    const { revision } = this.#members;
     if (
       this.#selection === undefined || nowMs >= this.#selection.validUntilMs ||
-      changes !== this.#selection.changes
+      revision !== this.#selection.revision
     ) {
       const agreed = this.#members.coordinator(nowMs, NO_SKIPPED_IDS);
       const ownMs = nowMs - this.#startedAtMs;
       this.#selection = {
         validUntilMs: nowMs + SELECTION_TTL_MS,
-        changes,
+        revision,
         spendingKnownSinceMs: nowMs - this.#members.memoryMs(ownMs, nowMs),
         coordinator: this.#selectResponsive(agreed, nowMs),
         share: this.#share(agreed, nowMs),
--- a/packages/gateway/src/event_loop_monitor.ts
+++ b/packages/gateway/src/event_loop_monitor.ts
@@ -36,7 +36,7 @@
 /** Minimum number of tasks in a sample that updates the baseline. */
 const MIN_BASELINE_TASKS = 10;
 
-/** Collaborators of a `LoopWatch`. */
+/** Collaborators of an `EventLoopMonitor`. */
 export interface EventLoopMonitorParts {
   readonly clock: Clock;
   readonly log: EventLog;
--- a/packages/gateway/src/front_server.ts
+++ b/packages/gateway/src/front_server.ts
@@ -175,7 +175,7 @@
   }
 
   /** Fails all open requests, and aborts answers that have begun. */
-  breakOffAnswers(): void {
+  abortAnswers(): void {
     this.#abort([...this.#openRequests]);
   }
 
@@ -193,7 +193,7 @@
   /** Aborts all answers, closes all connections and stops listening. */
   close(): void {
     this.#connections.closeAndRecord(ConnectionEnd.ProcessEnd, () => {
-      this.breakOffAnswers();
+      this.abortAnswers();
       this.#server.close();
     });
     this.#connections.recordEndOfAll(ConnectionEnd.ProcessEnd);
@@ -229,7 +229,7 @@
     const reply = new CallerReply(response, {
       closesConnection: isStopping,
       beforeAbort: () =>
-        this.#connections.recordEnd(unfinished, ConnectionEnd.BrokenOff),
+        this.#connections.recordEnd(unfinished, ConnectionEnd.Aborted),
     });
     const admission = this.#admit(request, facts);
     if ("error" in admission) {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -369,7 +369,7 @@
       const isCoordinator =
         message.from.instanceId === this.#placementClient.coordinatorId;
       if (isCoordinator && message.spending !== undefined) {
-        this.#spending.received(message.spending);
+        this.#spending.spendingReceived(message.spending);
       }
       this.#fleetState.heartbeatReceived(message);
       return;
@@ -507,14 +507,14 @@
         this.#applyLimits(configuration),
       onSpendingRead: (record, ageMs) =>
         this.#spending.restoreRecord(record, ageMs),
-      onSuspectsReceived: (updates) => this.#suspects.received(updates),
+      onSuspectsReceived: (updates) => this.#suspects.suspectsReceived(updates),
       onRateLimitsReceived: (updates) =>
         this.#targetSignals.rateLimitsReceived(updates),
       // The cause of one silent connection may affect others.
       onConnectionStalled: () => this.#connections.closeAllIdle(),
       onStoreRestored: () => {
         this.#coordinator.invalidateRecord();
-        this.#suspects.recordAgain();
+        this.#suspects.invalidateRecord();
       },
     });
   }
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -168,7 +168,7 @@
     if (
       fromId === placementClient.coordinatorId && message.spending !== undefined
     ) {
-      spending.received(message.spending);
+      spending.spendingReceived(message.spending);
     }
   } else {
     placementClient.handleMessage(message, fromId);
--- a/packages/gateway/src/graceful_stop.ts
+++ b/packages/gateway/src/graceful_stop.ts
@@ -64,7 +64,7 @@
   /** Ends requests whose answers have not begun, with an error answer. */
   abortRequests(): void;
   /** Aborts answers that have begun. */
-  breakOffAnswers(): void;
+  abortAnswers(): void;
 }
 
 /** Collaborators of a `GracefulStop`, and its grace period. */
@@ -124,7 +124,7 @@
     await this.#flushAnswers();
     const cutRequests = front.openCount;
     if (cutRequests > 0) {
-      front.breakOffAnswers();
+      front.abortAnswers();
     }
     log.info(LogPart.Process, "stopped", {
       abortedRequests,
--- a/packages/gateway/src/graceful_stop_limits_test.ts
+++ b/packages/gateway/src/graceful_stop_limits_test.ts
@@ -27,7 +27,7 @@
       announceClosing: record("announced"),
       refuseRequests: record("refused"),
       abortRequests: record("aborted"),
-      breakOffAnswers: record("broken off"),
+      abortAnswers: record("broken off"),
     },
     clock,
     log: new EventLog(clock, "i1", DISCARD),
--- a/packages/gateway/src/graceful_stop_test.ts
+++ b/packages/gateway/src/graceful_stop_test.ts
@@ -41,7 +41,7 @@
     }
   }
 
-  breakOffAnswers(): void {
+  abortAnswers(): void {
     this.#record("broken off");
     this.doneAtMs = Math.min(this.doneAtMs, this.atMs);
   }
--- a/packages/gateway/src/heartbeat_exchange.ts
+++ b/packages/gateway/src/heartbeat_exchange.ts
@@ -107,7 +107,7 @@
   readonly #otherChangeRotation = new Rotation();
   #heartbeatAtMs = -Infinity;
   #aliveIds = new Set<string>();
-  /** Members whose last heartbeat says that they reach the platform's store. */
+  /** Members whose last heartbeat states that they reach the store. */
   readonly #idsReachingStore = new Set<string>();
 
   /**
@@ -153,8 +153,8 @@
 
   /**
    * @param instanceId Id of a member.
-   * @returns Whether its last heartbeat says that it reaches the platform's
-   * store.
+   * @returns Whether its last heartbeat states that it reaches the
+   * platform's store.
    */
   reachesStore(instanceId: string): boolean {
     return this.#idsReachingStore.has(instanceId);
--- a/packages/gateway/src/loaded_coordinator_test.ts
+++ b/packages/gateway/src/loaded_coordinator_test.ts
@@ -24,7 +24,7 @@
 const TARGET_IDS = Array.from({ length: 60 }, (_, index) => `t${index}`);
 const STEP_MS = 5;
 /** Messages that an instance handles per step: 600 a second. */
-const MESSAGES_A_STEP = 3;
+const MESSAGES_PER_STEP = 3;
 const WORK_MS = 150;
 const COST = 100;
 /** Far more than the fleet spends; the share of one instance is 1/16 of it. */
@@ -81,10 +81,10 @@
     for (const [id, node] of this.#nodes) {
       const { members, membership, placementClient, inbox } = node;
       members.memoryReported(id, UPTIME_MS + nowMs, nowMs);
-      members.isLoaded = inbox.length > MESSAGES_A_STEP;
+      members.isLoaded = inbox.length > MESSAGES_PER_STEP;
       membership.tick();
       placementClient.tick();
-      for (const received of inbox.splice(0, MESSAGES_A_STEP)) {
+      for (const received of inbox.splice(0, MESSAGES_PER_STEP)) {
         deliverTo(node, received);
       }
     }
--- a/packages/gateway/src/open_asks.ts
+++ b/packages/gateway/src/open_asks.ts
@@ -36,7 +36,7 @@
 const REFUSAL_MARGIN_MS = 100;
 
 /**
- * Bound on the remembered ids of ended asks. Under load, a resent ask is
+ * Bound on the retained ids of ended asks. Under load, a resent ask is
  * answered a second time, often after its work has ended. That placement is
  * free already, so that no drop message for it is sent to the loaded
  * coordinator.
--- a/packages/gateway/src/open_asks_test.ts
+++ b/packages/gateway/src/open_asks_test.ts
@@ -95,7 +95,7 @@
   assert.is(maxWaitMs(late), 100);
 });
 
-test("the ids of ended asks are remembered up to a bound", () => {
+test("the ids of ended asks are retained up to a bound", () => {
   const openAsks = openAsksWith([openAskOf("a")]);
   openAsks.markEnded("a");
   assert.is(openAsks.get("a"), undefined);
--- a/packages/gateway/src/placement_client.ts
+++ b/packages/gateway/src/placement_client.ts
@@ -334,19 +334,19 @@
       return;
     }
     const { coordinatorId, firstSentAtMs: sinceMs } = openAsk;
-    const sign = openAsk.acknowledged
+    const responsiveness = openAsk.acknowledged
       ? Responsiveness.InTime
       : this.#failureDetector.responsivenessOf(coordinatorId, {
         sinceMs,
         nowMs,
       });
-    if (sign === Responsiveness.Failed) {
+    if (responsiveness === Responsiveness.Failed) {
       this.#skipCoordinator(coordinatorId, nowMs);
       this.#sendDrop(coordinatorId, openAsk.ask.askId);
       this.#sendTo(this.#self(), openAsk);
       return;
     }
-    if (sign === Responsiveness.Late) {
+    if (responsiveness === Responsiveness.Late) {
       this.#sendLateNotice(coordinatorId, nowMs);
     }
     const hasMoved = coordinatorId !== coordinator.instanceId &&
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -25,7 +25,7 @@
 export interface CallMetadata {
   /** Unique for each attempt of a caller. */
   readonly requestId: string;
-  /** Time that the caller waits; absent where the headers don't say. */
+  /** Time that the caller waits; absent where the headers carry none. */
   readonly deadlineMs?: number;
   /** API key that identifies the caller's workspace. */
   readonly key?: string;
@@ -33,7 +33,7 @@
   readonly tokens?: { readonly prompt: number; readonly output: number };
   /**
    * Identifies the prompt, and is the same for all attempts of a caller; absent
-   * where the headers say nothing about the prompt.
+   * where the headers do not identify the prompt.
    */
   readonly prompt?: string;
   /** Last event of a stream that the caller has already received. */
--- a/packages/gateway/src/routed_request.ts
+++ b/packages/gateway/src/routed_request.ts
@@ -186,7 +186,8 @@
     const nowMs = this.#nowMs();
     this.#parts.metrics.placed(this.#call.pool, nowMs - this.#askedAtMs);
     if (nowMs >= deadlineAtMs(this.#call)) {
-      // If it were sent now, the caller's error would say that it may have run.
+      // If it were sent now, the caller's error would have to state that it may
+      // have run.
       this.#onDeadline();
       return;
     }
--- a/packages/gateway/src/silence_limits.ts
+++ b/packages/gateway/src/silence_limits.ts
@@ -29,7 +29,7 @@
 /** A stream that awaits its next event. */
 export interface SilentStream {
   readonly route: RoutePolicy;
-  /** Measured speed of the stream's target. */
+  /** Latency model of the stream's target. */
   readonly latencyModel: LatencyModel;
   readonly promptTokens: number;
   /** Longest gap between two events sent to the caller so far, in ms. */
--- a/packages/gateway/src/spending_recorder.ts
+++ b/packages/gateway/src/spending_recorder.ts
@@ -67,7 +67,7 @@
   /**
    * @param spending Spending by workspace from a heartbeat of the coordinator.
    */
-  received(spending: readonly SpendingHistory[]): void {
+  spendingReceived(spending: readonly SpendingHistory[]): void {
     this.#received = spending;
     this.#receivedAtMs = this.#parts.clock.nowMs();
   }
--- a/packages/gateway/src/suspect_recorder.ts
+++ b/packages/gateway/src/suspect_recorder.ts
@@ -53,7 +53,7 @@
    *
    * @param updates Suspects from another instance, or from the fleet's record.
    */
-  received(updates: readonly SuspectUpdate[]): void {
+  suspectsReceived(updates: readonly SuspectUpdate[]): void {
     const { board: { suspects }, clock, log } = this.#parts;
     const count = suspects.merge(updates, clock.nowMs());
     if (count > 0) {
@@ -66,7 +66,7 @@
    * Lets the next call of `record` write all suspects again, if there are any,
    * since the record may be lost.
    */
-  recordAgain(): void {
+  invalidateRecord(): void {
     const { hasSuspects, version } = this.#parts.board.suspects;
     this.#recordedVersion = hasSuspects ? NOT_RECORDED : version;
   }
--- a/packages/routing/src/member_view.ts
+++ b/packages/routing/src/member_view.ts
@@ -130,7 +130,7 @@
    */
   isLoaded = false;
   readonly #byId = new Map<string, MemberRecord>();
-  /** Local time since which each member has recorded the spending of workspaces. */
+  /** Local time since which each member has recorded workspaces' spending. */
   readonly #memorySinceMs = new Map<string, number>();
   /** Since when heartbeats of a silent coordinator candidate are awaited. */
   readonly #awaitedSinceMs = new Map<string, number>();
@@ -345,8 +345,8 @@
   }
 
   /**
-   * Returns how long the fleet as a whole has recorded the spending of workspaces.
-   * What one instance lost with a restart, others still have.
+   * Returns how long the fleet as a whole has recorded the spending of
+   * workspaces. What one instance lost with a restart, others still have.
    *
    * @param ownMs Time since this instance started, in milliseconds.
    * @param nowMs The local time.
@@ -358,8 +358,8 @@
   }
 
   /**
-   * Records for how long a member has recorded the spending of workspaces, by which
-   * its uptime is estimated.
+   * Records for how long a member has recorded the spending of workspaces, by
+   * which its uptime is estimated.
    *
    * @param instanceId Id of the member.
    * @param memoryMs The time in milliseconds, as the member reported it.
--- a/packages/routing/src/rank_load_test.ts
+++ b/packages/routing/src/rank_load_test.ts
@@ -2,13 +2,13 @@
 import * as assert from "uvu/assert";
 import { RankLoad } from "./rank_load.ts";
 
-const EVERY_MS = 10;
+const INTERVAL_MS = 10;
 const SPAN_MS = 20_000;
 
 /** Load of requests of one rank that arrive evenly, each of 200 ms of work. */
 function loadedWith(rank: number): RankLoad {
   const load = new RankLoad();
-  for (let nowMs = 0; nowMs <= SPAN_MS; nowMs += EVERY_MS) {
+  for (let nowMs = 0; nowMs <= SPAN_MS; nowMs += INTERVAL_MS) {
     load.record(rank, 200, nowMs);
   }
   return load;
--- a/packages/routing/src/target_directory.ts
+++ b/packages/routing/src/target_directory.ts
@@ -16,7 +16,7 @@
   readonly failureDomain: string;
   readonly slots: number;
   readonly leaving: boolean;
-  /** Set if its answers announced that it is leaving, whatever its row states. */
+  /** Set if its answers announced that it is leaving; its row may differ. */
   readonly announcedLeaving?: boolean;
   /** Version of its software. */
   readonly version: string;
@@ -250,10 +250,10 @@
     if (entry === undefined) {
       return this.#remove(known, rowVersion, nowMs);
     }
-    // A delayed row of a leaving target may still state that it is not leaving. A
-    // delayed row of its earlier process may state that it is: that one applies
-    // until the next row, as sending work to a leaving target is worse than
-    // sending none for a short time.
+    // A delayed row of a leaving target may still state that it is not leaving.
+    // A delayed row of its earlier process may state that it is: that one
+    // applies until the next row, as sending work to a leaving target is worse
+    // than sending none for a short time.
     const before = known !== undefined && !hasRestarted(known, entry)
       ? known
       : undefined;
--- a/packages/routing/src/version_evidence_test.ts
+++ b/packages/routing/src/version_evidence_test.ts
@@ -13,9 +13,9 @@
 const CANARY_ANSWERS = 160;
 const BASELINE_FOR_EACH = 10;
 /** Number of canary answers between two verdicts. */
-const VERDICT_EVERY = 5;
+const ANSWERS_PER_VERDICT = 5;
 /** Number of consecutive canary answers of the same target. */
-const TURN = 5;
+const ANSWERS_PER_TARGET = 5;
 
 /** Fault of the answers of one version. */
 interface Fault {
@@ -95,8 +95,8 @@
     for (let i = 0; i < BASELINE_FOR_EACH; i++) {
       add(false, Math.floor(random.next() * TARGETS), answers);
     }
-    add(true, Math.floor(answers / TURN) % TARGETS, answers);
-    const isVerdictDue = answers % VERDICT_EVERY === 0;
+    add(true, Math.floor(answers / ANSWERS_PER_TARGET) % TARGETS, answers);
+    const isVerdictDue = answers % ANSWERS_PER_VERDICT === 0;
     if (isVerdictDue && evidence.verdict(scope).verdict === Verdict.Bad) {
       return answers + 1;
     }
