--- a/packages/gateway/src/allotment_in_partition_test.ts
+++ b/packages/gateway/src/allotment_in_partition_test.ts
@@ -68,7 +68,7 @@
   /** Cost of each request, and when the request was sent to a target. */
   readonly spent: { atMs: number; cost: number }[] = [];
   readonly #nodes: ReadonlyMap<string, FleetNode>;
-  #asked = 0;
+  #askCount = 0;
 
   readonly #random: RandomSource;
   #perStep = 0;
@@ -115,9 +115,9 @@
   }
 
   #request(): void {
-    const holderId = IDS[this.#asked % IDS.length]!;
+    const holderId = IDS[this.#askCount % IDS.length]!;
     const { placementClient } = this.#nodes.get(holderId)!;
-    const askId = `a${this.#asked++}`;
+    const askId = `a${this.#askCount++}`;
     placementClient.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
       if ("refusal" in decision) {
         return;
--- a/packages/gateway/src/gateway_test_support.ts
+++ b/packages/gateway/src/gateway_test_support.ts
@@ -27,7 +27,7 @@
 export interface FleetNode {
   readonly members: MemberView;
   readonly rateLimits: TargetRateLimits;
-  readonly membership: HeartbeatExchange;
+  readonly heartbeatExchange: HeartbeatExchange;
   readonly placementClient: PlacementClient;
   readonly spending: SpendingRecorder;
   /** Runs the timeouts of all components at the clock's present time. */
@@ -70,7 +70,7 @@
   const board = {
     ...boardOf(targetIds, { workspaces }),
     members,
-    cutDomains: new UnreachableDomains(members),
+    unreachableDomains: new UnreachableDomains(members),
   };
   const discard = new Writable({ write: (_chunk, _code, done) => done() });
   const log = new EventLog(clock, instanceId, discard);
@@ -92,7 +92,7 @@
     spendingWindowMs: bounds.allotmentTolerance.windowMs,
     onTakeover: (share) => spending.becameActingCoordinator(share),
   });
-  const membership = new HeartbeatExchange({
+  const heartbeatExchange = new HeartbeatExchange({
     board,
     clock,
     log,
@@ -121,7 +121,7 @@
       UPTIME_MS + clock.nowMs(),
       clock.nowMs(),
     );
-    membership.tick();
+    heartbeatExchange.tick();
     placementClient.tick();
     const isCoordinator = placementClient.coordinatorId === instanceId;
     if (isCoordinator && !wasCoordinator) {
@@ -134,7 +134,7 @@
   return {
     members,
     rateLimits,
-    membership,
+    heartbeatExchange,
     placementClient,
     spending,
     tick,
@@ -159,11 +159,12 @@
  * @param of The message, and the sender's instance id.
  */
 export function deliverTo(
-  { membership, placementClient, spending, rateLimits, nowMs }: FleetNode,
+  { heartbeatExchange, placementClient, spending, rateLimits, nowMs }:
+    FleetNode,
   { message, fromId }: { message: RoutingMessage; fromId: string },
 ): void {
   if (message.kind === MessageKind.Heartbeat) {
-    membership.heartbeatReceived(message);
+    heartbeatExchange.heartbeatReceived(message);
     rateLimits.merge(message.rateLimits ?? [], nowMs());
     if (
       fromId === placementClient.coordinatorId && message.spending !== undefined
--- a/packages/gateway/src/loaded_coordinator_test.ts
+++ b/packages/gateway/src/loaded_coordinator_test.ts
@@ -40,7 +40,7 @@
   readonly refusals: string[] = [];
   placed = 0;
   #askAtMs = 0;
-  #asked = 0;
+  #askCount = 0;
   #ends: { atMs: number; end: () => void }[] = [];
   readonly #nodes = new Map<string, Node>();
 
@@ -79,10 +79,10 @@
     this.#ends = this.#ends.filter(({ atMs }) => atMs > nowMs);
     due.forEach(({ end }) => end());
     for (const [id, node] of this.#nodes) {
-      const { members, membership, placementClient, inbox } = node;
+      const { members, heartbeatExchange, placementClient, inbox } = node;
       members.memoryReported(id, UPTIME_MS + nowMs, nowMs);
       members.isLoaded = inbox.length > MESSAGES_PER_STEP;
-      membership.tick();
+      heartbeatExchange.tick();
       placementClient.tick();
       for (const received of inbox.splice(0, MESSAGES_PER_STEP)) {
         deliverTo(node, received);
@@ -92,8 +92,8 @@
 
   #request(): void {
     const ids = [...this.#nodes.keys()];
-    const holderId = ids[this.#asked % ids.length]!;
-    const askId = `a${this.#asked++}`;
+    const holderId = ids[this.#askCount % ids.length]!;
+    const askId = `a${this.#askCount++}`;
     const { placementClient } = this.#nodes.get(holderId)!;
     placementClient.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
       if ("refusal" in decision) {
--- a/packages/gateway/src/rate_limits_test.ts
+++ b/packages/gateway/src/rate_limits_test.ts
@@ -65,7 +65,7 @@
   /** When each instance first received an answer with a limit, by target. */
   readonly #advertisedAtMs = new Map<string, Map<string, number>>();
   readonly #exempt = new Set<string>();
-  #asked = 0;
+  #askCount = 0;
 
   constructor(seed = 1) {
     this.#random = seededRandomSource(seed);
@@ -143,9 +143,9 @@
 
   #request(): void {
     const ids = [...this.#nodes.keys()];
-    const holderId = ids[this.#asked % ids.length]!;
+    const holderId = ids[this.#askCount % ids.length]!;
     const node = this.#nodes.get(holderId)!;
-    const askId = `a${this.#asked++}`;
+    const askId = `a${this.#askCount++}`;
     const { atMs: askedAtMs } = this.clock;
     node.placementClient.ask(askOf(askId, { holderId }), (decision) => {
       if ("refusal" in decision) {
--- a/packages/gateway/src/slow_coordinator_test.ts
+++ b/packages/gateway/src/slow_coordinator_test.ts
@@ -35,7 +35,7 @@
   readonly refusals: string[] = [];
   slowId = "";
   readonly #nodes = new Map(IDS.map((id) => [id, this.#node(id)]));
-  #asked = 0;
+  #askCount = 0;
 
   get coordinatorId(): string {
     return this.#nodes.get("i1")!.placementClient.coordinatorId;
@@ -47,14 +47,15 @@
       this.clock.atMs += STEP_MS;
       this.#network.runDue();
       for (
-        const [id, { members, membership, placementClient }] of this.#nodes
+        const [id, { members, heartbeatExchange, placementClient }] of this
+          .#nodes
       ) {
         members.memoryReported(
           id,
           UPTIME_MS + this.clock.atMs,
           this.clock.atMs,
         );
-        membership.tick();
+        heartbeatExchange.tick();
         placementClient.tick();
       }
       this.#request();
@@ -64,9 +65,9 @@
 
   #request(): void {
     const holders = IDS.filter((id) => id !== this.slowId);
-    const holderId = holders[this.#asked % holders.length]!;
+    const holderId = holders[this.#askCount % holders.length]!;
     const { placementClient } = this.#nodes.get(holderId)!;
-    const askId = `a${this.#asked++}`;
+    const askId = `a${this.#askCount++}`;
     placementClient.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
       if ("refusal" in decision) {
         this.refusals.push(`${this.clock.atMs}: ${decision.refusal}`);
