--- a/packages/gateway/src/allotment_in_partition_test.ts
+++ b/packages/gateway/src/allotment_in_partition_test.ts
@@ -4,9 +4,9 @@
  *
  * Guards against running more within one window than the bound and its
  * tolerance allow, which was seen once by 0.3 %. Until the coordinator counted
- * as gone, each holder placed requests from a share of the allotment by itself
- * and ignored the spending in the coordinator's last heartbeat, and both sides
- * of the partition allocated the whole allotment for 0.9 s. The partition
+ * as failed, each holder placed requests from a share of the allotment by
+ * itself and ignored the spending in the coordinator's last heartbeat, and both
+ * sides of the partition allocated the whole allotment for 0.9 s. The partition
  * therefore starts at different moments between two heartbeats.
  */
 
@@ -68,7 +68,7 @@
   /** Cost of each request, and when the request was sent to a target. */
   readonly spent: { atMs: number; cost: number }[] = [];
   readonly #nodes: ReadonlyMap<string, FleetNode>;
-  #asked = 0;
+  #askCount = 0;
 
   readonly #random: RandomSource;
   #perStep = 0;
@@ -115,9 +115,9 @@
   }
 
   #request(): void {
-    const holderId = IDS[this.#asked % IDS.length]!;
+    const holderId = IDS[this.#askCount % IDS.length]!;
     const { placementClient } = this.#nodes.get(holderId)!;
-    const askId = `a${this.#asked++}`;
+    const askId = `a${this.#askCount++}`;
     placementClient.ask(askOf(askId, { holderId, cost: COST }), (decision) => {
       if ("refusal" in decision) {
         return;
--- a/packages/gateway/src/rate_limits_test.ts
+++ b/packages/gateway/src/rate_limits_test.ts
@@ -65,7 +65,7 @@
   /** When each instance first received an answer with a limit, by target. */
   readonly #advertisedAtMs = new Map<string, Map<string, number>>();
   readonly #exempt = new Set<string>();
-  #asked = 0;
+  #askCount = 0;
 
   constructor(seed = 1) {
     this.#random = seededRandomSource(seed);
@@ -143,9 +143,9 @@
 
   #request(): void {
     const ids = [...this.#nodes.keys()];
-    const holderId = ids[this.#asked % ids.length]!;
+    const holderId = ids[this.#askCount % ids.length]!;
     const node = this.#nodes.get(holderId)!;
-    const askId = `a${this.#asked++}`;
+    const askId = `a${this.#askCount++}`;
     const { atMs: askedAtMs } = this.clock;
     node.placementClient.ask(askOf(askId, { holderId }), (decision) => {
       if ("refusal" in decision) {
@@ -176,7 +176,7 @@
         if (limitPerS === undefined) {
           node.rateLimits.notAdvertised(targetId, { sentAtMs, nowMs });
         } else {
-          this.#noteAdvertised(holderId, targetId);
+          this.#recordAdvertised(holderId, targetId);
           node.rateLimits.advertised(targetId, limitPerS, nowMs);
         }
         const end = { askId, targetId, pool: "p", promptTokens: 500 };
@@ -189,7 +189,7 @@
     });
   }
 
-  #noteAdvertised(holderId: string, targetId: string): void {
+  #recordAdvertised(holderId: string, targetId: string): void {
     const byHolder = this.#advertisedAtMs.get(targetId) ??
       new Map<string, number>();
     this.#advertisedAtMs.set(targetId, byHolder);
--- a/packages/gateway/src/routed_request.ts
+++ b/packages/gateway/src/routed_request.ts
@@ -88,7 +88,7 @@
     this.#progress = new StreamProgress(options.call.facts.resumeAfter);
     this.#silenceTimer = new SilenceTimer(
       options.call,
-      parts.board.paces,
+      parts.board.latencyModels,
       (silentMs) => this.#askForOtherTarget(silentMs),
     );
   }
@@ -186,7 +186,8 @@
     const nowMs = this.#nowMs();
     this.#parts.metrics.placed(this.#call.pool, nowMs - this.#askedAtMs);
     if (nowMs >= deadlineAtMs(this.#call)) {
-      // If it were sent now, the caller's error would say that it may have run.
+      // If it were sent now, the caller's error would have to state that it may
+      // have run.
       this.#onDeadline();
       return;
     }
@@ -201,7 +202,7 @@
     this.#isCharged = true;
     if (this.#attempt !== undefined) {
       // The silent target may still answer, and the other one may reject.
-      this.#standby.keep(this.#attempt);
+      this.#standby.hold(this.#attempt);
     }
     this.#send(target, decision);
   }
@@ -288,7 +289,7 @@
       return;
     }
     const other = this.#attempt;
-    this.#attempt = this.#standby.take();
+    this.#attempt = this.#standby.release();
     if (other !== undefined) {
       this.#recorder.cancel(other);
     }
@@ -366,7 +367,7 @@
     reason: string,
   ): void {
     if (this.#standby.holds(attempt)) {
-      this.#standby.take();
+      this.#standby.release();
       this.#closeAttempt(attempt, end, reason);
       return;
     }
@@ -376,7 +377,7 @@
     // A pending ask for another target no longer has the current facts.
     this.#dropAsk();
     this.#closeAttempt(attempt, end, reason);
-    const standby = this.#standby.take();
+    const standby = this.#standby.release();
     if (standby === undefined) {
       this.#takeNextStep(end, attempt);
       return;
@@ -464,7 +465,7 @@
 
   /** Cancels the request's attempts and its ask, and finishes it. */
   #cancel(): void {
-    for (const attempt of [this.#attempt, this.#standby.take()]) {
+    for (const attempt of [this.#attempt, this.#standby.release()]) {
       if (attempt !== undefined) {
         this.#recorder.cancel(attempt);
       }
--- a/packages/gateway/src/suspect_recorder.ts
+++ b/packages/gateway/src/suspect_recorder.ts
@@ -51,13 +51,13 @@
   /**
    * Merges suspects into the board, and logs them if any is new.
    *
-   * @param news Suspects from another instance, or from the fleet's record.
+   * @param updates Suspects from another instance, or from the fleet's record.
    */
-  received(news: readonly SuspectUpdate[]): void {
+  suspectsReceived(updates: readonly SuspectUpdate[]): void {
     const { board: { suspects }, clock, log } = this.#parts;
-    const count = suspects.merge(news, clock.nowMs());
+    const count = suspects.merge(updates, clock.nowMs());
     if (count > 0) {
-      const fingerprints = news.map(({ fingerprint }) => fingerprint);
+      const fingerprints = updates.map(({ fingerprint }) => fingerprint);
       log.info(LogPart.Targets, "suspects received", { count, fingerprints });
     }
   }
@@ -66,7 +66,7 @@
    * Lets the next call of `record` write all suspects again, if there are any,
    * since the record may be lost.
    */
-  recordAgain(): void {
+  invalidateRecord(): void {
     const { hasSuspects, version } = this.#parts.board.suspects;
     this.#recordedVersion = hasSuspects ? NOT_RECORDED : version;
   }
--- a/packages/routing/src/coordinator.ts
+++ b/packages/routing/src/coordinator.ts
@@ -32,7 +32,7 @@
   baselineFirstEventMs,
   INITIAL_CALL_MS,
   INITIAL_EVENT_GAP_MS,
-} from "./target_pace.ts";
+} from "./latency_model.ts";
 
 /**
  * Minimum age of work that is released because a holder's report does not list
@@ -77,7 +77,7 @@
  * Queues and places the asks of all holders that reach this instance.
  *
  * An ask is a holder's request for a slot at a target of a pool; a holder is
- * the instance that keeps a caller's connection.
+ * the instance that has the caller's connection.
  */
 export class Coordinator {
   readonly #board: RoutingBoard;
@@ -174,7 +174,7 @@
       route: work?.route,
       nowMs,
     });
-    this.#board.paces.learn(end, { isStream, tokensAhead });
+    this.#board.latencyModels.recordEnd(end, { isStream, tokensAhead });
     if (work !== undefined && !end.failed && end.firstMs !== undefined) {
       scheduler.recordFirstEvent(end.promptTokens, end.firstMs);
     }
@@ -431,7 +431,8 @@
     }
     const budget = this.#budget(ask.pool);
     if (
-      ask.cause === AskCause.Repeat && !budget.tryTake(scope.share, scope.nowMs)
+      ask.cause === AskCause.Repeat &&
+      !budget.tryConsume(scope.share, scope.nowMs)
     ) {
       const refusal = {
         askId,
