--- a/packages/core/src/ask_intake.ts
+++ b/packages/core/src/ask_intake.ts
@@ -8,7 +8,7 @@
 import { cancelGrant, sendGrant } from "./grant_lifecycle.ts";
 import { type HolderSender, recordHolder } from "./holder_presence.ts";
 import { placeWaiting } from "./placement.ts";
-import { enqueueAsk, lanesOfTier } from "./shard_queue.ts";
+import { enqueueAsk, queuesOfTier } from "./shard_queue.ts";
 import { ShardView } from "./shard_view.ts";
 import { refuseOverloaded } from "./overload_refusal.ts";
 import { floorTierOf } from "./shed_floor.ts";
@@ -22,7 +22,7 @@
  *
  * @param view The shard that is asked.
  * @param detail The ask, as its holder sent it.
- * @param sender The holder that sent the ask, with its heartbeat.
+ * @param sender The holder that sent the ask, with its beat counter.
  */
 export function handleAsk(
   view: ShardView,
@@ -120,9 +120,9 @@
 
 function sendQueued(view: ShardView, ask: WaitingAsk): void {
   const { requestId, askNumber, tierRank, workspace } = ask.detail;
-  const lane = lanesOfTier(view.shard, tierRank)
+  const queue = queuesOfTier(view.shard, tierRank)
     .find((each) => each.workspace === workspace);
-  const waitMs = estimateWaitMs(view, ask, lane ?? NO_WORK);
+  const waitMs = estimateWaitMs(view, ask, queue ?? NO_WORK);
   const predictedWaitMs = Number.isFinite(waitMs) ? Math.round(waitMs) : 0;
   view.turn.send(ask.holderId, {
     kind: PeerMessageKind.AskQueued,
--- a/packages/core/src/blackboard.ts
+++ b/packages/core/src/blackboard.ts
@@ -50,7 +50,7 @@
   rejected?: { version: number; content: string };
 }
 
-/** What this instance knows about one instance of the fleet. */
+/** This instance's record of one instance of the fleet. */
 export interface Member {
   readonly instanceId: string;
   failureDomain: string;
@@ -138,7 +138,7 @@
   Unreachable = "unreachable",
 }
 
-/** What this instance knows about one target. */
+/** This instance's record of one target. */
 export interface Target {
   readonly targetId: string;
   health: TargetHealth;
@@ -331,7 +331,7 @@
   outcome?: Outcome;
   /** When it got its outcome; 0 before. */
   finishedAtMs: number;
-  /** Steps of its processing, in words, for the caller. */
+  /** Steps of its processing as texts, for the caller. */
   readonly callLog: string[];
 }
 
@@ -348,14 +348,14 @@
   readonly requestIdByKey: Map<string, string>;
   /**
    * This holder's beat: a logical clock that increases at a fixed interval.
-   * Asks carry it and grants return it, so that the holder can tell a grant's
+   * Asks carry it and grants return it, so that the holder can compute a grant's
    * age without comparing clocks.
    */
   holderBeat: number;
   /** When each recent beat started, by beat. */
   readonly beatStartedAtMs: Map<number, number>;
   lastBeatAtMs: number;
-  /** When the last holder's reports were sent. */
+  /** When this holder's reports were last sent. */
   lastReportAtMs: number;
   /** Ids of the coordinators that got the last report, by shard key. */
   readonly lastReportRecipients: Map<string, Set<string>>;
@@ -434,7 +434,7 @@
   preempted: boolean;
   /** When `used` was set; Infinity before. */
   usedAtMs: number;
-  /** Beat of the latest holder's report that listed it; -1 before any. */
+  /** Beat of the holder's latest report that listed it; -1 before any. */
   lastReportedBeat: number;
   /** Cost charged to its workspace's fair share. */
   readonly costMs: number;
@@ -448,13 +448,13 @@
   readonly cumulativePrefillMs: number;
   /** Predicted ratio of its decode time under load to that when idle. */
   readonly loadFactor: number;
-  /** When its holder was found dead; absent while the holder is alive. */
+  /** When its holder was found to have failed; absent before. */
   orphanedAtMs?: number;
 }
 
 /**
- * Work that ended, remembered until a load report arrives that was made after
- * its end.
+ * Work that ended, kept until a load report arrives that was made after its
+ * end.
  */
 export interface EndedWork {
   /** When its dispatch was confirmed; Infinity where it never was. */
@@ -464,14 +464,14 @@
   readonly kvTokens: number;
 }
 
-/** What a coordinator last received from a holder. */
+/** A coordinator's record of a holder: its incarnation and beat counters. */
 export interface HolderRecord {
   readonly incarnation: number;
   /** Highest beat received. */
   beat: number;
   /** When `beat` last increased. */
   beatAdvancedAtMs: number;
-  /** Beat of the latest holder's report; -1 before any. */
+  /** Beat of the holder's latest report; -1 before any. */
   lastReportBeat: number;
 }
 
@@ -536,7 +536,7 @@
   readonly endedWork: Map<string, EndedWork[]>;
   /** Holders that sent messages to this coordinator, by instance id. */
   readonly holders: Map<string, HolderRecord>;
-  /** Of closed asks by request id and of closed grants by grant id. */
+  /** Tombstones of closed asks by request id, of closed grants by grant id. */
   readonly tombstones: LRUCache<string, Tombstone>;
   /** Used grants in excess of the slots in the last load report, by target. */
   readonly excessGrantsByTarget: Map<string, number>;
@@ -550,7 +550,7 @@
 
 /** Shards that this instance coordinates. Written by CoordinatorController. */
 export interface ShardsSection {
-  /** By the key that {@link shardKey} returns. */
+  /** The shards by their key, from {@link shardKey}. */
   readonly byKey: Map<string, Shard>;
   /** Number of the last grant given. */
   grantCounter: number;
--- a/packages/core/src/capacity.ts
+++ b/packages/core/src/capacity.ts
@@ -64,7 +64,7 @@
   readonly grants: GrantRecord[];
   /** Local time of the latest `PromptRead` message about the target. */
   readonly lastReadAtMs: number;
-  /** Slots that the target may fill at its current pace. */
+  /** Slots that the target may fill under its straggler slot share. */
   readonly slotsTotal: number;
   readonly kvTotalTokens: number;
   /** Capacity in use, including work placed since this object was created. */
@@ -251,9 +251,9 @@
 }
 
 /**
- * Longest prefill queue in front of new work on an engine. Engines know no
- * tiers: prompts queued there go before those of a higher tier that arrive
- * later. The queue only has to last until the next placement.
+ * Longest prefill queue in front of new work on an engine. Engines ignore
+ * tiers: prompts queued there are read before those of a higher tier that
+ * arrive later. The queue only has to last until the next placement.
  */
 const MAX_PREFILL_QUEUE_MS = 250;
 
--- a/packages/core/src/claim_flow.ts
+++ b/packages/core/src/claim_flow.ts
@@ -89,11 +89,14 @@
   if (request === undefined || row === undefined) {
     return;
   }
-  const kept = event.content === undefined
+  const keptAnswer = event.content === undefined
     ? undefined
     : parseKeptAnswer(event.content);
-  if (kept !== undefined && kept.contentHash === request.spec.contentHash) {
-    endWithKeptAnswer(turn, request, kept.answer);
+  if (
+    keptAnswer !== undefined &&
+    keptAnswer.contentHash === request.spec.contentHash
+  ) {
+    endWithKeptAnswer(turn, request, keptAnswer.answer);
     return;
   }
   const holder = turn.board.members.byId.get(row.holderId);
--- a/packages/core/src/coordinator_controller.ts
+++ b/packages/core/src/coordinator_controller.ts
@@ -268,8 +268,8 @@
 }
 
 /**
- * Records the sender's heartbeat in every shard that knows it as a holder, so
- * that a message about one shard keeps its asks in all the others fresh.
+ * Records the sender's beat counter in every shard that has a record of it as a
+ * holder, so that a message about one shard keeps its asks in all others alive.
  */
 function recordSenderInAllShards(turn: Turn, sender: HolderSender): void {
   for (const shard of turn.board.shards.byKey.values()) {
--- a/packages/core/src/coordinators.ts
+++ b/packages/core/src/coordinators.ts
@@ -16,7 +16,7 @@
 
 /**
  * Lower bound of the members whose heartbeats gossip renews in one heartbeat
- * interval; `docs/design/membership.md` has the trials behind it.
+ * interval, as measured in trials.
  */
 const MEMBERS_RENEWED_PER_HEARTBEAT = 2;
 
@@ -95,8 +95,8 @@
  * rejoins the membership before it coordinates again.
  */
 function isRejoiningAfterPause(board: Blackboard, nowMs: number): boolean {
-  const wokenAtMs = board.members.resumedAtMs ?? -Infinity;
-  return nowMs - wokenAtMs < timingInForce(board).heartbeatMs;
+  const resumedAtMs = board.members.resumedAtMs ?? -Infinity;
+  return nowMs - resumedAtMs < timingInForce(board).heartbeatMs;
 }
 
 /**
--- a/packages/core/src/dispatch_flow.ts
+++ b/packages/core/src/dispatch_flow.ts
@@ -200,13 +200,13 @@
   const passedOver = granted.grant.passedOver
     .map((other) => `${other.targetId}: ${other.reason}`)
     .join("; ");
-  const passedOverNote = passedOver === ""
+  const passedOverSuffix = passedOver === ""
     ? ""
     : ` (passed over: ${passedOver})`;
   recordStep(
     turn,
     request,
-    `${granted.coordinatorId} granted ${granted.grant.targetId}${passedOverNote}; dispatched`,
+    `${granted.coordinatorId} granted ${granted.grant.targetId}${passedOverSuffix}; dispatched`,
   );
 }
 
--- a/packages/core/src/effects.ts
+++ b/packages/core/src/effects.ts
@@ -23,7 +23,7 @@
   PollSettings = "poll_settings",
   SettingsInForce = "settings_in_force",
   ConnectPeer = "connect_peer",
-  ForgetPeer = "forget_peer",
+  DisconnectPeer = "forget_peer",
   Log = "log",
   Count = "count",
   ShutdownDone = "shutdown_done",
@@ -157,7 +157,7 @@
     readonly peerId: string;
     readonly address: string;
   }
-  | { readonly kind: EffectKind.ForgetPeer; readonly peerId: string }
+  | { readonly kind: EffectKind.DisconnectPeer; readonly peerId: string }
   | {
     readonly kind: EffectKind.Log;
     readonly level: LogLevel;
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -50,7 +50,7 @@
 
 /** Content of a claim row, which locks an idempotency key in the store. */
 export interface ClaimRow {
-  /** Identifies the writer's request, to tell an own row from another's. */
+  /** Identifies the request that wrote the row. */
   readonly nonce: string;
   readonly holderId: string;
   readonly holderIncarnation: number;
--- a/packages/core/src/fair_share.ts
+++ b/packages/core/src/fair_share.ts
@@ -3,7 +3,7 @@
  *
  * Each workspace has a tag that rises by cost divided by weight with all work
  * granted to it; the workspace with the lowest tag is served next. An idle
- * workspace starts again at the tier's virtual time, so that idle time earns it
+ * workspace starts again at the tier's virtual time, so that idle time gives it
  * no credit.
  */
 
@@ -66,7 +66,7 @@
 
 /**
  * Deletes the tags that are not above their tier's virtual time, since these
- * workspaces would start at the virtual time anyway.
+ * workspaces would start at the virtual time in any case.
  *
  * @param shard The shard whose tags are pruned.
  */
--- a/packages/core/src/grant_lifecycle.ts
+++ b/packages/core/src/grant_lifecycle.ts
@@ -199,13 +199,13 @@
  *
  * @param view The shard that the grant belongs to.
  * @param grant The grant of the stream.
- * @param beneficiary Description of the work that needs the capacity, for the
+ * @param preemptor Description of the work that needs the capacity, for the
  * decision log.
  */
 export function preemptGrant(
   view: ShardView,
   grant: GrantRecord,
-  beneficiary: string,
+  preemptor: string,
 ): void {
   const { requestId, grantId } = grant;
   grant.preempted = true;
@@ -217,7 +217,7 @@
   view.turn.recordDecision(
     requestId,
     DECIDED_BY,
-    `Cancelled to make room for ${beneficiary}`,
+    `Cancelled to make room for ${preemptor}`,
   );
 }
 
--- a/packages/core/src/heartbeat_gossip.ts
+++ b/packages/core/src/heartbeat_gossip.ts
@@ -133,7 +133,7 @@
   };
 }
 
-/** Includes live members only, so that entries of dead ones expire. */
+/** Includes live members only, so that entries of failed ones expire. */
 function buildDigest(turn: Turn): MemberState[] {
   const { board, nowMs } = turn;
   const others = [...board.members.byId.values()]
--- a/packages/core/src/heartbeat_gossip_test.ts
+++ b/packages/core/src/heartbeat_gossip_test.ts
@@ -90,7 +90,7 @@
   assert.is(errors.length, 1);
 });
 
-test("should bound a digest, with itself first and no dead members", () => {
+test("should bound a digest, with itself first and no failed members", () => {
   const ids = Array.from({ length: 60 }, (_, i) => `peer-${i}`);
   const core = createTestCore(ids);
   mergeHeartbeat(createTurn(core, -100_000), [
--- a/packages/core/src/holder_reconcile.ts
+++ b/packages/core/src/holder_reconcile.ts
@@ -114,11 +114,13 @@
   if (shard.tombstones.has(work.grantId)) {
     return undefined;
   }
-  const room = view.capacities.find((candidate) =>
+  const capacity = view.capacities.find((candidate) =>
     candidate.targetId === work.targetId
   );
   const detail = { ...ADOPTED_ASK_DEFAULTS, ...work };
-  const serviceMs = room === undefined ? 0 : view.predict(room, detail).totalMs;
+  const serviceMs = capacity === undefined
+    ? 0
+    : view.predict(capacity, detail).totalMs;
   const grant: GrantRecord = {
     grantId: work.grantId,
     requestId: work.requestId,
@@ -169,8 +171,9 @@
   const lifetimeBeats = GRANT_MARGIN_BEATS +
     Math.ceil(settings.timing.grantLifetimeMs / HOLDER_BEAT_INTERVAL_MS);
   for (const grant of [...shard.grants.values()]) {
-    const { lastReportedBeat: listedBeat, holderBeat } = grant;
-    const hasEnded = listedBeat >= 0 && report.holderBeat > listedBeat;
+    const { lastReportedBeat, holderBeat } = grant;
+    const hasEnded = lastReportedBeat >= 0 &&
+      report.holderBeat > lastReportedBeat;
     const hasExpired = report.holderBeat > holderBeat + lifetimeBeats;
     if (
       grant.holderId === holderId && !listedGrantIds.has(grant.grantId) &&
--- a/packages/core/src/holder_report.ts
+++ b/packages/core/src/holder_report.ts
@@ -170,9 +170,9 @@
   if (report.waitingRequestIds.length + report.running.length === 0) {
     return;
   }
-  const { lastReportRecipients: reportedTo } = turn.board.requests;
+  const { lastReportRecipients: recipientsByShard } = turn.board.requests;
   const key = shardKey(report.pool, report.failureDomain);
-  const ids = reportedTo.get(key) ?? new Set();
+  const ids = recipientsByShard.get(key) ?? new Set();
   ids.add(report.coordinatorId);
-  reportedTo.set(key, ids);
+  recipientsByShard.set(key, ids);
 }
--- a/packages/core/src/learned_rates.ts
+++ b/packages/core/src/learned_rates.ts
@@ -69,10 +69,10 @@
   const samples = context.kind === TargetKind.Service
     ? serviceSamples(workDone)
     : engineSamples(workDone, context.grant, otherPrefillMs);
-  updateDecodeStretch(target, workDone, otherPrefillMs);
+  updatePrefillInterference(target, workDone, otherPrefillMs);
   const names = Object.keys(samples) as RateName[];
   for (const name of names) {
-    updateRate(target, ensurePace(target, context.settings), {
+    updateRate(target, ensureStragglerState(target, context.settings), {
       name,
       ...samples[name]!,
     });
@@ -82,14 +82,14 @@
 }
 
 /**
- * Returns a target's pace, that is its long-term rates and the share of its
- * slots that it may fill, and creates it where there is none.
+ * Returns a target's straggler state, that is its long-term rates and the share
+ * of its slots that it may fill, and creates the state where there is none.
  *
  * @param target The target.
  * @param settings The target's settings, which give the initial rates.
- * @returns The pace of the target.
+ * @returns The straggler state of the target.
  */
-export function ensurePace(
+export function ensureStragglerState(
   target: Target,
   settings: TargetSettings,
 ): StragglerState {
@@ -144,7 +144,7 @@
 }
 
 /** Updates the ratio by which concurrent prefills lengthen decodes. */
-function updateDecodeStretch(
+function updatePrefillInterference(
   { rates }: Target,
   workDone: WorkDone,
   otherPrefillMs: number,
--- a/packages/core/src/member_table.ts
+++ b/packages/core/src/member_table.ts
@@ -142,7 +142,7 @@
 function removeMember(turn: Turn, member: Member): void {
   turn.board.members.byId.delete(member.instanceId);
   if (member.dialledAddress !== undefined) {
-    turn.emit({ kind: EffectKind.ForgetPeer, peerId: member.instanceId });
+    turn.emit({ kind: EffectKind.DisconnectPeer, peerId: member.instanceId });
   }
   turn.log(
     LogLevel.Info,
--- a/packages/core/src/membership_controller_test.ts
+++ b/packages/core/src/membership_controller_test.ts
@@ -126,7 +126,7 @@
   for (let nowMs = START_MS; nowMs < START_MS + 40_000; nowMs += 500) {
     const effects = receiveInstanceList(core, [], { nowMs });
     forgotten.push(
-      ...effectsOf(effects, EffectKind.ForgetPeer).map((effect) =>
+      ...effectsOf(effects, EffectKind.DisconnectPeer).map((effect) =>
         effect.peerId
       ),
     );
--- a/packages/core/src/overload_refusal.ts
+++ b/packages/core/src/overload_refusal.ts
@@ -4,7 +4,7 @@
 import type { WaitingAsk } from "./blackboard.ts";
 import { refuseAsk } from "./grant_lifecycle.ts";
 import { jitteredRetryAfterMs } from "./retry_hint.ts";
-import { lanesOfTier, type QueuedWork } from "./shard_queue.ts";
+import { type QueuedWork, queuesOfTier } from "./shard_queue.ts";
 import { holdGrantsBelow, raiseFloor } from "./shed_floor.ts";
 import type { ShardView } from "./shard_view.ts";
 import { estimateWaitMs, NO_WORK } from "./wait_estimate.ts";
@@ -43,6 +43,6 @@
 
 function backlogOf(view: ShardView, ask: WaitingAsk): QueuedWork {
   const { tierRank, workspace } = ask.detail;
-  return lanesOfTier(view.shard, tierRank)
-    .find((lane) => lane.workspace === workspace) ?? NO_WORK;
+  return queuesOfTier(view.shard, tierRank)
+    .find((queue) => queue.workspace === workspace) ?? NO_WORK;
 }
--- a/packages/core/src/peer_connections.ts
+++ b/packages/core/src/peer_connections.ts
@@ -145,5 +145,5 @@
 
 function closeConnection(turn: Turn, member: Member): void {
   member.dialledAddress = undefined;
-  turn.emit({ kind: EffectKind.ForgetPeer, peerId: member.instanceId });
+  turn.emit({ kind: EffectKind.DisconnectPeer, peerId: member.instanceId });
 }
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -12,17 +12,17 @@
 import { startTag } from "./fair_share.ts";
 import { openGrant } from "./grant_lifecycle.ts";
 import { applyReservations, reserveWhenAged } from "./reservations.ts";
-import { lanesOfTier, rankLane, waitingTiers } from "./shard_queue.ts";
+import { queuesOfTier, rankQueue, waitingTiers } from "./shard_queue.ts";
 import { lowestGrantableTier } from "./shed_floor.ts";
 import type { ShardView } from "./shard_view.ts";
 import { chooseTarget } from "./target_choice.ts";
 
-/** Asks of one lane that may fail to fit before the lane is skipped. */
-const MAX_MISSES_PER_LANE = 256;
+/** Asks of one workspace that may fail to fit before it is skipped. */
+const MAX_MISSES_PER_QUEUE = 256;
 
-/** Progress of one placement run through the ranked asks of a lane. */
-interface LaneCursor {
-  readonly lane: WorkspaceQueue;
+/** Progress of one placement run through the ranked asks of a workspace. */
+interface QueueCursor {
+  readonly queue: WorkspaceQueue;
   readonly asks: readonly WaitingAsk[];
   /** Index of the next ask to try. */
   nextIndex: number;
@@ -41,7 +41,7 @@
   }
 }
 
-/** One placement run over the queue of a shard. */
+/** One placement run over the waiting asks of a shard. */
 class PlacementRun {
   readonly #view: ShardView;
 
@@ -64,13 +64,13 @@
 
   #placeTier(tierRank: number): void {
     const { shard, nowMs } = this.#view;
-    const lanes = lanesOfTier(shard, tierRank);
-    for (const lane of lanes) {
-      this.#placeReserved(lane);
+    const queues = queuesOfTier(shard, tierRank);
+    for (const queue of queues) {
+      this.#placeReserved(queue);
     }
-    const cursors: LaneCursor[] = lanes.map((lane) => ({
-      lane,
-      asks: rankLane(lane, nowMs),
+    const cursors: QueueCursor[] = queues.map((queue) => ({
+      queue,
+      asks: rankQueue(queue, nowMs),
       nextIndex: 0,
       misses: 0,
     }));
@@ -82,31 +82,33 @@
     }
   }
 
-  #placeReserved(lane: WorkspaceQueue): void {
-    for (const ask of [...lane.asks.values()]) {
+  #placeReserved(queue: WorkspaceQueue): void {
+    for (const ask of [...queue.asks.values()]) {
       if (ask.reservation !== undefined) {
         this.#tryPlace(ask);
       }
     }
   }
 
-  #nextCursor(cursors: readonly LaneCursor[]): LaneCursor {
+  #nextCursor(cursors: readonly QueueCursor[]): QueueCursor {
     const { shard } = this.#view;
     return cursors.reduce((best, cursor) =>
-      startTag(shard, cursor.lane) < startTag(shard, best.lane) ? cursor : best
+      startTag(shard, cursor.queue) < startTag(shard, best.queue)
+        ? cursor
+        : best
     );
   }
 
   /**
-   * Places the lane's next ask that fits.
+   * Places the next ask of a workspace that fits.
    *
-   * @param cursor The lane and the progress in it.
+   * @param cursor The workspace's queue and the progress in it.
    * @returns Whether an ask was placed; false once no ask is left to try.
    */
-  #placeNext(cursor: LaneCursor): boolean {
+  #placeNext(cursor: QueueCursor): boolean {
     while (
       cursor.nextIndex < cursor.asks.length &&
-      cursor.misses < MAX_MISSES_PER_LANE
+      cursor.misses < MAX_MISSES_PER_QUEUE
     ) {
       const ask = cursor.asks[cursor.nextIndex];
       cursor.nextIndex += 1;
@@ -122,7 +124,7 @@
     const { shard } = this.#view;
     if (
       shard.waiting.get(ask.detail.requestId) !== ask ||
-      !this.#view.isHolderFresh(ask)
+      !this.#view.isHolderResponsive(ask)
     ) {
       return false;
     }
@@ -144,9 +146,9 @@
 
   /** Whether an ask of the tier waits that some available target could run. */
   #hasWaitingCandidate(tierRank: number): boolean {
-    return lanesOfTier(this.#view.shard, tierRank).some((lane) =>
-      [...lane.asks.values()].some((ask) =>
-        this.#view.isHolderFresh(ask) &&
+    return queuesOfTier(this.#view.shard, tierRank).some((queue) =>
+      [...queue.asks.values()].some((ask) =>
+        this.#view.isHolderResponsive(ask) &&
         this.#view.capacities.some((capacity) =>
           this.#view.isCandidate(capacity, ask)
         )
--- a/packages/core/src/refusals.ts
+++ b/packages/core/src/refusals.ts
@@ -12,7 +12,7 @@
   readonly error: ErrorKind;
   /** Whether the request may have run. */
   readonly ran: RunState;
-  /** The error in words, for the caller. */
+  /** Text of the error, for the caller. */
   readonly message: string;
   /** Name of the field that is at fault. */
   readonly path?: string;
@@ -89,7 +89,7 @@
  *
  * @param turn The turn of the current event.
  * @param request The request.
- * @param text The step, in words.
+ * @param text Description of the step.
  */
 export function recordStep(
   turn: Turn,
--- a/packages/core/src/request.ts
+++ b/packages/core/src/request.ts
@@ -66,7 +66,7 @@
   readonly mayRetry: boolean;
   /** Time to wait before the call is sent again. */
   readonly retryAfterMs?: number;
-  /** Steps of the request's processing, in words. */
+  /** Steps of the request's processing as texts. */
   readonly callLog: readonly string[];
 }
 
--- a/packages/core/src/request_explanation.ts
+++ b/packages/core/src/request_explanation.ts
@@ -62,15 +62,15 @@
   requestId: string,
 ): RequestExplanation {
   const joinedRequestId = board.requests.requestIdByJoinedCall.get(requestId);
-  const held = board.requests.byId.get(joinedRequestId ?? requestId);
+  const request = board.requests.byId.get(joinedRequestId ?? requestId);
   const decisions = collectDecisions(board, requestId, joinedRequestId);
   return {
     requestId,
-    known: held !== undefined || decisions.length > 0,
+    known: request !== undefined || decisions.length > 0,
     ...(joinedRequestId === undefined ? {} : { joinedRequestId }),
     decisions,
-    callLog: [...(held?.callLog ?? [])],
-    ...(held === undefined ? {} : describeRequest(held)),
+    callLog: [...(request?.callLog ?? [])],
+    ...(request === undefined ? {} : describeRequest(request)),
   };
 }
 
@@ -87,15 +87,15 @@
     .sort((a, b) => a.atMs - b.atMs);
 }
 
-function describeRequest(held: HeldRequest): Partial<RequestExplanation> {
-  const { attempt, outcome, spec } = held;
+function describeRequest(request: HeldRequest): Partial<RequestExplanation> {
+  const { attempt, outcome, spec } = request;
   return {
-    state: held.state,
+    state: request.state,
     workspace: spec.workspace,
     tier: spec.tier,
     pool: spec.pool,
-    arrivedAtMs: held.arrivedAtMs,
-    ...(outcome && { finishedAtMs: held.finishedAtMs }),
+    arrivedAtMs: request.arrivedAtMs,
+    ...(outcome && { finishedAtMs: request.finishedAtMs }),
     ...(attempt && { attempt: describeAttempt(attempt) }),
     ...(outcome && { outcome: describeOutcome(outcome) }),
   };
--- a/packages/core/src/shard_queue.ts
+++ b/packages/core/src/shard_queue.ts
@@ -1,6 +1,6 @@
 /**
- * The queue of a shard: one lane for each tier and workspace that waits, and
- * the order of the asks in a lane.
+ * The waiting asks of a shard: one queue for each tier and workspace with such
+ * asks, and the order of the asks in it.
  */
 
 import { LRUCache } from "lru-cache";
@@ -60,7 +60,8 @@
 }
 
 /**
- * Adds an ask to the queue, or replaces an older ask of the same request.
+ * Adds an ask to its workspace's queue, or replaces an older ask of the same
+ * request.
  *
  * @param shard The shard that was asked.
  * @param ask The ask to add.
@@ -69,7 +70,7 @@
   dequeueAsk(shard, ask.detail.requestId);
   const { requestId, tierRank, workspace } = ask.detail;
   const key = `${tierRank}/${workspace}`;
-  const lane = shard.workspaceQueues.get(key) ?? {
+  const queue = shard.workspaceQueues.get(key) ?? {
     tierRank,
     workspace,
     asks: new Map<string, WaitingAsk>(),
@@ -77,17 +78,17 @@
     kvTokenMs: 0,
     prefillMs: 0,
   };
-  shard.workspaceQueues.set(key, lane);
-  lane.asks.set(requestId, ask);
+  shard.workspaceQueues.set(key, queue);
+  queue.asks.set(requestId, ask);
   const work = queuedWorkOf(ask);
-  lane.costMs += work.costMs;
-  lane.kvTokenMs += work.kvTokenMs;
-  lane.prefillMs += work.prefillMs;
+  queue.costMs += work.costMs;
+  queue.kvTokenMs += work.kvTokenMs;
+  queue.prefillMs += work.prefillMs;
   shard.waiting.set(requestId, ask);
 }
 
 /**
- * Removes the ask of a request from the queue.
+ * Removes the ask of a request from its workspace's queue.
  *
  * @param shard The shard that was asked.
  * @param requestId Id of the request.
@@ -103,20 +104,20 @@
   }
   shard.waiting.delete(requestId);
   const key = `${ask.detail.tierRank}/${ask.detail.workspace}`;
-  const lane = shard.workspaceQueues.get(key)!;
-  lane.asks.delete(requestId);
+  const queue = shard.workspaceQueues.get(key)!;
+  queue.asks.delete(requestId);
   const work = queuedWorkOf(ask);
-  lane.costMs -= work.costMs;
-  lane.kvTokenMs -= work.kvTokenMs;
-  lane.prefillMs -= work.prefillMs;
-  if (lane.asks.size === 0) {
+  queue.costMs -= work.costMs;
+  queue.kvTokenMs -= work.kvTokenMs;
+  queue.prefillMs -= work.prefillMs;
+  if (queue.asks.size === 0) {
     shard.workspaceQueues.delete(key);
   }
   return ask;
 }
 
 /**
- * Returns the work that an ask adds to one shard's queue. A request that waits
+ * Returns the work that an ask adds to one shard's queues. A request that waits
  * in several failure domains adds an equal share of its work to each of them.
  *
  * @param ask The waiting ask.
@@ -135,39 +136,39 @@
 /**
  * Lists the tiers that have waiting asks.
  *
- * @param shard The shard whose queue is read.
+ * @param shard The shard whose queues are read.
  * @returns Ranks of the tiers, the highest tier first.
  */
 export function waitingTiers(shard: Shard): number[] {
   const ranks = new Set(
-    [...shard.workspaceQueues.values()].map((lane) => lane.tierRank),
+    [...shard.workspaceQueues.values()].map((queue) => queue.tierRank),
   );
   return [...ranks].sort((a, b) => a - b);
 }
 
 /**
- * Lists the lanes of a tier, one for each workspace that waits.
+ * Lists the queues of a tier, one for each workspace with waiting asks.
  *
- * @param shard The shard whose queue is read.
+ * @param shard The shard whose queues are read.
  * @param tierRank Rank of the tier.
- * @returns The tier's lanes, sorted by workspace.
+ * @returns The tier's queues, sorted by workspace.
  */
-export function lanesOfTier(shard: Shard, tierRank: number): WorkspaceQueue[] {
+export function queuesOfTier(shard: Shard, tierRank: number): WorkspaceQueue[] {
   return [...shard.workspaceQueues.values()]
-    .filter((lane) => lane.tierRank === tierRank)
+    .filter((queue) => queue.tierRank === tierRank)
     .sort((a, b) => compareText(a.workspace, b.workspace));
 }
 
 /**
- * Sorts the asks of a lane by their value per millisecond of service, weighted
+ * Sorts the asks of a queue by their value per millisecond of service, weighted
  * by an urgency that rises towards the latest start, so that no ask starves.
  *
- * @param lane The lane whose asks are sorted.
+ * @param queue The queue whose asks are sorted.
  * @param nowMs The local time in milliseconds.
  * @returns The asks, the one to serve first in front.
  */
-export function rankLane(lane: WorkspaceQueue, nowMs: number): WaitingAsk[] {
-  const ranked = [...lane.asks.values()].map((ask) => ({
+export function rankQueue(queue: WorkspaceQueue, nowMs: number): WaitingAsk[] {
+  const ranked = [...queue.asks.values()].map((ask) => ({
     ask,
     priority: valuePerMsOf(ask) * urgencyOf(ask, nowMs),
   }));
--- a/packages/core/src/shard_view.ts
+++ b/packages/core/src/shard_view.ts
@@ -26,8 +26,8 @@
 } from "./service_prediction.ts";
 
 /**
- * Share of a grant's lifetime after which a holder without a new heartbeat gets
- * no grants, since a grant could lapse before the holder uses it.
+ * Share of a grant's lifetime after which a holder whose beat counter has not
+ * advanced gets no grants, since a grant could lapse before the holder uses it.
  */
 const MAX_HOLDER_SILENCE_SHARE = 0.8;
 
@@ -139,14 +139,14 @@
   }
 
   /**
-   * Checks whether the heartbeats of an ask's holder are recent enough for a
-   * grant to reach the holder and be used before it lapses.
+   * Checks whether the beat counter of an ask's holder advanced recently enough
+   * for a grant to reach the holder and be used before it lapses.
    *
    * @param ask The waiting ask.
-   * @returns False while the holder has sent no heartbeat for most of a grant's
-   * lifetime.
+   * @returns False while the holder's beat counter has not advanced for most of
+   * a grant's lifetime.
    */
-  isHolderFresh(ask: WaitingAsk): boolean {
+  isHolderResponsive(ask: WaitingAsk): boolean {
     const lifetimeMs = this.settings.timing.grantLifetimeMs;
     const holder = this.shard.holders.get(ask.holderId);
     return holder !== undefined &&
--- a/packages/core/src/shedding.ts
+++ b/packages/core/src/shedding.ts
@@ -11,10 +11,10 @@
 import { refuseOverloaded } from "./overload_refusal.ts";
 import { jitteredRetryAfterMs } from "./retry_hint.ts";
 import {
-  lanesOfTier,
   latestStartAtMs,
   queuedWorkOf,
-  rankLane,
+  queuesOfTier,
+  rankQueue,
   waitingTiers,
 } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
@@ -57,16 +57,16 @@
  * @returns Whether the ask was refused.
  */
 export function refuseOnArrival(view: ShardView, ask: WaitingAsk): boolean {
-  const lane = lanesOfTier(view.shard, ask.detail.tierRank)
+  const queue = queuesOfTier(view.shard, ask.detail.tierRank)
     .find((each) => each.workspace === ask.detail.workspace);
-  if (lane === undefined || !isLowestActiveTier(view, ask.detail.tierRank)) {
+  if (queue === undefined || !isLowestActiveTier(view, ask.detail.tierRank)) {
     return false;
   }
   const ownWork = queuedWorkOf(ask);
   const waitMs = estimateWaitMs(view, ask, {
-    costMs: lane.costMs - ownWork.costMs,
-    kvTokenMs: lane.kvTokenMs - ownWork.kvTokenMs,
-    prefillMs: lane.prefillMs - ownWork.prefillMs,
+    costMs: queue.costMs - ownWork.costMs,
+    kvTokenMs: queue.kvTokenMs - ownWork.kvTokenMs,
+    prefillMs: queue.prefillMs - ownWork.prefillMs,
   });
   return refuseIfWaitTooLong(view, ask, waitMs);
 }
@@ -114,9 +114,9 @@
   if (tierRank === undefined || !isLowestActiveTier(view, tierRank)) {
     return;
   }
-  for (const lane of lanesOfTier(view.shard, tierRank)) {
+  for (const queue of queuesOfTier(view.shard, tierRank)) {
     let workAhead = NO_WORK;
-    for (const ask of rankLane(lane, view.nowMs)) {
+    for (const ask of rankQueue(queue, view.nowMs)) {
       const waitMs = estimateWaitMs(view, ask, workAhead);
       if (!refuseIfWaitTooLong(view, ask, waitMs)) {
         workAhead = addWork(workAhead, queuedWorkOf(ask));
@@ -141,8 +141,8 @@
 
 /** Whether no work of a lower tier waits or runs in the shard. */
 function isLowestActiveTier(view: ShardView, tierRank: number): boolean {
-  return [...view.shard.workspaceQueues.values()].every((lane) =>
-    lane.tierRank <= tierRank
+  return [...view.shard.workspaceQueues.values()].every((queue) =>
+    queue.tierRank <= tierRank
   ) && [...view.shard.grants.values()].every((grant) =>
     grant.work.tierRank <= tierRank
   );
--- a/packages/core/src/status.ts
+++ b/packages/core/src/status.ts
@@ -1,4 +1,4 @@
-/** The status of one instance: itself and the fleet as it sees them. */
+/** The status of one instance: its own state and its view of the fleet. */
 
 import type {
   Blackboard,
@@ -12,7 +12,7 @@
 import { type Readiness, readinessOf } from "./readiness.ts";
 import { RequestState } from "./request.ts";
 
-/** Liveness of a member as this instance sees it. */
+/** Liveness of a member, judged by this instance from its heartbeats. */
 export enum MemberLiveness {
   /** Alive, and may coordinate shards. */
   Eligible = "eligible",
@@ -21,7 +21,7 @@
   /** Its heartbeat has stopped. */
   Silent = "silent",
   /** No heartbeat of it was ever received. */
-  NeverHeard = "never_heard",
+  NoHeartbeat = "never_heard",
 }
 
 /** Status of one member. */
@@ -169,7 +169,7 @@
   }
   return member.heartbeat > 0
     ? MemberLiveness.Silent
-    : MemberLiveness.NeverHeard;
+    : MemberLiveness.NoHeartbeat;
 }
 
 function describeShard(
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -2,7 +2,7 @@
 
 import type { TargetSettings } from "@chestnuthatch/settings/settings_types";
 import type { GrantRecord, Target } from "./blackboard.ts";
-import { ensurePace } from "./learned_rates.ts";
+import { ensureStragglerState } from "./learned_rates.ts";
 
 /** Slowdown above which a target's slot share is cut. */
 const CUT_SLOWDOWN_RATIO = 2;
@@ -103,22 +103,22 @@
   if (target.stragglerState === undefined && slowdown <= CUT_SLOWDOWN_RATIO) {
     return false;
   }
-  const pace = ensurePace(target, settings);
-  const thresholdRatio = pace.slotShare < 1
+  const state = ensureStragglerState(target, settings);
+  const thresholdRatio = state.slotShare < 1
     ? RECOVERED_SLOWDOWN_RATIO
     : CUT_SLOWDOWN_RATIO;
   const allowedShare = slowdown <= thresholdRatio
     ? 1
     : Math.max(MIN_SLOT_SHARE, 1 / slowdown);
-  const elapsedMs = Math.min(MS_PER_SECOND, nowMs - pace.lastRecoveryAtMs);
-  pace.lastRecoveryAtMs = nowMs;
-  const isCut = allowedShare < pace.slotShare;
+  const elapsedMs = Math.min(MS_PER_SECOND, nowMs - state.lastRecoveryAtMs);
+  state.lastRecoveryAtMs = nowMs;
+  const isCut = allowedShare < state.slotShare;
   const regainedShare = RECOVERY_SHARE_PER_S * elapsedMs / MS_PER_SECOND;
   const isSignificantCut =
-    allowedShare < pace.slotShare * SIGNIFICANT_CUT_SHARE;
-  pace.slotShare = isCut
+    allowedShare < state.slotShare * SIGNIFICANT_CUT_SHARE;
+  state.slotShare = isCut
     ? allowedShare
-    : Math.min(allowedShare, pace.slotShare + regainedShare);
+    : Math.min(allowedShare, state.slotShare + regainedShare);
   return isSignificantCut;
 }
 
@@ -135,9 +135,9 @@
   settings: TargetSettings,
   nowMs: number,
 ): void {
-  const pace = ensurePace(target, settings);
-  pace.slotShare = Math.min(pace.slotShare, INITIAL_RETURN_SLOT_SHARE);
-  pace.lastRecoveryAtMs = nowMs;
+  const state = ensureStragglerState(target, settings);
+  state.slotShare = Math.min(state.slotShare, INITIAL_RETURN_SLOT_SHARE);
+  state.lastRecoveryAtMs = nowMs;
 }
 
 function longTermRatioOf({ rates, stragglerState }: Target): number {
--- a/packages/core/src/target_usage.ts
+++ b/packages/core/src/target_usage.ts
@@ -17,7 +17,7 @@
 export interface CapacityInputs {
   readonly settings: TargetSettings;
   readonly kind: TargetKind;
-  /** State of the target; undefined until the instance knows it. */
+  /** State of the target; undefined until the instance has an entry for it. */
   readonly target: Target | undefined;
   /** This coordinator's grants on the target. */
   readonly grants: readonly GrantRecord[];
--- a/packages/core/src/urgent_asks.ts
+++ b/packages/core/src/urgent_asks.ts
@@ -13,7 +13,7 @@
   highestPreemptedTier,
   isPreemptible,
 } from "./preemption.ts";
-import { lanesOfTier, latestStartAtMs, waitingTiers } from "./shard_queue.ts";
+import { latestStartAtMs, queuesOfTier, waitingTiers } from "./shard_queue.ts";
 import type { ShardView } from "./shard_view.ts";
 
 /**
@@ -55,8 +55,8 @@
     ),
   );
   for (const tierRank of waitingTiers(view.shard)) {
-    const urgent = lanesOfTier(view.shard, tierRank)
-      .flatMap((lane) => [...lane.asks.values()])
+    const urgent = queuesOfTier(view.shard, tierRank)
+      .flatMap((queue) => [...queue.asks.values()])
       .filter((ask) => mayBeUrgent(view, ask, maxPrefillQueueMs))
       .map((ask) => ({ ask, slackMs: remainingSlackMs(view, ask) }))
       .filter(({ ask, slackMs }) => slackMs <= urgencyWindowMs(ask))
@@ -89,10 +89,8 @@
   const preemption = mayPreempt ? plan.planPreemption(ask) : undefined;
   if (preemption !== undefined) {
     shedBelowInAllDomains(view, highestPreemptedTier(preemption));
-    const beneficiary = describeAsk(ask);
-    preemption.victims.forEach((grant) =>
-      preemptGrant(view, grant, beneficiary)
-    );
+    const preemptor = describeAsk(ask);
+    preemption.victims.forEach((grant) => preemptGrant(view, grant, preemptor));
     ask.lastPreemptionAtMs = view.nowMs;
     ask.reservation = {
       targetId: preemption.capacity.targetId,
@@ -163,8 +161,8 @@
     if (hasPreemptibleWorkBelow(view, rank)) {
       return;
     }
-    for (const lane of lanesOfTier(view.shard, rank)) {
-      for (const ask of [...lane.asks.values()]) {
+    for (const queue of queuesOfTier(view.shard, rank)) {
+      for (const ask of [...queue.asks.values()]) {
         refuseOverloaded(view, ask, "a higher tier needs all the room");
       }
     }
@@ -188,7 +186,7 @@
 ): boolean {
   const minSlackMs = ask.deadlineAtMs - view.nowMs - ask.costMs -
     maxPrefillQueueMs;
-  return minSlackMs <= urgencyWindowMs(ask) && view.isHolderFresh(ask);
+  return minSlackMs <= urgencyWindowMs(ask) && view.isHolderResponsive(ask);
 }
 
 /**
--- a/packages/core/src/wait_estimate.ts
+++ b/packages/core/src/wait_estimate.ts
@@ -14,12 +14,12 @@
 
 /**
  * Estimates an ask's wait: the work ahead of it, from higher tiers, from its
- * own lane and from the fair share of other workspaces, divided by the slots,
+ * own workspace and the fair share of other workspaces, divided by the slots,
  * the KV memory and the prefill capacity of the targets that could serve it.
  *
  * @param view The shard that the ask waits in.
  * @param ask The waiting ask.
- * @param ownAhead Work of the ask's own lane that goes before it.
+ * @param ownAhead Work of the ask's own workspace that is placed before it.
  * @returns The wait in milliseconds; Infinity where no target could serve it.
  */
 export function estimateWaitMs(
@@ -86,11 +86,11 @@
 ): QueuedWork {
   let ahead = ownAhead;
   const { tierRank, workspace } = ask.detail;
-  for (const lane of view.shard.workspaceQueues.values()) {
-    if (lane.tierRank < tierRank) {
-      ahead = addWork(ahead, lane);
-    } else if (lane.tierRank === tierRank && lane.workspace !== workspace) {
-      ahead = addWork(ahead, fairShareOf(view, lane, { ask, ownAhead }));
+  for (const queue of view.shard.workspaceQueues.values()) {
+    if (queue.tierRank < tierRank) {
+      ahead = addWork(ahead, queue);
+    } else if (queue.tierRank === tierRank && queue.workspace !== workspace) {
+      ahead = addWork(ahead, fairShareOf(view, queue, { ask, ownAhead }));
     }
   }
   return ahead;
@@ -102,18 +102,18 @@
  */
 function fairShareOf(
   view: ShardView,
-  lane: WorkspaceQueue,
+  queue: WorkspaceQueue,
   own: { ask: WaitingAsk; ownAhead: QueuedWork },
 ): QueuedWork {
   const ownWeight = view.policyOf(own.ask.detail).fairShareWeight;
-  const laneWeight = view.policyOf(lane).fairShareWeight;
+  const queueWeight = view.policyOf(queue).fairShareWeight;
   const ownCostMs = own.ownAhead.costMs + own.ask.costMs;
-  const fairCostMs = ownCostMs * laneWeight / Math.max(ownWeight, 0.001);
-  const share = Math.min(1, fairCostMs / Math.max(lane.costMs, 0.001));
+  const fairCostMs = ownCostMs * queueWeight / Math.max(ownWeight, 0.001);
+  const share = Math.min(1, fairCostMs / Math.max(queue.costMs, 0.001));
   return {
-    costMs: lane.costMs * share,
-    kvTokenMs: lane.kvTokenMs * share,
-    prefillMs: lane.prefillMs * share,
+    costMs: queue.costMs * share,
+    kvTokenMs: queue.kvTokenMs * share,
+    prefillMs: queue.prefillMs * share,
   };
 }
 
--- a/packages/daemon/src/caller_edge_test.ts
+++ b/packages/daemon/src/caller_edge_test.ts
@@ -50,7 +50,7 @@
       reader: {
         readiness: () => this.readiness,
         requestState: (id) => id === "r1" ? { state: "waiting" } : undefined,
-        why: (id) => id === "r1" ? { story: [] } : undefined,
+        why: (id) => id === "r1" ? { decisions: [] } : undefined,
         status: () => ({ instanceId: "njiro-hall-1" }),
         metrics: () =>
           Promise.resolve({ contentType: "text/plain", text: "up 1\n" }),
--- a/packages/daemon/src/claim_voider.ts
+++ b/packages/daemon/src/claim_voider.ts
@@ -51,7 +51,7 @@
  */
 const MIN_ABSENT_READS_IN_DOUBT = 6;
 
-/** Voids claims in the background, retrying until each row is surely absent. */
+/** Voids claims in the background; retries until each row is surely absent. */
 export class ClaimVoider {
   readonly #options: ClaimVoiderOptions;
   readonly #pendingNonces = new Set<string>();
--- a/packages/daemon/src/claim_writer.ts
+++ b/packages/daemon/src/claim_writer.ts
@@ -85,7 +85,7 @@
   }
 
   /**
-   * Tells whether a write of a claim may still take effect.
+   * Checks whether a write of a claim may still take effect.
    *
    * @param nonce Nonce of the claim.
    * @returns False only if every write of the claim was answered.
--- a/packages/daemon/src/close_reason.ts
+++ b/packages/daemon/src/close_reason.ts
@@ -32,7 +32,7 @@
   /** Queued frames were not sent within the drain timeout. */
   DrainTimeout = "drain_timeout",
   /** The peer is no longer to be connected. */
-  Forgotten = "forgotten",
+  PeerRemoved = "forgotten",
   /** This instance is shutting down. */
   Stopped = "stopped",
 }
@@ -84,6 +84,6 @@
   [CloseReason.DrainTimeout]: faultReport(
     "queued frames were not sent in time",
   ),
-  [CloseReason.Forgotten]: debugReport("the peer was removed"),
+  [CloseReason.PeerRemoved]: debugReport("the peer was removed"),
   [CloseReason.Stopped]: debugReport("this instance is stopping"),
 };
--- a/packages/daemon/src/edge_test_support.ts
+++ b/packages/daemon/src/edge_test_support.ts
@@ -36,7 +36,7 @@
 }
 
 /** Records the events and logs of an edge, and lets tests wait for events. */
-export class TestEdgeContext implements EdgeContext {
+export class TestContext implements EdgeContext {
   readonly clock = new TestClock();
   readonly events: UntimedEvent[] = [];
   readonly logs: string[] = [];
--- a/packages/daemon/src/entry_instance.ts
+++ b/packages/daemon/src/entry_instance.ts
@@ -218,7 +218,7 @@
       },
       [EffectKind.ConnectPeer]: ({ peerId, address }) =>
         peers.connect(peerId, address),
-      [EffectKind.ForgetPeer]: ({ peerId }) => peers.disconnect(peerId),
+      [EffectKind.DisconnectPeer]: ({ peerId }) => peers.disconnect(peerId),
       [EffectKind.Dispatch]: (effect) => targets.dispatch(effect),
       [EffectKind.ResumeStream]: (effect) => targets.resumeStream(effect),
       [EffectKind.CancelStream]: (effect) => targets.cancelStream(effect),
--- a/packages/daemon/src/logger.ts
+++ b/packages/daemon/src/logger.ts
@@ -18,7 +18,7 @@
   readonly format: LogFormat;
   /** Lowest level that is written. */
   readonly level: LogLevel;
-  /** Added to JSON lines, to tell instances apart in a collected log. */
+  /** Added to JSON lines, to distinguish instances in a collected log. */
   readonly instanceId: string;
   /** Stream to write to; standard error where absent. */
   readonly output?: NodeJS.WritableStream;
--- a/packages/daemon/src/order_lease.ts
+++ b/packages/daemon/src/order_lease.ts
@@ -189,7 +189,7 @@
   };
 }
 
-/** Tells by the order id whether the row found was written by this process. */
+/** Checks by the order id whether this process wrote the row that was found. */
 function leaseResultOf(write: LeaseWrite, found: Row): LeaseResult {
   const other = readOrderRow(found);
   if (other?.orderId !== write.row.orderId) {
--- a/packages/daemon/src/order_rows.ts
+++ b/packages/daemon/src/order_rows.ts
@@ -63,7 +63,7 @@
 };
 
 /**
- * Tells whether a target is in the state that an order demands.
+ * Checks whether a target is in the state that an order demands.
  *
  * @param state State of the target.
  * @param order Kind and value of the order.
--- a/packages/daemon/src/peer_diallers.ts
+++ b/packages/daemon/src/peer_diallers.ts
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Tells whether a peer is dialled at an address.
+   * Checks whether a peer is dialled at an address.
    *
    * @param peerId Instance id of the peer.
    * @param address Address to compare with the one that is dialled.
--- a/packages/daemon/src/peer_links.ts
+++ b/packages/daemon/src/peer_links.ts
@@ -362,7 +362,7 @@
     for (const connection of this.#connections) {
       const isAttempt = connection.expectedPeerId === peerId &&
         !connection.isOpen;
-      if (isAttempt) connection.close(CloseReason.Forgotten);
+      if (isAttempt) connection.close(CloseReason.PeerRemoved);
     }
   }
 
--- a/packages/daemon/src/platform_client.ts
+++ b/packages/daemon/src/platform_client.ts
@@ -63,7 +63,7 @@
  * instance list and the settings.
  */
 export class PlatformClient {
-  readonly #edge: EdgeContext;
+  readonly #context: EdgeContext;
   readonly #http: PlatformHttp;
   readonly #sleep: Sleep;
   readonly #claimWaitMs: (requestId: string) => number;
@@ -75,24 +75,24 @@
   #stopped = false;
 
   /**
-   * @param edge Clock, event sink and log of the instance.
+   * @param context Clock, event sink and log of the instance.
    * @param options HTTP client, timing and limits.
    */
-  constructor(edge: EdgeContext, options: PlatformClientOptions) {
-    this.#edge = edge;
+  constructor(context: EdgeContext, options: PlatformClientOptions) {
+    this.#context = context;
     this.#http = options.http;
     this.#sleep = options.sleep ?? sleepByTimer;
     this.#claimWaitMs = options.claimWaitMs ?? (() => DEFAULT_CLAIM_WAIT_MS);
     this.#claimWriter = new ClaimWriter({
       http: options.http,
-      clock: edge.clock,
+      clock: context.clock,
       sleep: this.#sleep,
     });
     this.#claimVoider = new ClaimVoider({
       http: options.http,
       writer: this.#claimWriter,
       sleep: this.#sleep,
-      log: edge.log,
+      log: context.log,
       maxPending: options.maxPendingVoids,
     });
   }
@@ -111,7 +111,7 @@
     const { requestId } = effect;
     const waitMs = this.#claimWaitMs(requestId);
     const status = await this.#claimWriter.write(effect, waitMs);
-    this.#edge.emit({ kind: EventKind.ClaimAnswered, requestId, ...status });
+    this.#context.emit({ kind: EventKind.ClaimAnswered, requestId, ...status });
   }
 
   /**
@@ -164,7 +164,7 @@
       MAX_READ_ANSWER_ATTEMPTS,
       () => this.#http.getObject(effect.key),
     );
-    this.#edge.emit({
+    this.#context.emit({
       kind: EventKind.KeptAnswerRead,
       requestId: effect.requestId,
       content: read.unwrapOr(undefined),
@@ -180,7 +180,10 @@
         this.#logReadFailure("The instance list", list.error);
         return;
       }
-      this.#edge.emit({ kind: EventKind.InstanceListRead, list: list.value });
+      this.#context.emit({
+        kind: EventKind.InstanceListRead,
+        list: list.value,
+      });
     });
   }
 
@@ -206,7 +209,7 @@
       if (settings !== undefined) {
         const { version, content, changeId } = settings;
         const kind = EventKind.SettingsRead;
-        this.#edge.emit({ kind, version, content, changeId });
+        this.#context.emit({ kind, version, content, changeId });
       }
     });
   }
@@ -217,10 +220,10 @@
    * @param timeoutMs Maximum wait, in milliseconds.
    */
   async drain(timeoutMs: number): Promise<void> {
-    const deadlineAtMs = this.#edge.clock.nowMs() + timeoutMs;
+    const deadlineAtMs = this.#context.clock.nowMs() + timeoutMs;
     while (
       this.#answerWritesInProgress + this.pendingVoids > 0 &&
-      this.#edge.clock.nowMs() < deadlineAtMs
+      this.#context.clock.nowMs() < deadlineAtMs
     ) {
       await this.#sleep(DRAIN_CHECK_INTERVAL_MS);
     }
@@ -293,13 +296,13 @@
   }
 
   #logThrottled(throttleKey: string, text: string): void {
-    const nowMs = this.#edge.clock.nowMs();
+    const nowMs = this.#context.clock.nowMs();
     const lastAtMs = this.#lastLoggedAtMs.get(throttleKey) ?? -Infinity;
     if (nowMs - lastAtMs < MIN_LOG_INTERVAL_MS) {
       return;
     }
     this.#lastLoggedAtMs.set(throttleKey, nowMs);
-    this.#edge.log(LogLevel.Warn, LogPart.Platform, text);
+    this.#context.log(LogLevel.Warn, LogPart.Platform, text);
   }
 }
 
--- a/packages/daemon/src/platform_client_test.ts
+++ b/packages/daemon/src/platform_client_test.ts
@@ -8,7 +8,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { ClaimEffect } from "./claim_writer.ts";
-import { TableFault, TestEdgeContext, TestTable } from "./edge_test_support.ts";
+import { TableFault, TestContext, TestTable } from "./edge_test_support.ts";
 import { PlatformClient } from "./platform_client.ts";
 import { PlatformFault, PlatformHttp } from "./platform_http.ts";
 
@@ -30,13 +30,13 @@
 
 class TestBench {
   readonly table = new TestTable();
-  readonly edge = new TestEdgeContext();
+  readonly context = new TestContext();
   http!: PlatformHttp;
   client!: PlatformClient;
 
   async start(): Promise<this> {
     await this.table.server.start();
-    const { clock } = this.edge;
+    const { clock } = this.context;
     const { address } = this.table.server;
     this.http = new PlatformHttp({
       address,
@@ -44,7 +44,7 @@
       readsPerSecond: 10_000,
       writesPerSecond: 10_000,
     });
-    this.client = new PlatformClient(this.edge, {
+    this.client = new PlatformClient(this.context, {
       http: this.http,
       sleep: clock.sleep,
     });
@@ -59,9 +59,10 @@
 
   async claim(): Promise<unknown> {
     await this.client.writeClaim(CLAIM);
-    const { requestId: _, kind: __, ...status } = await this.edge.waitForEvent(
-      EventKind.ClaimAnswered,
-    );
+    const { requestId: _, kind: __, ...status } = await this.context
+      .waitForEvent(
+        EventKind.ClaimAnswered,
+      );
     return status;
   }
 }
@@ -105,7 +106,7 @@
   const heldElsewhere = { outcome: ClaimOutcome.HeldElsewhere, found: OTHER };
   assert.equal(await bench.claim(), heldElsewhere);
   bench.table.writeFaults.push(AnswerLost);
-  bench.edge.events.length = 0;
+  bench.context.events.length = 0;
   assert.equal(await bench.claim(), heldElsewhere);
 });
 
@@ -197,7 +198,7 @@
   bench.table.defaultFault = Down;
   await bench.client.readKeptAnswer({ ...read, key });
   assert.equal(
-    bench.edge.events.map((event) =>
+    bench.context.events.map((event) =>
       event.kind === EventKind.KeptAnswerRead &&
       [event.content, event.unavailable]
     ),
@@ -226,9 +227,9 @@
     await bench.client.pollSettings(poll);
     bench.table.put(versionKey(2), version);
     await bench.client.pollSettings({ ...poll, haveVersion: 2 });
-    assert.equal(bench.edge.events, []);
+    assert.equal(bench.context.events, []);
     await bench.client.pollSettings(poll);
-    assert.equal(bench.edge.events, [
+    assert.equal(bench.context.events, [
       { kind: EventKind.SettingsRead, version: 2, changeId: "c2", content },
     ]);
   },
@@ -244,15 +245,15 @@
     });
     await bench.client.pollInstanceList();
     await bench.client.pollInstanceList();
-    assert.equal(bench.edge.events, []);
-    assert.is(bench.edge.logs.length, 2);
+    assert.equal(bench.context.events, []);
+    assert.is(bench.context.logs.length, 2);
   },
 );
 
 testWith("should fail fast when too many calls are queued", async (bench) => {
   const rateLimited = new PlatformHttp({
     address: bench.table.server.address,
-    clock: bench.edge.clock,
+    clock: bench.context.clock,
     readsPerSecond: 10,
     callTimeoutMs: 100,
   });
@@ -260,7 +261,7 @@
   const second = rateLimited.read([KEY]);
   const third = await rateLimited.read([KEY]);
   assert.is(third._unsafeUnwrapErr(), PlatformFault.RateLimited);
-  bench.edge.clock.atMs = 100;
+  bench.context.clock.atMs = 100;
   await first;
   assert.is((await second)._unsafeUnwrapErr(), PlatformFault.RateLimited);
   assert.ok(bench.table.server.received.length <= 1);
--- a/packages/daemon/src/seen_incarnations.ts
+++ b/packages/daemon/src/seen_incarnations.ts
@@ -7,7 +7,7 @@
   readonly #incarnationByPeer = new Map<string, number>();
 
   /**
-   * Tells whether an incarnation is older than the newest one recorded.
+   * Checks whether an incarnation is older than the newest one recorded.
    *
    * @param peerId Instance id of the peer.
    * @param incarnation Incarnation that the peer states.
--- a/packages/daemon/src/send_queues.ts
+++ b/packages/daemon/src/send_queues.ts
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Tells whether the queue of a pool is full.
+   * Checks whether the queue of a pool is full.
    *
    * @param pool Name of the pool.
    * @returns Whether no further dispatch may be queued.
--- a/packages/daemon/src/target_client_test.ts
+++ b/packages/daemon/src/target_client_test.ts
@@ -8,7 +8,7 @@
 import * as assert from "uvu/assert";
 import {
   type ReceivedRequest,
-  TestEdgeContext,
+  TestContext,
   TestServer,
 } from "./edge_test_support.ts";
 import { ManualTimers } from "./manual_timers.ts";
@@ -44,7 +44,7 @@
 }
 
 class TargetClientHarness {
-  readonly edge = new TestEdgeContext();
+  readonly context = new TestContext();
   readonly timers = new ManualTimers();
   readonly client: TargetClient;
   input: DispatchInput | undefined;
@@ -58,7 +58,7 @@
       promptTokens: 3,
       blockHashes: ["b1"],
     };
-    this.client = new TargetClient(this.edge, {
+    this.client = new TargetClient(this.context, {
       dispatchInput: () => this.input,
       timers: this.timers,
       limits,
@@ -66,7 +66,7 @@
   }
 
   kinds(): EventKind[] {
-    return this.edge.events.map((event) => event.kind);
+    return this.context.events.map((event) => event.kind);
   }
 }
 
@@ -105,7 +105,7 @@
 test("should report not sent when the connection is refused", async () => {
   const harness = new TargetClientHarness(await closedAddress());
   harness.client.dispatch(dispatchEffect());
-  const end = await harness.edge.waitForEvent(EventKind.DispatchNotSent);
+  const end = await harness.context.waitForEvent(EventKind.DispatchNotSent);
   assert.is(end.reason, "ECONNREFUSED");
   assert.equal(harness.kinds(), [EventKind.DispatchNotSent]);
   assert.is(harness.client.openAttempts, 0);
@@ -115,7 +115,7 @@
 test("should report not sent when the address is unknown", async () => {
   const harness = new TargetClientHarness("not an address");
   harness.client.dispatch(dispatchEffect());
-  await harness.edge.waitForEvent(EventKind.DispatchNotSent);
+  await harness.context.waitForEvent(EventKind.DispatchNotSent);
   harness.input = undefined;
   harness.client.dispatch(dispatchEffect());
   await nextTurn();
@@ -130,10 +130,10 @@
       response.write(Buffer.of(byte));
     }
     response.end();
-  }, async ({ client, edge }, server) => {
+  }, async ({ client, context }, server) => {
     client.dispatch(dispatchEffect());
-    assert.is((await edge.waitForEvent(EventKind.StreamClosed)).reason, "");
-    const events = edge.events.flatMap((event) =>
+    assert.is((await context.waitForEvent(EventKind.StreamClosed)).reason, "");
+    const events = context.events.flatMap((event) =>
       event.kind === EventKind.StreamEvent ? [event.event] : []
     );
     assert.equal(events, [START, TOKEN, END]);
@@ -152,12 +152,12 @@
   const otherEvent = { ...TOKEN, requestId: "r2", attemptNonce: "n2" };
   await withServer(
     ({ response }) => response.end(toLines(otherEvent)),
-    async ({ client, edge }) => {
+    async ({ client, context }) => {
       client.dispatch(dispatchEffect());
-      const event = await edge.waitForEvent(EventKind.StreamEvent);
+      const event = await context.waitForEvent(EventKind.StreamEvent);
       assert.is(event.requestId, "r1");
       assert.equal(event.event, otherEvent);
-      await edge.waitForEvent(EventKind.StreamClosed);
+      await context.waitForEvent(EventKind.StreamClosed);
     },
   );
 });
@@ -173,9 +173,9 @@
   test(`should close a stream on ${title}`, async () => {
     await withServer(
       ({ response }) => response.end(body),
-      async ({ client, edge }) => {
+      async ({ client, context }) => {
         client.dispatch(dispatchEffect());
-        const closed = await edge.waitForEvent(EventKind.StreamClosed);
+        const closed = await context.waitForEvent(EventKind.StreamClosed);
         assert.is(closed.reason, reason);
       },
     );
@@ -185,13 +185,13 @@
 test("should close with a reason and send once when the connection is reset after the request", async () => {
   await withServer(
     ({ request }) => request.socket.resetAndDestroy(),
-    async ({ client, edge }, server) => {
+    async ({ client, context }, server) => {
       client.dispatch(dispatchEffect());
-      const closed = await edge.waitForEvent(EventKind.StreamClosed);
+      const closed = await context.waitForEvent(EventKind.StreamClosed);
       assert.is.not(closed.reason, "");
       await nextTurn();
       assert.is(server.received.length, 1);
-      assert.is(edge.events.length, 1);
+      assert.is(context.events.length, 1);
     },
   );
 });
@@ -203,15 +203,18 @@
     } else {
       response.end();
     }
-  }, async ({ client, edge }, server) => {
+  }, async ({ client, context }, server) => {
     client.dispatch(dispatchEffect());
-    assert.is((await edge.waitForEvent(EventKind.StreamClosed)).reason, "");
-    edge.events.length = 0;
+    assert.is((await context.waitForEvent(EventKind.StreamClosed)).reason, "");
+    context.events.length = 0;
     // The connection can be reused two turns of the event loop later.
     await nextTurn();
     await nextTurn();
     client.dispatch(dispatchEffect({ requestId: "r2" }));
-    assert.is.not((await edge.waitForEvent(EventKind.StreamClosed)).reason, "");
+    assert.is.not(
+      (await context.waitForEvent(EventKind.StreamClosed)).reason,
+      "",
+    );
     await nextTurn();
     assert.is(server.received.length, 2);
     const [first, second] = server.received.map(({ request }) =>
@@ -225,13 +228,13 @@
   const CALLS = 20;
   await withServer(({ request, response }) => {
     response.end(toLines(END), () => request.socket.destroy());
-  }, async ({ client, edge }, server) => {
+  }, async ({ client, context }, server) => {
     for (let call = 0; call < CALLS; call++) {
       const requestId = `r${call}`;
       client.dispatch(dispatchEffect({ requestId }));
-      edge.events.length = 0;
+      context.events.length = 0;
       // The next call may find the closing connection still in the pool.
-      await edge.waitForEvent(
+      await context.waitForEvent(
         EventKind.StreamClosed,
         EventKind.DispatchNotSent,
       );
@@ -259,12 +262,12 @@
       requestId: "second",
       targetId: "t1",
     });
-    harness.edge.clock.atMs = 5000;
+    harness.context.clock.atMs = 5000;
     harness.client.dispatch(dispatchEffect({ requestId: "fourth" }));
     await waitUntil(() => server.received.length > 0);
     await harness.client.stop();
     await nextTurn();
-    const ends = harness.edge.events.map((event) =>
+    const ends = harness.context.events.map((event) =>
       "reason" in event && "requestId" in event
         ? `${event.requestId} ${event.kind}: ${event.reason}`
         : event.kind
@@ -279,11 +282,11 @@
 });
 
 test("should close a stream at its deadline", async () => {
-  await withServer(() => {}, async ({ client, edge, timers }, server) => {
+  await withServer(() => {}, async ({ client, context, timers }, server) => {
     client.dispatch(dispatchEffect({ answerTimeLeftMs: 50 }));
     await waitUntil(() => server.received.length > 0);
     timers.fire(50);
-    const closed = await edge.waitForEvent(EventKind.StreamClosed);
+    const closed = await context.waitForEvent(EventKind.StreamClosed);
     assert.is(closed.reason, "timed out");
   });
 });
@@ -294,9 +297,9 @@
     if (path.startsWith("/v1/resume")) {
       response.end(toLines(END));
     }
-  }, async ({ client, edge }, server) => {
+  }, async ({ client, context }, server) => {
     client.dispatch(dispatchEffect());
-    await edge.waitForEvent(EventKind.StreamEvent);
+    await context.waitForEvent(EventKind.StreamEvent);
     client.resumeStream({
       kind: EffectKind.ResumeStream,
       ...REF,
@@ -304,12 +307,12 @@
       fromToken: 4,
       answerTimeLeftMs: 10_000,
     });
-    assert.is((await edge.waitForEvent(EventKind.StreamClosed)).reason, "");
+    assert.is((await context.waitForEvent(EventKind.StreamClosed)).reason, "");
     assert.is(
       server.paths()[1],
       "/v1/resume?requestId=r1&attemptNonce=n1&fromToken=4",
     );
-    const ends = edge.events.filter(({ kind }) =>
+    const ends = context.events.filter(({ kind }) =>
       kind === EventKind.StreamClosed
     );
     assert.is(ends.length, 1);
@@ -326,7 +329,7 @@
     fromToken: 0,
     answerTimeLeftMs: 10_000,
   });
-  const closed = await harness.edge.waitForEvent(EventKind.StreamClosed);
+  const closed = await harness.context.waitForEvent(EventKind.StreamClosed);
   assert.is(closed.reason, "ECONNREFUSED");
   await harness.client.stop();
 });
@@ -338,15 +341,15 @@
     } else {
       response.write(toLines(START));
     }
-  }, async ({ client, edge }, server) => {
+  }, async ({ client, context }, server) => {
     client.dispatch(dispatchEffect());
-    await edge.waitForEvent(EventKind.StreamEvent);
+    await context.waitForEvent(EventKind.StreamEvent);
     client.cancelStream({
       kind: EffectKind.CancelStream,
       ...REF,
       targetId: "t1",
     });
-    const closed = await edge.waitForEvent(EventKind.StreamClosed);
+    const closed = await context.waitForEvent(EventKind.StreamClosed);
     assert.is(closed.reason, "cancelled");
     await waitUntil(() => server.received.length === 2);
     assert.equal(JSON.parse(server.received[1].body), REF);
@@ -382,9 +385,9 @@
     }, async (harness) => {
       harness.input = { ...harness.input!, kind: TargetKind.Service };
       harness.client.dispatch(dispatchEffect());
-      await harness.edge.waitForEvent(kinds.at(-1)!);
+      await harness.context.waitForEvent(kinds.at(-1)!);
       assert.equal(harness.kinds(), [...kinds]);
-      const end = harness.edge.events.at(-1) as { reason?: string };
+      const end = harness.context.events.at(-1) as { reason?: string };
       assert.is(end.reason, reason);
     });
   });
@@ -396,16 +399,16 @@
   const load = { targetId: "t1", ageMs: 5, ...bounds, ...used };
   await withServer(
     ({ response }) => response.end(JSON.stringify(load)),
-    async ({ client, edge }, server) => {
+    async ({ client, context }, server) => {
       const { address } = server;
       const kind = EffectKind.PollLoad;
       client.pollLoad({ kind, targetId: "t1", address });
       client.pollLoad({ kind, targetId: "t1", address });
-      const event = await edge.waitForEvent(EventKind.LoadReported);
+      const event = await context.waitForEvent(EventKind.LoadReported);
       assert.equal(event.load, load);
       assert.is(server.received.length, 1);
       client.pollLoad({ kind, targetId: "t2", address });
-      const failed = await edge.waitForEvent(EventKind.LoadReportFailed);
+      const failed = await context.waitForEvent(EventKind.LoadReportFailed);
       assert.is(failed.targetId, "t2");
     },
   );
--- a/packages/daemon/src/target_connections.ts
+++ b/packages/daemon/src/target_connections.ts
@@ -76,7 +76,7 @@
   }
 
   /**
-   * Tells whether one more stream would have to wait for a connection.
+   * Checks whether one more stream would have to wait for a connection.
    *
    * @param pools Pools of the target.
    * @returns Whether all connections for streams are in use.
--- a/packages/measure/src/core_instance.ts
+++ b/packages/measure/src/core_instance.ts
@@ -77,7 +77,7 @@
     context.checker.recordSettingsInForce(processName, effect.version),
   [EffectKind.ConnectPeer]: (process, effect) =>
     process.context.peerLinks.connect(process, effect.peerId),
-  [EffectKind.ForgetPeer]: (process, effect) =>
+  [EffectKind.DisconnectPeer]: (process, effect) =>
     process.context.peerLinks.disconnect(process, effect.peerId),
 };
 
--- a/tests/core_net.ts
+++ b/tests/core_net.ts
@@ -338,7 +338,7 @@
         node.dialled.add(effect.peerId);
         this.#connect(node, effect.peerId);
         break;
-      case EffectKind.ForgetPeer:
+      case EffectKind.DisconnectPeer:
         node.dialled.delete(effect.peerId);
         this.#disconnect(node, effect.peerId);
         break;
