--- a/packages/core/src/blackboard.ts
+++ b/packages/core/src/blackboard.ts
@@ -185,7 +185,7 @@
     callMs: number;
   };
   /** When `slotShare` was last adjusted. */
-  lastRecoveryAtMs: number;
+  lastAdjustedAtMs: number;
 }
 
 /** The targets of the settings in force. Written by TargetController. */
--- a/packages/core/src/controller.ts
+++ b/packages/core/src/controller.ts
@@ -1,4 +1,4 @@
-/** The interface of controllers, and the context they get with each event. */
+/** The interface of controllers, and the `Turn` that each event passes them. */
 
 import type { PeerMessage } from "@chestnuthatch/wire/peer_messages";
 import type { Blackboard } from "./blackboard.ts";
--- a/packages/core/src/fake_shard.ts
+++ b/packages/core/src/fake_shard.ts
@@ -23,7 +23,7 @@
 import { TargetController } from "./target_controller.ts";
 import { DEFAULT_TIMING } from "./timing.ts";
 
-/** Name of the pool that the fake shard serves. */
+/** Name of the pool of the fake shard. */
 export const POOL = "msaidizi";
 /** Failure domain of the fake shard and of its coordinator. */
 export const DOMAIN = "njiro-hall";
--- a/packages/core/src/holder_presence.ts
+++ b/packages/core/src/holder_presence.ts
@@ -1,4 +1,4 @@
-/** Tracks the holders of a shard, and drops the state of those gone. */
+/** Tracks the holders of a shard, and drops the state of failed ones. */
 
 import type { Blackboard, HolderRecord, Shard } from "./blackboard.ts";
 import { isAlive } from "./coordinators.ts";
@@ -51,15 +51,15 @@
 }
 
 /**
- * Drops the asks of holders that are gone and orphans their grants, drops asks
- * that expired without renewal, and closes overdue orphaned grants.
+ * Drops the asks of holders that have failed and orphans their grants, drops
+ * asks that expired without renewal, and closes overdue orphaned grants.
  *
  * @param view The shard.
  */
 export function dropStaleHolderState(view: ShardView): void {
   const { shard, nowMs, turn, settings } = view;
   for (const [holderId, record] of [...shard.holders]) {
-    if (isGone(turn.board, { holderId, record, nowMs })) {
+    if (hasFailed(turn.board, { holderId, record, nowMs })) {
       shard.holders.delete(holderId);
       dropEarlierIncarnations(shard, {
         holderId,
@@ -96,7 +96,7 @@
   }
 }
 
-function isGone(
+function hasFailed(
   board: Blackboard,
   holder: { holderId: string; record: HolderRecord; nowMs: number },
 ): boolean {
--- a/packages/core/src/holder_reconcile_test.ts
+++ b/packages/core/src/holder_reconcile_test.ts
@@ -108,7 +108,7 @@
   assert.is(fake.shard.waiting.size, 0);
 });
 
-test("should drop a gone holder's asks, and its work once two load reports lack it", () => {
+test("should drop a failed holder's asks, and its work once two load reports lack it", () => {
   const fake = new FakeShard({ targets: [{ slots: 1 }] });
   fake.ask({
     requestId: "runs",
--- a/packages/core/src/learned_rates.ts
+++ b/packages/core/src/learned_rates.ts
@@ -97,7 +97,7 @@
   target.stragglerState ??= {
     slotShare: 1,
     longTerm: { prefillMsPerToken, decodeMsPerToken, callMs },
-    lastRecoveryAtMs: -Infinity,
+    lastAdjustedAtMs: -Infinity,
   };
   return target.stragglerState;
 }
--- a/packages/core/src/member_table.ts
+++ b/packages/core/src/member_table.ts
@@ -126,7 +126,7 @@
  *
  * @param turn The current turn.
  */
-export function removeGoneMembers(turn: Turn): void {
+export function removeStaleMembers(turn: Turn): void {
   const { board, nowMs } = turn;
   const removeAfterMs = REMOVE_AFTER_TIMEOUTS *
     timingInForce(board).memberTimeoutMs;
--- a/packages/core/src/membership_controller.ts
+++ b/packages/core/src/membership_controller.ts
@@ -21,7 +21,7 @@
 import {
   ensureMember,
   mergeInstanceList,
-  removeGoneMembers,
+  removeStaleMembers,
 } from "./member_table.ts";
 import { detectPause } from "./pause_detection.ts";
 import { updateConnections } from "./peer_connections.ts";
@@ -93,7 +93,7 @@
   pollInstanceList(turn);
   const { heartbeatMs } = timingInForce(turn.board);
   if (turn.nowMs - turn.board.members.lastHeartbeatAtMs >= heartbeatMs) {
-    removeGoneMembers(turn);
+    removeStaleMembers(turn);
     updateConnections(turn);
     gossipHeartbeat(turn);
   }
@@ -152,7 +152,7 @@
   turn: Turn,
 ): void {
   mergeInstanceList(turn, event.list);
-  removeGoneMembers(turn);
+  removeStaleMembers(turn);
   updateConnections(turn);
   updateView(turn);
 }
--- a/packages/core/src/membership_controller_test.ts
+++ b/packages/core/src/membership_controller_test.ts
@@ -135,7 +135,7 @@
   assert.equal(forgotten, ["njiro-2"]);
 });
 
-test("should not count a pause as silence, and rejoin before taking duties", () => {
+test("should not count a pause as silence, and rejoin before it coordinates", () => {
   const core = createTestCore(["njiro-2", "njiro-3"]);
   connectPeer(core, "njiro-2");
   connectPeer(core, "njiro-3");
--- a/packages/core/src/peer_connections.ts
+++ b/packages/core/src/peer_connections.ts
@@ -22,7 +22,7 @@
 /**
  * Selects the peers to keep connected: all of them in a small fleet; in a
  * larger one a stable pseudo-random set for gossip, plus the coordinators and
- * holders of work that this instance takes part in.
+ * holders of the asks and grants that this instance keeps.
  *
  * @param board The instance's state.
  * @param nowMs The local time in milliseconds.
--- a/packages/core/src/retry_hint.ts
+++ b/packages/core/src/retry_hint.ts
@@ -1,4 +1,4 @@
-/** Retry hints with jitter, so that callers do not come back all at once. */
+/** Retry hints with jitter, so that callers do not all retry at once. */
 
 import type { Turn } from "./controller.ts";
 
--- a/packages/core/src/shedding_test.ts
+++ b/packages/core/src/shedding_test.ts
@@ -64,7 +64,7 @@
   }
 }
 
-/** Refusals other than for overload may come on arrival only. */
+/** Only asks that were never queued may be refused other than for overload. */
 function checkNeverQueued(fake: FakeShard, requestId: string): void {
   const wasQueued = fake.of(PeerMessageKind.AskQueued)
     .some((queued) => queued.requestId === requestId);
--- a/packages/core/src/straggler.ts
+++ b/packages/core/src/straggler.ts
@@ -110,8 +110,8 @@
   const allowedShare = slowdown <= thresholdRatio
     ? 1
     : Math.max(MIN_SLOT_SHARE, 1 / slowdown);
-  const elapsedMs = Math.min(MS_PER_SECOND, nowMs - state.lastRecoveryAtMs);
-  state.lastRecoveryAtMs = nowMs;
+  const elapsedMs = Math.min(MS_PER_SECOND, nowMs - state.lastAdjustedAtMs);
+  state.lastAdjustedAtMs = nowMs;
   const isCut = allowedShare < state.slotShare;
   const regainedShare = RECOVERY_SHARE_PER_S * elapsedMs / MS_PER_SECOND;
   const isSignificantCut =
@@ -137,7 +137,7 @@
 ): void {
   const state = ensureStragglerState(target, settings);
   state.slotShare = Math.min(state.slotShare, INITIAL_RETURN_SLOT_SHARE);
-  state.lastRecoveryAtMs = nowMs;
+  state.lastAdjustedAtMs = nowMs;
 }
 
 function longTermRatioOf({ rates, stragglerState }: Target): number {
--- a/packages/core/src/stream_flow.ts
+++ b/packages/core/src/stream_flow.ts
@@ -205,7 +205,7 @@
 /**
  * Resumes a broken stream after a backoff, or refuses the request. A connection
  * may recover until the deadline, so there is no limit for its failures; a
- * target that has no more of the answer will not recover.
+ * target that no longer has the answer will not recover.
  */
 function onBrokenStream(
   turn: Turn,
--- a/packages/core/src/target_controller.ts
+++ b/packages/core/src/target_controller.ts
@@ -66,7 +66,7 @@
   readonly #options: CoordinatorOptions;
   #syncedSettings: SettingsInForce | undefined;
 
-  /** @param options Placement features that measurements can switch off. */
+  /** @param options Features of placement that measurements can disable. */
   constructor(options: CoordinatorOptions = DEFAULT_COORDINATOR_OPTIONS) {
     this.#options = options;
   }
@@ -161,7 +161,7 @@
     message.running.length > 0 && pollNewShard(turn, message),
   [PeerMessageKind.GrantReturned]: onGrantReturned,
   [PeerMessageKind.WorkDone]: onWorkDone,
-  [PeerMessageKind.TargetsHeard]: onTargetsHeard,
+  [PeerMessageKind.TargetsHeard]: onTargetUpdates,
 };
 
 function onLoadFailed(
@@ -223,7 +223,7 @@
   }
 }
 
-function onTargetsHeard(
+function onTargetUpdates(
   message: PeerMessageOf<PeerMessageKind.TargetsHeard>,
   turn: Turn,
   fromId: string,
--- a/packages/daemon/src/caller_request_parser.ts
+++ b/packages/daemon/src/caller_request_parser.ts
@@ -25,7 +25,7 @@
 const ALLOWED_FIELD_NAMES = Object.keys(callerRequestSchema.shape);
 const MAX_QUOTED_CHARACTERS = 60;
 
-/** Allowed values of each field, in the wording of the callers' page. */
+/** Allowed values of each field, as documented for callers. */
 const ALLOWED_VALUES: Readonly<Record<keyof CallerRequest, string>> = {
   workspace: "a string that is not empty",
   tier: "a string that is not empty",
--- a/packages/daemon/src/close_reason.ts
+++ b/packages/daemon/src/close_reason.ts
@@ -31,7 +31,7 @@
   Silent = "silent",
   /** Queued frames were not sent within the drain timeout. */
   DrainTimeout = "drain_timeout",
-  /** The peer is no longer to be connected. */
+  /** The peer was removed from those that this instance dials. */
   PeerRemoved = "forgotten",
   /** This instance is shutting down. */
   Stopped = "stopped",
--- a/packages/daemon/src/order_issuer.ts
+++ b/packages/daemon/src/order_issuer.ts
@@ -75,7 +75,7 @@
 /** Platform, holder, clock and timing of an {@link OrderIssuer}. */
 export interface OrderIssuerOptions {
   readonly platform: PlatformHttp;
-  /** Name of whoever issues the orders, recorded in the lease. */
+  /** Name of the issuer of the orders, recorded in the lease. */
   readonly holder: string;
   readonly clock: Clock;
   /** Returns a globally unique order id. */
--- a/packages/daemon/src/order_issuer_test.ts
+++ b/packages/daemon/src/order_issuer_test.ts
@@ -34,7 +34,7 @@
   state: OrderState.Leased,
 };
 
-class TestBench {
+class TestHarness {
   readonly table = new TestTable();
   readonly clock = new TestClock();
   readonly engine = new TestServer((seen) => this.#answer(seen));
@@ -125,23 +125,23 @@
 
 function testWith(
   title: string,
-  run: (bench: TestBench) => Promise<void>,
+  run: (harness: TestHarness) => Promise<void>,
 ): void {
   test(title, async () => {
-    const bench = await new TestBench().start();
+    const harness = await new TestHarness().start();
     try {
-      await run(bench);
+      await run(harness);
     } finally {
-      await bench.stop();
+      await harness.stop();
     }
   });
 }
 
 testWith(
   "should issue orders with increasing fencing numbers",
-  async (bench) => {
-    const first = await bench.issue("m1", "a");
-    const second = await bench.issue("m2", "b");
+  async (harness) => {
+    const first = await harness.issue("m1", "a");
+    const second = await harness.issue("m2", "b");
     assert.equal([first.kind, second.kind], [
       OrderOutcomeKind.Obeyed,
       OrderOutcomeKind.Obeyed,
@@ -149,19 +149,19 @@
     assert.equal([first.fencingNumber, second.fencingNumber], [1, 2]);
     assert.is(second.before?.model, "m1");
     assert.is(second.after?.model, "m2");
-    assert.is(bench.table.value(KEY).state, OrderState.Settled);
-    assert.is(bench.clock.atMs, 0);
+    assert.is(harness.table.value(KEY).state, OrderState.Settled);
+    assert.is(harness.clock.atMs, 0);
   },
 );
 
 for (const checksFencing of [true, false]) {
   testWith(
     `should let one of two issuers win, fencing checked: ${checksFencing}`,
-    async (bench) => {
-      bench.checksFencing = checksFencing;
+    async (harness) => {
+      harness.checksFencing = checksFencing;
       const outcomes = await Promise.all([
-        bench.issue("m1", "a"),
-        bench.issue("m2", "b"),
+        harness.issue("m1", "a"),
+        harness.issue("m2", "b"),
       ]);
       const winner = outcomes.find(({ kind }) =>
         kind === OrderOutcomeKind.Obeyed
@@ -169,31 +169,31 @@
       const refused = outcomes.find((outcome) => outcome !== winner);
       assert.is(refused?.kind, OrderOutcomeKind.HeldElsewhere);
       assert.is(refused?.other?.orderId, winner?.orderId);
-      assert.is(bench.orderCount(), 1);
-      assert.is(bench.state.lastOrderId, winner?.orderId);
+      assert.is(harness.orderCount(), 1);
+      assert.is(harness.state.lastOrderId, winner?.orderId);
     },
   );
 }
 
 testWith(
   "should report that an old fencing number was refused",
-  async (bench) => {
+  async (harness) => {
     let states = 0;
-    bench.onState = () => {
+    harness.onState = () => {
       states += 1;
       if (states === 2) {
-        bench.obey({ ...PREVIOUS_ORDER, fencingNumber: 9, orderId: "later" });
+        harness.obey({ ...PREVIOUS_ORDER, fencingNumber: 9, orderId: "later" });
       }
     };
-    const outcome = await bench.issue("m1");
+    const outcome = await harness.issue("m1");
     assert.is(outcome.kind, OrderOutcomeKind.RefusedAsOld);
     assert.is(outcome.after?.lastOrderId, "later");
   },
 );
 
-testWith("should exceed the fencing number of the target", async (bench) => {
-  bench.state = { ...bench.state, fencingNumber: 7 };
-  assert.is((await bench.issue("m1")).fencingNumber, 8);
+testWith("should exceed the fencing number of the target", async (harness) => {
+  harness.state = { ...harness.state, fencingNumber: 7 };
+  assert.is((await harness.issue("m1")).fencingNumber, 8);
 });
 
 for (
@@ -204,39 +204,42 @@
 ) {
   testWith(
     `should wait out an unsettled lease, fencing checked: ${checksFencing}`,
-    async (bench) => {
-      bench.checksFencing = checksFencing;
-      bench.table.put(KEY, PREVIOUS_ORDER);
-      const outcome = await bench.issue("m1");
+    async (harness) => {
+      harness.checksFencing = checksFencing;
+      harness.table.put(KEY, PREVIOUS_ORDER);
+      const outcome = await harness.issue("m1");
       assert.is(outcome.kind, OrderOutcomeKind.Obeyed);
       assert.is(outcome.fencingNumber, 5);
-      assert.is(bench.clock.atMs, waitedMs);
+      assert.is(harness.clock.atMs, waitedMs);
     },
   );
 }
 
-testWith("should not send an order after its lease expired", async (bench) => {
-  bench.checksFencing = false;
-  let states = 0;
-  bench.onState = () => {
-    states += 1;
-    bench.clock.atMs += states === 2 ? LEASE_MS : 0;
-  };
-  const outcome = await bench.issue("m1");
-  assert.is(outcome.kind, OrderOutcomeKind.LeaseLapsed);
-  assert.is(bench.orderCount(), 0);
-});
+testWith(
+  "should not send an order after its lease expired",
+  async (harness) => {
+    harness.checksFencing = false;
+    let states = 0;
+    harness.onState = () => {
+      states += 1;
+      harness.clock.atMs += states === 2 ? LEASE_MS : 0;
+    };
+    const outcome = await harness.issue("m1");
+    assert.is(outcome.kind, OrderOutcomeKind.LeaseLapsed);
+    assert.is(harness.orderCount(), 0);
+  },
+);
 
 testWith(
   "should report when a target that ignores fencing is not as ordered",
-  async (bench) => {
-    bench.checksFencing = false;
-    bench.onState = () => {
-      if (bench.orderCount() === 1) {
-        bench.obey({ ...PREVIOUS_ORDER, orderId: "late" });
+  async (harness) => {
+    harness.checksFencing = false;
+    harness.onState = () => {
+      if (harness.orderCount() === 1) {
+        harness.obey({ ...PREVIOUS_ORDER, orderId: "late" });
       }
     };
-    const outcome = await bench.issue("m1");
+    const outcome = await harness.issue("m1");
     assert.is(outcome.kind, OrderOutcomeKind.NotAsOrdered);
     assert.is(outcome.after?.lastOrderId, "late");
   },
@@ -244,9 +247,9 @@
 
 testWith(
   "should resolve a lost answer to the lease write by the order id",
-  async (bench) => {
-    bench.table.writeFaults.push(TableFault.AnswerLost);
-    const outcome = await bench.issue("m1");
+  async (harness) => {
+    harness.table.writeFaults.push(TableFault.AnswerLost);
+    const outcome = await harness.issue("m1");
     assert.is(outcome.kind, OrderOutcomeKind.Obeyed);
     assert.is(outcome.fencingNumber, 1);
   },
@@ -254,25 +257,25 @@
 
 testWith(
   "should resolve a lost answer to the order by the target's state",
-  async (bench) => {
-    bench.loseOrderAnswers = true;
-    const outcome = await bench.issue("m1");
+  async (harness) => {
+    harness.loseOrderAnswers = true;
+    const outcome = await harness.issue("m1");
     assert.is(outcome.kind, OrderOutcomeKind.Obeyed);
-    assert.is(bench.orderCount(), 1);
+    assert.is(harness.orderCount(), 1);
   },
 );
 
 testWith(
   "should send nothing while the table is down or its row corrupt",
-  async (bench) => {
-    bench.table.defaultFault = TableFault.Down;
-    const down = await bench.issue("m1");
+  async (harness) => {
+    harness.table.defaultFault = TableFault.Down;
+    const down = await harness.issue("m1");
     assert.is(down.kind, OrderOutcomeKind.StoreUnavailable);
-    bench.table.defaultFault = TableFault.None;
-    bench.table.put(KEY, { holder: "former" });
-    const corrupt = await bench.issue("m1");
+    harness.table.defaultFault = TableFault.None;
+    harness.table.put(KEY, { holder: "former" });
+    const corrupt = await harness.issue("m1");
     assert.is(corrupt.kind, OrderOutcomeKind.RowUnreadable);
-    assert.is(bench.orderCount(), 0);
+    assert.is(harness.orderCount(), 0);
   },
 );
 
--- a/packages/daemon/src/peer_handshake.ts
+++ b/packages/daemon/src/peer_handshake.ts
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Creates the proof that this instance knows the secret.
+   * Creates the proof that this instance has the shared secret.
    *
    * @param peerHello Hello received from the peer.
    * @returns Proof message to send.
@@ -67,7 +67,7 @@
    *
    * @param peerHello Hello received from the peer.
    * @param proof Proof received from the peer.
-   * @returns Whether the peer knows the secret.
+   * @returns Whether the proof was made with the shared secret.
    */
   isPeerProofValid(peerHello: Hello, proof: Proof): boolean {
     return isProofValid(proof, {
--- a/packages/daemon/src/platform_client_test.ts
+++ b/packages/daemon/src/platform_client_test.ts
@@ -28,7 +28,7 @@
   row: ROW,
 };
 
-class TestBench {
+class TestHarness {
   readonly table = new TestTable();
   readonly context = new TestContext();
   http!: PlatformHttp;
@@ -69,14 +69,14 @@
 
 function testWith(
   title: string,
-  run: (bench: TestBench) => Promise<void>,
+  run: (harness: TestHarness) => Promise<void>,
 ): void {
   test(title, async () => {
-    const bench = await new TestBench().start();
+    const harness = await new TestHarness().start();
     try {
-      await run(bench);
+      await run(harness);
     } finally {
-      await bench.stop();
+      await harness.stop();
     }
   });
 }
@@ -92,27 +92,27 @@
     ["when the table is briefly down", [Down, Down], [Down]],
   ] as const
 ) {
-  testWith(`should hold a claim ${title}`, async (bench) => {
-    bench.table.writeFaults.push(...writeFaults);
-    bench.table.readFaults.push(...readFaults);
-    assert.equal(await bench.claim(), { outcome: ClaimOutcome.Held });
-    assert.is(bench.table.rows.size, 1);
-    assert.equal(bench.table.value(KEY), ROW);
+  testWith(`should hold a claim ${title}`, async (harness) => {
+    harness.table.writeFaults.push(...writeFaults);
+    harness.table.readFaults.push(...readFaults);
+    assert.equal(await harness.claim(), { outcome: ClaimOutcome.Held });
+    assert.is(harness.table.rows.size, 1);
+    assert.equal(harness.table.value(KEY), ROW);
   });
 }
 
-testWith("should report who holds a claim", async (bench) => {
-  bench.table.put(KEY, OTHER);
+testWith("should report who holds a claim", async (harness) => {
+  harness.table.put(KEY, OTHER);
   const heldElsewhere = { outcome: ClaimOutcome.HeldElsewhere, found: OTHER };
-  assert.equal(await bench.claim(), heldElsewhere);
-  bench.table.writeFaults.push(AnswerLost);
-  bench.context.events.length = 0;
-  assert.equal(await bench.claim(), heldElsewhere);
+  assert.equal(await harness.claim(), heldElsewhere);
+  harness.table.writeFaults.push(AnswerLost);
+  harness.context.events.length = 0;
+  assert.equal(await harness.claim(), heldElsewhere);
 });
 
-testWith("should treat a corrupt claim row as another's", async (bench) => {
-  bench.table.put(KEY, { nonce: "n1" });
-  assert.equal(await bench.claim(), {
+testWith("should treat a corrupt claim row as another's", async (harness) => {
+  harness.table.put(KEY, { nonce: "n1" });
+  assert.equal(await harness.claim(), {
     outcome: ClaimOutcome.HeldElsewhere,
     found: undefined,
   });
@@ -120,85 +120,85 @@
 
 testWith(
   "should report an unknown claim outcome while the table is down",
-  async (bench) => {
-    bench.table.defaultFault = Down;
-    assert.equal(await bench.claim(), { outcome: ClaimOutcome.Unknown });
+  async (harness) => {
+    harness.table.defaultFault = Down;
+    assert.equal(await harness.claim(), { outcome: ClaimOutcome.Unknown });
   },
 );
 
-testWith("should void its own claim only", async (bench) => {
-  await bench.claim();
-  await bench.client.voidClaim(CLAIM);
-  assert.is(bench.table.rows.size, 0);
-  bench.table.put(KEY, OTHER);
-  await bench.client.voidClaim(CLAIM);
-  assert.is(bench.table.rows.size, 1);
-  assert.is(bench.client.pendingVoids, 0);
+testWith("should void its own claim only", async (harness) => {
+  await harness.claim();
+  await harness.client.voidClaim(CLAIM);
+  assert.is(harness.table.rows.size, 0);
+  harness.table.put(KEY, OTHER);
+  await harness.client.voidClaim(CLAIM);
+  assert.is(harness.table.rows.size, 1);
+  assert.is(harness.client.pendingVoids, 0);
 });
 
-testWith("should void a claim once the table recovers", async (bench) => {
+testWith("should void a claim once the table recovers", async (harness) => {
   const OUTAGE_CALLS = 10;
-  await bench.claim();
-  bench.table.defaultFault = Down;
+  await harness.claim();
+  harness.table.defaultFault = Down;
   let calls = 0;
-  bench.table.onCall = () => {
+  harness.table.onCall = () => {
     calls += 1;
-    bench.table.defaultFault = calls < OUTAGE_CALLS ? Down : TableFault.None;
+    harness.table.defaultFault = calls < OUTAGE_CALLS ? Down : TableFault.None;
   };
-  bench.table.writeFaults.push(AnswerLost);
-  await bench.client.voidClaim(CLAIM);
-  assert.is(bench.table.rows.size, 0);
+  harness.table.writeFaults.push(AnswerLost);
+  await harness.client.voidClaim(CLAIM);
+  assert.is(harness.table.rows.size, 0);
 });
 
 testWith(
   "should void a write that takes effect after a read found no row",
-  async (bench) => {
-    bench.table.defaultFault = Down;
-    await bench.claim();
-    bench.table.defaultFault = TableFault.None;
+  async (harness) => {
+    harness.table.defaultFault = Down;
+    await harness.claim();
+    harness.table.defaultFault = TableFault.None;
     const lateReadNumber = 3;
     let reads = 0;
-    bench.table.onCall = (path) => {
+    harness.table.onCall = (path) => {
       reads += path === "/table/read" ? 1 : 0;
       if (reads === lateReadNumber) {
-        bench.table.put(KEY, ROW);
+        harness.table.put(KEY, ROW);
         reads += 1;
       }
     };
-    await bench.client.voidClaim(CLAIM);
+    await harness.client.voidClaim(CLAIM);
     assert.ok(reads > lateReadNumber);
-    assert.is(bench.table.rows.size, 0);
+    assert.is(harness.table.rows.size, 0);
   },
 );
 
-testWith("should cancel a write whose claim is voided", async (bench) => {
-  bench.table.writeFaults.push(CallLost);
+testWith("should cancel a write whose claim is voided", async (harness) => {
+  harness.table.writeFaults.push(CallLost);
   let voided: Promise<void> | undefined;
-  bench.table.onCall = () => {
-    voided ??= bench.client.voidClaim(CLAIM);
+  harness.table.onCall = () => {
+    voided ??= harness.client.voidClaim(CLAIM);
   };
-  assert.equal(await bench.claim(), { outcome: ClaimOutcome.Unknown });
+  assert.equal(await harness.claim(), { outcome: ClaimOutcome.Unknown });
   await voided;
-  assert.is(bench.table.rows.size, 0);
+  assert.is(harness.table.rows.size, 0);
 });
 
-testWith("should keep an answer and read it back", async (bench) => {
+testWith("should keep an answer and read it back", async (harness) => {
   const key = "answer/njiro/a%2Fb";
-  bench.table.writeFaults.push(CallLost, AnswerLost);
-  await bench.client.keepAnswer({
+  harness.table.writeFaults.push(CallLost, AnswerLost);
+  await harness.client.keepAnswer({
     kind: EffectKind.KeepAnswer,
     requestId: "r1",
     key,
     content: "mowed",
   });
-  assert.is(bench.table.objects.get(key), "mowed");
+  assert.is(harness.table.objects.get(key), "mowed");
   const read = { kind: EffectKind.ReadKeptAnswer, requestId: "r1" } as const;
-  await bench.client.readKeptAnswer({ ...read, key });
-  await bench.client.readKeptAnswer({ ...read, key: "answer/njiro/none" });
-  bench.table.defaultFault = Down;
-  await bench.client.readKeptAnswer({ ...read, key });
+  await harness.client.readKeptAnswer({ ...read, key });
+  await harness.client.readKeptAnswer({ ...read, key: "answer/njiro/none" });
+  harness.table.defaultFault = Down;
+  await harness.client.readKeptAnswer({ ...read, key });
   assert.equal(
-    bench.context.events.map((event) =>
+    harness.context.events.map((event) =>
       event.kind === EventKind.KeptAnswerRead &&
       [event.content, event.unavailable]
     ),
@@ -208,7 +208,7 @@
 
 testWith(
   "should emit newer settings and never corrupt ones",
-  async (bench) => {
+  async (harness) => {
     const content = "fleet: {}";
     const version = {
       version: 2,
@@ -219,17 +219,17 @@
       content,
     };
     const poll = { kind: EffectKind.PollSettings, haveVersion: 1 } as const;
-    await bench.client.pollSettings(poll);
-    bench.table.put(HEAD_KEY, { version: 2, changeId: "c2" });
-    bench.table.put(versionKey(2), { ...version, content: "torn" });
-    await bench.client.pollSettings(poll);
-    bench.table.put(versionKey(2), { ...version, changeId: "c9" });
-    await bench.client.pollSettings(poll);
-    bench.table.put(versionKey(2), version);
-    await bench.client.pollSettings({ ...poll, haveVersion: 2 });
-    assert.equal(bench.context.events, []);
-    await bench.client.pollSettings(poll);
-    assert.equal(bench.context.events, [
+    await harness.client.pollSettings(poll);
+    harness.table.put(HEAD_KEY, { version: 2, changeId: "c2" });
+    harness.table.put(versionKey(2), { ...version, content: "torn" });
+    await harness.client.pollSettings(poll);
+    harness.table.put(versionKey(2), { ...version, changeId: "c9" });
+    await harness.client.pollSettings(poll);
+    harness.table.put(versionKey(2), version);
+    await harness.client.pollSettings({ ...poll, haveVersion: 2 });
+    assert.equal(harness.context.events, []);
+    await harness.client.pollSettings(poll);
+    assert.equal(harness.context.events, [
       { kind: EventKind.SettingsRead, version: 2, changeId: "c2", content },
     ]);
   },
@@ -237,23 +237,23 @@
 
 testWith(
   "should emit no event and throttle log lines while the store is down",
-  async (bench) => {
-    bench.table.defaultFault = Down;
-    await bench.client.pollSettings({
+  async (harness) => {
+    harness.table.defaultFault = Down;
+    await harness.client.pollSettings({
       kind: EffectKind.PollSettings,
       haveVersion: 0,
     });
-    await bench.client.pollInstanceList();
-    await bench.client.pollInstanceList();
-    assert.equal(bench.context.events, []);
-    assert.is(bench.context.logs.length, 2);
+    await harness.client.pollInstanceList();
+    await harness.client.pollInstanceList();
+    assert.equal(harness.context.events, []);
+    assert.is(harness.context.logs.length, 2);
   },
 );
 
-testWith("should fail fast when too many calls are queued", async (bench) => {
+testWith("should fail fast when too many calls are queued", async (harness) => {
   const rateLimited = new PlatformHttp({
-    address: bench.table.server.address,
-    clock: bench.context.clock,
+    address: harness.table.server.address,
+    clock: harness.context.clock,
     readsPerSecond: 10,
     callTimeoutMs: 100,
   });
@@ -261,10 +261,10 @@
   const second = rateLimited.read([KEY]);
   const third = await rateLimited.read([KEY]);
   assert.is(third._unsafeUnwrapErr(), PlatformFault.RateLimited);
-  bench.context.clock.atMs = 100;
+  harness.context.clock.atMs = 100;
   await first;
   assert.is((await second)._unsafeUnwrapErr(), PlatformFault.RateLimited);
-  assert.ok(bench.table.server.received.length <= 1);
+  assert.ok(harness.table.server.received.length <= 1);
   await rateLimited.stop();
 });
 
--- a/packages/daemon/src/read_routes.ts
+++ b/packages/daemon/src/read_routes.ts
@@ -18,7 +18,7 @@
   readonly reasons: readonly string[];
 }
 
-/** Metrics in the text format that a scraper reader. */
+/** Metrics in the text format that scrapers read. */
 export interface MetricsPage {
   readonly contentType: string;
   readonly text: string;
