--- a/packages/core/src/ask_intake.ts
+++ b/packages/core/src/ask_intake.ts
@@ -81,7 +81,7 @@
   return true;
 }
 
-/** Refuses an ask, or queues it and places what can be placed. */
+/** Refuses an ask, or queues it and places all waiting asks that fit. */
 function admitAsk(
   view: ShardView,
   received: { detail: AskDetail; sender: HolderSender; waiting?: WaitingAsk },
--- a/packages/core/src/blackboard.ts
+++ b/packages/core/src/blackboard.ts
@@ -79,7 +79,7 @@
 }
 
 /**
- * The fleet as this instance knows it, itself included. Written by
+ * This instance's records of the fleet, itself included. Written by
  * MembershipController.
  */
 export interface MembersSection {
--- a/packages/core/src/claim_rows.ts
+++ b/packages/core/src/claim_rows.ts
@@ -1,5 +1,5 @@
 /**
- * Claim rows and kept answers: what the store holds for the idempotency keys of
+ * Claim rows and kept answers, which the store holds for idempotency keys of
  * requests that must not run twice.
  */
 
--- a/packages/core/src/outcomes.ts
+++ b/packages/core/src/outcomes.ts
@@ -1,4 +1,4 @@
-/** Ends requests with an answer or a refusal, and releases what they used. */
+/** Ends requests with an answer or a refusal, and closes their asks and claims. */
 
 import { type ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { withdrawAsks } from "./ask_messages.ts";
@@ -163,7 +163,7 @@
 }
 
 /**
- * Returns what is certain about whether a request ran. Until its claim is
+ * Returns the run state that is certain for a request. Until its claim is
  * confirmed, an earlier call with its key may have run at another instance.
  *
  * @param request The request.
--- a/packages/core/src/request.ts
+++ b/packages/core/src/request.ts
@@ -19,7 +19,7 @@
 
 /**
  * A caller's request, validated by the I/O layer, which keeps the body; the
- * scheduler gets only what it decides by.
+ * scheduler gets only the fields that its decisions depend on.
  */
 export interface RequestSpec {
   readonly requestId: string;
--- a/packages/core/src/request_explanation.ts
+++ b/packages/core/src/request_explanation.ts
@@ -1,4 +1,4 @@
-/** Explains the processing of a request, from what its holder has kept. */
+/** Explains the processing of a request from its state and its decisions. */
 
 import type { Blackboard, HeldRequest } from "./blackboard.ts";
 import type { DecisionEntry } from "./decision_log.ts";
--- a/packages/core/src/shard_view.ts
+++ b/packages/core/src/shard_view.ts
@@ -1,6 +1,6 @@
 /**
- * A shard as one event finds it, with the settings, policies and predictions
- * that decisions about it are based on.
+ * A view of a shard during one event, with the settings, policies and
+ * predictions that decisions about it are based on.
  */
 
 import type {
