--- a/packages/core/src/blackboard.ts
+++ b/packages/core/src/blackboard.ts
@@ -348,8 +348,8 @@
   readonly requestIdByKey: Map<string, string>;
   /**
    * This holder's beat: a logical clock that increases at a fixed interval.
-   * Asks carry it and grants return it, so that the holder can compute a grant's
-   * age without comparing clocks.
+   * Asks carry it and grants return it, so that the holder can compute the age
+   * of a grant without comparing clocks.
    */
   holderBeat: number;
   /** When each recent beat started, by beat. */
--- a/packages/core/src/claim_rows.ts
+++ b/packages/core/src/claim_rows.ts
@@ -1,6 +1,6 @@
 /**
- * Claim rows and kept answers, which the store holds for idempotency keys of
- * requests that must not run twice.
+ * Claim rows and kept answers, which the store holds for the idempotency keys
+ * of requests that must not run twice.
  */
 
 import type { HeldRequest } from "./blackboard.ts";
--- a/packages/core/src/dispatch_flow.ts
+++ b/packages/core/src/dispatch_flow.ts
@@ -20,7 +20,7 @@
 /** A request is refused after this many dispatches that were not sent. */
 const MAX_DISPATCH_ATTEMPTS = 4;
 
-/** Return reason where the coordinator has not received the leaving sign yet. */
+/** Return reason where the coordinator has not received the leaving sign. */
 const TARGET_LEAVING_REASON = "the target is leaving";
 
 type Grant = PeerMessageOf<PeerMessageKind.Grant>;
--- a/packages/core/src/member_table.ts
+++ b/packages/core/src/member_table.ts
@@ -13,7 +13,7 @@
 /** Silence, in member timeouts, after which an unlisted member is removed. */
 const REMOVE_AFTER_TIMEOUTS = 12;
 
-/** Id and location of a member, which are known before its first heartbeat. */
+/** Id and location with which a member is added to the member table. */
 export interface MemberLocation {
   readonly instanceId: string;
   /** Empty while unknown. */
--- a/packages/core/src/outcomes.ts
+++ b/packages/core/src/outcomes.ts
@@ -1,4 +1,4 @@
-/** Ends requests with an answer or a refusal, and closes their asks and claims. */
+/** Ends requests with an answer or a refusal; closes their asks and claims. */
 
 import { type ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { withdrawAsks } from "./ask_messages.ts";
