--- a/packages/core/src/dispatch_flow.ts
+++ b/packages/core/src/dispatch_flow.ts
@@ -20,7 +20,7 @@
 /** A request is refused after this many dispatches that were not sent. */
 const MAX_DISPATCH_ATTEMPTS = 4;
 
-/** The coordinator of such a grant has not yet received the leaving sign. */
+/** Return reason where the coordinator has not received the leaving sign. */
 const TARGET_LEAVING_REASON = "the target is leaving";
 
 type Grant = PeerMessageOf<PeerMessageKind.Grant>;
@@ -200,13 +200,13 @@
   const passedOver = granted.grant.passedOver
     .map((other) => `${other.targetId}: ${other.reason}`)
     .join("; ");
-  const passedOverNote = passedOver === ""
+  const passedOverSuffix = passedOver === ""
     ? ""
     : ` (passed over: ${passedOver})`;
   recordStep(
     turn,
     request,
-    `${granted.coordinatorId} granted ${granted.grant.targetId}${passedOverNote}; dispatched`,
+    `${granted.coordinatorId} granted ${granted.grant.targetId}${passedOverSuffix}; dispatched`,
   );
 }
 
--- a/packages/core/src/member_table.ts
+++ b/packages/core/src/member_table.ts
@@ -13,7 +13,7 @@
 /** Silence, in member timeouts, after which an unlisted member is removed. */
 const REMOVE_AFTER_TIMEOUTS = 12;
 
-/** Where a member is, as known before its first heartbeat is received. */
+/** Id and location with which a member is added to the member table. */
 export interface MemberLocation {
   readonly instanceId: string;
   /** Empty while unknown. */
@@ -126,7 +126,7 @@
  *
  * @param turn The current turn.
  */
-export function removeGoneMembers(turn: Turn): void {
+export function removeStaleMembers(turn: Turn): void {
   const { board, nowMs } = turn;
   const removeAfterMs = REMOVE_AFTER_TIMEOUTS *
     timingInForce(board).memberTimeoutMs;
@@ -142,7 +142,7 @@
 function removeMember(turn: Turn, member: Member): void {
   turn.board.members.byId.delete(member.instanceId);
   if (member.dialledAddress !== undefined) {
-    turn.emit({ kind: EffectKind.ForgetPeer, peerId: member.instanceId });
+    turn.emit({ kind: EffectKind.DisconnectPeer, peerId: member.instanceId });
   }
   turn.log(
     LogLevel.Info,
--- a/packages/core/src/peer_connections.ts
+++ b/packages/core/src/peer_connections.ts
@@ -22,7 +22,7 @@
 /**
  * Selects the peers to keep connected: all of them in a small fleet; in a
  * larger one a stable pseudo-random set for gossip, plus the coordinators and
- * holders of work that this instance takes part in.
+ * holders of the asks and grants that this instance keeps.
  *
  * @param board The instance's state.
  * @param nowMs The local time in milliseconds.
@@ -145,5 +145,5 @@
 
 function closeConnection(turn: Turn, member: Member): void {
   member.dialledAddress = undefined;
-  turn.emit({ kind: EffectKind.ForgetPeer, peerId: member.instanceId });
+  turn.emit({ kind: EffectKind.DisconnectPeer, peerId: member.instanceId });
 }
--- a/packages/core/src/request.ts
+++ b/packages/core/src/request.ts
@@ -19,7 +19,7 @@
 
 /**
  * A caller's request, validated by the I/O layer, which keeps the body; the
- * scheduler gets only what it decides by.
+ * scheduler gets only the fields that its decisions depend on.
  */
 export interface RequestSpec {
   readonly requestId: string;
@@ -66,7 +66,7 @@
   readonly mayRetry: boolean;
   /** Time to wait before the call is sent again. */
   readonly retryAfterMs?: number;
-  /** Steps of the request's processing, in words. */
+  /** Steps of the request's processing as texts. */
   readonly callLog: readonly string[];
 }
 
