--- a/packages/cli/src/command_line.ts
+++ b/packages/cli/src/command_line.ts
@@ -1,4 +1,4 @@
-/** The whole command line: every command, and how a run of it ends. */
+/** Builds the command line from all commands and runs it. */
 
 import { Command, CommanderError } from "commander";
 import { CommandRunner, type CommandServices } from "./command_runner.ts";
@@ -24,11 +24,11 @@
 Exit codes: 0 done, 1 refused or failed, 2 bad input, 3 outcome unknown.`;
 
 /**
- * Runs one command line.
+ * Parses and runs one command line.
  *
- * @param args What follows the program's name.
- * @param services What commands are handed.
- * @returns The exit code.
+ * @param args Arguments after the program's name.
+ * @param services Output, timer and id source of the commands.
+ * @returns Exit code for the process.
  */
 export async function runCommandLine(
   args: readonly string[],
--- a/packages/cli/src/command_result.ts
+++ b/packages/cli/src/command_result.ts
@@ -1,53 +1,59 @@
-/** What a command hands back: a report, or a failure with what to do next. */
+/** Results of commands: a report, or a failure with a hint on what to do. */
 
 import { err, type Result } from "neverthrow";
 import { ExitCode } from "./exit_code.ts";
 
-/** What a command found or did. */
+/** Result of a command that did what was requested. */
 export interface CommandReport {
-  /** For people, without a line feed at its end. */
+  /** Text for people. */
   readonly text: string;
-  /** For programs, printed with `--json`. */
+  /** Value that `--json` prints. */
   readonly json: unknown;
-  /** Done where absent. */
+  /** Exit code of the process; defaults to {@link ExitCode.Done}. */
   readonly exitCode?: ExitCode;
 }
 
-/** Why a command did not do what it was asked for. */
+/** Why a command did not do what was requested. */
 export interface CommandFailure {
   readonly exitCode: Exclude<ExitCode, ExitCode.Done>;
   readonly message: string;
-  /** What the operator can do now. */
+  /** Hint on what the operator can do next. */
   readonly next: string;
-  /** More for programs. */
+  /** Further fields of the JSON output. */
   readonly detail?: Readonly<Record<string, unknown>>;
 }
 
-/** How a command ended. */
+/** Report or failure of a command. */
 export type CommandResult = Result<CommandReport, CommandFailure>;
 
-/** A failure's words. */
+/** A {@link CommandFailure} without its exit code. */
 export type FailureText = Omit<CommandFailure, "exitCode">;
 
 /**
+ * Creates a failure with {@link ExitCode.Failed}.
+ *
  * @param text What failed, and what to do next.
- * @returns A failure that left nothing changed.
+ * @returns A failure that changed nothing.
  */
 export function failed(text: FailureText) {
   return err<never, CommandFailure>({ exitCode: ExitCode.Failed, ...text });
 }
 
 /**
+ * Creates a failure with {@link ExitCode.BadInput}.
+ *
  * @param text What is wrong with the input, and what to do next.
- * @returns A failure before anything was tried.
+ * @returns A failure that occurred before anything was attempted.
  */
 export function badInput(text: FailureText) {
   return err<never, CommandFailure>({ exitCode: ExitCode.BadInput, ...text });
 }
 
 /**
- * @param text What is in doubt, and how to settle it.
- * @returns A failure that may have taken effect.
+ * Creates a failure with {@link ExitCode.OutcomeUnknown}.
+ *
+ * @param text What is unknown, and how to find it out.
+ * @returns The failure of a command that may have taken effect.
  */
 export function outcomeUnknown(text: FailureText) {
   return err<never, CommandFailure>({
--- a/packages/cli/src/command_runner.ts
+++ b/packages/cli/src/command_runner.ts
@@ -1,4 +1,4 @@
-/** Runs commands: prints how each ended and keeps the exit code. */
+/** Runs commands, prints their results and records the exit code. */
 
 import { randomUUID } from "node:crypto";
 import process from "node:process";
@@ -11,29 +11,30 @@
 } from "./command_result.ts";
 import { ExitCode } from "./exit_code.ts";
 
-/** Where a command writes. */
+/** Output streams of a command. */
 export interface CommandOutput {
-  /** Results, for people or programs to read. */
+  /** Writes results, for people or programs. */
   out(text: string): void;
-  /** Progress and failures. */
+  /** Writes progress and failures. */
   err(text: string): void;
 }
 
-/** What commands are handed. */
+/** Output, timer and id source that commands use. */
 export interface CommandServices {
   readonly output: CommandOutput;
-  /** Waits, and keeps the process alive meanwhile. */
+  /** Waits; the process stays alive until the delay has passed. */
   readonly sleep: Sleep;
-  /** @returns An id that nothing else has. */
+  /** @returns A unique id. */
   readonly newId: () => string;
 }
 
-/** Options that every command has. */
+/** Output options that every command has. */
 export interface OutputOptions {
+  /** Whether to print the result as JSON. */
   readonly json: boolean;
 }
 
-/** @returns The services of a process of its own. */
+/** @returns Services that use the streams and timers of this process. */
 export function processServices(): CommandServices {
   return {
     output: {
@@ -47,21 +48,22 @@
   };
 }
 
-/** Runs the command that was asked for. */
+/** Runs the requested command and holds its exit code. */
 export class CommandRunner {
   readonly services: CommandServices;
+  /** Exit code of the last command that ran. */
   exitCode = ExitCode.Done;
 
-  /** @param services What commands are handed. */
+  /** @param services Output, timer and id source of the commands. */
   constructor(services: CommandServices) {
     this.services = services;
   }
 
   /**
-   * Runs a command and prints how it ended.
+   * Runs a command, prints its result and records its exit code.
    *
    * @param options Whether to print JSON.
-   * @param run The command.
+   * @param run Action of the command.
    */
   async perform(
     options: OutputOptions,
@@ -69,18 +71,18 @@
   ): Promise<void> {
     const result = await run();
     result.match(
-      (report) => this.#report(report, options),
-      (failure) => this.#fail(failure, options),
+      (report) => this.#printReport(report, options),
+      (failure) => this.#printFailure(failure, options),
     );
   }
 
-  #report(report: CommandReport, { json }: OutputOptions): void {
+  #printReport(report: CommandReport, { json }: OutputOptions): void {
     this.exitCode = report.exitCode ?? ExitCode.Done;
     const { output } = this.services;
-    output.out(json ? jsonText(report.json) : endLine(report.text));
+    output.out(json ? jsonText(report.json) : endWithLineFeed(report.text));
   }
 
-  #fail(failure: CommandFailure, { json }: OutputOptions): void {
+  #printFailure(failure: CommandFailure, { json }: OutputOptions): void {
     const { exitCode, message, next, detail } = failure;
     this.exitCode = exitCode;
     const { output } = this.services;
@@ -92,7 +94,7 @@
   }
 }
 
-function endLine(text: string): string {
+function endWithLineFeed(text: string): string {
   return text === "" || text.endsWith("\n") ? text : `${text}\n`;
 }
 
--- a/packages/cli/src/drain_command.ts
+++ b/packages/cli/src/drain_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch drain`: lets a target or an instance finish its work. */
+/** `chestnuthatch drain`: drains a target or an instance, or ends a drain. */
 
 import { ChangeOutcomeKind } from "@chestnuthatch/settings/settings_change";
 import type { SettingsFault } from "@chestnuthatch/settings/settings_fault";
@@ -20,9 +20,13 @@
   OutputOptions,
 } from "./command_runner.ts";
 import { withPlatform } from "./platform_connection.ts";
-import { type ChangeEnd, makeChange, tellChange } from "./settings_change.ts";
+import {
+  type ChangeEnd,
+  proposeAndCommit,
+  reportChange,
+} from "./settings_change.ts";
 import { type CurrentSettings, SettingsStore } from "./settings_store.ts";
-import { faultyText, treeOf } from "./settings_text.ts";
+import { parseTree, settingsFaultFailure } from "./settings_text.ts";
 import {
   authorOption,
   type AuthorOptions,
@@ -32,7 +36,7 @@
   type PlatformOptions,
 } from "./shared_options.ts";
 
-/** What can be drained. */
+/** Kinds of components that can be drained. */
 enum DrainKind {
   Target = "target",
   Instance = "instance",
@@ -42,6 +46,7 @@
   readonly undo: boolean;
 }
 
+/** The requested change of a draining mark. */
 interface Drain {
   readonly kind: DrainKind;
   readonly name: string;
@@ -55,8 +60,8 @@
     content: string,
     drain: Drain,
   ) => Result<string, SettingsFault[]>;
-  /** What the operator may count on once it is in force. */
-  readonly promise: string;
+  /** What a drain does once the settings are in force, for the operator. */
+  readonly effect: string;
 }
 
 const HANDLERS: Readonly<Record<DrainKind, DrainHandler>> = {
@@ -64,26 +69,26 @@
     isDraining: (tree, name) => tree.targets[name]?.draining === true,
     edit: (content, { name, draining }) =>
       withTargetDraining(content, { targetId: name, draining }),
-    promise: "Instances that have it send the target no new work; what runs " +
+    effect: "Instances that have it send the target no new work; what runs " +
       "there goes on to its end.",
   },
   [DrainKind.Instance]: {
     isDraining: (tree, name) => tree.drainingInstances.includes(name),
     edit: (content, { name, draining }) =>
       withInstanceDraining(content, { instanceId: name, draining }),
-    promise: "Once it has it, the instance says that it is not ready and " +
+    effect: "Once it has it, the instance says that it is not ready and " +
       "coordinates nothing; what it holds goes on to its end.",
   },
 };
 
-const MAX_TRIES = 5;
-const PAUSE_MS = 200;
+const MAX_ATTEMPTS = 5;
+const RETRY_DELAY_MS = 200;
 
 /**
- * Adds the command.
+ * Adds the command `drain`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addDrainCommand(parent: Command, runner: CommandRunner): void {
   parent.command("drain")
@@ -109,27 +114,27 @@
       runner.perform(options, () => {
         const { undo, author } = options;
         const drain = { kind, name, draining: !undo, author };
-        return drainUnder(runner.services, drain, options);
+        return drainWithRetries(runner.services, drain, options);
       })
     );
 }
 
-function drainUnder(
+function drainWithRetries(
   services: CommandServices,
   drain: Drain,
   options: PlatformOptions,
 ): Promise<CommandResult> {
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      if (tries > 0) {
-        await services.sleep(PAUSE_MS);
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      if (attempt > 0) {
+        await services.sleep(RETRY_DELAY_MS);
       }
       const current = await store.current();
       if (current.isErr()) {
         return err(current.error);
       }
-      const end = await tryOnce(store, drain, {
+      const end = await proposeDrain(store, drain, {
         current: current.value,
         changeId: services.newId(),
       });
@@ -137,18 +142,21 @@
         return err(end.error);
       }
       if (end.value === undefined) {
-        return ok(nothingToDo(drain));
+        return ok(unchangedReport(drain));
       }
       if (end.value.kind === ChangeOutcomeKind.Committed) {
-        return await tellDrained(store, end.value, drain);
+        return await reportDrain(store, end.value, drain);
       }
     }
-    return lostEveryRace(drain);
+    return attemptsExhausted(drain);
   });
 }
 
-/** Nothing comes back where the settings say so already. */
-async function tryOnce(
+/**
+ * Proposes the drain on top of the current settings. Returns undefined if the
+ * settings already have the requested mark.
+ */
+async function proposeDrain(
   store: SettingsStore,
   drain: Drain,
   of: { readonly current: CurrentSettings; readonly changeId: string },
@@ -157,9 +165,9 @@
   const { headRow, value } = of.current;
   const { isDraining, edit } = HANDLERS[kind];
   const source = `Version ${value.version}`;
-  const content = treeOf(value.content, source).andThen((tree) =>
+  const content = parseTree(value.content, source).andThen((tree) =>
     edit(value.content, drain)
-      .mapErr((faults) => faultyText(source, faults))
+      .mapErr((faults) => settingsFaultFailure(source, faults))
       .map((text) => isDraining(tree, name) === draining ? undefined : text)
   );
   if (content.isErr()) {
@@ -168,7 +176,7 @@
   if (content.value === undefined) {
     return ok(undefined);
   }
-  return await makeChange(store, {
+  return await proposeAndCommit(store, {
     baseVersion: value.version,
     headRow,
     changeId: of.changeId,
@@ -178,18 +186,18 @@
   });
 }
 
-function tellDrained(
+function reportDrain(
   store: SettingsStore,
   end: ChangeEnd,
   { kind, name, draining }: Drain,
 ): Promise<CommandResult> {
   const line = draining
-    ? `${kind} ${name} drains. ${HANDLERS[kind].promise}`
+    ? `${kind} ${name} drains. ${HANDLERS[kind].effect}`
     : `${kind} ${name} takes new work again.`;
-  return tellChange(store, end, { lines: [line], json: { name, draining } });
+  return reportChange(store, end, { lines: [line], json: { name, draining } });
 }
 
-function nothingToDo({ kind, name, draining }: Drain) {
+function unchangedReport({ kind, name, draining }: Drain) {
   return {
     text: draining
       ? `${kind} ${name} is draining already; nothing was changed.`
@@ -198,9 +206,9 @@
   };
 }
 
-function lostEveryRace({ kind, name }: Drain): CommandResult {
+function attemptsExhausted({ kind, name }: Drain): CommandResult {
   return failed({
-    message: `Other changes were faster ${MAX_TRIES} times; ` +
+    message: `Other changes came first in all ${MAX_ATTEMPTS} attempts; ` +
       `${kind} ${name} is as it was.`,
     next: "See who changes the settings (chestnuthatch settings history), " +
       "then try again.",
--- a/packages/cli/src/embedded_fleet.ts
+++ b/packages/cli/src/embedded_fleet.ts
@@ -31,7 +31,7 @@
   readonly logOutput?: NodeJS.WritableStream;
 }
 
-const SECRET = "embedded-fleet-shared-secret";
+const PEER_SECRET = "embedded-fleet-shared-secret";
 /** Hosts of entry instances begin here, after those of the targets. */
 const FIRST_INSTANCE_HOST = 101;
 
@@ -60,14 +60,14 @@
    */
   static async start(options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
     const example = readExample(options.deployment);
-    const described = settingsOf(example, NO_VERSION + 1);
+    const exampleSettings = resolveContent(example, NO_VERSION + 1);
     const standins = await StandinFleet.start({
-      targets: standinTargetsOf(described),
+      targets: toStandinTargets(exampleSettings),
       platform: { listLagMs: 0 },
     });
     const content = withAddresses(example, standins);
     commitSettings(standins, content);
-    const settings = settingsOf(content, NO_VERSION + 1);
+    const settings = resolveContent(content, NO_VERSION + 1);
     const fleet = new EmbeddedFleet(standins, settings, options);
     await fleet.#startInstances();
     return fleet;
@@ -104,18 +104,20 @@
   }
 
   async #startInstances(): Promise<void> {
-    for (let number = 0; number < this.#options.instances; number++) {
-      await this.#startInstance(number);
+    for (let index = 0; index < this.#options.instances; index++) {
+      await this.#startInstance(index);
     }
   }
 
-  async #startInstance(number: number): Promise<void> {
+  async #startInstance(index: number): Promise<void> {
     const domains = this.failureDomains;
-    const domainIndex = number % domains.length;
+    const domainIndex = index % domains.length;
     const failureDomain = domains[domainIndex];
-    const place = Math.floor(number / domains.length);
-    const instanceId = `${failureDomain}-entry-${place + 1}`;
-    const host = `127.0.${domainIndex + 1}.${FIRST_INSTANCE_HOST + place}`;
+    const indexInDomain = Math.floor(index / domains.length);
+    const instanceId = `${failureDomain}-entry-${indexInDomain + 1}`;
+    const host = `127.0.${domainIndex + 1}.${
+      FIRST_INSTANCE_HOST + indexInDomain
+    }`;
     const instance = new EntryInstance(
       this.#startSettings({ instanceId, failureDomain, host }),
       { logOutput: this.#options.logOutput },
@@ -143,7 +145,7 @@
       failureDomain: of.failureDomain,
       region: this.settings.regionOfDomain.get(of.failureDomain)!,
       callers: { host: of.host, port: 0 },
-      peers: { host: of.host, port: 0, secret: SECRET },
+      peers: { host: of.host, port: 0, secret: PEER_SECRET },
       platform: { address: this.standins.platformAddress },
       log: { level: this.#options.logLevel ?? LogLevel.Warn },
     };
@@ -162,7 +164,7 @@
   return readFileSync(new URL(`${deployment}/settings.yaml`, folder), "utf8");
 }
 
-function settingsOf(content: string, version: number): SettingsInForce {
+function resolveContent(content: string, version: number): SettingsInForce {
   const tree = readSettings(content);
   if (tree.isErr()) {
     throw new Error(tree.error.map(describeFault).join("\n"));
@@ -170,7 +172,7 @@
   return resolveSettings(tree.value, version);
 }
 
-function standinTargetsOf(settings: SettingsInForce): StandinTarget[] {
+function toStandinTargets(settings: SettingsInForce): StandinTarget[] {
   return [...settings.targets.values()].map((target) => {
     const pool = settings.pools.get(target.pool)!;
     return { ...target, kind: pool.kind, model: pool.model };
--- a/packages/cli/src/fleet_status.ts
+++ b/packages/cli/src/fleet_status.ts
@@ -7,7 +7,7 @@
   type MemberStatus,
   type TargetStatus,
 } from "@chestnuthatch/core/status";
-import type { InstanceAnswers, SilentInstance } from "./instance_reads.ts";
+import type { InstanceAnswers, SilentInstance } from "./instance_queries.ts";
 
 /** One entry instance. */
 export interface FleetInstance {
@@ -73,15 +73,15 @@
   answers: InstanceAnswers<InstanceStatus>,
 ): FleetStatus {
   const statuses = answers.answers.map(({ value }) => value);
-  const instances = instancesOf(answers);
-  const shards = shardsOf(statuses);
+  const instances = mergeInstances(answers);
+  const shards = mergeShards(statuses);
   return {
     instances,
     silent: answers.silent,
     shards,
-    targets: targetsOf(statuses),
+    targets: mergeTargets(statuses),
     waitingByTier: addCounts(shards.map((shard) => shard.waitingByTier)),
-    versions: versionsOf(instances),
+    versions: groupByVersion(instances),
   };
 }
 
@@ -98,15 +98,15 @@
   );
 }
 
-function instancesOf(
+function mergeInstances(
   { answers }: InstanceAnswers<InstanceStatus>,
 ): FleetInstance[] {
   const byId = new Map(
     newestMembers(answers.map(({ value }) => value))
-      .map((member) => [member.instanceId, fromPeers(member)]),
+      .map((member) => [member.instanceId, instanceFromPeers(member)]),
   );
   for (const { address, value } of answers) {
-    byId.set(value.instanceId, fromItself(value, address));
+    byId.set(value.instanceId, instanceFromOwnStatus(value, address));
   }
   return sortedBy([...byId.values()], ({ instanceId }) => instanceId);
 }
@@ -128,7 +128,7 @@
     : left.incarnation > right.incarnation;
 }
 
-function fromPeers(member: MemberStatus): FleetInstance {
+function instanceFromPeers(member: MemberStatus): FleetInstance {
   const { instanceId, failureDomain, liveness, settingsVersion } = member;
   const reasons = member.leaving ? ["leaving, say its peers"] : [];
   return {
@@ -141,7 +141,10 @@
   };
 }
 
-function fromItself(status: InstanceStatus, address: string): FleetInstance {
+function instanceFromOwnStatus(
+  status: InstanceStatus,
+  address: string,
+): FleetInstance {
   const { instanceId, failureDomain, readiness, members } = status;
   const self = members.find((member) => member.instanceId === instanceId);
   return {
@@ -156,7 +159,7 @@
   };
 }
 
-function shardsOf(statuses: readonly InstanceStatus[]): FleetShard[] {
+function mergeShards(statuses: readonly InstanceStatus[]): FleetShard[] {
   const all = statuses.flatMap(({ instanceId, shards }) =>
     shards.map((shard) => ({ ...shard, coordinators: [instanceId] }))
   );
@@ -182,7 +185,7 @@
   };
 }
 
-function targetsOf(statuses: readonly InstanceStatus[]): FleetTarget[] {
+function mergeTargets(statuses: readonly InstanceStatus[]): FleetTarget[] {
   const views = statuses.flatMap(({ instanceId, targets }) =>
     targets.map((target) => ({ ...target, seenBy: instanceId }))
   );
@@ -190,12 +193,12 @@
   for (const view of views) {
     byId.set(view.targetId, [...byId.get(view.targetId) ?? [], view]);
   }
-  const merged = [...byId.values()].map((ofTarget) => ({
-    ...ofTarget.reduce((best, view) =>
-      loadAge(view) < loadAge(best) ? view : best
+  const merged = [...byId.values()].map((targetViews) => ({
+    ...targetViews.reduce((newest, view) =>
+      loadAge(view) < loadAge(newest) ? view : newest
     ),
-    leaving: ofTarget.some(({ leaving }) => leaving),
-    unreachableFrom: ofTarget.filter(({ health }) => health === UNREACHABLE)
+    leaving: targetViews.some(({ leaving }) => leaving),
+    unreachableFrom: targetViews.filter(({ health }) => health === UNREACHABLE)
       .map(({ seenBy }) => seenBy),
   }));
   return sortedBy(merged, ({ targetId }) => targetId);
@@ -205,7 +208,7 @@
   return loadAgeMs ?? Infinity;
 }
 
-function versionsOf(instances: readonly FleetInstance[]): VersionInForce[] {
+function groupByVersion(instances: readonly FleetInstance[]): VersionInForce[] {
   const byVersion = new Map<number, string[]>();
   for (const { instanceId, settingsVersion } of instances) {
     const ids = byVersion.get(settingsVersion) ?? [];
--- a/packages/cli/src/instance_reads.ts
+++ b/packages/cli/src/instance_queries.ts
@@ -1,4 +1,4 @@
-/** Asks entry instances what they know. */
+/** Queries entry instances for their status and for requests. */
 
 import type { InstanceStatus } from "@chestnuthatch/core/status";
 import type { RequestExplanation } from "@chestnuthatch/core/request_explanation";
@@ -10,28 +10,31 @@
 import { PROCESS_CLOCK } from "./platform_connection.ts";
 import { type InstanceOptions, INSTANCES_VARIABLE } from "./shared_options.ts";
 
-/** An instance that gave no usable answer. */
+/** An instance that gave no usable answer to a query. */
 export interface SilentInstance {
+  /** `host:port` of its interface for callers. */
   readonly address: string;
+  /** Why the query failed. */
   readonly reason: string;
 }
 
-/** What one instance said, with its address. */
+/** The answer of one instance to a query. */
 export interface InstanceAnswer<T> {
+  /** `host:port` of its interface for callers. */
   readonly address: string;
   readonly value: T;
 }
 
-/** What the instances asked said. */
+/** Results of one query to several instances, in the order of the addresses. */
 export interface InstanceAnswers<T> {
   readonly answers: readonly InstanceAnswer<T>[];
   readonly silent: readonly SilentInstance[];
 }
 
-/** A request's story as one instance tells it. */
-export interface InstanceStory {
+/** What one instance has recorded about a request. */
+export interface InstanceExplanation {
   readonly instanceId: string;
-  readonly story: RequestExplanation;
+  readonly explanation: RequestExplanation;
 }
 
 const TIMEOUT_MS = 5000;
@@ -40,12 +43,12 @@
 const STATUS_NOT_FOUND = 404;
 
 /**
- * Names the instances to ask.
+ * Reads the addresses of the entry instances from the options of a command.
  *
- * @param options The command's options.
- * @returns Their addresses, or that none is known.
+ * @param options Options of the command.
+ * @returns Addresses as `host:port`, or a failure if there is none.
  */
-export function instancesOf(
+export function instanceAddresses(
   { instance = [] }: InstanceOptions,
 ): Result<readonly string[], CommandFailure> {
   return instance.length > 0 ? ok(instance) : badInput({
@@ -55,51 +58,51 @@
 }
 
 /**
- * Asks every instance for its status.
+ * Reads the status of every instance.
  *
- * @param addresses The instances.
- * @returns Their statuses, and who gave none.
+ * @param addresses `host:port` of the instances.
+ * @returns The statuses, and the instances that returned none.
  */
 export function readStatuses(
   addresses: readonly string[],
 ): Promise<InstanceAnswers<InstanceStatus>> {
-  return askAll(addresses, readStatus);
+  return queryAll(addresses, readStatus);
 }
 
 /**
- * Asks every instance for a request's story.
+ * Reads what every instance has recorded about a request.
  *
- * @param addresses The instances.
- * @param requestId The request.
- * @returns The stories of those who know it; undefined for the others.
+ * @param addresses `host:port` of the instances.
+ * @param requestId Id of the request.
+ * @returns The explanations; undefined for instances without a record of it.
  */
-export function readStories(
+export function readExplanations(
   addresses: readonly string[],
   requestId: string,
-): Promise<InstanceAnswers<InstanceStory | undefined>> {
-  return askAll(addresses, (pool) => readStory(pool, requestId));
+): Promise<InstanceAnswers<InstanceExplanation | undefined>> {
+  return queryAll(addresses, (pool) => readExplanation(pool, requestId));
 }
 
-async function askAll<T>(
+async function queryAll<T>(
   addresses: readonly string[],
-  ask: (pool: Pool) => Promise<Result<T, string>>,
+  query: (pool: Pool) => Promise<Result<T, string>>,
 ): Promise<InstanceAnswers<T>> {
   const answers: InstanceAnswer<T>[] = [];
   const silent: SilentInstance[] = [];
   await Promise.all(addresses.map(async (address) => {
     const pool = new Pool(`http://${address}`, { connections: 1 });
-    const answer = await ask(pool);
+    const answer = await query(pool);
     await pool.destroy();
     answer.match(
       (value) => answers.push({ address, value }),
       (reason) => silent.push({ address, reason }),
     );
   }));
-  const place = ({ address }: { readonly address: string }) =>
+  const addressIndex = ({ address }: { readonly address: string }) =>
     addresses.indexOf(address);
   return {
-    answers: answers.sort((a, b) => place(a) - place(b)),
-    silent: silent.sort((a, b) => place(a) - place(b)),
+    answers: answers.sort((a, b) => addressIndex(a) - addressIndex(b)),
+    silent: silent.sort((a, b) => addressIndex(a) - addressIndex(b)),
   };
 }
 
@@ -114,10 +117,10 @@
   );
 }
 
-async function readStory(
+async function readExplanation(
   pool: Pool,
   requestId: string,
-): Promise<Result<InstanceStory | undefined, string>> {
+): Promise<Result<InstanceExplanation | undefined, string>> {
   const path = `/v1/why/${encodeURIComponent(requestId)}`;
   const read = await readJson(pool, path);
   if (read.isErr()) {
@@ -127,11 +130,11 @@
   if (statusCode === STATUS_NOT_FOUND) {
     return ok(undefined);
   }
-  if (statusCode !== STATUS_OK || !isStory(json)) {
-    return err(`no story (HTTP ${statusCode})`);
+  if (statusCode !== STATUS_OK || !isExplanation(json)) {
+    return err(`no explanation (HTTP ${statusCode})`);
   }
   const status = await readStatus(pool);
-  return status.map(({ instanceId }) => ({ instanceId, story: json }));
+  return status.map(({ instanceId }) => ({ instanceId, explanation: json }));
 }
 
 async function readJson(
@@ -160,8 +163,8 @@
     Array.isArray(status.targets);
 }
 
-function isStory(json: unknown): json is RequestExplanation {
-  const story = json as Partial<RequestExplanation> | null;
-  return typeof story?.requestId === "string" &&
-    Array.isArray(story.decisions) && Array.isArray(story.callLog);
+function isExplanation(json: unknown): json is RequestExplanation {
+  const explanation = json as Partial<RequestExplanation> | null;
+  return typeof explanation?.requestId === "string" &&
+    Array.isArray(explanation.decisions) && Array.isArray(explanation.callLog);
 }
--- a/packages/cli/src/load_command.ts
+++ b/packages/cli/src/load_command.ts
@@ -20,8 +20,8 @@
   OutputOptions,
 } from "./command_runner.ts";
 import { ExitCode } from "./exit_code.ts";
-import { instancesOf } from "./instance_reads.ts";
-import { loadItems } from "./load_items.ts";
+import { instanceAddresses } from "./instance_queries.ts";
+import { generateLoadItems } from "./load_items.ts";
 import { LoadTally } from "./load_tally.ts";
 import { sendPaced } from "./paced_sender.ts";
 import {
@@ -52,10 +52,10 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Adds the command.
+ * Adds the command `load`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addLoadCommand(parent: Command, runner: CommandRunner): void {
   parent.command("load")
@@ -104,16 +104,16 @@
   services: CommandServices,
   options: LoadOptions,
 ): Promise<CommandResult> {
-  const addresses = instancesOf(options);
+  const addresses = instanceAddresses(options);
   if (addresses.isErr()) {
     return err(addresses.error);
   }
-  const mix = mixOf(options);
+  const mix = readKindMix(options);
   if (mix.isErr()) {
     return err(mix.error);
   }
   const tally = new LoadTally({ answersQuotePrompt: options.standins });
-  const items = loadItems({
+  const items = generateLoadItems({
     deployment: options.deployment,
     seed: options.seed,
     durationMs: options.seconds * MS_PER_SECOND,
@@ -133,12 +133,12 @@
  * @returns The report; failed where a promise was broken.
  */
 export function tallyReport(tally: LoadTally) {
-  const { text, json, promisesBroken } = tally;
+  const { text, json, brokenPromiseCount: promisesBroken } = tally;
   const exitCode = promisesBroken === 0 ? ExitCode.Done : ExitCode.Failed;
   return { text, json, exitCode };
 }
 
-function mixOf(
+function readKindMix(
   { mix, deployment }: LoadOptions,
 ): Result<KindMix, CommandFailure> {
   const kinds = listWorkKinds(deployment);
@@ -163,10 +163,10 @@
     : ok(weights);
 }
 
-function addWeight(text: string, former: KindWeight[]): KindWeight[] {
+function addWeight(text: string, earlier: KindWeight[]): KindWeight[] {
   const match = /^([a-z-]+)=(\d+(?:\.\d+)?)$/.exec(text);
   if (match === null) {
     throw new InvalidArgumentError(`"${text}" is not kind=weight.`);
   }
-  return [...former, { kind: match[1], weight: Number(match[2]) }];
+  return [...earlier, { kind: match[1], weight: Number(match[2]) }];
 }
--- a/packages/cli/src/load_items.ts
+++ b/packages/cli/src/load_items.ts
@@ -19,7 +19,7 @@
   readonly runId: string;
 }
 
-const STRETCH_MS = 60_000;
+const CHUNK_MS = 60_000;
 
 /**
  * Generates requests; only one stretch is held at a time.
@@ -27,17 +27,19 @@
  * @param options What to generate.
  * @returns The requests in time order; the same for the same options.
  */
-export function* loadItems(options: LoadItemsOptions): Generator<WorkItem> {
+export function* generateLoadItems(
+  options: LoadItemsOptions,
+): Generator<WorkItem> {
   const { deployment, seed, durationMs, ratePerSecond, mix, runId } = options;
-  for (let i = 0; i * STRETCH_MS < durationMs; i++) {
-    const fromMs = i * STRETCH_MS;
-    const stretch = generateWorkload({
+  for (let i = 0; i * CHUNK_MS < durationMs; i++) {
+    const fromMs = i * CHUNK_MS;
+    const chunk = generateWorkload({
       deployment,
       seed: hash32(`${seed}/${i}`) | 0,
-      durationMs: Math.min(STRETCH_MS, durationMs - fromMs),
+      durationMs: Math.min(CHUNK_MS, durationMs - fromMs),
       phases: [{ fromMs: 0, ratePerSecond, mix }],
     });
-    for (const item of stretch) {
+    for (const item of chunk) {
       const idempotencyKey = item.idempotencyKey &&
         `${runId}-${item.idempotencyKey}`;
       yield { ...item, atMs: item.atMs + fromMs, idempotencyKey };
--- a/packages/cli/src/load_tally.ts
+++ b/packages/cli/src/load_tally.ts
@@ -3,7 +3,7 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import type { WorkItem } from "@chestnuthatch/standins/workload";
 import type { SentOutcome } from "./send_request.ts";
-import { alignColumns, section } from "./text_table.ts";
+import { alignColumns, sectionLines } from "./text_table.ts";
 
 /** What a tally checks besides counting. */
 export interface LoadTallyOptions {
@@ -19,30 +19,30 @@
   readonly count: number;
 }
 
-interface Row {
+interface TallyRow {
   readonly tier: string;
   readonly kind: string;
   sent: number;
   answered: number;
   readonly refused: Map<string, number>;
   broken: number;
-  readonly waits: Histogram;
-  readonly totals: Histogram;
+  readonly waitHistogram: Histogram;
+  readonly totalHistogram: Histogram;
 }
 
-const HIGHEST_TIME_MS = 3_600_000;
+const MAX_RECORDED_MS = 3_600_000;
 const PERCENTILES = [50, 95, 99] as const;
 const MAX_FAULTS_SHOWN = 20;
 /** The part of a prompt that stand-ins are sure to quote. */
-const QUOTED_CHARACTERS = 40;
+const QUOTED_PROMPT_CHARS = 40;
 
 /** Keeps the tally of one run. */
 export class LoadTally {
   readonly #options: LoadTallyOptions;
-  readonly #rows = new Map<string, Row>();
-  readonly #byTarget = new Map<string, number>();
+  readonly #rows = new Map<string, TallyRow>();
+  readonly #answersByTarget = new Map<string, number>();
   readonly #faults: string[] = [];
-  #heldBack = 0;
+  #notSentCount = 0;
 
   /** @param options What to check. */
   constructor(options: LoadTallyOptions) {
@@ -50,13 +50,13 @@
   }
 
   /** @param item A request that goes out. */
-  sent(item: WorkItem): void {
-    this.#row(item).sent += 1;
+  recordSent(item: WorkItem): void {
+    this.#rowFor(item).sent += 1;
   }
 
   /** Counts a request that was not sent, as too many were open. */
-  heldBack(): void {
-    this.#heldBack += 1;
+  recordNotSent(): void {
+    this.#notSentCount += 1;
   }
 
   /**
@@ -65,14 +65,17 @@
    * @param item The request.
    * @param outcome How it ended for its caller.
    */
-  ended(item: WorkItem, outcome: SentOutcome): void {
-    const row = this.#row(item);
+  recordOutcome(item: WorkItem, outcome: SentOutcome): void {
+    const row = this.#rowFor(item);
     if ("answer" in outcome) {
       const { targetId, waitedMs, totalMs, text } = outcome.answer;
       row.answered += 1;
-      recordMs(row.waits, waitedMs);
-      recordMs(row.totals, totalMs);
-      this.#byTarget.set(targetId, (this.#byTarget.get(targetId) ?? 0) + 1);
+      recordMs(row.waitHistogram, waitedMs);
+      recordMs(row.totalHistogram, totalMs);
+      this.#answersByTarget.set(
+        targetId,
+        (this.#answersByTarget.get(targetId) ?? 0) + 1,
+      );
       this.#checkText(item, text);
     } else if ("refusal" in outcome) {
       const { error, ran } = outcome.refusal;
@@ -90,7 +93,7 @@
   }
 
   /** How many promises were broken. */
-  get promisesBroken(): number {
+  get brokenPromiseCount(): number {
     return this.#faults.length;
   }
 
@@ -110,7 +113,7 @@
 
   /** One line on how far the run is. */
   get progressLine(): string {
-    const sum = (of: (row: Row) => number) =>
+    const sum = (of: (row: TallyRow) => number) =>
       [...this.#rows.values()].reduce((total, row) => total + of(row), 0);
     const sent = sum((row) => row.sent);
     const answered = sum((row) => row.answered);
@@ -123,9 +126,9 @@
   /** The result as tables. */
   get text(): string {
     return [
-      ...alignColumns([TABLE_HEADER, ...this.#sortedRows().map(cellsOf)]),
+      ...alignColumns([TABLE_HEADER, ...this.#sortedRows().map(tableCells)]),
       "",
-      ...section("refused", [
+      ...sectionLines("refused", [
         ["tier", "error", "ran", "requests"],
         ...this.refusals.map(({ tier, error, ran, count }) => [
           tier,
@@ -135,15 +138,17 @@
         ]),
       ]),
       "",
-      ...section("answers by target", [
+      ...sectionLines("answers by target", [
         ["target", "answers"],
-        ...[...this.#byTarget].sort().map(([id, count]) => [id, String(count)]),
+        ...[...this.#answersByTarget].sort().map((
+          [id, count],
+        ) => [id, String(count)]),
       ]),
       "",
-      ...this.#heldBack > 0
-        ? [`not sent, as too many were open: ${this.#heldBack}`]
+      ...this.#notSentCount > 0
+        ? [`not sent, as too many were open: ${this.#notSentCount}`]
         : [],
-      `promises broken: ${this.promisesBroken}`,
+      `promises broken: ${this.brokenPromiseCount}`,
       ...this.#faults.slice(0, MAX_FAULTS_SHOWN).map((fault) => `  ${fault}`),
     ].join("\n");
   }
@@ -152,28 +157,28 @@
   get json(): object {
     return {
       rows: this.#sortedRows().map((row) => ({
-        name: nameOf(row),
+        name: rowName(row),
         sent: row.sent,
         answered: row.answered,
         refused: Object.fromEntries(row.refused),
         broken: row.broken,
-        waitMs: percentilesOf(row.waits),
-        totalMs: percentilesOf(row.totals),
+        waitMs: percentiles(row.waitHistogram),
+        totalMs: percentiles(row.totalHistogram),
       })),
       refusals: this.refusals,
-      answersByTarget: Object.fromEntries(this.#byTarget),
-      heldBack: this.#heldBack,
+      answersByTarget: Object.fromEntries(this.#answersByTarget),
+      heldBack: this.#notSentCount,
       promisesBroken: this.#faults,
     };
   }
 
-  #sortedRows(): Row[] {
+  #sortedRows(): TallyRow[] {
     return [...this.#rows].sort(([a], [b]) => a < b ? -1 : 1)
       .map(([, row]) => row);
   }
 
-  #row({ tier, kind }: WorkItem): Row {
-    const name = nameOf({ tier, kind });
+  #rowFor({ tier, kind }: WorkItem): TallyRow {
+    const name = rowName({ tier, kind });
     const row = this.#rows.get(name) ?? {
       tier,
       kind,
@@ -181,16 +186,16 @@
       answered: 0,
       refused: new Map(),
       broken: 0,
-      waits: build({ highestTrackableValue: HIGHEST_TIME_MS }),
-      totals: build({ highestTrackableValue: HIGHEST_TIME_MS }),
+      waitHistogram: build({ highestTrackableValue: MAX_RECORDED_MS }),
+      totalHistogram: build({ highestTrackableValue: MAX_RECORDED_MS }),
     };
     this.#rows.set(name, row);
     return row;
   }
 
   #checkText(item: WorkItem, text: string): void {
-    const own = item.uniqueText.slice(-QUOTED_CHARACTERS);
-    if (this.#options.answersQuotePrompt && !text.includes(own)) {
+    const quotedText = item.uniqueText.slice(-QUOTED_PROMPT_CHARS);
+    if (this.#options.answersQuotePrompt && !text.includes(quotedText)) {
       this.#faults.push(`${item.kind} got an answer that is not its own`);
     }
   }
@@ -206,28 +211,28 @@
   ...PERCENTILES.map((p) => `total p${p} ms`),
 ];
 
-function cellsOf(row: Row): string[] {
-  const times = [row.waits, row.totals].flatMap((histogram) =>
+function tableCells(row: TallyRow): string[] {
+  const times = [row.waitHistogram, row.totalHistogram].flatMap((histogram) =>
     PERCENTILES.map((p) => histogram.getValueAtPercentile(p))
   );
   const counts = [row.sent, row.answered, countRefused(row), row.broken];
-  return [nameOf(row), ...[...counts, ...times].map(String)];
+  return [rowName(row), ...[...counts, ...times].map(String)];
 }
 
-function nameOf({ tier, kind }: Pick<Row, "tier" | "kind">): string {
+function rowName({ tier, kind }: Pick<TallyRow, "tier" | "kind">): string {
   return `${tier}/${kind}`;
 }
 
-function countRefused({ refused }: Row): number {
+function countRefused({ refused }: TallyRow): number {
   return [...refused.values()].reduce((sum, count) => sum + count, 0);
 }
 
 function recordMs(histogram: Histogram, timeMs: number): void {
   const wholeMs = Math.round(timeMs);
-  histogram.recordValue(Math.min(Math.max(wholeMs, 0), HIGHEST_TIME_MS));
+  histogram.recordValue(Math.min(Math.max(wholeMs, 0), MAX_RECORDED_MS));
 }
 
-function percentilesOf(histogram: Histogram): Record<string, number> {
+function percentiles(histogram: Histogram): Record<string, number> {
   return Object.fromEntries(
     PERCENTILES.map((p) => [`p${p}`, histogram.getValueAtPercentile(p)]),
   );
--- a/packages/cli/src/order_command.ts
+++ b/packages/cli/src/order_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch order`: gives one order to one engine. */
+/** `chestnuthatch order`: sends one order to one engine, under a lease. */
 
 import {
   type EngineOrder,
@@ -26,7 +26,7 @@
 import { ExitCode } from "./exit_code.ts";
 import { PROCESS_CLOCK, withPlatform } from "./platform_connection.ts";
 import { SettingsStore } from "./settings_store.ts";
-import { treeOf } from "./settings_text.ts";
+import { parseTree } from "./settings_text.ts";
 import {
   authorOption,
   type AuthorOptions,
@@ -47,9 +47,10 @@
   readonly value: string;
 }
 
+/** Exit code and texts for one outcome of an order. */
 interface OutcomeText {
   readonly exitCode: ExitCode;
-  readonly says: string;
+  readonly description: string;
   readonly next: string;
 }
 
@@ -60,52 +61,55 @@
   "set-role": OrderKind.SetRole,
 };
 
-const OUTCOMES: Readonly<Record<OrderOutcomeKind, OutcomeText>> = {
+const OUTCOME_TEXTS: Readonly<Record<OrderOutcomeKind, OutcomeText>> = {
   [OrderOutcomeKind.Obeyed]: {
     exitCode: ExitCode.Done,
-    says: "the target is as ordered",
+    description: "the target is as ordered",
     next: "",
   },
   [OrderOutcomeKind.NotAsOrdered]: {
     exitCode: ExitCode.Failed,
-    says: "the target answered, but is not as ordered",
+    description: "the target answered, but is not as ordered",
     next: "Look at its state; another order may have come after this one.",
   },
   [OrderOutcomeKind.RefusedAsOld]: {
     exitCode: ExitCode.Failed,
-    says: "the target has obeyed a later order and refused this one",
+    description: "the target has obeyed a later order and refused this one",
     next: "Look at its state, and give the order again if it still holds.",
   },
   [OrderOutcomeKind.HeldElsewhere]: {
     exitCode: ExitCode.Failed,
-    says: "another order was given meanwhile; this one was not sent",
+    description: "another order was given meanwhile; this one was not sent",
     next: "Speak with its author, and give the order again if it still holds.",
   },
   [OrderOutcomeKind.LeaseLapsed]: {
     exitCode: ExitCode.Failed,
-    says: "the lease ended before the order could be sent; it was not sent",
+    description:
+      "the lease ended before the order could be sent; it was not sent",
     next: "Give the order again.",
   },
   [OrderOutcomeKind.TargetUnreachable]: {
     exitCode: ExitCode.Failed,
-    says: "the target could not be reached; the order was not sent",
+    description: "the target could not be reached; the order was not sent",
     next: "Check the target and its address in the settings, then try again.",
   },
   [OrderOutcomeKind.StoreUnavailable]: {
     exitCode: ExitCode.Failed,
-    says: "the table gave no lease; the order was not sent",
+    description: "the table gave no lease; the order was not sent",
     next: "Try again once the platform answers; a lease that was written " +
       "after all is waited out then.",
   },
   [OrderOutcomeKind.RowUnreadable]: {
     exitCode: ExitCode.Failed,
-    says: "the target's row in the table is corrupt; the order was not sent",
-    next: "Have the platform's keepers remove the row once no order to this " +
+    description:
+      "the target's row in the table is corrupt; the order was not sent",
+    next:
+      "Have the platform's operators remove the row once no order to this " +
       "target can be under way.",
   },
   [OrderOutcomeKind.InDoubt]: {
     exitCode: ExitCode.OutcomeUnknown,
-    says: "the order was sent and may still be obeyed",
+    description: "the order was sent and may still be obeyed",
     next: "Give the order again: it waits until this one can no longer take " +
       "effect.",
   },
@@ -115,10 +119,10 @@
 const MAX_ORDER_DELAY_MS = 600_000;
 
 /**
- * Adds the command.
+ * Adds the command `order`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addOrderCommand(parent: Command, runner: CommandRunner): void {
   parent.command("order")
@@ -154,12 +158,12 @@
     ) =>
       runner.perform(options, () => {
         const input = { targetId, kind: KIND_BY_NAME[name], value };
-        return giveOrder(input, runner.services, options);
+        return issueOrder(input, runner.services, options);
       })
     );
 }
 
-function giveOrder(
+function issueOrder(
   input: OrderInput,
   services: CommandServices,
   options: OrderOptions,
@@ -167,7 +171,7 @@
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
     const order = (await store.current()).andThen(({ value }) =>
-      treeOf(value.content, `Version ${value.version}`)
+      parseTree(value.content, `Version ${value.version}`)
         .andThen((tree) => orderFor(tree, input))
     );
     if (order.isErr()) {
@@ -177,8 +181,11 @@
       `Taking the lease on ${input.targetId}; another's unsettled order is ` +
         "waited out first.\n",
     );
-    const outcome = await giveAt(platform, order.value, { services, options });
-    return resultOf(order.value, outcome);
+    const outcome = await issueUnderLease(platform, order.value, {
+      services,
+      options,
+    });
+    return orderResult(order.value, outcome);
   });
 }
 
@@ -208,12 +215,12 @@
   });
 }
 
-async function giveAt(
+async function issueUnderLease(
   platform: PlatformHttp,
   order: EngineOrder,
   of: { readonly services: CommandServices; readonly options: OrderOptions },
 ): Promise<OrderOutcome> {
-  const desk = new OrderIssuer({
+  const issuer = new OrderIssuer({
     platform,
     holder: of.options.author,
     clock: PROCESS_CLOCK,
@@ -222,15 +229,18 @@
     maxOrderDelayMs: of.options.maxOrderDelayMs,
   });
   try {
-    return await desk.issue(order);
+    return await issuer.issue(order);
   } finally {
-    await desk.stop();
+    await issuer.stop();
   }
 }
 
-function resultOf(order: EngineOrder, outcome: OrderOutcome): CommandResult {
-  const { exitCode, says, next } = OUTCOMES[outcome.kind];
-  const text = [`Order ${outcome.orderId}: ${says}.`, ...stateLines(outcome)]
+function orderResult(order: EngineOrder, outcome: OrderOutcome): CommandResult {
+  const { exitCode, description, next } = OUTCOME_TEXTS[outcome.kind];
+  const text = [
+    `Order ${outcome.orderId}: ${description}.`,
+    ...stateLines(outcome),
+  ]
     .join("\n");
   if (exitCode === ExitCode.Done) {
     return ok({ text, json: { ...order, ...outcome } });
--- a/packages/cli/src/paced_sender.ts
+++ b/packages/cli/src/paced_sender.ts
@@ -19,7 +19,7 @@
 }
 
 const MAX_OPEN_REQUESTS = 4000;
-const PROGRESS_MS = 2000;
+const PROGRESS_INTERVAL_MS = 2000;
 
 /**
  * Sends requests and waits for their outcomes; each has a timeout of its own.
@@ -34,7 +34,7 @@
   const { tally, output } = options;
   const progress = setInterval(
     () => output.err(`${tally.progressLine}\n`),
-    PROGRESS_MS,
+    PROGRESS_INTERVAL_MS,
   );
   try {
     await sendAll(items, options);
@@ -48,24 +48,24 @@
   { addresses, tally, sleep }: PacedSenderOptions,
 ): Promise<void> {
   const startedAtMs = performance.now();
-  const open = new Set<Promise<void>>();
-  let number = 0;
+  const inFlight = new Set<Promise<void>>();
+  let sentCount = 0;
   for (const item of items) {
     const waitMs = item.atMs - (performance.now() - startedAtMs);
     if (waitMs > 0) {
       await sleep(waitMs);
     }
-    if (open.size >= MAX_OPEN_REQUESTS) {
-      tally.heldBack();
+    if (inFlight.size >= MAX_OPEN_REQUESTS) {
+      tally.recordNotSent();
       continue;
     }
-    const address = addresses[number % addresses.length];
+    const address = addresses[sentCount % addresses.length];
     const sending: Promise<void> = sendItem(item, address, tally)
-      .finally(() => open.delete(sending));
-    open.add(sending);
-    number += 1;
+      .finally(() => inFlight.delete(sending));
+    inFlight.add(sending);
+    sentCount += 1;
   }
-  await Promise.all(open);
+  await Promise.all(inFlight);
 }
 
 async function sendItem(
@@ -73,7 +73,7 @@
   address: string,
   tally: LoadTally,
 ): Promise<void> {
-  tally.sent(item);
+  tally.recordSent(item);
   const outcome = await sendRequest(address, {
     workspace: item.workspace,
     tier: item.tier,
@@ -85,5 +85,5 @@
     idempotent: item.idempotent,
     idempotencyKey: item.idempotencyKey,
   });
-  tally.ended(item, outcome);
+  tally.recordOutcome(item, outcome);
 }
--- a/packages/cli/src/platform_connection.ts
+++ b/packages/cli/src/platform_connection.ts
@@ -50,7 +50,7 @@
  * @param fault What failed.
  * @returns The failure; nothing was changed.
  */
-export function readFailure(fault: PlatformFault): CommandFailure {
+export function tableReadFailure(fault: PlatformFault): CommandFailure {
   return {
     exitCode: ExitCode.Failed,
     message: `The platform's table cannot be read (${fault}); ` +
--- /dev/null
+++ b/packages/cli/src/request_timeline.ts
@@ -0,0 +1,83 @@
+/** Merges the records of several instances about one request. */
+
+import type { DecisionEntry } from "@chestnuthatch/core/decision_log";
+import type { InstanceExplanation } from "./instance_queries.ts";
+
+/** One step in the processing of a request, recorded by one instance. */
+export interface TimelineStep {
+  readonly instanceId: string;
+  /**
+   * Milliseconds since the first step of the same instance. Clocks of different
+   * instances are never compared.
+   */
+  readonly sinceFirstMs: number;
+  /** Component that recorded the step. */
+  readonly by: string;
+  readonly text: string;
+}
+
+/** Steps of one request across instances; printed as JSON. */
+export interface RequestTimeline {
+  readonly requestId: string;
+  /** Instance that accepted it from its caller; absent if none answered. */
+  readonly holderId?: string;
+  /** Record of the holder; absent if the holder did not answer. */
+  readonly holder?: InstanceExplanation["explanation"];
+  readonly steps: readonly TimelineStep[];
+}
+
+/**
+ * Merges stories. The holder's steps keep their order. Another instance's
+ * steps stand before the holder's step that first names that instance, which
+ * it took on that instance's word.
+ *
+ * @param requestId The request.
+ * @param explanations What instances remember of it.
+ * @returns One story.
+ */
+export function mergeExplanations(
+  requestId: string,
+  explanations: readonly InstanceExplanation[],
+): RequestTimeline {
+  const holder = explanations.find(({ explanation: story }) =>
+    story.state !== undefined
+  );
+  const others = explanations.filter((story) => story !== holder);
+  let steps = holder === undefined ? [] : timelineSteps(holder);
+  for (const other of others) {
+    steps = insertSteps(steps, other);
+  }
+  return {
+    requestId,
+    holderId: holder?.instanceId,
+    holder: holder?.explanation,
+    steps,
+  };
+}
+
+function timelineSteps(
+  { instanceId, explanation: story }: InstanceExplanation,
+): TimelineStep[] {
+  const firstAtMs = story.decisions.at(0)?.atMs ?? 0;
+  return story.decisions.map(({ atMs, by, text }: DecisionEntry) => ({
+    instanceId,
+    sinceFirstMs: atMs - firstAtMs,
+    by,
+    text,
+  }));
+}
+
+function insertSteps(
+  steps: readonly TimelineStep[],
+  other: InstanceExplanation,
+): TimelineStep[] {
+  const namingIndex = steps.findIndex(({ instanceId, text }) =>
+    instanceId !== other.instanceId && text.includes(other.instanceId)
+  );
+  const insertIndex = namingIndex < 0 ? steps.length : namingIndex;
+  return [
+    ...steps.slice(0, insertIndex),
+    ...timelineSteps(other),
+    ...steps.slice(insertIndex),
+  ];
+}
--- a/packages/cli/src/send_command.ts
+++ b/packages/cli/src/send_command.ts
@@ -20,7 +20,7 @@
   OutputOptions,
 } from "./command_runner.ts";
 import { ExitCode } from "./exit_code.ts";
-import { instancesOf } from "./instance_reads.ts";
+import { instanceAddresses } from "./instance_queries.ts";
 import { readTextFile } from "./read_file.ts";
 import { sendRequest, type SentOutcome } from "./send_request.ts";
 import {
@@ -65,10 +65,10 @@
 ]);
 
 /**
- * Adds the command.
+ * Adds the command `send`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addSendCommand(parent: Command, runner: CommandRunner): void {
   const count = wholeNumber(1);
@@ -106,27 +106,31 @@
   services: CommandServices,
   options: SendOptions,
 ): Promise<CommandResult> {
-  const addresses = instancesOf(options);
+  const addresses = instanceAddresses(options);
   if (addresses.isErr()) {
     return err(addresses.error);
   }
-  const body = bodyOf(options);
+  const body = readBody(options);
   if (body.isErr()) {
     return err(body.error);
   }
   const [address] = addresses.value;
   const streams = options.stream && !options.json;
-  const outcome = await sendRequest(address, requestOf(options, body.value), {
-    onText: (text) => {
-      if (streams) {
-        services.output.out(text);
-      }
+  const outcome = await sendRequest(
+    address,
+    buildRequest(options, body.value),
+    {
+      onText: (text) => {
+        if (streams) {
+          services.output.out(text);
+        }
+      },
     },
-  });
-  return resultOf(outcome, { address, streams });
+  );
+  return toCommandResult(outcome, { address, streams });
 }
 
-function bodyOf(
+function readBody(
   { body, bodyFile }: SendOptions,
 ): Result<string, CommandFailure> {
   if (bodyFile !== undefined) {
@@ -138,7 +142,7 @@
   });
 }
 
-function requestOf(options: SendOptions, body: string): CallerRequest {
+function buildRequest(options: SendOptions, body: string): CallerRequest {
   const { workspace, tier, pool, idempotent, idempotencyKey } = options;
   const { promptTokens, maxOutputTokens, deadlineMs, stream } = options;
   return {
@@ -155,7 +159,7 @@
   };
 }
 
-function resultOf(
+function toCommandResult(
   outcome: SentOutcome,
   of: { readonly address: string; readonly streams: boolean },
 ): CommandResult {
--- a/packages/cli/src/send_request.ts
+++ b/packages/cli/src/send_request.ts
@@ -65,7 +65,9 @@
   body: CallerRequest,
   options: SendOptions = {},
 ): Promise<SentOutcome> {
-  const reader = body.stream ? new StreamReader(options) : new BodyReader();
+  const reader = body.stream
+    ? new EventStreamReader(options)
+    : new JsonBodyReader();
   const timeoutMs = body.deadlineMs === undefined
     ? DEFAULT_TIMEOUT_MS
     : body.deadlineMs + TIMEOUT_MARGIN_MS;
@@ -85,7 +87,7 @@
           exchange.abort(REASON_TOO_LARGE);
         }
       },
-      onEnd: (end) => resolve(outcomeOf(end, reader)),
+      onEnd: (end) => resolve(toOutcome(end, reader)),
     }, {
       clock: PROCESS_CLOCK,
       deadlineAtMs: PROCESS_CLOCK.nowMs() + timeoutMs,
@@ -101,7 +103,7 @@
   );
 }
 
-function outcomeOf(
+function toOutcome(
   { reason, sent }: ExchangeEnd,
   reader: ResponseReader,
 ): SentOutcome {
@@ -112,7 +114,7 @@
 }
 
 /** Reads one JSON body. */
-class BodyReader implements ResponseReader {
+class JsonBodyReader implements ResponseReader {
   readonly #decoder = new TextDecoder();
   #text = "";
 
@@ -126,7 +128,7 @@
 }
 
 /** Reads events, one a line, of which the last is the outcome. */
-class StreamReader implements ResponseReader {
+class EventStreamReader implements ResponseReader {
   readonly #options: SendOptions;
   readonly #lines = new NdjsonReader(MAX_LINE_BYTES);
   readonly #handlers: {
@@ -153,15 +155,15 @@
   }
 
   push(chunk: Buffer): void {
-    this.#lines.push(chunk, (value) => this.#take(value));
+    this.#lines.push(chunk, (value) => this.#handleLine(value));
   }
 
   end(): SentOutcome | undefined {
-    this.#lines.end((value) => this.#take(value));
+    this.#lines.end((value) => this.#handleLine(value));
     return this.#outcome;
   }
 
-  #take(value: unknown): void {
+  #handleLine(value: unknown): void {
     const event = callerEventSchema.safeParse(value);
     if (event.success) {
       const handler = this.#handlers[event.data.kind] as (
--- a/packages/cli/src/settings_change.ts
+++ b/packages/cli/src/settings_change.ts
@@ -1,4 +1,4 @@
-/** Makes one change of the settings, and tells a lost race readably. */
+/** Commits a change of the settings and reports its outcome. */
 
 import {
   type ChangeDraft,
@@ -23,9 +23,9 @@
   failed,
 } from "./command_result.ts";
 import type { SettingsStore } from "./settings_store.ts";
-import { faultyText, treeOf } from "./settings_text.ts";
+import { parseTree, settingsFaultFailure } from "./settings_text.ts";
 
-/** How a change ended for certain. */
+/** Known outcome of a change: committed, or lost to a concurrent change. */
 export type ChangeEnd =
   | {
     readonly kind: ChangeOutcomeKind.Committed;
@@ -35,27 +35,27 @@
   | {
     readonly kind: ChangeOutcomeKind.LostRace;
     readonly baseVersion: number;
-    /** The newest version known. */
+    /** Newest version in the table. */
     readonly currentVersion: number;
   };
 
-type FaultOf<K extends ChangeFaultKind> = Extract<
+type FaultWithKind<K extends ChangeFaultKind> = Extract<
   ChangeFault,
   { readonly kind: K }
 >;
 type FaultHandlers = {
   readonly [K in ChangeFaultKind]: (
-    fault: FaultOf<K>,
+    fault: FaultWithKind<K>,
   ) => Result<ChangeEnd, CommandFailure>;
 };
 
 const FAULT_HANDLERS: FaultHandlers = {
   [ChangeFaultKind.BadContent]: ({ faults }) =>
-    err(faultyText("The new text", faults)),
+    err(settingsFaultFailure("The new text", faults)),
   [ChangeFaultKind.BadRow]: ({ fault }) =>
     failed({
-      message: `Row ${fault.key} is not taken: ${fault.message}.`,
-      next: "Have the platform's keepers restore the row.",
+      message: `Row ${fault.key} is invalid: ${fault.message}.`,
+      next: "Have the platform's operators restore the row.",
       detail: { fault },
     }),
   [ChangeFaultKind.BadNote]: ({ message }) =>
@@ -65,28 +65,28 @@
 };
 
 /**
- * Proposes a change and sends it.
+ * Proposes a change and commits it.
  *
- * @param store The settings' rows.
- * @param draft The change.
- * @returns How it ended, or why that is not known or was never tried.
+ * @param store Store of the settings.
+ * @param draft Content, author and base version of the change.
+ * @returns Its outcome, or why it is unknown or was not attempted.
  */
-export async function makeChange(
+export async function proposeAndCommit(
   store: SettingsStore,
   draft: ChangeDraft,
 ): Promise<Result<ChangeEnd, CommandFailure>> {
   const change = proposeChange(draft);
   return change.isErr()
-    ? endOfFault(change.error)
+    ? changeEndFromFault(change.error)
     : await commitChange(store, change.value);
 }
 
 /**
- * Sends a change that is ready.
+ * Commits a proposed change.
  *
- * @param store The settings' rows.
- * @param change The change.
- * @returns How it ended, or why that is not known.
+ * @param store Store of the settings.
+ * @param change The proposed change.
+ * @returns Its outcome, or why it is unknown.
  */
 export async function commitChange(
   store: SettingsStore,
@@ -106,12 +106,12 @@
 }
 
 /**
- * Turns a fault of a proposal into how the change ended.
+ * Converts a fault of a proposal into the outcome of the change.
  *
- * @param fault The fault.
- * @returns A stale base is a lost race; all else is a failure.
+ * @param fault Why no change could be proposed.
+ * @returns A lost race for a stale base, a failure for any other fault.
  */
-export function endOfFault(
+export function changeEndFromFault(
   fault: ChangeFault,
 ): Result<ChangeEnd, CommandFailure> {
   const handler = FAULT_HANDLERS[fault.kind] as (
@@ -121,17 +121,17 @@
 }
 
 /**
- * Tells an operator how a change ended.
+ * Reports the outcome of a change to the operator.
  *
- * @param store The settings' rows.
- * @param end How it ended.
- * @param about What is said when it was committed.
- * @returns The report, or what changed under the operator.
+ * @param store Store of the settings.
+ * @param end Outcome of the change.
+ * @param details Lines and JSON fields to add to the report of a commit.
+ * @returns The report, or a failure that lists the concurrent changes.
  */
-export async function tellChange(
+export async function reportChange(
   store: SettingsStore,
   end: ChangeEnd,
-  about: { readonly lines?: readonly string[]; readonly json?: object } = {},
+  details: { readonly lines?: readonly string[]; readonly json?: object } = {},
 ): Promise<CommandResult> {
   if (end.kind === ChangeOutcomeKind.LostRace) {
     return err(await lostRaceFailure(store, end));
@@ -139,10 +139,10 @@
   const { version, changeId } = end;
   const text = [
     `Accepted as version ${version} (change ${changeId}).`,
-    ...about.lines ?? [],
+    ...details.lines ?? [],
     "See where it is in force: chestnuthatch settings status",
   ].join("\n");
-  return ok({ text, json: { version, changeId, ...about.json } });
+  return ok({ text, json: { version, changeId, ...details.json } });
 }
 
 /**
@@ -150,27 +150,27 @@
  *
  * @param before The earlier text; absent for none.
  * @param after The later text.
- * @returns The differences; none where either cannot be read.
+ * @returns The differences; none if either text has faults.
  */
-export function differencesOf(
+export function diffContents(
   before: string | undefined,
   after: string,
 ): SettingsDifference[] {
   if (before === undefined) {
     return [];
   }
-  return treeOf(before, "before")
+  return parseTree(before, "before")
     .andThen((tree) =>
-      treeOf(after, "after").map((newTree) => diffTrees(tree, newTree))
+      parseTree(after, "after").map((newTree) => diffTrees(tree, newTree))
     )
     .unwrapOr([]);
 }
 
 /**
- * Words differences for people.
+ * Formats differences for people.
  *
- * @param differences The differences.
- * @returns One indented line for each.
+ * @param differences Differences between two settings trees.
+ * @returns One indented line for each difference.
  */
 export function differenceLines(
   differences: readonly SettingsDifference[],
@@ -192,7 +192,7 @@
   const newest = (await store.version(currentVersion)).unwrapOr(undefined);
   const differences = newest === undefined
     ? []
-    : differencesOf(base?.value.content, newest.value.content);
+    : diffContents(base?.value.content, newest.value.content);
   return failed({
     message: [
       `Not accepted: version ${currentVersion} is newer than your base, ` +
@@ -222,9 +222,9 @@
 }
 
 /**
- * Words who made a version and why.
+ * Formats the author, note and change id of a version.
  *
- * @param version The version.
+ * @param version Version of the settings.
  * @returns One line.
  */
 export function describeVersion(version: SettingsVersion): string {
--- a/packages/cli/src/settings_check_command.ts
+++ b/packages/cli/src/settings_check_command.ts
@@ -4,14 +4,14 @@
 import type { CommandResult } from "./command_result.ts";
 import type { CommandRunner, OutputOptions } from "./command_runner.ts";
 import { readTextFile } from "./read_file.ts";
-import { treeOf } from "./settings_text.ts";
+import { parseTree } from "./settings_text.ts";
 import { examples, jsonOption } from "./shared_options.ts";
 
 /**
- * Adds the command.
+ * Adds the command `settings check`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsCheckCommand(
   parent: Command,
@@ -29,7 +29,7 @@
 
 function checkFile(file: string): CommandResult {
   return readTextFile(file)
-    .andThen((content) => treeOf(content, file))
+    .andThen((content) => parseTree(content, file))
     .map((tree) => {
       const counts = {
         workspaces: Object.keys(tree.workspaces).length,
--- a/packages/cli/src/settings_diff_command.ts
+++ b/packages/cli/src/settings_diff_command.ts
@@ -14,7 +14,7 @@
 import { readTextFile } from "./read_file.ts";
 import { differenceLines } from "./settings_change.ts";
 import { SettingsStore } from "./settings_store.ts";
-import { treeOf } from "./settings_text.ts";
+import { parseTree } from "./settings_text.ts";
 import {
   examples,
   jsonOption,
@@ -36,10 +36,10 @@
 const VERSION_PATTERN = /^[1-9]\d*$/;
 
 /**
- * Adds the command.
+ * Adds the command `settings diff`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsDiffCommand(
   parent: Command,
@@ -110,7 +110,9 @@
 function readFileTree(
   path: string,
 ): Promise<Result<SettingsTree, CommandFailure>> {
-  const tree = readTextFile(path).andThen((content) => treeOf(content, path));
+  const tree = readTextFile(path).andThen((content) =>
+    parseTree(content, path)
+  );
   return Promise.resolve(tree);
 }
 
@@ -120,6 +122,6 @@
 ): Promise<Result<SettingsTree, CommandFailure>> {
   const read = await store.version(Number(side));
   return read.andThen(({ value }) =>
-    treeOf(value.content, `Version ${value.version}`)
+    parseTree(value.content, `Version ${value.version}`)
   );
 }
--- a/packages/cli/src/settings_explain_command.ts
+++ b/packages/cli/src/settings_explain_command.ts
@@ -22,7 +22,7 @@
 import { withPlatform } from "./platform_connection.ts";
 import { readTextFile } from "./read_file.ts";
 import { SettingsStore } from "./settings_store.ts";
-import { treeOf } from "./settings_text.ts";
+import { parseTree } from "./settings_text.ts";
 import {
   examples,
   jsonOption,
@@ -43,10 +43,10 @@
 };
 
 /**
- * Adds the command.
+ * Adds the command `settings explain`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsExplainCommand(
   parent: Command,
@@ -79,13 +79,13 @@
   const { file } = options;
   if (file !== undefined) {
     return readTextFile(file)
-      .andThen((content) => treeOf(content, file))
+      .andThen((content) => parseTree(content, file))
       .andThen((tree) => explainTree(tree, options));
   }
   return await withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
     return (await store.current()).andThen(({ value }) =>
-      treeOf(value.content, `Version ${value.version}`)
+      parseTree(value.content, `Version ${value.version}`)
         .andThen((tree) => explainTree(tree, options))
     );
   });
--- a/packages/cli/src/settings_history_command.ts
+++ b/packages/cli/src/settings_history_command.ts
@@ -26,10 +26,10 @@
 const MAX_LIMIT = 100;
 
 /**
- * Adds the command.
+ * Adds the command `settings history`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsHistoryCommand(
   parent: Command,
@@ -57,11 +57,11 @@
 ): Promise<CommandResult> {
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    return (await store.history(options.limit)).map(reportOf);
+    return (await store.history(options.limit)).map(historyReport);
   });
 }
 
-function reportOf(entries: readonly HistoryEntry[]): CommandReport {
+function historyReport(entries: readonly HistoryEntry[]): CommandReport {
   const header = ["version", "author", "change", "note"];
   const rows = entries.map((entry) =>
     entry.match(
--- a/packages/cli/src/settings_propose_command.ts
+++ b/packages/cli/src/settings_propose_command.ts
@@ -15,13 +15,13 @@
 import { withPlatform } from "./platform_connection.ts";
 import { readTextFile } from "./read_file.ts";
 import {
+  diffContents,
   differenceLines,
-  differencesOf,
-  makeChange,
-  tellChange,
+  proposeAndCommit,
+  reportChange,
 } from "./settings_change.ts";
 import { SettingsStore } from "./settings_store.ts";
-import { treeOf } from "./settings_text.ts";
+import { parseTree } from "./settings_text.ts";
 import {
   authorOption,
   type AuthorOptions,
@@ -45,10 +45,10 @@
 }
 
 /**
- * Adds the command.
+ * Adds the command `settings propose`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsProposeCommand(
   parent: Command,
@@ -85,18 +85,19 @@
   options: ProposeOptions,
 ): Promise<CommandResult> {
   const content = readTextFile(file)
-    .andThen((text) => treeOf(text, file).map(() => text));
+    .andThen((text) => parseTree(text, file).map(() => text));
   if (content.isErr()) {
     return err(content.error);
   }
   const proposal = { content: content.value, services, options };
   return await withPlatform(
     options,
-    (platform) => send(new SettingsStore(platform, services.sleep), proposal),
+    (platform) =>
+      proposeOnBase(new SettingsStore(platform, services.sleep), proposal),
   );
 }
 
-async function send(
+async function proposeOnBase(
   store: SettingsStore,
   { content, services, options }: Proposal,
 ): Promise<CommandResult> {
@@ -108,22 +109,22 @@
   const { base: baseVersion, author, note } = options;
   if (currentVersion !== baseVersion) {
     const kind = ChangeOutcomeKind.LostRace;
-    return await tellChange(store, { kind, baseVersion, currentVersion });
+    return await reportChange(store, { kind, baseVersion, currentVersion });
   }
-  const differences = await differencesFrom(store, baseVersion, content);
+  const differences = await diffFromBase(store, baseVersion, content);
   const lines = differenceLines(differences);
   if (options.dryRun) {
     return ok(dryRunReport(baseVersion, { lines, differences }));
   }
   const changeId = services.newId();
   const draft = { baseVersion, headRow, changeId, author, note, content };
-  const end = await makeChange(store, draft);
+  const end = await proposeAndCommit(store, draft);
   return end.isErr()
     ? err(end.error)
-    : await tellChange(store, end.value, { lines, json: { differences } });
+    : await reportChange(store, end.value, { lines, json: { differences } });
 }
 
-async function differencesFrom(
+async function diffFromBase(
   store: SettingsStore,
   baseVersion: number,
   content: string,
@@ -131,7 +132,7 @@
   const base = baseVersion === NO_VERSION
     ? undefined
     : (await store.version(baseVersion)).unwrapOr(undefined);
-  return differencesOf(base?.value.content, content);
+  return diffContents(base?.value.content, content);
 }
 
 function dryRunReport(
--- a/packages/cli/src/settings_revert_command.ts
+++ b/packages/cli/src/settings_revert_command.ts
@@ -11,11 +11,11 @@
 } from "./command_runner.ts";
 import { withPlatform } from "./platform_connection.ts";
 import {
+  changeEndFromFault,
   commitChange,
+  diffContents,
   differenceLines,
-  differencesOf,
-  endOfFault,
-  tellChange,
+  reportChange,
 } from "./settings_change.ts";
 import { SettingsStore } from "./settings_store.ts";
 import {
@@ -31,10 +31,10 @@
 type RevertOptions = PlatformOptions & AuthorOptions & OutputOptions;
 
 /**
- * Adds the command.
+ * Adds the command `settings revert`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsRevertCommand(
   parent: Command,
@@ -63,29 +63,32 @@
     if (current.isErr()) {
       return err(current.error);
     }
-    const former = await store.version(version);
-    if (former.isErr()) {
-      return err(former.error);
+    const earlier = await store.version(version);
+    if (earlier.isErr()) {
+      return err(earlier.error);
     }
     const { headRow, value } = current.value;
-    if (former.value.value.contentHash === value.contentHash) {
+    if (earlier.value.value.contentHash === value.contentHash) {
       return ok(nothingToRevert(version, value.version));
     }
-    const change = revertTo(former.value.row, {
+    const change = revertTo(earlier.value.row, {
       headRow,
       changeId: services.newId(),
       author: options.author,
     });
     const end = change.isErr()
-      ? endOfFault(change.error)
+      ? changeEndFromFault(change.error)
       : await commitChange(store, change.value);
     if (end.isErr()) {
       return err(end.error);
     }
-    const { content } = former.value.value;
-    const differences = differencesOf(value.content, content);
+    const { content } = earlier.value.value;
+    const differences = diffContents(value.content, content);
     const lines = differenceLines(differences);
-    return await tellChange(store, end.value, { lines, json: { differences } });
+    return await reportChange(store, end.value, {
+      lines,
+      json: { differences },
+    });
   });
 }
 
--- a/packages/cli/src/settings_show_command.ts
+++ b/packages/cli/src/settings_show_command.ts
@@ -23,10 +23,10 @@
 }
 
 /**
- * Adds the command.
+ * Adds the command `settings show`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsShowCommand(
   parent: Command,
--- a/packages/cli/src/settings_status_command.ts
+++ b/packages/cli/src/settings_status_command.ts
@@ -14,7 +14,7 @@
   liveInstances,
   mergeStatuses,
 } from "./fleet_status.ts";
-import { instancesOf, readStatuses } from "./instance_reads.ts";
+import { instanceAddresses, readStatuses } from "./instance_queries.ts";
 import { withPlatform } from "./platform_connection.ts";
 import { SettingsStore } from "./settings_store.ts";
 import {
@@ -30,10 +30,10 @@
 type StatusOptions = InstanceOptions & PlatformOptions & OutputOptions;
 
 /**
- * Adds the command.
+ * Adds the command `settings status`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsStatusCommand(
   parent: Command,
@@ -62,13 +62,13 @@
   services: CommandServices,
   options: StatusOptions,
 ): Promise<CommandResult> {
-  const addresses = instancesOf(options);
+  const addresses = instanceAddresses(options);
   if (addresses.isErr()) {
     return err(addresses.error);
   }
   const status = mergeStatuses(await readStatuses(addresses.value));
   const accepted = await acceptedVersion(services, options);
-  return ok(reportOf(status, accepted));
+  return ok(versionsReport(status, accepted));
 }
 
 /** Undefined where the platform was not named. */
@@ -85,7 +85,7 @@
   });
 }
 
-function reportOf(
+function versionsReport(
   status: FleetStatus,
   accepted: Result<number | undefined, CommandFailure>,
 ) {
--- a/packages/cli/src/settings_store.ts
+++ b/packages/cli/src/settings_store.ts
@@ -30,88 +30,94 @@
   failed,
   outcomeUnknown,
 } from "./command_result.ts";
-import { readFailure } from "./platform_connection.ts";
+import { tableReadFailure } from "./platform_connection.ts";
 
-/** The head as last read. */
-export interface SettingsHeadRead {
-  /** Absent where the table holds no settings. */
+/** The head row, which names the version in force. */
+export interface StoredHead {
+  /** Undefined if the table holds no settings. */
   readonly row: Row | undefined;
-  /** 0 where the table holds no settings. */
+  /** Version in force; 0 if the table holds no settings. */
   readonly version: number;
 }
 
-/** One version with its row. */
-export interface VersionRead {
+/** A version of the settings with its row of the table. */
+export interface StoredVersion {
   readonly row: Row;
   readonly value: SettingsVersion;
 }
 
-/** The version in force with the head that names it. */
-export interface CurrentSettings extends VersionRead {
+/** The version in force with the head row that names it. */
+export interface CurrentSettings extends StoredVersion {
   readonly headRow: Row;
 }
 
-/** An outcome that no later answer can alter. */
+/** A final outcome: committed, or lost to a concurrent change. */
 export type SettledOutcome = Exclude<
   ChangeOutcome,
   { readonly kind: ChangeOutcomeKind.NotCommitted }
 >;
 
-/** A version, or why its row is not taken. */
+/** A version, or its number and why its row is invalid. */
 export type HistoryEntry = Result<
   SettingsVersion,
   { readonly version: number; readonly message: string }
 >;
 
-type Read<T> = Promise<Result<T, CommandFailure>>;
+type ReadResult<T> = Promise<Result<T, CommandFailure>>;
 
-const MAX_TRIES = 5;
-const PAUSE_MS = 300;
+const MAX_ATTEMPTS = 5;
+const RETRY_DELAY_MS = 300;
 
-/** The settings' rows of the platform's table. */
+/** Store of the settings, in rows of the platform's table. */
 export class SettingsStore {
   readonly #platform: PlatformHttp;
   readonly #sleep: Sleep;
 
   /**
-   * @param platform The platform.
-   * @param sleep How to wait between tries.
+   * @param platform Client of the platform.
+   * @param sleep Waits between attempts.
    */
   constructor(platform: PlatformHttp, sleep: Sleep) {
     this.#platform = platform;
     this.#sleep = sleep;
   }
 
-  /** @returns The head, or why it cannot be read. */
-  async head(): Read<SettingsHeadRead> {
+  /** @returns The head row, or why it cannot be read. */
+  async head(): ReadResult<StoredHead> {
     const answer = await this.#platform.read([HEAD_KEY]);
-    return answer.mapErr(readFailure).andThen(({ rows }) => {
+    return answer.mapErr(tableReadFailure).andThen(({ rows }) => {
       const row = rows.find(({ key }) => key === HEAD_KEY);
       return row === undefined
         ? ok({ row, version: NO_VERSION })
-        : readHead(row).mapErr(badRow).map(({ version }) => ({ row, version }));
+        : readHead(row).mapErr(unreadableRow).map(({ version }) => ({
+          row,
+          version,
+        }));
     });
   }
 
   /**
    * Reads one version.
    *
-   * @param version Its number.
+   * @param version Number of the version.
    * @returns The version, or why it cannot be read.
    */
-  async version(version: number): Read<VersionRead> {
+  async version(version: number): ReadResult<StoredVersion> {
     const key = versionKey(version);
     const answer = await this.#platform.read([key]);
-    return answer.mapErr(readFailure).andThen(({ rows }) => {
+    return answer.mapErr(tableReadFailure).andThen(({ rows }) => {
       const row = rows.find((each) => each.key === key);
       return row === undefined
         ? unknownVersion(version)
-        : readVersionRow(row).mapErr(badRow).map((value) => ({ row, value }));
+        : readVersionRow(row).mapErr(unreadableRow).map((value) => ({
+          row,
+          value,
+        }));
     });
   }
 
-  /** @returns The version in force, or why there is none to read. */
-  async current(): Read<CurrentSettings> {
+  /** @returns The version in force, or why it cannot be read. */
+  async current(): ReadResult<CurrentSettings> {
     const head = await this.head();
     if (head.isErr()) {
       return err(head.error);
@@ -126,10 +132,10 @@
   /**
    * Lists the latest versions.
    *
-   * @param limit How many at most.
+   * @param limit Maximum number of versions.
    * @returns The versions, newest first.
    */
-  async history(limit: number): Read<HistoryEntry[]> {
+  async history(limit: number): ReadResult<HistoryEntry[]> {
     const head = await this.head();
     if (head.isErr()) {
       return err(head.error);
@@ -138,37 +144,40 @@
     const count = Math.min(limit, newest);
     const versions = Array.from({ length: count }, (_, i) => newest - i);
     const answer = await this.#platform.read(versions.map(versionKey));
-    return answer.mapErr(readFailure)
-      .map(({ rows }) => versions.map((version) => entryOf(version, rows)));
+    return answer.mapErr(tableReadFailure)
+      .map(({ rows }) =>
+        versions.map((version) => historyEntry(version, rows))
+      );
   }
 
   /**
-   * Sends a change until its outcome is certain, a bounded number of times. A
-   * lost answer is settled by the change's id; sending again is safe, since
-   * its conditions let it take effect once at most.
+   * Sends a change until its outcome is known, at most {@link MAX_ATTEMPTS}
+   * times. If an answer is lost, the rows are read back and searched for the id
+   * of the change. Sending again is safe, since the conditions of the change let
+   * it take effect at most once.
    *
-   * @param change The change.
-   * @returns Committed or lost to another; or why that is not known.
+   * @param change The proposed change.
+   * @returns Committed or lost to a concurrent change, or why it is unknown.
    */
-  async commit(change: ProposedChange): Read<SettledOutcome> {
+  async commit(change: ProposedChange): ReadResult<SettledOutcome> {
     let inDoubt = false;
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      if (tries > 0) {
-        await this.#sleep(PAUSE_MS);
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      if (attempt > 0) {
+        await this.#sleep(RETRY_DELAY_MS);
       }
       const sent = await this.#platform.transact(change.request);
       inDoubt ||= sent.isErr() && sent.error !== PlatformFault.RateLimited;
-      const judged = sent.isOk()
+      const outcome = sent.isOk()
         ? outcomeFromAnswer(change, sent.value)
         : await this.#readBack(change);
-      if (judged.isErr()) {
-        return unreadableOutcome(change, judged.error);
+      if (outcome.isErr()) {
+        return unreadableOutcome(change, outcome.error);
       }
-      if (judged.value.kind !== ChangeOutcomeKind.NotCommitted) {
-        return ok(judged.value);
+      if (outcome.value.kind !== ChangeOutcomeKind.NotCommitted) {
+        return ok(outcome.value);
       }
     }
-    return inDoubt ? unsettled(change) : notWritten();
+    return inDoubt ? outcomeInDoubt(change) : writesRefused();
   }
 
   async #readBack(
@@ -181,18 +190,18 @@
   }
 }
 
-function entryOf(version: number, rows: readonly Row[]): HistoryEntry {
+function historyEntry(version: number, rows: readonly Row[]): HistoryEntry {
   const row = rows.find(({ key }) => key === versionKey(version));
   return row === undefined
     ? err({ version, message: "its row is missing" })
     : readVersionRow(row).mapErr(({ message }) => ({ version, message }));
 }
 
-function badRow(fault: RowFault): CommandFailure {
+function unreadableRow(fault: RowFault): CommandFailure {
   return failed({
-    message: `Row ${fault.key} of the table is not taken: ${fault.message}.`,
-    next: "Look for the last sound version (chestnuthatch settings history) " +
-      "and have the platform's keepers restore the row.",
+    message: `Row ${fault.key} of the table is invalid: ${fault.message}.`,
+    next: "Find the last valid version (chestnuthatch settings history) " +
+      "and have the platform's operators restore the row.",
     detail: { fault },
   }).error;
 }
@@ -216,15 +225,15 @@
   const { changeId, version } = change;
   return outcomeUnknown({
     message: `Whether change ${changeId} became version ${version} is not ` +
-      `known: row ${fault.key} is not taken (${fault.message}).`,
-    next: "Have the platform's keepers look at the row before any new change.",
+      `known: row ${fault.key} is invalid (${fault.message}).`,
+    next: "Have the platform's operators check the row before any new change.",
     detail: { changeId, version, fault },
   });
 }
 
-function unsettled({ changeId, version }: ProposedChange) {
+function outcomeInDoubt({ changeId, version }: ProposedChange) {
   return outcomeUnknown({
-    message: `The platform did not tell whether change ${changeId} became ` +
+    message: `The platform did not confirm whether change ${changeId} became ` +
       `version ${version}; it may have, or may still.`,
     next: "Once the platform answers, look at the id beside that version: " +
       "chestnuthatch settings history",
@@ -232,9 +241,9 @@
   });
 }
 
-function notWritten() {
+function writesRefused() {
   return failed({
-    message: "The platform took no writes from here; nothing was changed.",
+    message: "The platform accepted no writes; nothing was changed.",
     next: "Wait a little and try again.",
   });
 }
--- a/packages/cli/src/settings_text.ts
+++ b/packages/cli/src/settings_text.ts
@@ -17,12 +17,12 @@
  * @param source Where it comes from, such as a file's path.
  * @returns The tree, or all faults.
  */
-export function treeOf(
+export function parseTree(
   content: string,
   source: string,
 ): Result<SettingsTree, CommandFailure> {
   return readSettings(content)
-    .mapErr((faults) => faultyText(source, faults));
+    .mapErr((faults) => settingsFaultFailure(source, faults));
 }
 
 /**
@@ -32,19 +32,21 @@
  * @param faults Its faults.
  * @returns The failure.
  */
-export function faultyText(
+export function settingsFaultFailure(
   source: string,
   faults: readonly SettingsFault[],
 ): CommandFailure {
   const lines = faults.map((fault) => `  ${describeFault(fault)}`);
   return {
     exitCode: ExitCode.BadInput,
-    message: [`${source} has ${countOf(faults.length)}:`, ...lines].join("\n"),
+    message: [`${source} has ${faultCountText(faults.length)}:`, ...lines].join(
+      "\n",
+    ),
     next: "Correct them and check again: chestnuthatch settings check FILE",
     detail: { source, faults },
   };
 }
 
-function countOf(faults: number): string {
+function faultCountText(faults: number): string {
   return faults === 1 ? "1 fault" : `${faults} faults`;
 }
--- a/packages/cli/src/shared_options.ts
+++ b/packages/cli/src/shared_options.ts
@@ -25,7 +25,7 @@
 export const AUTHOR_VARIABLE = "CHESTNUTHATCH_AUTHOR";
 
 const ADDRESS_PATTERN = /^[^\s:/]+:\d{1,5}$/;
-const SEPARATOR = /[\s,]+/;
+const SEPARATOR_PATTERN = /[\s,]+/;
 
 /** @returns `--json`. */
 export function jsonOption(): Option {
@@ -118,8 +118,8 @@
   return text;
 }
 
-function parseAddresses(text: string, former: string[] = []): string[] {
-  const added = text.split(SEPARATOR).filter((part) => part !== "")
+function parseAddresses(text: string, earlier: string[] = []): string[] {
+  const added = text.split(SEPARATOR_PATTERN).filter((part) => part !== "")
     .map(parseAddress);
-  return [...new Set([...former, ...added])];
+  return [...new Set([...earlier, ...added])];
 }
--- a/packages/cli/src/status_command.ts
+++ b/packages/cli/src/status_command.ts
@@ -10,10 +10,10 @@
 } from "./command_runner.ts";
 import { ExitCode } from "./exit_code.ts";
 import { type FleetStatus, mergeStatuses } from "./fleet_status.ts";
-import { instancesOf, readStatuses } from "./instance_reads.ts";
+import { instanceAddresses, readStatuses } from "./instance_queries.ts";
 import { withPlatform } from "./platform_connection.ts";
 import { SettingsStore } from "./settings_store.ts";
-import { treeOf } from "./settings_text.ts";
+import { parseTree } from "./settings_text.ts";
 import {
   examples,
   instanceOption,
@@ -27,10 +27,10 @@
 type StatusOptions = InstanceOptions & PlatformOptions & OutputOptions;
 
 /**
- * Adds the command.
+ * Adds the command `status`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addStatusCommand(
   parent: Command,
@@ -57,7 +57,7 @@
   services: CommandServices,
   options: StatusOptions,
 ): Promise<CommandResult> {
-  const addresses = instancesOf(options);
+  const addresses = instanceAddresses(options);
   if (addresses.isErr()) {
     return err(addresses.error);
   }
@@ -79,7 +79,7 @@
   const tree = await withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
     return (await store.current()).andThen(({ value }) =>
-      treeOf(value.content, `Version ${value.version}`)
+      parseTree(value.content, `Version ${value.version}`)
     );
   });
   return tree.match(
--- a/packages/cli/src/status_text.ts
+++ b/packages/cli/src/status_text.ts
@@ -6,7 +6,7 @@
   FleetStatus,
   FleetTarget,
 } from "./fleet_status.ts";
-import { section } from "./text_table.ts";
+import { sectionLines } from "./text_table.ts";
 
 /**
  * Words the whole status.
@@ -16,20 +16,20 @@
  */
 export function statusText(status: FleetStatus): string {
   return [
-    ...section("instances", [
+    ...sectionLines("instances", [
       ["instance", "domain", "state", "settings", "open requests"],
       ...status.instances.map(instanceRow),
     ]),
     ...silentLines(status),
-    ...section("shards", [
+    ...sectionLines("shards", [
       ["pool", "domain", "coordinator", "grants", "in use", "waiting"],
       ...status.shards.map(shardRow),
     ]),
-    ...section("targets", [
+    ...sectionLines("targets", [
       ["target", "state", "slots", "KV tokens", "report age", "slowdown"],
       ...status.targets.map(targetRow),
     ]),
-    ...section("waiting by tier", [
+    ...sectionLines("waiting by tier", [
       ["tier", "requests"],
       ...Object.entries(status.waitingByTier).map(([tier, count]) => [
         tier,
@@ -47,7 +47,7 @@
  * @returns Its lines.
  */
 export function versionLines(status: FleetStatus): string[] {
-  return section("settings in force", [
+  return sectionLines("settings in force", [
     ["version", "instances"],
     ...status.versions.map(({ version, instanceIds }) => [
       version === 0 ? "none" : String(version),
@@ -112,8 +112,8 @@
   return [
     target.targetId,
     targetState(target),
-    shareOf(target.slotsUsed, target.slotsTotal),
-    shareOf(target.kvUsedTokens, target.kvTotalTokens),
+    usedOfTotal(target.slotsUsed, target.slotsTotal),
+    usedOfTotal(target.kvUsedTokens, target.kvTotalTokens),
     loadAgeMs === undefined ? "-" : `${Math.round(loadAgeMs)} ms`,
     slowdown.toFixed(2),
   ];
@@ -130,7 +130,7 @@
   ].join(", ");
 }
 
-function shareOf(used?: number, total?: number): string {
+function usedOfTotal(used?: number, total?: number): string {
   const hasNone = used === undefined || total === 0;
   return hasNone ? "-" : `${used} of ${total}`;
 }
--- a/packages/cli/src/text_table.ts
+++ b/packages/cli/src/text_table.ts
@@ -1,9 +1,9 @@
-/** Tables as plain text. */
+/** Formats tables as plain text. */
 
 /**
- * Aligns columns.
+ * Pads cells so that columns align.
  *
- * @param rows Cells by row; the first row is the header.
+ * @param rows Cells by row, all rows of one length; the first is the header.
  * @returns One line for each row.
  */
 export function alignColumns(rows: readonly (readonly string[])[]): string[] {
@@ -16,13 +16,13 @@
 }
 
 /**
- * Words a section: its title and an indented table.
+ * Formats a section: a title and an indented table.
  *
- * @param title The title.
- * @param rows Cells by row, the header first.
- * @returns Its lines; a table without rows says so.
+ * @param title Title of the section.
+ * @param rows Cells by row; the first row is the header.
+ * @returns Lines of the section; `none` in place of a table without rows.
  */
-export function section(
+export function sectionLines(
   title: string,
   rows: readonly (readonly string[])[],
 ): string[] {
--- a/packages/cli/src/try_command.ts
+++ b/packages/cli/src/try_command.ts
@@ -33,7 +33,7 @@
   readonly seed: number;
 }
 
-const INSTANCES: Record<Deployment, number> = {
+const INSTANCE_COUNTS: Record<Deployment, number> = {
   [Deployment.ShambaSafi]: 8,
   [Deployment.SunuRegistrs]: 7,
 };
@@ -45,10 +45,10 @@
 const REPEATS = { share: 0.05, afterMs: 300 };
 
 /**
- * Adds the command.
+ * Adds the command `try`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addTryCommand(parent: Command, runner: CommandRunner): void {
   parent.command("try")
@@ -78,11 +78,11 @@
 ): Promise<CommandResult> {
   const fleet = await EmbeddedFleet.start({
     deployment: options.deployment,
-    instances: INSTANCES[options.deployment],
+    instances: INSTANCE_COUNTS[options.deployment],
   });
   try {
-    return await isReady(fleet, services.sleep)
-      ? await sendTo(fleet, services, options)
+    return await waitUntilReady(fleet, services.sleep)
+      ? await sendLoad(fleet, services, options)
       : failed({
         message: "The embedded fleet did not become ready.",
         next: "Run it again on a machine that is less busy.",
@@ -92,14 +92,17 @@
   }
 }
 
-async function isReady(fleet: EmbeddedFleet, sleep: Sleep): Promise<boolean> {
+async function waitUntilReady(
+  fleet: EmbeddedFleet,
+  sleep: Sleep,
+): Promise<boolean> {
   for (let polls = 0; polls < MAX_READY_POLLS && !fleet.isReady; polls++) {
     await sleep(READY_POLL_MS);
   }
   return fleet.isReady;
 }
 
-async function sendTo(
+async function sendLoad(
   fleet: EmbeddedFleet,
   { sleep, output }: CommandServices,
   options: TryOptions,
--- a/packages/cli/src/try_routed_command.ts
+++ b/packages/cli/src/try_routed_command.ts
@@ -10,7 +10,7 @@
 import type { CommandRunner, OutputOptions } from "./command_runner.ts";
 import { ExitCode } from "./exit_code.ts";
 import { examples, jsonOption, positiveNumber } from "./shared_options.ts";
-import { section } from "./text_table.ts";
+import { sectionLines } from "./text_table.ts";
 
 interface TryRoutedOptions extends OutputOptions {
   readonly seconds: number;
@@ -21,10 +21,10 @@
 const MAX_RATE = 200;
 
 /**
- * Adds the command.
+ * Adds the command `try-routed`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addTryRoutedCommand(
   parent: Command,
@@ -51,15 +51,15 @@
 async function tryRouted(options: TryRoutedOptions): Promise<CommandResult> {
   const { seconds, rate: ratePerS } = options;
   const outcome = await runTrial({ seconds, ratePerS });
-  const broken = outcome.runTooOften + outcome.ranThoughRefused;
+  const violations = outcome.runTooOften + outcome.ranThoughRefused;
   return ok({
-    text: textOf(outcome),
+    text: outcomeText(outcome),
     json: outcome,
-    exitCode: broken === 0 ? ExitCode.Done : ExitCode.Failed,
+    exitCode: violations === 0 ? ExitCode.Done : ExitCode.Failed,
   });
 }
 
-function textOf(
+function outcomeText(
   { routes, runTooOften, ranThoughRefused }: TrialOutcome,
 ): string {
   const rows = routes.map((route) =>
@@ -67,7 +67,7 @@
       .map(String)
   );
   return [
-    ...section("Requests by route", [
+    ...sectionLines("Requests by route", [
       ["route", "sent", "answered", "refused", "failed"],
       ...rows,
     ]),
--- a/packages/cli/src/why_command.ts
+++ b/packages/cli/src/why_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch why`: tells the story of one request. */
+/** `chestnuthatch why`: explains how one request was processed. */
 
 import type { Command } from "commander";
 import { err, ok } from "neverthrow";
@@ -9,17 +9,17 @@
 } from "./command_result.ts";
 import type { CommandRunner, OutputOptions } from "./command_runner.ts";
 import {
+  instanceAddresses,
   type InstanceAnswers,
-  instancesOf,
-  type InstanceStory,
-  readStories,
+  type InstanceExplanation,
+  readExplanations,
   type SilentInstance,
-} from "./instance_reads.ts";
+} from "./instance_queries.ts";
 import {
-  type MergedStory,
-  mergeStories,
-  type StoryStep,
-} from "./request_story.ts";
+  mergeExplanations,
+  type RequestTimeline,
+  type TimelineStep,
+} from "./request_timeline.ts";
 import {
   examples,
   instanceOption,
@@ -29,16 +29,16 @@
 
 type WhyOptions = InstanceOptions & OutputOptions;
 
-interface FoundStories {
-  readonly stories: readonly InstanceStory[];
+interface FoundExplanations {
+  readonly explanations: readonly InstanceExplanation[];
   readonly silent: readonly SilentInstance[];
 }
 
 /**
- * Adds the command.
+ * Adds the command `why`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addWhyCommand(parent: Command, runner: CommandRunner): void {
   parent.command("why")
@@ -55,49 +55,59 @@
       ),
     )
     .action((requestId: string, options: WhyOptions) =>
-      runner.perform(options, () => tellWhy(requestId, options))
+      runner.perform(options, () => explainRequest(requestId, options))
     );
 }
 
-async function tellWhy(
+async function explainRequest(
   requestId: string,
   options: WhyOptions,
 ): Promise<CommandResult> {
-  const addresses = instancesOf(options);
+  const addresses = instanceAddresses(options);
   if (addresses.isErr()) {
     return err(addresses.error);
   }
-  const found = await findStories(addresses.value, requestId);
-  if (found.stories.length === 0) {
+  const found = await findExplanations(addresses.value, requestId);
+  if (found.explanations.length === 0) {
     return notFound(requestId, found.silent);
   }
-  const merged = mergeStories(requestId, found.stories);
+  const timeline = mergeExplanations(requestId, found.explanations);
   const { silent } = found;
-  return ok({ text: storyText(merged, silent), json: { ...merged, silent } });
+  return ok({
+    text: timelineText(timeline, silent),
+    json: { ...timeline, silent },
+  });
 }
 
-/** Coordinators know a joined call only by the request that it joined. */
-async function findStories(
+/**
+ * Reads the explanations of a request. Coordinators record a joined call only
+ * under the id of the request that it joined, so that id is queried as well.
+ */
+async function findExplanations(
   addresses: readonly string[],
   requestId: string,
-): Promise<FoundStories> {
-  const answers = await readStories(addresses, requestId);
-  const stories = known(answers);
-  const joinedId = stories
-    .map(({ story }) => story.joinedRequestId)
+): Promise<FoundExplanations> {
+  const answers = await readExplanations(addresses, requestId);
+  const explanations = knownExplanations(answers);
+  const joinedId = explanations
+    .map(({ explanation: story }) => story.joinedRequestId)
     .find((id) => id !== undefined && id !== requestId);
   if (joinedId === undefined) {
-    return { stories, silent: answers.silent };
+    return { explanations, silent: answers.silent };
   }
-  const ofJoined = known(await readStories(addresses, joinedId));
-  const ownIds = new Set(stories.map(({ instanceId }) => instanceId));
-  const others = ofJoined.filter(({ instanceId }) => !ownIds.has(instanceId));
-  return { stories: [...stories, ...others], silent: answers.silent };
+  const joinedExplanations = knownExplanations(
+    await readExplanations(addresses, joinedId),
+  );
+  const ownIds = new Set(explanations.map(({ instanceId }) => instanceId));
+  const others = joinedExplanations.filter(({ instanceId }) =>
+    !ownIds.has(instanceId)
+  );
+  return { explanations: [...explanations, ...others], silent: answers.silent };
 }
 
-function known(
-  { answers }: InstanceAnswers<InstanceStory | undefined>,
-): InstanceStory[] {
+function knownExplanations(
+  { answers }: InstanceAnswers<InstanceExplanation | undefined>,
+): InstanceExplanation[] {
   return answers.map(({ value }) => value).filter((value) =>
     value !== undefined
   );
@@ -124,21 +134,23 @@
   });
 }
 
-function storyText(
-  merged: MergedStory,
+function timelineText(
+  timeline: RequestTimeline,
   silent: readonly SilentInstance[],
 ): string {
   return [
-    ...headLines(merged),
-    ...merged.steps.map(stepLine),
-    ...endLines(merged),
+    ...headerLines(timeline),
+    ...timeline.steps.map(stepLine),
+    ...outcomeLines(timeline),
     ...silent.map(({ address, reason }) =>
       `${address} gave no answer: ${reason}`
     ),
   ].join("\n");
 }
 
-function headLines({ requestId, holderId, holder }: MergedStory): string[] {
+function headerLines(
+  { requestId, holderId, holder }: RequestTimeline,
+): string[] {
   if (holder === undefined) {
     return [
       `Request ${requestId}: its holder was not found among those asked.`,
@@ -154,11 +166,13 @@
   ];
 }
 
-function stepLine({ instanceId, sinceFirstMs, by, text }: StoryStep): string {
+function stepLine(
+  { instanceId, sinceFirstMs, by, text }: TimelineStep,
+): string {
   return `  +${Math.round(sinceFirstMs)} ms ${instanceId} (${by}): ${text}`;
 }
 
-function endLines({ holder }: MergedStory): string[] {
+function outcomeLines({ holder }: RequestTimeline): string[] {
   if (holder?.outcome === undefined) {
     return [`State: ${holder?.state ?? "unknown"}.`];
   }
--- a/utils/check_layers.ts
+++ b/utils/check_layers.ts
@@ -25,7 +25,7 @@
 
 function main(): void {
   const files = ROOTS.flatMap(sourceFiles);
-  const faults = [...files.flatMap(checkFile), ...circles(files)];
+  const faults = [...files.flatMap(checkFile), ...importCycles(files)];
   for (const fault of faults) {
     console.error(fault);
   }
@@ -61,22 +61,22 @@
 }
 
 /** Finds circles of imports between files, each told once. */
-function circles(files: readonly string[]): string[] {
-  const found: string[] = [];
-  const done = new Set<string>();
-  function visit(file: string, way: readonly string[]): void {
-    if (way.includes(file)) {
-      const circle = [...way.slice(way.indexOf(file)), file];
-      found.push(`${circle.join(" -> ")}: import each other`);
-    } else if (files.includes(file) && !done.has(file)) {
+function importCycles(files: readonly string[]): string[] {
+  const cycles: string[] = [];
+  const visited = new Set<string>();
+  function visit(file: string, chain: readonly string[]): void {
+    if (chain.includes(file)) {
+      const cycle = [...chain.slice(chain.indexOf(file)), file];
+      cycles.push(`${cycle.join(" -> ")}: import each other`);
+    } else if (files.includes(file) && !visited.has(file)) {
       for (const imported of importedFiles(file)) {
-        visit(imported, [...way, file]);
+        visit(imported, [...chain, file]);
       }
-      done.add(file);
+      visited.add(file);
     }
   }
   files.forEach((file) => visit(file, []));
-  return found;
+  return cycles;
 }
 
 function importedFiles(file: string): string[] {
@@ -92,12 +92,12 @@
 ): boolean {
   const key = name.startsWith(".")
     ? relative(dirname(of.path), dirname(resolve(dirname(of.path), name)))
-    : packageOf(name);
+    : packageName(name);
   return key === "" || of.deps.allowed.has(key) ||
     (of.isTest && of.deps.allowedInTests.has(key));
 }
 
-function packageOf(name: string): string {
+function packageName(name: string): string {
   if (name.startsWith("node:")) {
     return name;
   }
--- a/utils/measure_rest.ts
+++ b/utils/measure_rest.ts
@@ -10,10 +10,10 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { EmbeddedFleet } from "@chestnuthatch/cli/embedded_fleet";
 
-const SETTLE_MS = 5000;
+const WARMUP_MS = 5000;
 const MEASURE_MS = 20_000;
 const READY_POLL_MS = 50;
-const BYTES_PATTERN = /^chestnuthatch_peer_bytes_sent\S*\s+(\d+)/gm;
+const PEER_BYTES_PATTERN = /^chestnuthatch_peer_bytes_sent\S*\s+(\d+)/gm;
 
 const DEPLOYMENTS = [
   { deployment: "shamba-safi", instances: 8 },
@@ -33,7 +33,7 @@
   while (!fleet.isReady) {
     await sleep(READY_POLL_MS);
   }
-  await sleep(SETTLE_MS);
+  await sleep(WARMUP_MS);
   const bytesBefore = await bytesSent(fleet);
   const cpuBefore = process.cpuUsage();
   await sleep(MEASURE_MS);
@@ -55,7 +55,7 @@
   let bytes = 0;
   for (const address of fleet.callerAddresses) {
     const response = await fetch(`http://${address}/metrics`);
-    for (const match of (await response.text()).matchAll(BYTES_PATTERN)) {
+    for (const match of (await response.text()).matchAll(PEER_BYTES_PATTERN)) {
       bytes += Number(match[1]);
     }
   }
--- a/utils/program_file.ts
+++ b/utils/program_file.ts
@@ -25,7 +25,7 @@
   /** @param path Its path; its code cache lies beside it. */
   constructor(path: string) {
     this.#path = path;
-    const cachePath = codeCachePathOf(path);
+    const cachePath = codeCachePath(path);
     this.#script = new Script(Module.wrap(readFileSync(path, "utf8")), {
       filename: path,
       // One that another version or other flags made is passed over.
@@ -51,6 +51,6 @@
  * @param path Path of a program.
  * @returns Path of its code cache.
  */
-export function codeCachePathOf(path: string): string {
+export function codeCachePath(path: string): string {
   return `${path}.cache`;
 }
--- a/utils/program_file_test.ts
+++ b/utils/program_file_test.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { codeCachePathOf, ProgramFile } from "./program_file.ts";
+import { codeCachePath, ProgramFile } from "./program_file.ts";
 
 const RAN = "programFileTestRan";
 const PROGRAM = `globalThis.${RAN} = [
@@ -24,10 +24,10 @@
 }
 
 function ran(path: string): unknown {
-  const world = globalThis as Record<string, unknown>;
-  delete world[RAN];
+  const globals = globalThis as Record<string, unknown>;
+  delete globals[RAN];
   new ProgramFile(path).run();
-  return world[RAN];
+  return globals[RAN];
 }
 
 test("a program gets what modules are given", () =>
@@ -39,9 +39,9 @@
   withProgram((path) => {
     const file = new ProgramFile(path);
     file.run();
-    writeFileSync(codeCachePathOf(path), file.codeCache());
+    writeFileSync(codeCachePath(path), file.codeCache());
     assert.equal(ran(path), [true, true, true]);
-    writeFileSync(codeCachePathOf(path), "spoilt");
+    writeFileSync(codeCachePath(path), "spoilt");
     assert.equal(ran(path), [true, true, true]);
   }));
 
--- a/utils/run_tests.ts
+++ b/utils/run_tests.ts
@@ -65,14 +65,14 @@
 }
 
 async function runAll(files: readonly string[]): Promise<FileResult[]> {
-  const waiting = [...files];
+  const pendingFiles = [...files];
   const results: FileResult[] = [];
   const worker = async () => {
-    for (let file = waiting.shift(); file !== undefined;) {
+    for (let file = pendingFiles.shift(); file !== undefined;) {
       const result = await runFile(file);
       console.log(`${result.passed}/${result.total} ${file}`);
       results.push(result);
-      file = waiting.shift();
+      file = pendingFiles.shift();
     }
   };
   await Promise.all(Array.from({ length: FILES_AT_ONCE }, worker));
@@ -80,16 +80,16 @@
 }
 
 function runFile(file: string): Promise<FileResult> {
-  return new Promise((done) => {
+  return new Promise((resolve) => {
     const child = spawn(process.execPath, ["--enable-source-maps", file], {
       stdio: ["ignore", "pipe", "pipe"],
       env: { ...process.env, NO_COLOR: "1" },
     });
     let output = "";
-    const gather = (chunk: unknown) => output += String(chunk);
-    child.stdout.on("data", gather);
-    child.stderr.on("data", gather);
-    child.on("close", (code) => done(readResult(file, output, code ?? 1)));
+    const appendOutput = (chunk: unknown) => output += String(chunk);
+    child.stdout.on("data", appendOutput);
+    child.stderr.on("data", appendOutput);
+    child.on("close", (code) => resolve(readResult(file, output, code ?? 1)));
   });
 }
 
@@ -98,8 +98,8 @@
   output: string,
   exitCode: number,
 ): FileResult {
-  const numberAfter = (word: string) =>
-    Number(new RegExp(`${word}:\\s+(\\d+)`).exec(output)?.[1] ?? 0);
+  const numberAfter = (label: string) =>
+    Number(new RegExp(`${label}:\\s+(\\d+)`).exec(output)?.[1] ?? 0);
   const failedTitles = [...output.matchAll(/FAIL\s+(?:\S+\s+)?"(.+)"/g)]
     .map((match) => match[1]!);
   return {
@@ -130,9 +130,9 @@
   result: FileResult,
   knownRed: readonly string[],
 ): number {
-  const wentWrong = result.exitCode !== 0 || result.total === 0 ||
+  const hasFailed = result.exitCode !== 0 || result.total === 0 ||
     result.passed < result.total;
-  if (!wentWrong) {
+  if (!hasFailed) {
     return 0;
   }
   const isKnown = (title: string) =>
--- a/utils/write_code_cache.ts
+++ b/utils/write_code_cache.ts
@@ -6,10 +6,10 @@
 import { writeFileSync } from "node:fs";
 import { resolve } from "node:path";
 import process from "node:process";
-import { codeCachePathOf, ProgramFile } from "./program_file.ts";
+import { codeCachePath, ProgramFile } from "./program_file.ts";
 
 /** Time by which an instance has started. */
-const START_MS = 500;
+const STARTUP_WAIT_MS = 500;
 
 const [node, , program, ...args] = process.argv;
 const path = resolve(program!);
@@ -17,6 +17,6 @@
 const file = new ProgramFile(path);
 file.run();
 setTimeout(() => {
-  writeFileSync(codeCachePathOf(path), file.codeCache());
+  writeFileSync(codeCachePath(path), file.codeCache());
   process.exit(0);
-}, START_MS);
+}, STARTUP_WAIT_MS);
