--- a/packages/cli/src/embedded_fleet.ts
+++ b/packages/cli/src/embedded_fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet in one process: stand-ins, settings and entry instances. */
+/** Runs a fleet in one process: stand-ins, settings and entry instances. */
 
 import { readFileSync } from "node:fs";
 import { EntryInstance } from "@chestnuthatch/daemon/entry_instance";
@@ -21,24 +21,30 @@
 import { LogLevel } from "@chestnuthatch/core/effects";
 import { parseDocument } from "yaml";
 
-/** What an embedded fleet is made of. */
+/** Deployment, size and log output of an embedded fleet. */
 export interface EmbeddedFleetOptions {
   /** Name of a folder under `examples`. */
   readonly deployment: string;
-  /** Entry instances, spread over the failure domains. */
+  /** Number of entry instances, spread evenly over the failure domains. */
   readonly instances: number;
+  /** Lowest level that instances log; defaults to warnings. */
   readonly logLevel?: LogLevel;
   readonly logOutput?: NodeJS.WritableStream;
 }
 
 const PEER_SECRET = "embedded-fleet-shared-secret";
-/** Hosts of entry instances begin here, after those of the targets. */
+/**
+ * Last part of the loopback address of the first entry instance in each failure
+ * domain; lower numbers are left for targets.
+ */
 const FIRST_INSTANCE_HOST = 101;
 
-/** Stand-ins and entry instances that run within this process. */
+/** Stand-ins and entry instances in this process, on loopback addresses. */
 export class EmbeddedFleet {
   readonly standins: StandinFleet;
+  /** Entry instances by id. */
   readonly instances = new Map<string, EntryInstance>();
+  /** The settings that the fleet starts with. */
   readonly settings: SettingsInForce;
   readonly #options: EmbeddedFleetOptions;
 
@@ -55,7 +61,7 @@
   /**
    * Starts a fleet from a shipped example.
    *
-   * @param options Which example, and how many instances.
+   * @param options Deployment, size and log output.
    * @returns The fleet; its instances may not be ready yet.
    */
   static async start(options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
@@ -73,26 +79,26 @@
     return fleet;
   }
 
-  /** Failure domains, in the order of the settings. */
+  /** Names of the failure domains, in the order of the settings. */
   get failureDomains(): string[] {
     return [...this.settings.regionOfDomain.keys()];
   }
 
-  /** `host:port` of every instance's interface for callers. */
+  /** `host:port` of the interface for callers, for every instance. */
   get callerAddresses(): string[] {
     return [...this.instances.values()].map((instance) =>
       instance.callerAddress
     );
   }
 
-  /** Whether every instance takes requests. */
+  /** Whether settings are in force at every instance. */
   get isReady(): boolean {
     return [...this.instances.values()].every((instance) =>
       instance.core.board.settings.inForce !== undefined
     );
   }
 
-  /** Stops instances and stand-ins. */
+  /** Stops the instances, then the stand-ins. */
   async stop(): Promise<void> {
     for (const instance of this.instances.values()) {
       instance.shutdown();
@@ -157,7 +163,7 @@
  * Reads the settings of a shipped example.
  *
  * @param deployment Name of a folder under `examples`.
- * @returns YAML text.
+ * @returns The settings as YAML.
  */
 export function readExample(deployment: string): string {
   const folder = new URL("../../../examples/", import.meta.url);
--- a/packages/cli/src/exit_code.ts
+++ b/packages/cli/src/exit_code.ts
@@ -1,13 +1,13 @@
-/** What the command line's exit codes stand for. */
+/** Exit codes of the command line. */
 
-/** Every exit code. The list is closed, and scripts may rely on it. */
+/** Exit codes of the command line. Scripts may rely on this list. */
 export enum ExitCode {
-  /** What was asked for is done. */
+  /** The command did what was requested. */
   Done = 0,
-  /** It was refused or failed; what was asked for is not in force. */
+  /** The command was refused or failed, and did not take effect. */
   Failed = 1,
-  /** The arguments, a file or a name are wrong; nothing was tried. */
+  /** An argument, a file or a name is invalid; nothing was attempted. */
   BadInput = 2,
-  /** It may or may not have taken effect. */
+  /** The command may or may not have taken effect. */
   OutcomeUnknown = 3,
 }
--- a/packages/cli/src/fleet_status.ts
+++ b/packages/cli/src/fleet_status.ts
@@ -1,4 +1,4 @@
-/** Merges what several instances say into the status of the fleet. */
+/** Merges the statuses of several instances into the status of the fleet. */
 
 import type { TargetHealth } from "@chestnuthatch/core/blackboard";
 import {
@@ -9,50 +9,51 @@
 } from "@chestnuthatch/core/status";
 import type { InstanceAnswers, SilentInstance } from "./instance_queries.ts";
 
-/** One entry instance. */
+/** Status of one entry instance. */
 export interface FleetInstance {
   readonly instanceId: string;
-  /** Where it was asked; absent where only its peers told of it. */
+  /** Address it was queried at; absent if it is known only from its peers. */
   readonly address?: string;
   readonly failureDomain: string;
   readonly liveness: MemberLiveness;
-  /** Absent where it was not asked itself. */
+  /** Absent if it is known only from its peers. */
   readonly ready?: boolean;
-  /** Why it is not ready. */
+  /** Reasons for which it is not ready. */
   readonly reasons: readonly string[];
-  /** 0 while none is in force. */
+  /** Version of the settings in force there; 0 if there is none. */
   readonly settingsVersion: number;
   readonly requestsByState: Readonly<Record<string, number>>;
 }
 
-/** One shard with those who coordinate it. */
+/** A pool's shard in one failure domain, with its coordinators. */
 export interface FleetShard {
   readonly pool: string;
   readonly failureDomain: string;
-  /** More than one only while views differ. */
+  /** Instance ids; more than one only while membership views differ. */
   readonly coordinators: readonly string[];
   readonly waitingByTier: Readonly<Record<string, number>>;
   readonly grants: number;
   readonly grantsInUse: number;
 }
 
-/** One target as the instance with the newest load report sees it. */
+/** Status of one target from the instance with its newest load report. */
 export interface FleetTarget extends TargetStatus {
-  /** Whose view this is. */
+  /** Id of the instance that the status comes from. */
   readonly seenBy: string;
-  /** Instances that cannot reach it. */
+  /** Ids of the instances that cannot reach it. */
   readonly unreachableFrom: readonly string[];
 }
 
-/** Instances with one version in force. */
+/** A version of the settings and the instances where it is in force. */
 export interface VersionInForce {
   readonly version: number;
   readonly instanceIds: readonly string[];
 }
 
-/** The status of a fleet. */
+/** Status of a fleet; printed as JSON. */
 export interface FleetStatus {
   readonly instances: readonly FleetInstance[];
+  /** Queried instances that gave no usable answer. */
   readonly silent: readonly SilentInstance[];
   readonly shards: readonly FleetShard[];
   readonly targets: readonly FleetTarget[];
@@ -64,10 +65,10 @@
 const UNREACHABLE: `${TargetHealth}` = "unreachable";
 
 /**
- * Merges statuses.
+ * Merges the statuses of instances.
  *
- * @param answers What the instances asked said.
- * @returns The status of the fleet.
+ * @param answers Statuses, and instances that returned none.
+ * @returns Status of the fleet.
  */
 export function mergeStatuses(
   answers: InstanceAnswers<InstanceStatus>,
@@ -86,10 +87,11 @@
 }
 
 /**
- * Picks the instances that count for whether a version is in force.
+ * Selects the instances that must have a version in force before it counts as
+ * in force everywhere.
  *
- * @param status The fleet's status.
- * @returns Those that answered, and those that peers say are alive.
+ * @param status Status of the fleet.
+ * @returns Instances that answered, and those alive according to their peers.
  */
 export function liveInstances(status: FleetStatus): FleetInstance[] {
   return status.instances.filter(({ address, liveness }) =>
--- a/packages/cli/src/load_command.ts
+++ b/packages/cli/src/load_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch load`: sends a bounded load to a fleet that runs. */
+/** `chestnuthatch load`: sends generated requests to a running fleet. */
 
 import type { KindMix } from "@chestnuthatch/standins/workload";
 import {
@@ -94,7 +94,7 @@
     );
 }
 
-/** @returns `--deployment`, whose request kinds to send. */
+/** @returns The option `--deployment`, which selects the request kinds. */
 export function deploymentOption(): Option {
   return new Option("--deployment <name>", "whose request kinds to send")
     .choices(Object.values(Deployment)).default(Deployment.ShambaSafi);
@@ -127,10 +127,10 @@
 }
 
 /**
- * Reports a tally.
+ * Creates the report of a run of generated load.
  *
- * @param tally What was counted.
- * @returns The report; failed where a promise was broken.
+ * @param tally Counts, times and faults of the run.
+ * @returns The report; its exit code is a failure if a guarantee was broken.
  */
 export function tallyReport(tally: LoadTally) {
   const { text, json, brokenPromiseCount: promisesBroken } = tally;
--- a/packages/cli/src/load_items.ts
+++ b/packages/cli/src/load_items.ts
@@ -1,4 +1,4 @@
-/** Generates the requests of a long run, a stretch at a time. */
+/** Generates the requests of a long run in chunks. */
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
 import {
@@ -8,24 +8,25 @@
 } from "@chestnuthatch/standins/workload";
 import type { Deployment } from "@chestnuthatch/standins/work_kinds";
 
-/** What to generate. */
+/** Options of {@link generateLoadItems}. */
 export interface LoadItemsOptions {
   readonly deployment: Deployment;
   readonly seed: number;
   readonly durationMs: number;
   readonly ratePerSecond: number;
   readonly mix?: KindMix;
-  /** Makes idempotency keys this run's own. */
+  /** Prefix of idempotency keys, which makes them unique to the run. */
   readonly runId: string;
 }
 
+/** Duration of the chunk of requests that is held in memory. */
 const CHUNK_MS = 60_000;
 
 /**
- * Generates requests; only one stretch is held at a time.
+ * Generates the requests of a run. Only one chunk is held in memory at a time.
  *
- * @param options What to generate.
- * @returns The requests in time order; the same for the same options.
+ * @param options Deployment, seed, duration, rate and mix of kinds.
+ * @returns The requests in time order; equal options yield equal requests.
  */
 export function* generateLoadItems(
   options: LoadItemsOptions,
--- a/packages/cli/src/load_tally.ts
+++ b/packages/cli/src/load_tally.ts
@@ -1,17 +1,17 @@
-/** Counts what was sent and how it ended, by tier and kind of request. */
+/** Counts requests and their outcomes by tier and kind of request. */
 
 import { build, type Histogram } from "hdr-histogram-js";
 import type { WorkItem } from "@chestnuthatch/standins/workload";
 import type { SentOutcome } from "./send_request.ts";
 import { alignColumns, sectionLines } from "./text_table.ts";
 
-/** What a tally checks besides counting. */
+/** Checks that a {@link LoadTally} performs on answers. */
 export interface LoadTallyOptions {
   /** Whether answers quote the end of their prompt, as stand-ins do. */
   readonly answersQuotePrompt: boolean;
 }
 
-/** Refusals of one tier and error kind. */
+/** Number of refusals with one tier, error kind and run state. */
 export interface RefusedCount {
   readonly tier: string;
   readonly error: string;
@@ -19,6 +19,7 @@
   readonly count: number;
 }
 
+/** Counts and times of the requests of one tier and kind. */
 interface TallyRow {
   readonly tier: string;
   readonly kind: string;
@@ -33,10 +34,10 @@
 const MAX_RECORDED_MS = 3_600_000;
 const PERCENTILES = [50, 95, 99] as const;
 const MAX_FAULTS_SHOWN = 20;
-/** The part of a prompt that stand-ins are sure to quote. */
+/** Stand-ins quote at least this many characters of the end of a prompt. */
 const QUOTED_PROMPT_CHARS = 40;
 
-/** Keeps the tally of one run. */
+/** Counts, times and faults of one run of generated load. */
 export class LoadTally {
   readonly #options: LoadTallyOptions;
   readonly #rows = new Map<string, TallyRow>();
@@ -44,26 +45,30 @@
   readonly #faults: string[] = [];
   #notSentCount = 0;
 
-  /** @param options What to check. */
+  /** @param options Checks to perform on answers. */
   constructor(options: LoadTallyOptions) {
     this.#options = options;
   }
 
-  /** @param item A request that goes out. */
+  /**
+   * Counts a request as sent.
+   *
+   * @param item The request.
+   */
   recordSent(item: WorkItem): void {
     this.#rowFor(item).sent += 1;
   }
 
-  /** Counts a request that was not sent, as too many were open. */
+  /** Counts a request that was not sent, since too many were in flight. */
   recordNotSent(): void {
     this.#notSentCount += 1;
   }
 
   /**
-   * Counts an outcome and checks it against what was promised.
+   * Counts an outcome and checks the text of an answer.
    *
    * @param item The request.
-   * @param outcome How it ended for its caller.
+   * @param outcome Outcome that the caller received.
    */
   recordOutcome(item: WorkItem, outcome: SentOutcome): void {
     const row = this.#rowFor(item);
@@ -87,17 +92,21 @@
     }
   }
 
-  /** @param fault A promise found broken elsewhere. */
+  /**
+   * Adds a broken guarantee that another check found.
+   *
+   * @param fault Line that describes it.
+   */
   addFault(fault: string): void {
     this.#faults.push(fault);
   }
 
-  /** How many promises were broken. */
+  /** Number of broken guarantees. */
   get brokenPromiseCount(): number {
     return this.#faults.length;
   }
 
-  /** Refusals by tier and error kind, in their order. */
+  /** Refusals, sorted by tier, error kind and run state. */
   get refusals(): RefusedCount[] {
     const counts = new Map<string, RefusedCount>();
     for (const { tier, refused } of this.#rows.values()) {
@@ -111,7 +120,7 @@
     return [...counts].sort().map(([, refusal]) => refusal);
   }
 
-  /** One line on how far the run is. */
+  /** One line with the progress of the run. */
   get progressLine(): string {
     const sum = (of: (row: TallyRow) => number) =>
       [...this.#rows.values()].reduce((total, row) => total + of(row), 0);
@@ -123,7 +132,7 @@
       `open ${open}`;
   }
 
-  /** The result as tables. */
+  /** The result as text tables. */
   get text(): string {
     return [
       ...alignColumns([TABLE_HEADER, ...this.#sortedRows().map(tableCells)]),
@@ -153,7 +162,7 @@
     ].join("\n");
   }
 
-  /** The result for programs. */
+  /** The result as a value for `--json`. */
   get json(): object {
     return {
       rows: this.#sortedRows().map((row) => ({
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The binary `chestnuthatch`: the command line of operators and users. */
+/** Entry point of the binary `chestnuthatch`. */
 
 import process from "node:process";
 import { runCommandLine } from "./command_line.ts";
--- a/packages/cli/src/paced_sender.ts
+++ b/packages/cli/src/paced_sender.ts
@@ -1,4 +1,4 @@
-/** Sends generated requests at their times, whatever becomes of them. */
+/** Sends generated requests on schedule, regardless of earlier outcomes. */
 
 import type { Sleep } from "@chestnuthatch/daemon/sleep";
 import {
@@ -9,23 +9,25 @@
 import type { LoadTally } from "./load_tally.ts";
 import { sendRequest } from "./send_request.ts";
 
-/** Where requests go and who counts them. */
+/** Addresses, tally, timer and progress output of {@link sendPaced}. */
 export interface PacedSenderOptions {
-  /** Instances, taken in turn. */
+  /** `host:port` of instances; requests go to each in turn. */
   readonly addresses: readonly string[];
   readonly tally: LoadTally;
   readonly sleep: Sleep;
   readonly output: CommandOutput;
 }
 
+/** Requests that are due while this many are in flight are not sent. */
 const MAX_OPEN_REQUESTS = 4000;
 const PROGRESS_INTERVAL_MS = 2000;
 
 /**
- * Sends requests and waits for their outcomes; each has a timeout of its own.
+ * Sends requests at their scheduled times and waits for all outcomes. Every
+ * request has its own timeout.
  *
  * @param items The requests in time order.
- * @param options Where they go and who counts them.
+ * @param options Addresses, tally, timer and progress output.
  */
 export async function sendPaced(
   items: Iterable<WorkItem>,
--- a/packages/cli/src/platform_connection.ts
+++ b/packages/cli/src/platform_connection.ts
@@ -1,4 +1,4 @@
-/** Connects a command to the platform. */
+/** Connects commands to the platform. */
 
 import {
   type PlatformFault,
@@ -17,11 +17,11 @@
 export const PROCESS_CLOCK = { nowMs: () => performance.now() };
 
 /**
- * Runs a command with a connection to the platform, and closes it after.
+ * Opens a connection to the platform, runs an action with it and closes it.
  *
- * @param options Where the platform is.
- * @param run The command.
- * @returns How it ended.
+ * @param options Address of the platform.
+ * @param run The action.
+ * @returns Result of the action, or a failure if no address is given.
  */
 export async function withPlatform<T = CommandReport>(
   options: PlatformOptions,
@@ -45,10 +45,10 @@
 }
 
 /**
- * Words a failed read of the table.
+ * Creates the failure for a failed read of the platform's table.
  *
- * @param fault What failed.
- * @returns The failure; nothing was changed.
+ * @param fault Why the read failed.
+ * @returns The failure, which says that nothing was changed.
  */
 export function tableReadFailure(fault: PlatformFault): CommandFailure {
   return {
--- a/packages/cli/src/promise_checks.ts
+++ b/packages/cli/src/promise_checks.ts
@@ -1,12 +1,13 @@
-/** Compares what embedded targets ran with what was promised. */
+/** Checks the dispatch guarantees against the counts of stand-in targets. */
 
 import type { EmbeddedFleet } from "./embedded_fleet.ts";
 
 /**
- * Looks for requests dispatched twice and keys that ran twice.
+ * Finds requests that were dispatched more than once and idempotency keys that
+ * ran more than once.
  *
- * @param fleet The fleet whose stand-ins counted.
- * @returns One line for each broken promise.
+ * @param fleet Fleet whose stand-ins counted dispatches and runs.
+ * @returns One line for each broken guarantee.
  */
 export function brokenPromises(fleet: EmbeddedFleet): string[] {
   return [...repeatedDispatches(fleet), ...repeatedKeys(fleet)];
--- a/packages/cli/src/read_file.ts
+++ b/packages/cli/src/read_file.ts
@@ -1,4 +1,4 @@
-/** Reads the files that operators name. */
+/** Reads files that operators pass as arguments. */
 
 import { readFileSync } from "node:fs";
 import { ok, type Result } from "neverthrow";
@@ -7,8 +7,8 @@
 /**
  * Reads a text file.
  *
- * @param path Its path.
- * @returns Its text, or why it cannot be read.
+ * @param path Path of the file.
+ * @returns Content of the file, or why it cannot be read.
  */
 export function readTextFile(path: string): Result<string, CommandFailure> {
   try {
--- a/packages/cli/src/request_timeline.ts
+++ b/packages/cli/src/request_timeline.ts
@@ -11,7 +11,7 @@
    * instances are never compared.
    */
   readonly sinceFirstMs: number;
-  /** Component that recorded the step. */
+  /** Name of the controller that recorded the step. */
   readonly by: string;
   readonly text: string;
 }
@@ -27,13 +27,14 @@
 }
 
 /**
- * Merges stories. The holder's steps keep their order. Another instance's
- * steps stand before the holder's step that first names that instance, which
- * it took on that instance's word.
+ * Merges explanations of a request into one timeline. The steps of the holder
+ * keep their order. The steps of another instance are inserted before the
+ * holder's first step that names that instance, since that step resulted from
+ * a message of that instance.
  *
- * @param requestId The request.
- * @param explanations What instances remember of it.
- * @returns One story.
+ * @param requestId Id of the request.
+ * @param explanations Records of the request, one for each instance.
+ * @returns The timeline.
  */
 export function mergeExplanations(
   requestId: string,
--- a/packages/cli/src/send_command.ts
+++ b/packages/cli/src/send_command.ts
@@ -53,7 +53,7 @@
   [RunState.Ran]: ExitCode.OutcomeUnknown,
 };
 
-/** Refusals that the caller's own input causes. */
+/** Errors that invalid input of the caller causes. */
 const INPUT_ERRORS: ReadonlySet<ErrorKind> = new Set([
   ErrorKind.BadRequest,
   ErrorKind.UnknownWorkspace,
@@ -192,7 +192,9 @@
       ? ExitCode.BadInput
       : EXIT_BY_RUN_STATE[ran],
     message: `Request ${requestId}: refused (${error}, ${ran}). ${message}`,
-    next: `${retryHint(refusal)} For its story: chestnuthatch why ${requestId}`,
+    next: `${
+      retryHint(refusal)
+    } To see how it was processed: chestnuthatch why ${requestId}`,
     detail: { refusal },
   };
 }
--- a/packages/cli/src/send_request.ts
+++ b/packages/cli/src/send_request.ts
@@ -1,4 +1,4 @@
-/** Sends one request to an entry instance and reads its whole outcome. */
+/** Sends a request to an entry instance and reads its outcome. */
 
 import type { Buffer } from "node:buffer";
 import {
@@ -20,32 +20,33 @@
 import { type Dispatcher, getGlobalDispatcher } from "undici";
 import { PROCESS_CLOCK } from "./platform_connection.ts";
 
-/** How a sent request ended, as its caller saw it. */
+/** Outcome of a request: an answer, a refusal, or a failed exchange. */
 export type SentOutcome =
   | { readonly answer: CallerAnswer }
   | { readonly refusal: CallerRefusal }
   | {
-    /** Why neither an answer nor a refusal came. */
+    /** Why neither an answer nor a refusal was received. */
     readonly broken: string;
-    /** False only when certainly nothing of the request left. */
+    /** False only if certainly no part of the request was sent. */
     readonly sent: boolean;
   };
 
-/** What a sender may want besides the outcome. */
+/** Callbacks of {@link sendRequest}. */
 export interface SendOptions {
-  /** Called with each piece of a streamed answer. */
+  /** Called with each text event of a streamed answer. */
   readonly onText?: (text: string) => void;
 }
 
-/** Takes the bytes of a response. */
+/** Decodes the bytes of a response into an outcome. */
 interface ResponseReader {
   push(chunk: Buffer): void;
-  /** @returns The outcome, or nothing where the bytes hold none. */
+  /** @returns The outcome; undefined if the response contains none. */
   end(): SentOutcome | undefined;
 }
 
-/** Beyond the deadline, for an instance that answers at the last moment. */
+/** Added to the deadline, for an instance that answers just before it. */
 const TIMEOUT_MARGIN_MS = 10_000;
+/** Timeout of a request without a deadline. */
 const DEFAULT_TIMEOUT_MS = 300_000;
 const MAX_LINE_BYTES = 16 * 1024 * 1024;
 const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
@@ -53,12 +54,12 @@
 const REASON_TOO_LARGE = "the answer is too large";
 
 /**
- * Sends one request, once.
+ * Sends a request without retries.
  *
  * @param address `host:port` of an instance's interface for callers.
  * @param body The request.
- * @param options What to do with a stream's pieces.
- * @returns Its answer, its refusal, or why neither came.
+ * @param options Callback for the text of a streamed answer.
+ * @returns The answer, the refusal, or why neither was received.
  */
 export function sendRequest(
   address: string,
@@ -113,7 +114,7 @@
   return reader.end() ?? { broken: REASON_NO_OUTCOME, sent };
 }
 
-/** Reads one JSON body. */
+/** Reads an outcome from a JSON body. */
 class JsonBodyReader implements ResponseReader {
   readonly #decoder = new TextDecoder();
   #text = "";
@@ -127,7 +128,7 @@
   }
 }
 
-/** Reads events, one a line, of which the last is the outcome. */
+/** Reads a stream of events, one JSON line each; the last has the outcome. */
 class EventStreamReader implements ResponseReader {
   readonly #options: SendOptions;
   readonly #lines = new NdjsonReader(MAX_LINE_BYTES);
@@ -172,7 +173,8 @@
       handler(event.data);
       return;
     }
-    // A request refused before its stream began gets one JSON body.
+    // The answer is one JSON body if the request was refused before its stream
+    // began.
     this.#outcome ??= readOutcome(value);
   }
 }
--- a/packages/cli/src/settings_check_command.ts
+++ b/packages/cli/src/settings_check_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings check`: tells all faults of a file. */
+/** `chestnuthatch settings check`: lists all faults of a settings file. */
 
 import type { Command } from "commander";
 import type { CommandResult } from "./command_result.ts";
--- a/packages/cli/src/settings_diff_command.ts
+++ b/packages/cli/src/settings_diff_command.ts
@@ -24,6 +24,7 @@
 
 type DiffOptions = PlatformOptions & OutputOptions;
 
+/** A version number or file path on each side of a comparison. */
 interface Sides {
   readonly before: string;
   readonly after: string;
--- a/packages/cli/src/settings_explain_command.ts
+++ b/packages/cli/src/settings_explain_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings explain`: tells where each value comes from. */
+/** `chestnuthatch settings explain`: shows which level sets each value. */
 
 import {
   describeExplained,
--- a/packages/cli/src/settings_propose_command.ts
+++ b/packages/cli/src/settings_propose_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings propose`: puts an edited file in force. */
+/** `chestnuthatch settings propose`: commits an edited settings file. */
 
 import {
   ChangeOutcomeKind,
--- a/packages/cli/src/settings_revert_command.ts
+++ b/packages/cli/src/settings_revert_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings revert`: puts an earlier content in force again. */
+/** `chestnuthatch settings revert`: commits the content of an earlier version. */
 
 import { revertTo } from "@chestnuthatch/settings/settings_change";
 import type { Command } from "commander";
--- a/packages/cli/src/settings_show_command.ts
+++ b/packages/cli/src/settings_show_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings show`: prints the text of a version. */
+/** `chestnuthatch settings show`: prints the content of a version. */
 
 import type { Command } from "commander";
 import type { CommandResult } from "./command_result.ts";
--- a/packages/cli/src/settings_status_command.ts
+++ b/packages/cli/src/settings_status_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings status`: where which version is in force. */
+/** `chestnuthatch settings status`: shows which instances have which version. */
 
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
@@ -71,7 +71,10 @@
   return ok(versionsReport(status, accepted));
 }
 
-/** Undefined where the platform was not named. */
+/**
+ * Reads the accepted version from the table. Returns undefined if no platform
+ * address is given.
+ */
 async function acceptedVersion(
   services: CommandServices,
   options: PlatformOptions,
--- a/packages/cli/src/settings_text.ts
+++ b/packages/cli/src/settings_text.ts
@@ -1,4 +1,4 @@
-/** Reads a settings text and words its faults for operators. */
+/** Parses settings and describes their faults to operators. */
 
 import { readSettings } from "@chestnuthatch/settings/read_settings";
 import {
@@ -11,11 +11,11 @@
 import { ExitCode } from "./exit_code.ts";
 
 /**
- * Checks a settings text.
+ * Parses and validates settings.
  *
- * @param content The text.
- * @param source Where it comes from, such as a file's path.
- * @returns The tree, or all faults.
+ * @param content The settings as YAML.
+ * @param source Origin of the settings, such as the path of a file.
+ * @returns The settings tree, or a failure that lists all faults.
  */
 export function parseTree(
   content: string,
@@ -26,11 +26,11 @@
 }
 
 /**
- * Words the faults of a settings text.
+ * Creates the failure for settings with faults.
  *
- * @param source Where the text comes from.
- * @param faults Its faults.
- * @returns The failure.
+ * @param source Origin of the settings, such as the path of a file.
+ * @param faults Faults of the settings.
+ * @returns A failure that lists all faults.
  */
 export function settingsFaultFailure(
   source: string,
--- a/packages/cli/src/shared_options.ts
+++ b/packages/cli/src/shared_options.ts
@@ -1,45 +1,48 @@
-/** Options that several commands have, and how their values are read. */
+/** Options that several commands share, and the parsers of their values. */
 
 import { InvalidArgumentError, Option } from "commander";
 
 /** Option of commands that read or write the platform's table. */
 export interface PlatformOptions {
+  /** Address of the platform as `host:port`. */
   readonly platform?: string;
 }
 
-/** Option of commands that ask entry instances. */
+/** Option of commands that query entry instances. */
 export interface InstanceOptions {
+  /** `host:port` of the interface for callers, for each instance. */
   readonly instance?: readonly string[];
 }
 
-/** Option of commands that leave a trace in the table. */
+/** Option of commands that write to the platform's table. */
 export interface AuthorOptions {
+  /** Name of the operator, which the table records. */
   readonly author: string;
 }
 
-/** Environment variable with the platform's address. */
+/** Environment variable with the address of the platform. */
 export const PLATFORM_VARIABLE = "CHESTNUTHATCH_PLATFORM";
-/** Environment variable with the instances' addresses. */
+/** Environment variable with the addresses of the instances. */
 export const INSTANCES_VARIABLE = "CHESTNUTHATCH_INSTANCES";
-/** Environment variable with the operator's name. */
+/** Environment variable with the name of the operator. */
 export const AUTHOR_VARIABLE = "CHESTNUTHATCH_AUTHOR";
 
 const ADDRESS_PATTERN = /^[^\s:/]+:\d{1,5}$/;
 const SEPARATOR_PATTERN = /[\s,]+/;
 
-/** @returns `--json`. */
+/** @returns The option `--json`. */
 export function jsonOption(): Option {
   return new Option("--json", "print the result as JSON").default(false);
 }
 
-/** @returns `--platform`. */
+/** @returns The option `--platform`. */
 export function platformOption(): Option {
   return new Option("--platform <host:port>", "address of the platform")
     .env(PLATFORM_VARIABLE)
     .argParser(parseAddress);
 }
 
-/** @returns `--instance`, which may be given several times. */
+/** @returns The option `--instance`, which may be repeated. */
 export function instanceOption(): Option {
   return new Option(
     "--instance <host:port>",
@@ -49,7 +52,7 @@
     .argParser(parseAddresses);
 }
 
-/** @returns `--author`, which must be given. */
+/** @returns The option `--author`, which is required. */
 export function authorOption(): Option {
   return new Option("--author <name>", "who you are, for others to read")
     .env(AUTHOR_VARIABLE)
@@ -57,9 +60,9 @@
 }
 
 /**
- * Words the examples of a command's help.
+ * Formats the examples in the help of a command.
  *
- * @param lines What follows the program's name in each.
+ * @param lines Arguments of each example, without the program's name.
  * @returns Text for commander's `addHelpText`.
  */
 export function examples(...lines: readonly string[]): string {
@@ -68,9 +71,9 @@
 }
 
 /**
- * Reads a number above 0.
+ * Creates a parser of numbers above 0.
  *
- * @param max The highest allowed.
+ * @param max Highest valid number.
  * @returns A parser for commander.
  */
 export function positiveNumber(max = Infinity): (text: string) => number {
@@ -84,10 +87,10 @@
 }
 
 /**
- * Reads a whole number.
+ * Creates a parser of whole numbers.
  *
- * @param min The lowest allowed.
- * @param max The highest allowed.
+ * @param min Lowest valid number.
+ * @param max Highest valid number.
  * @returns A parser for commander.
  */
 export function wholeNumber(
--- a/packages/cli/src/status_command.ts
+++ b/packages/cli/src/status_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch status`: the fleet, as all given instances see it. */
+/** `chestnuthatch status`: shows the merged status of all given instances. */
 
 import type { Command } from "commander";
 import { err, ok } from "neverthrow";
@@ -70,7 +70,10 @@
   return ok({ text: statusText(marked), json: marked, exitCode });
 }
 
-/** Where the table cannot be read the marks are left out. */
+/**
+ * Marks the targets that the current settings drain. Returns the status without
+ * marks if the table cannot be read.
+ */
 async function withDraining(
   status: FleetStatus,
   services: CommandServices,
--- a/packages/cli/src/status_text.ts
+++ b/packages/cli/src/status_text.ts
@@ -1,4 +1,4 @@
-/** Words the status of a fleet for people. */
+/** Formats the status of a fleet for people. */
 
 import type {
   FleetInstance,
@@ -9,10 +9,10 @@
 import { sectionLines } from "./text_table.ts";
 
 /**
- * Words the whole status.
+ * Formats the status of a fleet.
  *
- * @param status The fleet's status.
- * @returns Text of several tables.
+ * @param status Status of the fleet.
+ * @returns Text with a table for instances, shards, targets, tiers and versions.
  */
 export function statusText(status: FleetStatus): string {
   return [
@@ -41,10 +41,10 @@
 }
 
 /**
- * Words which instances have which version in force.
+ * Formats a table of versions and the instances where they are in force.
  *
- * @param status The fleet's status.
- * @returns Its lines.
+ * @param status Status of the fleet.
+ * @returns Lines of the table.
  */
 export function versionLines(status: FleetStatus): string[] {
   return sectionLines("settings in force", [
@@ -57,10 +57,10 @@
 }
 
 /**
- * Words which instances gave no answer.
+ * Lists the instances that gave no answer.
  *
- * @param status The fleet's status.
- * @returns Its lines; none where all answered.
+ * @param status Status of the fleet.
+ * @returns One line for each; none if all answered.
  */
 export function silentLines({ silent }: FleetStatus): string[] {
   return silent.map(({ address, reason }) =>
--- a/packages/cli/src/try_command.ts
+++ b/packages/cli/src/try_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch try`: a whole fleet on stand-ins, under the brief's load. */
+/** `chestnuthatch try`: runs a fleet on stand-ins under generated load. */
 
 import type { Sleep } from "@chestnuthatch/daemon/sleep";
 import {
@@ -33,6 +33,7 @@
   readonly seed: number;
 }
 
+/** Number of entry instances by deployment. */
 const INSTANCE_COUNTS: Record<Deployment, number> = {
   [Deployment.ShambaSafi]: 8,
   [Deployment.SunuRegistrs]: 7,
@@ -42,6 +43,7 @@
 const MAX_SECONDS = 600;
 const MAX_RATE = 1000;
 const MS_PER_SECOND = 1000;
+/** Share of requests that callers repeat, and the delay of the repetition. */
 const REPEATS = { share: 0.05, afterMs: 300 };
 
 /**
--- a/packages/cli/src/try_routed_command.ts
+++ b/packages/cli/src/try_routed_command.ts
@@ -1,4 +1,7 @@
-/** `chestnuthatch try-routed`: the form that passes requests through unchanged. */
+/**
+ * `chestnuthatch try-routed`: runs instances that pass requests through
+ * unchanged, on stand-ins.
+ */
 
 import {
   runTrial,
--- a/utils/cached_program.ts
+++ b/utils/cached_program.ts
@@ -1,4 +1,4 @@
-/** Runs the bundled program that lies beside this file, from its code cache. */
+/** Runs the bundled program in the folder of this file, from its code cache. */
 
 import { dirname, join } from "node:path";
 import process from "node:process";
--- a/utils/check_layers.ts
+++ b/utils/check_layers.ts
@@ -1,10 +1,10 @@
 /**
  * Checks that every source file imports only what the `DEPS.list` of its
- * folder names, that folders marked `pure` use no clock, timer or randomness of
- * their own, and that no files import each other in a circle.
+ * folder allows, that source files in folders marked `pure` use no clock, timer
+ * or randomness, and that there are no import cycles between files.
  *
- * A `DEPS.list` has one entry a line: a package or `node:` module, a relative
- * folder, `test: NAME` for what only test files may import, or `pure`.
+ * A `DEPS.list` has one entry per line: a package or `node:` module, a relative
+ * folder, `test: NAME` for an import that only test files may have, or `pure`.
  */
 
 import { readdirSync, readFileSync, statSync } from "node:fs";
@@ -17,6 +17,7 @@
 const IMPURE_PATTERN =
   /\b(Date\.now|Math\.random|setTimeout|setInterval|performance\.now)\(|new Date\(\)/;
 
+/** Content of a `DEPS.list` file. */
 interface DepsList {
   readonly allowed: ReadonlySet<string>;
   readonly allowedInTests: ReadonlySet<string>;
@@ -60,7 +61,7 @@
   return faults;
 }
 
-/** Finds circles of imports between files, each told once. */
+/** Finds import cycles between files and reports each once. */
 function importCycles(files: readonly string[]): string[] {
   const cycles: string[] = [];
   const visited = new Set<string>();
--- a/utils/measure_rest.ts
+++ b/utils/measure_rest.ts
@@ -1,9 +1,10 @@
 /**
- * Measures what entry instances spend while nothing is asked of them: an
- * embedded fleet at today's size, without requests.
+ * Measures processor time, peer traffic and memory of idle entry instances, in
+ * an embedded fleet of each example deployment that receives no requests.
  *
- * Processor time is that of the whole process, stand-ins included, over the
- * number of instances: an upper bound. Bytes are those of peer links.
+ * Processor time is that of the whole process, including stand-ins, divided by
+ * the number of instances, so it is an upper bound. Bytes are those sent over
+ * peer connections.
  */
 
 import process from "node:process";
--- a/utils/program_file.ts
+++ b/utils/program_file.ts
@@ -1,6 +1,6 @@
 /**
- * The bundled program, run from V8's code cache where there is one: a process
- * that starts again serves sooner, and compiles nothing.
+ * Runs a bundled program from V8's code cache if there is one, so that a
+ * restarted process compiles nothing and serves sooner.
  */
 
 import { existsSync, readFileSync } from "node:fs";
@@ -8,7 +8,7 @@
 import { dirname } from "node:path";
 import { Script } from "node:vm";
 
-/** Gives a module what modules are given, and runs it. */
+/** The wrapper function of a CommonJS module. */
 type ModuleBody = (
   exports: unknown,
   require: NodeJS.Require,
@@ -17,23 +17,23 @@
   folder: string,
 ) => void;
 
-/** One CommonJS file. */
+/** A bundled program in one CommonJS file, with an optional code cache. */
 export class ProgramFile {
   readonly #path: string;
   readonly #script: Script;
 
-  /** @param path Its path; its code cache lies beside it. */
+  /** @param path Path of the program; its code cache is in the same folder. */
   constructor(path: string) {
     this.#path = path;
     const cachePath = codeCachePath(path);
     this.#script = new Script(Module.wrap(readFileSync(path, "utf8")), {
       filename: path,
-      // One that another version or other flags made is passed over.
+      // V8 ignores a cache that another version or other flags created.
       cachedData: existsSync(cachePath) ? readFileSync(cachePath) : undefined,
     });
   }
 
-  /** Runs it within this process. */
+  /** Runs the program within this process. */
   run(): void {
     const body = this.#script.runInThisContext() as ModuleBody;
     const module = { exports: {} };
@@ -41,15 +41,17 @@
     body(module.exports, require, module, this.#path, dirname(this.#path));
   }
 
-  /** @returns Code of what has run by now, for processes to come. */
+  /** @returns Code cache of all functions that have been compiled so far. */
   codeCache(): Uint8Array {
     return this.#script.createCachedData();
   }
 }
 
 /**
- * @param path Path of a program.
- * @returns Path of its code cache.
+ * Returns the path of the code cache of a program.
+ *
+ * @param path Path of the program.
+ * @returns Path of its code cache, in the same folder.
  */
 export function codeCachePath(path: string): string {
   return `${path}.cache`;
--- a/utils/program_file_test.ts
+++ b/utils/program_file_test.ts
@@ -30,12 +30,12 @@
   return globals[RAN];
 }
 
-test("a program gets what modules are given", () =>
+test("a program receives the arguments of a CommonJS module", () =>
   withProgram((path) => {
     assert.equal(ran(path), [true, true, true]);
   }));
 
-test("it runs from its code cache, and without one that is spoilt", () =>
+test("runs from its code cache, and ignores a corrupt one", () =>
   withProgram((path) => {
     const file = new ProgramFile(path);
     file.run();
--- a/utils/run_tests.ts
+++ b/utils/run_tests.ts
@@ -1,8 +1,9 @@
 /**
- * Runs every compiled test file and closes on a line `N passed, N failed`.
+ * Runs every compiled test file and prints a last line `N passed, N failed`.
  *
- * Tests named in KNOWN-RED.txt may fail; they are printed and passed over.
- * An argument narrows the run to files whose path contains it.
+ * Tests whose titles are listed in KNOWN-RED.txt may fail; their failures are
+ * printed and not counted. An optional argument limits the run to files whose
+ * path contains it.
  */
 
 import { spawn } from "node:child_process";
@@ -58,6 +59,7 @@
   });
 }
 
+/** Whether a compiled test still has a source file. */
 function hasSource(path: string): boolean {
   const source = path.replace(/\.js$/, ".ts");
   return existsSync(source.replace("/dist/", "/src/")) ||
--- a/utils/write_code_cache.ts
+++ b/utils/write_code_cache.ts
@@ -1,6 +1,7 @@
 /**
- * Writes the code cache of a bundled program: runs it for a moment, so that what
- * a start needs is compiled. Arguments are the program's path, then its own.
+ * Writes the code cache of a bundled program. Runs the program briefly first, so
+ * that the functions that a start needs are compiled. The arguments are the path
+ * of the program, then the program's own arguments.
  */
 
 import { writeFileSync } from "node:fs";
@@ -8,7 +9,7 @@
 import process from "node:process";
 import { codeCachePath, ProgramFile } from "./program_file.ts";
 
-/** Time by which an instance has started. */
+/** Time within which an instance has started. */
 const STARTUP_WAIT_MS = 500;
 
 const [node, , program, ...args] = process.argv;
