--- a/packages/cli/src/drain_command.ts
+++ b/packages/cli/src/drain_command.ts
@@ -54,6 +54,7 @@
   readonly author: string;
 }
 
+/** Reads and edits the draining mark of one kind of component. */
 interface DrainHandler {
   readonly isDraining: (tree: SettingsTree, name: string) => boolean;
   readonly edit: (
@@ -69,15 +70,15 @@
     isDraining: (tree, name) => tree.targets[name]?.draining === true,
     edit: (content, { name, draining }) =>
       withTargetDraining(content, { targetId: name, draining }),
-    effect: "Instances that have it send the target no new work; what runs " +
-      "there goes on to its end.",
+    effect: "Instances with this version in force send the target no new " +
+      "work; work in progress there continues to its end.",
   },
   [DrainKind.Instance]: {
     isDraining: (tree, name) => tree.drainingInstances.includes(name),
     edit: (content, { name, draining }) =>
       withInstanceDraining(content, { instanceId: name, draining }),
-    effect: "Once it has it, the instance says that it is not ready and " +
-      "coordinates nothing; what it holds goes on to its end.",
+    effect: "With this version in force, the instance reports that it is not " +
+      "ready and coordinates nothing; requests that it holds continue.",
   },
 };
 
@@ -130,7 +131,7 @@
       if (attempt > 0) {
         await services.sleep(RETRY_DELAY_MS);
       }
-      const current = await store.current();
+      const current = await store.readCurrent();
       if (current.isErr()) {
         return err(current.error);
       }
@@ -209,7 +210,7 @@
 function attemptsExhausted({ kind, name }: Drain): CommandResult {
   return failed({
     message: `Other changes came first in all ${MAX_ATTEMPTS} attempts; ` +
-      `${kind} ${name} is as it was.`,
+      `${kind} ${name} is unchanged.`,
     next: "See who changes the settings (chestnuthatch settings history), " +
       "then try again.",
   });
--- a/packages/cli/src/fleet_status.ts
+++ b/packages/cli/src/fleet_status.ts
@@ -40,7 +40,7 @@
 export interface FleetTarget extends TargetStatus {
   /** Id of the instance that the status comes from. */
   readonly seenBy: string;
-  /** Ids of the instances that cannot reach it. */
+  /** Ids of the instances that cannot reach the target. */
   readonly unreachableFrom: readonly string[];
 }
 
@@ -196,8 +196,8 @@
     byId.set(view.targetId, [...byId.get(view.targetId) ?? [], view]);
   }
   const merged = [...byId.values()].map((targetViews) => ({
-    ...targetViews.reduce((newest, view) =>
-      loadAge(view) < loadAge(newest) ? view : newest
+    ...targetViews.reduce((latest, view) =>
+      loadAge(view) < loadAge(latest) ? view : latest
     ),
     leaving: targetViews.some(({ leaving }) => leaving),
     unreachableFrom: targetViews.filter(({ health }) => health === UNREACHABLE)
--- a/packages/cli/src/promise_checks.ts
+++ b/packages/cli/src/guarantee_checks.ts
@@ -9,7 +9,7 @@
  * @param fleet Fleet whose stand-ins counted dispatches and runs.
  * @returns One line for each broken guarantee.
  */
-export function brokenPromises(fleet: EmbeddedFleet): string[] {
+export function findBrokenGuarantees(fleet: EmbeddedFleet): string[] {
   return [...repeatedDispatches(fleet), ...repeatedKeys(fleet)];
 }
 
--- a/packages/cli/src/load_command.ts
+++ b/packages/cli/src/load_command.ts
@@ -133,7 +133,7 @@
  * @returns The report; its exit code is a failure if a guarantee was broken.
  */
 export function tallyReport(tally: LoadTally) {
-  const { text, json, brokenPromiseCount: promisesBroken } = tally;
+  const { text, json, brokenGuaranteeCount: promisesBroken } = tally;
   const exitCode = promisesBroken === 0 ? ExitCode.Done : ExitCode.Failed;
   return { text, json, exitCode };
 }
--- a/packages/cli/src/load_tally.ts
+++ b/packages/cli/src/load_tally.ts
@@ -102,7 +102,7 @@
   }
 
   /** Number of broken guarantees. */
-  get brokenPromiseCount(): number {
+  get brokenGuaranteeCount(): number {
     return this.#faults.length;
   }
 
@@ -157,7 +157,7 @@
       ...this.#notSentCount > 0
         ? [`not sent, as too many were open: ${this.#notSentCount}`]
         : [],
-      `promises broken: ${this.brokenPromiseCount}`,
+      `promises broken: ${this.brokenGuaranteeCount}`,
       ...this.#faults.slice(0, MAX_FAULTS_SHOWN).map((fault) => `  ${fault}`),
     ].join("\n");
   }
--- a/packages/cli/src/order_command.ts
+++ b/packages/cli/src/order_command.ts
@@ -47,10 +47,10 @@
   readonly value: string;
 }
 
-/** Exit code and texts for one outcome of an order. */
+/** Exit code, summary and hint for one outcome of an order. */
 interface OutcomeText {
   readonly exitCode: ExitCode;
-  readonly description: string;
+  readonly summary: string;
   readonly next: string;
 }
 
@@ -64,57 +64,57 @@
 const OUTCOME_TEXTS: Readonly<Record<OrderOutcomeKind, OutcomeText>> = {
   [OrderOutcomeKind.Obeyed]: {
     exitCode: ExitCode.Done,
-    description: "the target is as ordered",
+    summary: "the target is as ordered",
     next: "",
   },
   [OrderOutcomeKind.NotAsOrdered]: {
     exitCode: ExitCode.Failed,
-    description: "the target answered, but is not as ordered",
+    summary: "the target answered, but is not as ordered",
     next: "Look at its state; another order may have come after this one.",
   },
   [OrderOutcomeKind.RefusedAsOld]: {
     exitCode: ExitCode.Failed,
-    description: "the target has obeyed a later order and refused this one",
-    next: "Look at its state, and give the order again if it still holds.",
+    summary: "the target has obeyed a later order and refused this one",
+    next: "Look at its state, and give the order again if it is still needed.",
   },
   [OrderOutcomeKind.HeldElsewhere]: {
     exitCode: ExitCode.Failed,
-    description: "another order was given meanwhile; this one was not sent",
-    next: "Speak with its author, and give the order again if it still holds.",
+    summary: "another order was given meanwhile; this one was not sent",
+    next:
+      "Check with its author, and give the order again if it is still needed.",
   },
   [OrderOutcomeKind.LeaseLapsed]: {
     exitCode: ExitCode.Failed,
-    description:
-      "the lease ended before the order could be sent; it was not sent",
+    summary: "the lease ended before the order could be sent; it was not sent",
     next: "Give the order again.",
   },
   [OrderOutcomeKind.TargetUnreachable]: {
     exitCode: ExitCode.Failed,
-    description: "the target could not be reached; the order was not sent",
+    summary: "the target could not be reached; the order was not sent",
     next: "Check the target and its address in the settings, then try again.",
   },
   [OrderOutcomeKind.StoreUnavailable]: {
     exitCode: ExitCode.Failed,
-    description: "the table gave no lease; the order was not sent",
-    next: "Try again once the platform answers; a lease that was written " +
-      "after all is waited out then.",
+    summary: "no lease was obtained from the table; the order was not sent",
+    next: "Try again once the platform answers; if a lease was written " +
+      "nevertheless, the order waits until it has ended.",
   },
   [OrderOutcomeKind.RowUnreadable]: {
     exitCode: ExitCode.Failed,
-    description:
-      "the target's row in the table is corrupt; the order was not sent",
+    summary: "the target's row in the table is corrupt; the order was not sent",
     next:
       "Have the platform's operators remove the row once no order to this " +
       "target can be under way.",
   },
   [OrderOutcomeKind.InDoubt]: {
     exitCode: ExitCode.OutcomeUnknown,
-    description: "the order was sent and may still be obeyed",
+    summary: "the order was sent and may still be obeyed",
     next: "Give the order again: it waits until this one can no longer take " +
       "effect.",
   },
 };
 
+/** Default and upper bound of the option `--max-order-delay-ms`. */
 const DEFAULT_MAX_ORDER_DELAY_MS = 10_000;
 const MAX_ORDER_DELAY_MS = 600_000;
 
@@ -170,7 +170,7 @@
 ): Promise<CommandResult> {
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    const order = (await store.current()).andThen(({ value }) =>
+    const order = (await store.readCurrent()).andThen(({ value }) =>
       parseTree(value.content, `Version ${value.version}`)
         .andThen((tree) => orderFor(tree, input))
     );
@@ -178,8 +178,8 @@
       return err(order.error);
     }
     services.output.err(
-      `Taking the lease on ${input.targetId}; another's unsettled order is ` +
-        "waited out first.\n",
+      `Acquiring the lease on ${input.targetId}; waits first while another ` +
+        "order to it is unsettled.\n",
     );
     const outcome = await issueUnderLease(platform, order.value, {
       services,
@@ -236,9 +236,9 @@
 }
 
 function orderResult(order: EngineOrder, outcome: OrderOutcome): CommandResult {
-  const { exitCode, description, next } = OUTCOME_TEXTS[outcome.kind];
+  const { exitCode, summary, next } = OUTCOME_TEXTS[outcome.kind];
   const text = [
-    `Order ${outcome.orderId}: ${description}.`,
+    `Order ${outcome.orderId}: ${summary}.`,
     ...stateLines(outcome),
   ]
     .join("\n");
--- a/packages/cli/src/request_timeline.ts
+++ b/packages/cli/src/request_timeline.ts
@@ -19,9 +19,9 @@
 /** Steps of one request across instances; printed as JSON. */
 export interface RequestTimeline {
   readonly requestId: string;
-  /** Instance that accepted it from its caller; absent if none answered. */
+  /** Instance that accepted it from its caller; absent if it was not found. */
   readonly holderId?: string;
-  /** Record of the holder; absent if the holder did not answer. */
+  /** Record of the holder; absent if it was not found. */
   readonly holder?: InstanceExplanation["explanation"];
   readonly steps: readonly TimelineStep[];
 }
@@ -40,10 +40,10 @@
   requestId: string,
   explanations: readonly InstanceExplanation[],
 ): RequestTimeline {
-  const holder = explanations.find(({ explanation: story }) =>
-    story.state !== undefined
+  const holder = explanations.find(({ explanation }) =>
+    explanation.state !== undefined
   );
-  const others = explanations.filter((story) => story !== holder);
+  const others = explanations.filter((explanation) => explanation !== holder);
   let steps = holder === undefined ? [] : timelineSteps(holder);
   for (const other of others) {
     steps = insertSteps(steps, other);
@@ -57,10 +57,10 @@
 }
 
 function timelineSteps(
-  { instanceId, explanation: story }: InstanceExplanation,
+  { instanceId, explanation }: InstanceExplanation,
 ): TimelineStep[] {
-  const firstAtMs = story.decisions.at(0)?.atMs ?? 0;
-  return story.decisions.map(({ atMs, by, text }: DecisionEntry) => ({
+  const firstAtMs = explanation.decisions.at(0)?.atMs ?? 0;
+  return explanation.decisions.map(({ atMs, by, text }: DecisionEntry) => ({
     instanceId,
     sinceFirstMs: atMs - firstAtMs,
     by,
--- a/packages/cli/src/send_command.ts
+++ b/packages/cli/src/send_command.ts
@@ -45,6 +45,7 @@
   readonly stream: boolean;
 }
 
+/** Exit codes of refusals that the caller's input does not cause. */
 const EXIT_BY_RUN_STATE: Readonly<
   Record<RunState, CommandFailure["exitCode"]>
 > = {
@@ -192,16 +193,14 @@
       ? ExitCode.BadInput
       : EXIT_BY_RUN_STATE[ran],
     message: `Request ${requestId}: refused (${error}, ${ran}). ${message}`,
-    next: `${
-      retryHint(refusal)
-    } To see how it was processed: chestnuthatch why ${requestId}`,
+    next: `${retryHint(refusal)} For details: chestnuthatch why ${requestId}`,
     detail: { refusal },
   };
 }
 
 function retryHint({ mayRetry, retryAfterMs }: CallerRefusal): string {
   if (!mayRetry) {
-    return "Sending it again unaltered will not help.";
+    return "Sending it again unchanged will not help.";
   }
   return retryAfterMs === undefined
     ? "It may be sent again."
@@ -217,7 +216,8 @@
       exitCode: ExitCode.OutcomeUnknown,
       message: `${address} gave no outcome (${broken}); the request may ` +
         "have run.",
-      next: "Drop any text received. Send it again if it is idempotent, or " +
+      next:
+        "Discard any text received. Send it again if it is idempotent, or " +
         "under the same idempotency key.",
       detail: { sent, reason: broken },
     }
--- a/packages/cli/src/send_request.ts
+++ b/packages/cli/src/send_request.ts
@@ -32,7 +32,7 @@
   };
 
 /** Callbacks of {@link sendRequest}. */
-export interface SendOptions {
+export interface SendRequestOptions {
   /** Called with each text event of a streamed answer. */
   readonly onText?: (text: string) => void;
 }
@@ -64,7 +64,7 @@
 export function sendRequest(
   address: string,
   body: CallerRequest,
-  options: SendOptions = {},
+  options: SendRequestOptions = {},
 ): Promise<SentOutcome> {
   const reader = body.stream
     ? new EventStreamReader(options)
@@ -130,7 +130,7 @@
 
 /** Reads a stream of events, one JSON line each; the last has the outcome. */
 class EventStreamReader implements ResponseReader {
-  readonly #options: SendOptions;
+  readonly #options: SendRequestOptions;
   readonly #lines = new NdjsonReader(MAX_LINE_BYTES);
   readonly #handlers: {
     readonly [K in CallerEventKind]: (
@@ -151,7 +151,7 @@
   #text = "";
   #outcome?: SentOutcome;
 
-  constructor(options: SendOptions) {
+  constructor(options: SendRequestOptions) {
     this.#options = options;
   }
 
--- a/packages/cli/src/settings_change.ts
+++ b/packages/cli/src/settings_change.ts
@@ -35,7 +35,7 @@
   | {
     readonly kind: ChangeOutcomeKind.LostRace;
     readonly baseVersion: number;
-    /** Newest version in the table. */
+    /** The newest version that is known. */
     readonly currentVersion: number;
   };
 
@@ -188,8 +188,8 @@
   }
   const base = baseVersion === NO_VERSION
     ? undefined
-    : (await store.version(baseVersion)).unwrapOr(undefined);
-  const newest = (await store.version(currentVersion)).unwrapOr(undefined);
+    : (await store.readVersion(baseVersion)).unwrapOr(undefined);
+  const newest = (await store.readVersion(currentVersion)).unwrapOr(undefined);
   const differences = newest === undefined
     ? []
     : diffContents(base?.value.content, newest.value.content);
@@ -201,7 +201,7 @@
       `What changed since version ${baseVersion}:`,
       ...differenceLines(differences),
     ].join("\n"),
-    next: "Take the newest text (chestnuthatch settings show " +
+    next: "Save the newest version (chestnuthatch settings show " +
       `--version ${currentVersion} > FILE), make your edit again, and ` +
       `propose it with --base ${currentVersion}.`,
     detail: { baseVersion, currentVersion, differences },
--- a/packages/cli/src/settings_diff_command.ts
+++ b/packages/cli/src/settings_diff_command.ts
@@ -121,7 +121,7 @@
   store: SettingsStore,
   side: string,
 ): Promise<Result<SettingsTree, CommandFailure>> {
-  const read = await store.version(Number(side));
+  const read = await store.readVersion(Number(side));
   return read.andThen(({ value }) =>
     parseTree(value.content, `Version ${value.version}`)
   );
--- a/packages/cli/src/settings_explain_command.ts
+++ b/packages/cli/src/settings_explain_command.ts
@@ -84,7 +84,7 @@
   }
   return await withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    return (await store.current()).andThen(({ value }) =>
+    return (await store.readCurrent()).andThen(({ value }) =>
       parseTree(value.content, `Version ${value.version}`)
         .andThen((tree) => explainTree(tree, options))
     );
--- a/packages/cli/src/settings_history_command.ts
+++ b/packages/cli/src/settings_history_command.ts
@@ -57,7 +57,7 @@
 ): Promise<CommandResult> {
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    return (await store.history(options.limit)).map(historyReport);
+    return (await store.readHistory(options.limit)).map(historyReport);
   });
 }
 
--- a/packages/cli/src/settings_propose_command.ts
+++ b/packages/cli/src/settings_propose_command.ts
@@ -101,7 +101,7 @@
   store: SettingsStore,
   { content, services, options }: Proposal,
 ): Promise<CommandResult> {
-  const head = await store.head();
+  const head = await store.readHead();
   if (head.isErr()) {
     return err(head.error);
   }
@@ -131,7 +131,7 @@
 ) {
   const base = baseVersion === NO_VERSION
     ? undefined
-    : (await store.version(baseVersion)).unwrapOr(undefined);
+    : (await store.readVersion(baseVersion)).unwrapOr(undefined);
   return diffContents(base?.value.content, content);
 }
 
--- a/packages/cli/src/settings_revert_command.ts
+++ b/packages/cli/src/settings_revert_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings revert`: commits the content of an earlier version. */
+/** `chestnuthatch settings revert`: commits an earlier content again. */
 
 import { revertTo } from "@chestnuthatch/settings/settings_change";
 import type { Command } from "commander";
@@ -59,11 +59,11 @@
 ): Promise<CommandResult> {
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    const current = await store.current();
+    const current = await store.readCurrent();
     if (current.isErr()) {
       return err(current.error);
     }
-    const earlier = await store.version(version);
+    const earlier = await store.readVersion(version);
     if (earlier.isErr()) {
       return err(earlier.error);
     }
--- a/packages/cli/src/settings_show_command.ts
+++ b/packages/cli/src/settings_show_command.ts
@@ -58,8 +58,8 @@
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
     const read = options.version === undefined
-      ? await store.current()
-      : await store.version(options.version);
+      ? await store.readCurrent()
+      : await store.readVersion(options.version);
     return read.map(({ value }) => {
       if (!options.json) {
         services.output.err(`${describeVersion(value)}\n`);
--- a/packages/cli/src/settings_status_command.ts
+++ b/packages/cli/src/settings_status_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings status`: shows which instances have which version. */
+/** `chestnuthatch settings status`: shows the versions that instances have. */
 
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
@@ -83,7 +83,7 @@
     return ok(undefined);
   }
   return await withPlatform<number | undefined>(options, async (platform) => {
-    const head = await new SettingsStore(platform, services.sleep).head();
+    const head = await new SettingsStore(platform, services.sleep).readHead();
     return head.map(({ version }) => version);
   });
 }
--- a/packages/cli/src/settings_store.ts
+++ b/packages/cli/src/settings_store.ts
@@ -63,6 +63,7 @@
   { readonly version: number; readonly message: string }
 >;
 
+/** A value from the table, or why it cannot be read. */
 type ReadResult<T> = Promise<Result<T, CommandFailure>>;
 
 const MAX_ATTEMPTS = 5;
@@ -83,7 +84,7 @@
   }
 
   /** @returns The head row, or why it cannot be read. */
-  async head(): ReadResult<StoredHead> {
+  async readHead(): ReadResult<StoredHead> {
     const answer = await this.#platform.read([HEAD_KEY]);
     return answer.mapErr(tableReadFailure).andThen(({ rows }) => {
       const row = rows.find(({ key }) => key === HEAD_KEY);
@@ -102,7 +103,7 @@
    * @param version Number of the version.
    * @returns The version, or why it cannot be read.
    */
-  async version(version: number): ReadResult<StoredVersion> {
+  async readVersion(version: number): ReadResult<StoredVersion> {
     const key = versionKey(version);
     const answer = await this.#platform.read([key]);
     return answer.mapErr(tableReadFailure).andThen(({ rows }) => {
@@ -117,8 +118,8 @@
   }
 
   /** @returns The version in force, or why it cannot be read. */
-  async current(): ReadResult<CurrentSettings> {
-    const head = await this.head();
+  async readCurrent(): ReadResult<CurrentSettings> {
+    const head = await this.readHead();
     if (head.isErr()) {
       return err(head.error);
     }
@@ -126,7 +127,10 @@
     if (headRow === undefined) {
       return noSettings();
     }
-    return (await this.version(version)).map((read) => ({ ...read, headRow }));
+    return (await this.readVersion(version)).map((read) => ({
+      ...read,
+      headRow,
+    }));
   }
 
   /**
@@ -135,8 +139,8 @@
    * @param limit Maximum number of versions.
    * @returns The versions, newest first.
    */
-  async history(limit: number): ReadResult<HistoryEntry[]> {
-    const head = await this.head();
+  async readHistory(limit: number): ReadResult<HistoryEntry[]> {
+    const head = await this.readHead();
     if (head.isErr()) {
       return err(head.error);
     }
@@ -153,8 +157,8 @@
   /**
    * Sends a change until its outcome is known, at most {@link MAX_ATTEMPTS}
    * times. If an answer is lost, the rows are read back and searched for the id
-   * of the change. Sending again is safe, since the conditions of the change let
-   * it take effect at most once.
+   * of the change. Sending again is safe, since the conditions of the change
+   * let it take effect at most once.
    *
    * @param change The proposed change.
    * @returns Committed or lost to a concurrent change, or why it is unknown.
@@ -235,7 +239,7 @@
   return outcomeUnknown({
     message: `The platform did not confirm whether change ${changeId} became ` +
       `version ${version}; it may have, or may still.`,
-    next: "Once the platform answers, look at the id beside that version: " +
+    next: "Once the platform answers, check the change id of that version: " +
       "chestnuthatch settings history",
     detail: { changeId, version },
   });
--- a/packages/cli/src/status_command.ts
+++ b/packages/cli/src/status_command.ts
@@ -81,7 +81,7 @@
 ): Promise<FleetStatus> {
   const tree = await withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    return (await store.current()).andThen(({ value }) =>
+    return (await store.readCurrent()).andThen(({ value }) =>
       parseTree(value.content, `Version ${value.version}`)
     );
   });
--- a/packages/cli/src/status_text.ts
+++ b/packages/cli/src/status_text.ts
@@ -12,7 +12,7 @@
  * Formats the status of a fleet.
  *
  * @param status Status of the fleet.
- * @returns Text with a table for instances, shards, targets, tiers and versions.
+ * @returns Tables of instances, shards, targets, tiers and versions.
  */
 export function statusText(status: FleetStatus): string {
   return [
--- a/packages/cli/src/try_command.ts
+++ b/packages/cli/src/try_command.ts
@@ -18,7 +18,7 @@
 import { deploymentOption, tallyReport } from "./load_command.ts";
 import { LoadTally } from "./load_tally.ts";
 import { sendPaced } from "./paced_sender.ts";
-import { brokenPromises } from "./promise_checks.ts";
+import { findBrokenGuarantees } from "./guarantee_checks.ts";
 import {
   examples,
   jsonOption,
@@ -119,7 +119,7 @@
   });
   const addresses = fleet.callerAddresses;
   await sendPaced(items, { addresses, tally, sleep, output });
-  for (const fault of brokenPromises(fleet)) {
+  for (const fault of findBrokenGuarantees(fleet)) {
     tally.addFault(fault);
   }
   return ok(tallyReport(tally));
--- a/packages/cli/src/why_command.ts
+++ b/packages/cli/src/why_command.ts
@@ -90,7 +90,7 @@
   const answers = await readExplanations(addresses, requestId);
   const explanations = knownExplanations(answers);
   const joinedId = explanations
-    .map(({ explanation: story }) => story.joinedRequestId)
+    .map(({ explanation }) => explanation.joinedRequestId)
     .find((id) => id !== undefined && id !== requestId);
   if (joinedId === undefined) {
     return { explanations, silent: answers.silent };
@@ -120,16 +120,16 @@
   if (silent.length > 0) {
     const addresses = silent.map(({ address }) => address).join(", ");
     return outcomeUnknown({
-      message: `No instance that answered remembers ${requestId}; ` +
+      message: `No instance that answered has a record of ${requestId}; ` +
         `${addresses} gave no answer.`,
-      next: "Ask again once these can be reached.",
+      next: "Try again once these can be reached.",
       detail: { requestId, silent },
     });
   }
   return failed({
-    message: `No instance asked remembers ${requestId}.`,
-    next: "Check the id, and give every instance: each remembers only its " +
-      "latest requests, and none outlives a restart.",
+    message: `No queried instance has a record of ${requestId}.`,
+    next: "Check the id, and give every instance: each keeps records only of " +
+      "its latest requests, and loses them when it restarts.",
     detail: { requestId },
   });
 }
@@ -153,7 +153,7 @@
 ): string[] {
   if (holder === undefined) {
     return [
-      `Request ${requestId}: its holder was not found among those asked.`,
+      `Request ${requestId}: its holder was not found among the queried instances.`,
     ];
   }
   const { workspace, tier, pool, joinedRequestId } = holder;
--- a/utils/measure_rest.ts
+++ b/utils/measure_rest.ts
@@ -11,6 +11,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { EmbeddedFleet } from "@chestnuthatch/cli/embedded_fleet";
 
+/** Wait before measuring, until the fleet has settled. */
 const WARMUP_MS = 5000;
 const MEASURE_MS = 20_000;
 const READY_POLL_MS = 50;
--- a/utils/run_tests.ts
+++ b/utils/run_tests.ts
@@ -12,7 +12,7 @@
 import process from "node:process";
 
 const ROOTS = ["packages", "platform", "utils", "tests"];
-const FILES_AT_ONCE = 4;
+const MAX_CONCURRENT_FILES = 4;
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
 const MAX_KNOWN_RED = 3;
 
@@ -77,7 +77,7 @@
       file = pendingFiles.shift();
     }
   };
-  await Promise.all(Array.from({ length: FILES_AT_ONCE }, worker));
+  await Promise.all(Array.from({ length: MAX_CONCURRENT_FILES }, worker));
   return results;
 }
 
--- a/utils/write_code_cache.ts
+++ b/utils/write_code_cache.ts
@@ -1,7 +1,7 @@
 /**
- * Writes the code cache of a bundled program. Runs the program briefly first, so
- * that the functions that a start needs are compiled. The arguments are the path
- * of the program, then the program's own arguments.
+ * Writes the code cache of a bundled program. Runs the program briefly first,
+ * so that the functions that a start needs are compiled. The arguments are the
+ * path of the program, then the program's own arguments.
  */
 
 import { writeFileSync } from "node:fs";
