--- a/packages/cli/src/drain_command.ts
+++ b/packages/cli/src/drain_command.ts
@@ -47,7 +47,7 @@
 }
 
 /** The requested change of a draining mark. */
-interface Drain {
+interface DrainRequest {
   readonly kind: DrainKind;
   readonly name: string;
   readonly draining: boolean;
@@ -59,7 +59,7 @@
   readonly isDraining: (tree: SettingsTree, name: string) => boolean;
   readonly edit: (
     content: string,
-    drain: Drain,
+    drain: DrainRequest,
   ) => Result<string, SettingsFault[]>;
   /** What a drain does once the settings are in force, for the operator. */
   readonly effect: string;
@@ -122,7 +122,7 @@
 
 function drainWithRetries(
   services: CommandServices,
-  drain: Drain,
+  drain: DrainRequest,
   options: PlatformOptions,
 ): Promise<CommandResult> {
   return withPlatform(options, async (platform) => {
@@ -159,7 +159,7 @@
  */
 async function proposeDrain(
   store: SettingsStore,
-  drain: Drain,
+  drain: DrainRequest,
   of: { readonly current: CurrentSettings; readonly changeId: string },
 ): Promise<Result<ChangeEnd | undefined, CommandFailure>> {
   const { kind, name, draining, author } = drain;
@@ -190,7 +190,7 @@
 function reportDrain(
   store: SettingsStore,
   end: ChangeEnd,
-  { kind, name, draining }: Drain,
+  { kind, name, draining }: DrainRequest,
 ): Promise<CommandResult> {
   const line = draining
     ? `${kind} ${name} drains. ${HANDLERS[kind].effect}`
@@ -198,7 +198,7 @@
   return reportChange(store, end, { lines: [line], json: { name, draining } });
 }
 
-function unchangedReport({ kind, name, draining }: Drain) {
+function unchangedReport({ kind, name, draining }: DrainRequest) {
   return {
     text: draining
       ? `${kind} ${name} is draining already; nothing was changed.`
@@ -207,7 +207,7 @@
   };
 }
 
-function attemptsExhausted({ kind, name }: Drain): CommandResult {
+function attemptsExhausted({ kind, name }: DrainRequest): CommandResult {
   return failed({
     message: `Other changes came first in all ${MAX_ATTEMPTS} attempts; ` +
       `${kind} ${name} is unchanged.`,
--- a/packages/cli/src/instance_queries.ts
+++ b/packages/cli/src/instance_queries.ts
@@ -37,6 +37,7 @@
   readonly explanation: RequestExplanation;
 }
 
+/** Timeout of one query to one instance. */
 const TIMEOUT_MS = 5000;
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 const STATUS_OK = 200;
--- a/packages/cli/src/load_command.ts
+++ b/packages/cli/src/load_command.ts
@@ -33,6 +33,7 @@
   wholeNumber,
 } from "./shared_options.ts";
 
+/** Weight of one request kind in the mix. */
 interface KindWeight {
   readonly kind: string;
   readonly weight: number;
@@ -47,8 +48,8 @@
   readonly standins: boolean;
 }
 
-const MAX_SECONDS = 3600;
-const MAX_RATE = 1000;
+const MAX_DURATION_S = 3600;
+const MAX_RATE_PER_S = 1000;
 const MS_PER_SECOND = 1000;
 
 /**
@@ -64,10 +65,15 @@
     .option(
       "--seconds <n>",
       "how long requests arrive",
-      positiveNumber(MAX_SECONDS),
+      positiveNumber(MAX_DURATION_S),
       20,
     )
-    .option("--rate <n>", "requests a second", positiveNumber(MAX_RATE), 10)
+    .option(
+      "--rate <n>",
+      "requests a second",
+      positiveNumber(MAX_RATE_PER_S),
+      10,
+    )
     .option(
       "--mix <kind=weight>",
       "weight of a kind; repeat it; the others keep their own",
--- a/packages/cli/src/paced_sender.ts
+++ b/packages/cli/src/paced_sender.ts
@@ -19,7 +19,7 @@
 }
 
 /** Requests that are due while this many are in flight are not sent. */
-const MAX_OPEN_REQUESTS = 4000;
+const MAX_REQUESTS_IN_FLIGHT = 4000;
 const PROGRESS_INTERVAL_MS = 2000;
 
 /**
@@ -57,7 +57,7 @@
     if (waitMs > 0) {
       await sleep(waitMs);
     }
-    if (inFlight.size >= MAX_OPEN_REQUESTS) {
+    if (inFlight.size >= MAX_REQUESTS_IN_FLIGHT) {
       tally.recordNotSent();
       continue;
     }
--- a/packages/cli/src/send_command.ts
+++ b/packages/cli/src/send_command.ts
@@ -46,7 +46,7 @@
 }
 
 /** Exit codes of refusals that the caller's input does not cause. */
-const EXIT_BY_RUN_STATE: Readonly<
+const EXIT_CODE_BY_RUN_STATE: Readonly<
   Record<RunState, CommandFailure["exitCode"]>
 > = {
   [RunState.NotRun]: ExitCode.Failed,
@@ -191,7 +191,7 @@
   return {
     exitCode: INPUT_ERRORS.has(error)
       ? ExitCode.BadInput
-      : EXIT_BY_RUN_STATE[ran],
+      : EXIT_CODE_BY_RUN_STATE[ran],
     message: `Request ${requestId}: refused (${error}, ${ran}). ${message}`,
     next: `${retryHint(refusal)} For details: chestnuthatch why ${requestId}`,
     detail: { refusal },
--- a/packages/cli/src/settings_change.ts
+++ b/packages/cli/src/settings_change.ts
@@ -146,11 +146,12 @@
 }
 
 /**
- * Lists what differs between two settings texts.
+ * Lists the differences between two contents of the settings.
  *
- * @param before The earlier text; absent for none.
- * @param after The later text.
- * @returns The differences; none if either text has faults.
+ * @param before Earlier content as YAML; undefined if there is none.
+ * @param after Later content as YAML.
+ * @returns The differences; none if there is no earlier content or either has
+ * faults.
  */
 export function diffContents(
   before: string | undefined,
--- a/packages/cli/src/settings_explain_command.ts
+++ b/packages/cli/src/settings_explain_command.ts
@@ -34,7 +34,7 @@
   readonly file?: string;
 }
 
-const KNOWN_NAMES: Readonly<
+const NAMES_BY_SCOPE_FIELD: Readonly<
   Record<keyof PolicyScope, (tree: SettingsTree) => string[]>
 > = {
   region: (tree) => Object.keys(tree.regions),
@@ -107,9 +107,13 @@
   tree: SettingsTree,
   scope: PolicyScope,
 ): Result<void, CommandFailure> {
-  const fields = Object.keys(KNOWN_NAMES) as (keyof PolicyScope)[];
+  const fields = Object.keys(NAMES_BY_SCOPE_FIELD) as (keyof PolicyScope)[];
   for (const field of fields) {
-    const checked = checkName(KNOWN_NAMES[field](tree), field, scope[field]);
+    const checked = checkName(
+      NAMES_BY_SCOPE_FIELD[field](tree),
+      field,
+      scope[field],
+    );
     if (checked.isErr()) {
       return err(checked.error);
     }
--- a/packages/cli/src/settings_history_command.ts
+++ b/packages/cli/src/settings_history_command.ts
@@ -22,8 +22,8 @@
   readonly limit: number;
 }
 
-const DEFAULT_LIMIT = 20;
-const MAX_LIMIT = 100;
+const DEFAULT_VERSIONS = 20;
+const MAX_VERSIONS = 100;
 
 /**
  * Adds the command `settings history`.
@@ -40,8 +40,8 @@
     .option(
       "--limit <n>",
       "how many at most",
-      wholeNumber(1, MAX_LIMIT),
-      DEFAULT_LIMIT,
+      wholeNumber(1, MAX_VERSIONS),
+      DEFAULT_VERSIONS,
     )
     .addOption(platformOption())
     .addOption(jsonOption())
--- a/packages/cli/src/settings_propose_command.ts
+++ b/packages/cli/src/settings_propose_command.ts
@@ -38,6 +38,7 @@
   readonly dryRun: boolean;
 }
 
+/** Validated content of a proposal, with the options of the command. */
 interface Proposal {
   readonly content: string;
   readonly services: CommandServices;
--- a/packages/cli/src/try_command.ts
+++ b/packages/cli/src/try_command.ts
@@ -40,11 +40,11 @@
 };
 const READY_POLL_MS = 50;
 const MAX_READY_POLLS = 600;
-const MAX_SECONDS = 600;
-const MAX_RATE = 1000;
+const MAX_DURATION_S = 600;
+const MAX_RATE_PER_S = 1000;
 const MS_PER_SECOND = 1000;
 /** Share of requests that callers repeat, and the delay of the repetition. */
-const REPEATS = { share: 0.05, afterMs: 300 };
+const REPEAT_OPTIONS = { share: 0.05, afterMs: 300 };
 
 /**
  * Adds the command `try`.
@@ -59,10 +59,15 @@
     .option(
       "--seconds <n>",
       "how long requests arrive",
-      positiveNumber(MAX_SECONDS),
+      positiveNumber(MAX_DURATION_S),
       20,
     )
-    .option("--rate <n>", "requests a second", positiveNumber(MAX_RATE), 10)
+    .option(
+      "--rate <n>",
+      "requests a second",
+      positiveNumber(MAX_RATE_PER_S),
+      10,
+    )
     .option("--seed <n>", "seed of the requests", wholeNumber(0), 1)
     .addOption(jsonOption())
     .addHelpText(
@@ -115,7 +120,7 @@
     seed: options.seed,
     durationMs: options.seconds * MS_PER_SECOND,
     phases: constantRatePhases(options.rate),
-    repeats: REPEATS,
+    repeats: REPEAT_OPTIONS,
   });
   const addresses = fleet.callerAddresses;
   await sendPaced(items, { addresses, tally, sleep, output });
--- a/packages/cli/src/try_routed_command.ts
+++ b/packages/cli/src/try_routed_command.ts
@@ -20,8 +20,8 @@
   readonly rate: number;
 }
 
-const MAX_SECONDS = 600;
-const MAX_RATE = 200;
+const MAX_DURATION_S = 600;
+const MAX_RATE_PER_S = 200;
 
 /**
  * Adds the command `try-routed`.
@@ -40,10 +40,15 @@
     .option(
       "--seconds <n>",
       "how long requests arrive",
-      positiveNumber(MAX_SECONDS),
+      positiveNumber(MAX_DURATION_S),
       10,
     )
-    .option("--rate <n>", "requests a second", positiveNumber(MAX_RATE), 20)
+    .option(
+      "--rate <n>",
+      "requests a second",
+      positiveNumber(MAX_RATE_PER_S),
+      20,
+    )
     .addOption(jsonOption())
     .addHelpText("after", examples("try-routed", "try-routed --rate 50"))
     .action((options: TryRoutedOptions) =>
--- a/packages/cli/src/why_command.ts
+++ b/packages/cli/src/why_command.ts
@@ -29,6 +29,7 @@
 
 type WhyOptions = InstanceOptions & OutputOptions;
 
+/** Explanations of a request, and the instances that gave no answer. */
 interface FoundExplanations {
   readonly explanations: readonly InstanceExplanation[];
   readonly silent: readonly SilentInstance[];
--- a/utils/cached_program.ts
+++ b/utils/cached_program.ts
@@ -4,6 +4,6 @@
 import process from "node:process";
 import { ProgramFile } from "./program_file.ts";
 
-const PROGRAM = "chestnuthatch-platform.cjs";
+const PROGRAM_FILE_NAME = "chestnuthatch-platform.cjs";
 
-new ProgramFile(join(dirname(process.argv[1]!), PROGRAM)).run();
+new ProgramFile(join(dirname(process.argv[1]!), PROGRAM_FILE_NAME)).run();
--- a/utils/program_file_test.ts
+++ b/utils/program_file_test.ts
@@ -5,8 +5,8 @@
 import * as assert from "uvu/assert";
 import { codeCachePath, ProgramFile } from "./program_file.ts";
 
-const RAN = "programFileTestRan";
-const PROGRAM = `globalThis.${RAN} = [
+const RESULT_KEY = "programFileTestRan";
+const PROGRAM = `globalThis.${RESULT_KEY} = [
   __filename === require("node:path").resolve(__filename),
   require("node:os").EOL.length > 0,
   typeof exports === "object" && module.exports === exports,
@@ -23,16 +23,16 @@
   }
 }
 
-function ran(path: string): unknown {
+function runAndReadResult(path: string): unknown {
   const globals = globalThis as Record<string, unknown>;
-  delete globals[RAN];
+  delete globals[RESULT_KEY];
   new ProgramFile(path).run();
-  return globals[RAN];
+  return globals[RESULT_KEY];
 }
 
 test("a program receives the arguments of a CommonJS module", () =>
   withProgram((path) => {
-    assert.equal(ran(path), [true, true, true]);
+    assert.equal(runAndReadResult(path), [true, true, true]);
   }));
 
 test("runs from its code cache, and ignores a corrupt one", () =>
@@ -40,9 +40,9 @@
     const file = new ProgramFile(path);
     file.run();
     writeFileSync(codeCachePath(path), file.codeCache());
-    assert.equal(ran(path), [true, true, true]);
+    assert.equal(runAndReadResult(path), [true, true, true]);
     writeFileSync(codeCachePath(path), "spoilt");
-    assert.equal(ran(path), [true, true, true]);
+    assert.equal(runAndReadResult(path), [true, true, true]);
   }));
 
 test.run();
