--- a/packages/cli/src/drain_command.ts
+++ b/packages/cli/src/drain_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch drain`: lets a target or an instance finish its work. */
+/** `chestnuthatch drain`: drains a target or an instance, or ends a drain. */
 
 import { ChangeOutcomeKind } from "@chestnuthatch/settings/settings_change";
 import type { SettingsFault } from "@chestnuthatch/settings/settings_fault";
@@ -20,9 +20,13 @@
   OutputOptions,
 } from "./command_runner.ts";
 import { withPlatform } from "./platform_connection.ts";
-import { type ChangeEnd, makeChange, tellChange } from "./settings_change.ts";
+import {
+  type ChangeEnd,
+  proposeAndCommit,
+  reportChange,
+} from "./settings_change.ts";
 import { type CurrentSettings, SettingsStore } from "./settings_store.ts";
-import { faultyText, treeOf } from "./settings_text.ts";
+import { parseTree, settingsFaultFailure } from "./settings_text.ts";
 import {
   authorOption,
   type AuthorOptions,
@@ -32,7 +36,7 @@
   type PlatformOptions,
 } from "./shared_options.ts";
 
-/** What can be drained. */
+/** Kinds of components that can be drained. */
 enum DrainKind {
   Target = "target",
   Instance = "instance",
@@ -42,21 +46,23 @@
   readonly undo: boolean;
 }
 
-interface Drain {
+/** The requested change of a draining mark. */
+interface DrainRequest {
   readonly kind: DrainKind;
   readonly name: string;
   readonly draining: boolean;
   readonly author: string;
 }
 
+/** Reads and edits the draining mark of one kind of component. */
 interface DrainHandler {
   readonly isDraining: (tree: SettingsTree, name: string) => boolean;
   readonly edit: (
     content: string,
-    drain: Drain,
+    drain: DrainRequest,
   ) => Result<string, SettingsFault[]>;
-  /** What the operator may count on once it is in force. */
-  readonly promise: string;
+  /** What a drain does once the settings are in force, for the operator. */
+  readonly effect: string;
 }
 
 const HANDLERS: Readonly<Record<DrainKind, DrainHandler>> = {
@@ -64,26 +70,26 @@
     isDraining: (tree, name) => tree.targets[name]?.draining === true,
     edit: (content, { name, draining }) =>
       withTargetDraining(content, { targetId: name, draining }),
-    promise: "Instances that have it send the target no new work; what runs " +
-      "there goes on to its end.",
+    effect: "Instances with this version in force send the target no new " +
+      "work; work in progress there continues to its end.",
   },
   [DrainKind.Instance]: {
     isDraining: (tree, name) => tree.drainingInstances.includes(name),
     edit: (content, { name, draining }) =>
       withInstanceDraining(content, { instanceId: name, draining }),
-    promise: "Once it has it, the instance says that it is not ready and " +
-      "coordinates nothing; what it holds goes on to its end.",
+    effect: "With this version in force, the instance reports that it is not " +
+      "ready and coordinates nothing; requests that it holds continue.",
   },
 };
 
-const MAX_TRIES = 5;
-const PAUSE_MS = 200;
+const MAX_ATTEMPTS = 5;
+const RETRY_DELAY_MS = 200;
 
 /**
- * Adds the command.
+ * Adds the command `drain`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addDrainCommand(parent: Command, runner: CommandRunner): void {
   parent.command("drain")
@@ -109,27 +115,27 @@
       runner.perform(options, () => {
         const { undo, author } = options;
         const drain = { kind, name, draining: !undo, author };
-        return drainUnder(runner.services, drain, options);
+        return drainWithRetries(runner.services, drain, options);
       })
     );
 }
 
-function drainUnder(
+function drainWithRetries(
   services: CommandServices,
-  drain: Drain,
+  drain: DrainRequest,
   options: PlatformOptions,
 ): Promise<CommandResult> {
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      if (tries > 0) {
-        await services.sleep(PAUSE_MS);
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      if (attempt > 0) {
+        await services.sleep(RETRY_DELAY_MS);
       }
-      const current = await store.current();
+      const current = await store.readCurrent();
       if (current.isErr()) {
         return err(current.error);
       }
-      const end = await tryOnce(store, drain, {
+      const end = await proposeDrain(store, drain, {
         current: current.value,
         changeId: services.newId(),
       });
@@ -137,29 +143,32 @@
         return err(end.error);
       }
       if (end.value === undefined) {
-        return ok(nothingToDo(drain));
+        return ok(unchangedReport(drain));
       }
       if (end.value.kind === ChangeOutcomeKind.Committed) {
-        return await tellDrained(store, end.value, drain);
+        return await reportDrain(store, end.value, drain);
       }
     }
-    return lostEveryRace(drain);
+    return attemptsExhausted(drain);
   });
 }
 
-/** Nothing comes back where the settings say so already. */
-async function tryOnce(
+/**
+ * Proposes the drain on top of the current settings. Returns undefined if the
+ * settings already have the requested mark.
+ */
+async function proposeDrain(
   store: SettingsStore,
-  drain: Drain,
+  drain: DrainRequest,
   of: { readonly current: CurrentSettings; readonly changeId: string },
 ): Promise<Result<ChangeEnd | undefined, CommandFailure>> {
   const { kind, name, draining, author } = drain;
   const { headRow, value } = of.current;
   const { isDraining, edit } = HANDLERS[kind];
   const source = `Version ${value.version}`;
-  const content = treeOf(value.content, source).andThen((tree) =>
+  const content = parseTree(value.content, source).andThen((tree) =>
     edit(value.content, drain)
-      .mapErr((faults) => faultyText(source, faults))
+      .mapErr((faults) => settingsFaultFailure(source, faults))
       .map((text) => isDraining(tree, name) === draining ? undefined : text)
   );
   if (content.isErr()) {
@@ -168,7 +177,7 @@
   if (content.value === undefined) {
     return ok(undefined);
   }
-  return await makeChange(store, {
+  return await proposeAndCommit(store, {
     baseVersion: value.version,
     headRow,
     changeId: of.changeId,
@@ -178,18 +187,18 @@
   });
 }
 
-function tellDrained(
+function reportDrain(
   store: SettingsStore,
   end: ChangeEnd,
-  { kind, name, draining }: Drain,
+  { kind, name, draining }: DrainRequest,
 ): Promise<CommandResult> {
   const line = draining
-    ? `${kind} ${name} drains. ${HANDLERS[kind].promise}`
+    ? `${kind} ${name} drains. ${HANDLERS[kind].effect}`
     : `${kind} ${name} takes new work again.`;
-  return tellChange(store, end, { lines: [line], json: { name, draining } });
+  return reportChange(store, end, { lines: [line], json: { name, draining } });
 }
 
-function nothingToDo({ kind, name, draining }: Drain) {
+function unchangedReport({ kind, name, draining }: DrainRequest) {
   return {
     text: draining
       ? `${kind} ${name} is draining already; nothing was changed.`
@@ -198,10 +207,10 @@
   };
 }
 
-function lostEveryRace({ kind, name }: Drain): CommandResult {
+function attemptsExhausted({ kind, name }: DrainRequest): CommandResult {
   return failed({
-    message: `Other changes were faster ${MAX_TRIES} times; ` +
-      `${kind} ${name} is as it was.`,
+    message: `Other changes came first in all ${MAX_ATTEMPTS} attempts; ` +
+      `${kind} ${name} is unchanged.`,
     next: "See who changes the settings (chestnuthatch settings history), " +
       "then try again.",
   });
--- a/packages/cli/src/embedded_fleet.ts
+++ b/packages/cli/src/embedded_fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet in one process: stand-ins, settings and entry instances. */
+/** Runs a fleet in one process: stand-ins, settings and entry instances. */
 
 import { readFileSync } from "node:fs";
 import { EntryInstance } from "@chestnuthatch/daemon/entry_instance";
@@ -21,24 +21,30 @@
 import { LogLevel } from "@chestnuthatch/core/effects";
 import { parseDocument } from "yaml";
 
-/** What an embedded fleet is made of. */
+/** Deployment, size and log output of an embedded fleet. */
 export interface EmbeddedFleetOptions {
   /** Name of a folder under `examples`. */
   readonly deployment: string;
-  /** Entry instances, spread over the failure domains. */
+  /** Number of entry instances, spread evenly over the failure domains. */
   readonly instances: number;
+  /** Lowest level that instances log; defaults to warnings. */
   readonly logLevel?: LogLevel;
   readonly logOutput?: NodeJS.WritableStream;
 }
 
-const SECRET = "embedded-fleet-shared-secret";
-/** Hosts of entry instances begin here, after those of the targets. */
+const PEER_SECRET = "embedded-fleet-shared-secret";
+/**
+ * Last part of the loopback address of the first entry instance in each failure
+ * domain; lower numbers are left for targets.
+ */
 const FIRST_INSTANCE_HOST = 101;
 
-/** Stand-ins and entry instances that run within this process. */
+/** Stand-ins and entry instances in this process, on loopback addresses. */
 export class EmbeddedFleet {
   readonly standins: StandinFleet;
+  /** Entry instances by id. */
   readonly instances = new Map<string, EntryInstance>();
+  /** The settings that the fleet starts with. */
   readonly settings: SettingsInForce;
   readonly #options: EmbeddedFleetOptions;
 
@@ -55,44 +61,44 @@
   /**
    * Starts a fleet from a shipped example.
    *
-   * @param options Which example, and how many instances.
+   * @param options Deployment, size and log output.
    * @returns The fleet; its instances may not be ready yet.
    */
   static async start(options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
     const example = readExample(options.deployment);
-    const described = settingsOf(example, NO_VERSION + 1);
+    const exampleSettings = resolveContent(example, NO_VERSION + 1);
     const standins = await StandinFleet.start({
-      targets: standinTargetsOf(described),
+      targets: toStandinTargets(exampleSettings),
       platform: { listLagMs: 0 },
     });
     const content = withAddresses(example, standins);
     commitSettings(standins, content);
-    const settings = settingsOf(content, NO_VERSION + 1);
+    const settings = resolveContent(content, NO_VERSION + 1);
     const fleet = new EmbeddedFleet(standins, settings, options);
     await fleet.#startInstances();
     return fleet;
   }
 
-  /** Failure domains, in the order of the settings. */
+  /** Names of the failure domains, in the order of the settings. */
   get failureDomains(): string[] {
     return [...this.settings.regionOfDomain.keys()];
   }
 
-  /** `host:port` of every instance's interface for callers. */
+  /** `host:port` of the interface for callers, for every instance. */
   get callerAddresses(): string[] {
     return [...this.instances.values()].map((instance) =>
       instance.callerAddress
     );
   }
 
-  /** Whether every instance takes requests. */
+  /** Whether settings are in force at every instance. */
   get isReady(): boolean {
     return [...this.instances.values()].every((instance) =>
       instance.core.board.settings.inForce !== undefined
     );
   }
 
-  /** Stops instances and stand-ins. */
+  /** Stops the instances, then the stand-ins. */
   async stop(): Promise<void> {
     for (const instance of this.instances.values()) {
       instance.shutdown();
@@ -104,18 +110,20 @@
   }
 
   async #startInstances(): Promise<void> {
-    for (let number = 0; number < this.#options.instances; number++) {
-      await this.#startInstance(number);
+    for (let index = 0; index < this.#options.instances; index++) {
+      await this.#startInstance(index);
     }
   }
 
-  async #startInstance(number: number): Promise<void> {
+  async #startInstance(index: number): Promise<void> {
     const domains = this.failureDomains;
-    const domainIndex = number % domains.length;
+    const domainIndex = index % domains.length;
     const failureDomain = domains[domainIndex];
-    const place = Math.floor(number / domains.length);
-    const instanceId = `${failureDomain}-entry-${place + 1}`;
-    const host = `127.0.${domainIndex + 1}.${FIRST_INSTANCE_HOST + place}`;
+    const indexInDomain = Math.floor(index / domains.length);
+    const instanceId = `${failureDomain}-entry-${indexInDomain + 1}`;
+    const host = `127.0.${domainIndex + 1}.${
+      FIRST_INSTANCE_HOST + indexInDomain
+    }`;
     const instance = new EntryInstance(
       this.#startSettings({ instanceId, failureDomain, host }),
       { logOutput: this.#options.logOutput },
@@ -143,7 +151,7 @@
       failureDomain: of.failureDomain,
       region: this.settings.regionOfDomain.get(of.failureDomain)!,
       callers: { host: of.host, port: 0 },
-      peers: { host: of.host, port: 0, secret: SECRET },
+      peers: { host: of.host, port: 0, secret: PEER_SECRET },
       platform: { address: this.standins.platformAddress },
       log: { level: this.#options.logLevel ?? LogLevel.Warn },
     };
@@ -155,14 +163,14 @@
  * Reads the settings of a shipped example.
  *
  * @param deployment Name of a folder under `examples`.
- * @returns YAML text.
+ * @returns The settings as YAML.
  */
 export function readExample(deployment: string): string {
   const folder = new URL("../../../examples/", import.meta.url);
   return readFileSync(new URL(`${deployment}/settings.yaml`, folder), "utf8");
 }
 
-function settingsOf(content: string, version: number): SettingsInForce {
+function resolveContent(content: string, version: number): SettingsInForce {
   const tree = readSettings(content);
   if (tree.isErr()) {
     throw new Error(tree.error.map(describeFault).join("\n"));
@@ -170,7 +178,7 @@
   return resolveSettings(tree.value, version);
 }
 
-function standinTargetsOf(settings: SettingsInForce): StandinTarget[] {
+function toStandinTargets(settings: SettingsInForce): StandinTarget[] {
   return [...settings.targets.values()].map((target) => {
     const pool = settings.pools.get(target.pool)!;
     return { ...target, kind: pool.kind, model: pool.model };
--- a/packages/cli/src/fleet_status.ts
+++ b/packages/cli/src/fleet_status.ts
@@ -1,4 +1,4 @@
-/** Merges what several instances say into the status of the fleet. */
+/** Merges the statuses of several instances into the status of the fleet. */
 
 import type { TargetHealth } from "@chestnuthatch/core/blackboard";
 import {
@@ -7,52 +7,53 @@
   type MemberStatus,
   type TargetStatus,
 } from "@chestnuthatch/core/status";
-import type { InstanceAnswers, SilentInstance } from "./instance_reads.ts";
+import type { InstanceAnswers, SilentInstance } from "./instance_queries.ts";
 
-/** One entry instance. */
+/** Status of one entry instance. */
 export interface FleetInstance {
   readonly instanceId: string;
-  /** Where it was asked; absent where only its peers told of it. */
+  /** Address it was queried at; absent if it is known only from its peers. */
   readonly address?: string;
   readonly failureDomain: string;
   readonly liveness: MemberLiveness;
-  /** Absent where it was not asked itself. */
+  /** Absent if it is known only from its peers. */
   readonly ready?: boolean;
-  /** Why it is not ready. */
+  /** Reasons for which it is not ready. */
   readonly reasons: readonly string[];
-  /** 0 while none is in force. */
+  /** Version of the settings in force there; 0 if there is none. */
   readonly settingsVersion: number;
   readonly requestsByState: Readonly<Record<string, number>>;
 }
 
-/** One shard with those who coordinate it. */
+/** A pool's shard in one failure domain, with its coordinators. */
 export interface FleetShard {
   readonly pool: string;
   readonly failureDomain: string;
-  /** More than one only while views differ. */
+  /** Instance ids; more than one only while membership views differ. */
   readonly coordinators: readonly string[];
   readonly waitingByTier: Readonly<Record<string, number>>;
   readonly grants: number;
   readonly grantsInUse: number;
 }
 
-/** One target as the instance with the newest load report sees it. */
+/** Status of one target from the instance with its newest load report. */
 export interface FleetTarget extends TargetStatus {
-  /** Whose view this is. */
+  /** Id of the instance that the status comes from. */
   readonly seenBy: string;
-  /** Instances that cannot reach it. */
+  /** Ids of the instances that cannot reach the target. */
   readonly unreachableFrom: readonly string[];
 }
 
-/** Instances with one version in force. */
+/** A version of the settings and the instances where it is in force. */
 export interface VersionInForce {
   readonly version: number;
   readonly instanceIds: readonly string[];
 }
 
-/** The status of a fleet. */
+/** Status of a fleet; printed as JSON. */
 export interface FleetStatus {
   readonly instances: readonly FleetInstance[];
+  /** Queried instances that gave no usable answer. */
   readonly silent: readonly SilentInstance[];
   readonly shards: readonly FleetShard[];
   readonly targets: readonly FleetTarget[];
@@ -64,32 +65,33 @@
 const UNREACHABLE: `${TargetHealth}` = "unreachable";
 
 /**
- * Merges statuses.
+ * Merges the statuses of instances.
  *
- * @param answers What the instances asked said.
- * @returns The status of the fleet.
+ * @param answers Statuses, and instances that returned none.
+ * @returns Status of the fleet.
  */
 export function mergeStatuses(
   answers: InstanceAnswers<InstanceStatus>,
 ): FleetStatus {
   const statuses = answers.answers.map(({ value }) => value);
-  const instances = instancesOf(answers);
-  const shards = shardsOf(statuses);
+  const instances = mergeInstances(answers);
+  const shards = mergeShards(statuses);
   return {
     instances,
     silent: answers.silent,
     shards,
-    targets: targetsOf(statuses),
+    targets: mergeTargets(statuses),
     waitingByTier: addCounts(shards.map((shard) => shard.waitingByTier)),
-    versions: versionsOf(instances),
+    versions: groupByVersion(instances),
   };
 }
 
 /**
- * Picks the instances that count for whether a version is in force.
+ * Selects the instances that must have a version in force before it counts as
+ * in force everywhere.
  *
- * @param status The fleet's status.
- * @returns Those that answered, and those that peers say are alive.
+ * @param status Status of the fleet.
+ * @returns Instances that answered, and those alive according to their peers.
  */
 export function liveInstances(status: FleetStatus): FleetInstance[] {
   return status.instances.filter(({ address, liveness }) =>
@@ -98,15 +100,15 @@
   );
 }
 
-function instancesOf(
+function mergeInstances(
   { answers }: InstanceAnswers<InstanceStatus>,
 ): FleetInstance[] {
   const byId = new Map(
     newestMembers(answers.map(({ value }) => value))
-      .map((member) => [member.instanceId, fromPeers(member)]),
+      .map((member) => [member.instanceId, instanceFromPeers(member)]),
   );
   for (const { address, value } of answers) {
-    byId.set(value.instanceId, fromItself(value, address));
+    byId.set(value.instanceId, instanceFromOwnStatus(value, address));
   }
   return sortedBy([...byId.values()], ({ instanceId }) => instanceId);
 }
@@ -128,7 +130,7 @@
     : left.incarnation > right.incarnation;
 }
 
-function fromPeers(member: MemberStatus): FleetInstance {
+function instanceFromPeers(member: MemberStatus): FleetInstance {
   const { instanceId, failureDomain, liveness, settingsVersion } = member;
   const reasons = member.leaving ? ["leaving, say its peers"] : [];
   return {
@@ -141,7 +143,10 @@
   };
 }
 
-function fromItself(status: InstanceStatus, address: string): FleetInstance {
+function instanceFromOwnStatus(
+  status: InstanceStatus,
+  address: string,
+): FleetInstance {
   const { instanceId, failureDomain, readiness, members } = status;
   const self = members.find((member) => member.instanceId === instanceId);
   return {
@@ -156,7 +161,7 @@
   };
 }
 
-function shardsOf(statuses: readonly InstanceStatus[]): FleetShard[] {
+function mergeShards(statuses: readonly InstanceStatus[]): FleetShard[] {
   const all = statuses.flatMap(({ instanceId, shards }) =>
     shards.map((shard) => ({ ...shard, coordinators: [instanceId] }))
   );
@@ -182,7 +187,7 @@
   };
 }
 
-function targetsOf(statuses: readonly InstanceStatus[]): FleetTarget[] {
+function mergeTargets(statuses: readonly InstanceStatus[]): FleetTarget[] {
   const views = statuses.flatMap(({ instanceId, targets }) =>
     targets.map((target) => ({ ...target, seenBy: instanceId }))
   );
@@ -190,12 +195,12 @@
   for (const view of views) {
     byId.set(view.targetId, [...byId.get(view.targetId) ?? [], view]);
   }
-  const merged = [...byId.values()].map((ofTarget) => ({
-    ...ofTarget.reduce((best, view) =>
-      loadAge(view) < loadAge(best) ? view : best
+  const merged = [...byId.values()].map((targetViews) => ({
+    ...targetViews.reduce((latest, view) =>
+      loadAge(view) < loadAge(latest) ? view : latest
     ),
-    leaving: ofTarget.some(({ leaving }) => leaving),
-    unreachableFrom: ofTarget.filter(({ health }) => health === UNREACHABLE)
+    leaving: targetViews.some(({ leaving }) => leaving),
+    unreachableFrom: targetViews.filter(({ health }) => health === UNREACHABLE)
       .map(({ seenBy }) => seenBy),
   }));
   return sortedBy(merged, ({ targetId }) => targetId);
@@ -205,7 +210,7 @@
   return loadAgeMs ?? Infinity;
 }
 
-function versionsOf(instances: readonly FleetInstance[]): VersionInForce[] {
+function groupByVersion(instances: readonly FleetInstance[]): VersionInForce[] {
   const byVersion = new Map<number, string[]>();
   for (const { instanceId, settingsVersion } of instances) {
     const ids = byVersion.get(settingsVersion) ?? [];
--- a/packages/cli/src/load_command.ts
+++ b/packages/cli/src/load_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch load`: sends a bounded load to a fleet that runs. */
+/** `chestnuthatch load`: sends generated requests to a running fleet. */
 
 import type { KindMix } from "@chestnuthatch/standins/workload";
 import {
@@ -20,8 +20,8 @@
   OutputOptions,
 } from "./command_runner.ts";
 import { ExitCode } from "./exit_code.ts";
-import { instancesOf } from "./instance_reads.ts";
-import { loadItems } from "./load_items.ts";
+import { instanceAddresses } from "./instance_queries.ts";
+import { generateLoadItems } from "./load_items.ts";
 import { LoadTally } from "./load_tally.ts";
 import { sendPaced } from "./paced_sender.ts";
 import {
@@ -33,6 +33,7 @@
   wholeNumber,
 } from "./shared_options.ts";
 
+/** Weight of one request kind in the mix. */
 interface KindWeight {
   readonly kind: string;
   readonly weight: number;
@@ -47,15 +48,15 @@
   readonly standins: boolean;
 }
 
-const MAX_SECONDS = 3600;
-const MAX_RATE = 1000;
+const MAX_DURATION_S = 3600;
+const MAX_RATE_PER_S = 1000;
 const MS_PER_SECOND = 1000;
 
 /**
- * Adds the command.
+ * Adds the command `load`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addLoadCommand(parent: Command, runner: CommandRunner): void {
   parent.command("load")
@@ -64,10 +65,15 @@
     .option(
       "--seconds <n>",
       "how long requests arrive",
-      positiveNumber(MAX_SECONDS),
+      positiveNumber(MAX_DURATION_S),
       20,
     )
-    .option("--rate <n>", "requests a second", positiveNumber(MAX_RATE), 10)
+    .option(
+      "--rate <n>",
+      "requests a second",
+      positiveNumber(MAX_RATE_PER_S),
+      10,
+    )
     .option(
       "--mix <kind=weight>",
       "weight of a kind; repeat it; the others keep their own",
@@ -94,7 +100,7 @@
     );
 }
 
-/** @returns `--deployment`, whose request kinds to send. */
+/** @returns The option `--deployment`, which selects the request kinds. */
 export function deploymentOption(): Option {
   return new Option("--deployment <name>", "whose request kinds to send")
     .choices(Object.values(Deployment)).default(Deployment.ShambaSafi);
@@ -104,16 +110,16 @@
   services: CommandServices,
   options: LoadOptions,
 ): Promise<CommandResult> {
-  const addresses = instancesOf(options);
+  const addresses = instanceAddresses(options);
   if (addresses.isErr()) {
     return err(addresses.error);
   }
-  const mix = mixOf(options);
+  const mix = readKindMix(options);
   if (mix.isErr()) {
     return err(mix.error);
   }
   const tally = new LoadTally({ answersQuotePrompt: options.standins });
-  const items = loadItems({
+  const items = generateLoadItems({
     deployment: options.deployment,
     seed: options.seed,
     durationMs: options.seconds * MS_PER_SECOND,
@@ -127,18 +133,18 @@
 }
 
 /**
- * Reports a tally.
+ * Creates the report of a run of generated load.
  *
- * @param tally What was counted.
- * @returns The report; failed where a promise was broken.
+ * @param tally Counts, times and faults of the run.
+ * @returns The report; its exit code is a failure if a guarantee was broken.
  */
 export function tallyReport(tally: LoadTally) {
-  const { text, json, promisesBroken } = tally;
+  const { text, json, brokenGuaranteeCount: promisesBroken } = tally;
   const exitCode = promisesBroken === 0 ? ExitCode.Done : ExitCode.Failed;
   return { text, json, exitCode };
 }
 
-function mixOf(
+function readKindMix(
   { mix, deployment }: LoadOptions,
 ): Result<KindMix, CommandFailure> {
   const kinds = listWorkKinds(deployment);
@@ -163,10 +169,10 @@
     : ok(weights);
 }
 
-function addWeight(text: string, former: KindWeight[]): KindWeight[] {
+function addWeight(text: string, earlier: KindWeight[]): KindWeight[] {
   const match = /^([a-z-]+)=(\d+(?:\.\d+)?)$/.exec(text);
   if (match === null) {
     throw new InvalidArgumentError(`"${text}" is not kind=weight.`);
   }
-  return [...former, { kind: match[1], weight: Number(match[2]) }];
+  return [...earlier, { kind: match[1], weight: Number(match[2]) }];
 }
--- a/packages/cli/src/load_items.ts
+++ b/packages/cli/src/load_items.ts
@@ -1,4 +1,4 @@
-/** Generates the requests of a long run, a stretch at a time. */
+/** Generates the requests of a long run in chunks. */
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
 import {
@@ -8,36 +8,39 @@
 } from "@chestnuthatch/standins/workload";
 import type { Deployment } from "@chestnuthatch/standins/work_kinds";
 
-/** What to generate. */
+/** Options of {@link generateLoadItems}. */
 export interface LoadItemsOptions {
   readonly deployment: Deployment;
   readonly seed: number;
   readonly durationMs: number;
   readonly ratePerSecond: number;
   readonly mix?: KindMix;
-  /** Makes idempotency keys this run's own. */
+  /** Prefix of idempotency keys, which makes them unique to the run. */
   readonly runId: string;
 }
 
-const STRETCH_MS = 60_000;
+/** Duration of the chunk of requests that is held in memory. */
+const CHUNK_MS = 60_000;
 
 /**
- * Generates requests; only one stretch is held at a time.
+ * Generates the requests of a run. Only one chunk is held in memory at a time.
  *
- * @param options What to generate.
- * @returns The requests in time order; the same for the same options.
+ * @param options Deployment, seed, duration, rate and mix of kinds.
+ * @returns The requests in time order; equal options yield equal requests.
  */
-export function* loadItems(options: LoadItemsOptions): Generator<WorkItem> {
+export function* generateLoadItems(
+  options: LoadItemsOptions,
+): Generator<WorkItem> {
   const { deployment, seed, durationMs, ratePerSecond, mix, runId } = options;
-  for (let i = 0; i * STRETCH_MS < durationMs; i++) {
-    const fromMs = i * STRETCH_MS;
-    const stretch = generateWorkload({
+  for (let i = 0; i * CHUNK_MS < durationMs; i++) {
+    const fromMs = i * CHUNK_MS;
+    const chunk = generateWorkload({
       deployment,
       seed: hash32(`${seed}/${i}`) | 0,
-      durationMs: Math.min(STRETCH_MS, durationMs - fromMs),
+      durationMs: Math.min(CHUNK_MS, durationMs - fromMs),
       phases: [{ fromMs: 0, ratePerSecond, mix }],
     });
-    for (const item of stretch) {
+    for (const item of chunk) {
       const idempotencyKey = item.idempotencyKey &&
         `${runId}-${item.idempotencyKey}`;
       yield { ...item, atMs: item.atMs + fromMs, idempotencyKey };
--- a/packages/cli/src/load_tally.ts
+++ b/packages/cli/src/load_tally.ts
@@ -1,17 +1,17 @@
-/** Counts what was sent and how it ended, by tier and kind of request. */
+/** Counts requests and their outcomes by tier and kind of request. */
 
 import { build, type Histogram } from "hdr-histogram-js";
 import type { WorkItem } from "@chestnuthatch/standins/workload";
 import type { SentOutcome } from "./send_request.ts";
-import { alignColumns, section } from "./text_table.ts";
+import { alignColumns, sectionLines } from "./text_table.ts";
 
-/** What a tally checks besides counting. */
+/** Checks that a {@link LoadTally} performs on answers. */
 export interface LoadTallyOptions {
   /** Whether answers quote the end of their prompt, as stand-ins do. */
   readonly answersQuotePrompt: boolean;
 }
 
-/** Refusals of one tier and error kind. */
+/** Number of refusals with one tier, error kind and run state. */
 export interface RefusedCount {
   readonly tier: string;
   readonly error: string;
@@ -19,60 +19,68 @@
   readonly count: number;
 }
 
-interface Row {
+/** Counts and times of the requests of one tier and kind. */
+interface TallyRow {
   readonly tier: string;
   readonly kind: string;
   sent: number;
   answered: number;
   readonly refused: Map<string, number>;
   broken: number;
-  readonly waits: Histogram;
-  readonly totals: Histogram;
+  readonly waitHistogram: Histogram;
+  readonly totalHistogram: Histogram;
 }
 
-const HIGHEST_TIME_MS = 3_600_000;
+const MAX_RECORDED_MS = 3_600_000;
 const PERCENTILES = [50, 95, 99] as const;
 const MAX_FAULTS_SHOWN = 20;
-/** The part of a prompt that stand-ins are sure to quote. */
-const QUOTED_CHARACTERS = 40;
+/** Stand-ins quote at least this many characters of the end of a prompt. */
+const QUOTED_PROMPT_CHARS = 40;
 
-/** Keeps the tally of one run. */
+/** Counts, times and faults of one run of generated load. */
 export class LoadTally {
   readonly #options: LoadTallyOptions;
-  readonly #rows = new Map<string, Row>();
-  readonly #byTarget = new Map<string, number>();
+  readonly #rows = new Map<string, TallyRow>();
+  readonly #answersByTarget = new Map<string, number>();
   readonly #faults: string[] = [];
-  #heldBack = 0;
+  #notSentCount = 0;
 
-  /** @param options What to check. */
+  /** @param options Checks to perform on answers. */
   constructor(options: LoadTallyOptions) {
     this.#options = options;
   }
 
-  /** @param item A request that goes out. */
-  sent(item: WorkItem): void {
-    this.#row(item).sent += 1;
+  /**
+   * Counts a request as sent.
+   *
+   * @param item The request.
+   */
+  recordSent(item: WorkItem): void {
+    this.#rowFor(item).sent += 1;
   }
 
-  /** Counts a request that was not sent, as too many were open. */
-  heldBack(): void {
-    this.#heldBack += 1;
+  /** Counts a request that was not sent, since too many were in flight. */
+  recordNotSent(): void {
+    this.#notSentCount += 1;
   }
 
   /**
-   * Counts an outcome and checks it against what was promised.
+   * Counts an outcome and checks the text of an answer.
    *
    * @param item The request.
-   * @param outcome How it ended for its caller.
+   * @param outcome Outcome that the caller received.
    */
-  ended(item: WorkItem, outcome: SentOutcome): void {
-    const row = this.#row(item);
+  recordOutcome(item: WorkItem, outcome: SentOutcome): void {
+    const row = this.#rowFor(item);
     if ("answer" in outcome) {
       const { targetId, waitedMs, totalMs, text } = outcome.answer;
       row.answered += 1;
-      recordMs(row.waits, waitedMs);
-      recordMs(row.totals, totalMs);
-      this.#byTarget.set(targetId, (this.#byTarget.get(targetId) ?? 0) + 1);
+      recordMs(row.waitHistogram, waitedMs);
+      recordMs(row.totalHistogram, totalMs);
+      this.#answersByTarget.set(
+        targetId,
+        (this.#answersByTarget.get(targetId) ?? 0) + 1,
+      );
       this.#checkText(item, text);
     } else if ("refusal" in outcome) {
       const { error, ran } = outcome.refusal;
@@ -84,17 +92,21 @@
     }
   }
 
-  /** @param fault A promise found broken elsewhere. */
+  /**
+   * Adds a broken guarantee that another check found.
+   *
+   * @param fault Line that describes it.
+   */
   addFault(fault: string): void {
     this.#faults.push(fault);
   }
 
-  /** How many promises were broken. */
-  get promisesBroken(): number {
+  /** Number of broken guarantees. */
+  get brokenGuaranteeCount(): number {
     return this.#faults.length;
   }
 
-  /** Refusals by tier and error kind, in their order. */
+  /** Refusals, sorted by tier, error kind and run state. */
   get refusals(): RefusedCount[] {
     const counts = new Map<string, RefusedCount>();
     for (const { tier, refused } of this.#rows.values()) {
@@ -108,9 +120,9 @@
     return [...counts].sort().map(([, refusal]) => refusal);
   }
 
-  /** One line on how far the run is. */
+  /** One line with the progress of the run. */
   get progressLine(): string {
-    const sum = (of: (row: Row) => number) =>
+    const sum = (of: (row: TallyRow) => number) =>
       [...this.#rows.values()].reduce((total, row) => total + of(row), 0);
     const sent = sum((row) => row.sent);
     const answered = sum((row) => row.answered);
@@ -120,12 +132,12 @@
       `open ${open}`;
   }
 
-  /** The result as tables. */
+  /** The result as text tables. */
   get text(): string {
     return [
-      ...alignColumns([TABLE_HEADER, ...this.#sortedRows().map(cellsOf)]),
+      ...alignColumns([TABLE_HEADER, ...this.#sortedRows().map(tableCells)]),
       "",
-      ...section("refused", [
+      ...sectionLines("refused", [
         ["tier", "error", "ran", "requests"],
         ...this.refusals.map(({ tier, error, ran, count }) => [
           tier,
@@ -135,45 +147,47 @@
         ]),
       ]),
       "",
-      ...section("answers by target", [
+      ...sectionLines("answers by target", [
         ["target", "answers"],
-        ...[...this.#byTarget].sort().map(([id, count]) => [id, String(count)]),
+        ...[...this.#answersByTarget].sort().map((
+          [id, count],
+        ) => [id, String(count)]),
       ]),
       "",
-      ...this.#heldBack > 0
-        ? [`not sent, as too many were open: ${this.#heldBack}`]
+      ...this.#notSentCount > 0
+        ? [`not sent, as too many were open: ${this.#notSentCount}`]
         : [],
-      `promises broken: ${this.promisesBroken}`,
+      `promises broken: ${this.brokenGuaranteeCount}`,
       ...this.#faults.slice(0, MAX_FAULTS_SHOWN).map((fault) => `  ${fault}`),
     ].join("\n");
   }
 
-  /** The result for programs. */
+  /** The result as a value for `--json`. */
   get json(): object {
     return {
       rows: this.#sortedRows().map((row) => ({
-        name: nameOf(row),
+        name: rowName(row),
         sent: row.sent,
         answered: row.answered,
         refused: Object.fromEntries(row.refused),
         broken: row.broken,
-        waitMs: percentilesOf(row.waits),
-        totalMs: percentilesOf(row.totals),
+        waitMs: percentiles(row.waitHistogram),
+        totalMs: percentiles(row.totalHistogram),
       })),
       refusals: this.refusals,
-      answersByTarget: Object.fromEntries(this.#byTarget),
-      heldBack: this.#heldBack,
+      answersByTarget: Object.fromEntries(this.#answersByTarget),
+      heldBack: this.#notSentCount,
       promisesBroken: this.#faults,
     };
   }
 
-  #sortedRows(): Row[] {
+  #sortedRows(): TallyRow[] {
     return [...this.#rows].sort(([a], [b]) => a < b ? -1 : 1)
       .map(([, row]) => row);
   }
 
-  #row({ tier, kind }: WorkItem): Row {
-    const name = nameOf({ tier, kind });
+  #rowFor({ tier, kind }: WorkItem): TallyRow {
+    const name = rowName({ tier, kind });
     const row = this.#rows.get(name) ?? {
       tier,
       kind,
@@ -181,16 +195,16 @@
       answered: 0,
       refused: new Map(),
       broken: 0,
-      waits: build({ highestTrackableValue: HIGHEST_TIME_MS }),
-      totals: build({ highestTrackableValue: HIGHEST_TIME_MS }),
+      waitHistogram: build({ highestTrackableValue: MAX_RECORDED_MS }),
+      totalHistogram: build({ highestTrackableValue: MAX_RECORDED_MS }),
     };
     this.#rows.set(name, row);
     return row;
   }
 
   #checkText(item: WorkItem, text: string): void {
-    const own = item.uniqueText.slice(-QUOTED_CHARACTERS);
-    if (this.#options.answersQuotePrompt && !text.includes(own)) {
+    const quotedText = item.uniqueText.slice(-QUOTED_PROMPT_CHARS);
+    if (this.#options.answersQuotePrompt && !text.includes(quotedText)) {
       this.#faults.push(`${item.kind} got an answer that is not its own`);
     }
   }
@@ -206,28 +220,28 @@
   ...PERCENTILES.map((p) => `total p${p} ms`),
 ];
 
-function cellsOf(row: Row): string[] {
-  const times = [row.waits, row.totals].flatMap((histogram) =>
+function tableCells(row: TallyRow): string[] {
+  const times = [row.waitHistogram, row.totalHistogram].flatMap((histogram) =>
     PERCENTILES.map((p) => histogram.getValueAtPercentile(p))
   );
   const counts = [row.sent, row.answered, countRefused(row), row.broken];
-  return [nameOf(row), ...[...counts, ...times].map(String)];
+  return [rowName(row), ...[...counts, ...times].map(String)];
 }
 
-function nameOf({ tier, kind }: Pick<Row, "tier" | "kind">): string {
+function rowName({ tier, kind }: Pick<TallyRow, "tier" | "kind">): string {
   return `${tier}/${kind}`;
 }
 
-function countRefused({ refused }: Row): number {
+function countRefused({ refused }: TallyRow): number {
   return [...refused.values()].reduce((sum, count) => sum + count, 0);
 }
 
 function recordMs(histogram: Histogram, timeMs: number): void {
   const wholeMs = Math.round(timeMs);
-  histogram.recordValue(Math.min(Math.max(wholeMs, 0), HIGHEST_TIME_MS));
+  histogram.recordValue(Math.min(Math.max(wholeMs, 0), MAX_RECORDED_MS));
 }
 
-function percentilesOf(histogram: Histogram): Record<string, number> {
+function percentiles(histogram: Histogram): Record<string, number> {
   return Object.fromEntries(
     PERCENTILES.map((p) => [`p${p}`, histogram.getValueAtPercentile(p)]),
   );
--- a/packages/cli/src/paced_sender.ts
+++ b/packages/cli/src/paced_sender.ts
@@ -1,4 +1,4 @@
-/** Sends generated requests at their times, whatever becomes of them. */
+/** Sends generated requests on schedule, regardless of earlier outcomes. */
 
 import type { Sleep } from "@chestnuthatch/daemon/sleep";
 import {
@@ -9,23 +9,25 @@
 import type { LoadTally } from "./load_tally.ts";
 import { sendRequest } from "./send_request.ts";
 
-/** Where requests go and who counts them. */
+/** Addresses, tally, timer and progress output of {@link sendPaced}. */
 export interface PacedSenderOptions {
-  /** Instances, taken in turn. */
+  /** `host:port` of instances; requests go to each in turn. */
   readonly addresses: readonly string[];
   readonly tally: LoadTally;
   readonly sleep: Sleep;
   readonly output: CommandOutput;
 }
 
-const MAX_OPEN_REQUESTS = 4000;
-const PROGRESS_MS = 2000;
+/** Requests that are due while this many are in flight are not sent. */
+const MAX_REQUESTS_IN_FLIGHT = 4000;
+const PROGRESS_INTERVAL_MS = 2000;
 
 /**
- * Sends requests and waits for their outcomes; each has a timeout of its own.
+ * Sends requests at their scheduled times and waits for all outcomes. Every
+ * request has its own timeout.
  *
  * @param items The requests in time order.
- * @param options Where they go and who counts them.
+ * @param options Addresses, tally, timer and progress output.
  */
 export async function sendPaced(
   items: Iterable<WorkItem>,
@@ -34,7 +36,7 @@
   const { tally, output } = options;
   const progress = setInterval(
     () => output.err(`${tally.progressLine}\n`),
-    PROGRESS_MS,
+    PROGRESS_INTERVAL_MS,
   );
   try {
     await sendAll(items, options);
@@ -48,24 +50,24 @@
   { addresses, tally, sleep }: PacedSenderOptions,
 ): Promise<void> {
   const startedAtMs = performance.now();
-  const open = new Set<Promise<void>>();
-  let number = 0;
+  const inFlight = new Set<Promise<void>>();
+  let sentCount = 0;
   for (const item of items) {
     const waitMs = item.atMs - (performance.now() - startedAtMs);
     if (waitMs > 0) {
       await sleep(waitMs);
     }
-    if (open.size >= MAX_OPEN_REQUESTS) {
-      tally.heldBack();
+    if (inFlight.size >= MAX_REQUESTS_IN_FLIGHT) {
+      tally.recordNotSent();
       continue;
     }
-    const address = addresses[number % addresses.length];
+    const address = addresses[sentCount % addresses.length];
     const sending: Promise<void> = sendItem(item, address, tally)
-      .finally(() => open.delete(sending));
-    open.add(sending);
-    number += 1;
+      .finally(() => inFlight.delete(sending));
+    inFlight.add(sending);
+    sentCount += 1;
   }
-  await Promise.all(open);
+  await Promise.all(inFlight);
 }
 
 async function sendItem(
@@ -73,7 +75,7 @@
   address: string,
   tally: LoadTally,
 ): Promise<void> {
-  tally.sent(item);
+  tally.recordSent(item);
   const outcome = await sendRequest(address, {
     workspace: item.workspace,
     tier: item.tier,
@@ -85,5 +87,5 @@
     idempotent: item.idempotent,
     idempotencyKey: item.idempotencyKey,
   });
-  tally.ended(item, outcome);
+  tally.recordOutcome(item, outcome);
 }
--- a/packages/cli/src/send_command.ts
+++ b/packages/cli/src/send_command.ts
@@ -20,7 +20,7 @@
   OutputOptions,
 } from "./command_runner.ts";
 import { ExitCode } from "./exit_code.ts";
-import { instancesOf } from "./instance_reads.ts";
+import { instanceAddresses } from "./instance_queries.ts";
 import { readTextFile } from "./read_file.ts";
 import { sendRequest, type SentOutcome } from "./send_request.ts";
 import {
@@ -45,7 +45,8 @@
   readonly stream: boolean;
 }
 
-const EXIT_BY_RUN_STATE: Readonly<
+/** Exit codes of refusals that the caller's input does not cause. */
+const EXIT_CODE_BY_RUN_STATE: Readonly<
   Record<RunState, CommandFailure["exitCode"]>
 > = {
   [RunState.NotRun]: ExitCode.Failed,
@@ -53,7 +54,7 @@
   [RunState.Ran]: ExitCode.OutcomeUnknown,
 };
 
-/** Refusals that the caller's own input causes. */
+/** Errors that invalid input of the caller causes. */
 const INPUT_ERRORS: ReadonlySet<ErrorKind> = new Set([
   ErrorKind.BadRequest,
   ErrorKind.UnknownWorkspace,
@@ -65,10 +66,10 @@
 ]);
 
 /**
- * Adds the command.
+ * Adds the command `send`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addSendCommand(parent: Command, runner: CommandRunner): void {
   const count = wholeNumber(1);
@@ -106,27 +107,31 @@
   services: CommandServices,
   options: SendOptions,
 ): Promise<CommandResult> {
-  const addresses = instancesOf(options);
+  const addresses = instanceAddresses(options);
   if (addresses.isErr()) {
     return err(addresses.error);
   }
-  const body = bodyOf(options);
+  const body = readBody(options);
   if (body.isErr()) {
     return err(body.error);
   }
   const [address] = addresses.value;
   const streams = options.stream && !options.json;
-  const outcome = await sendRequest(address, requestOf(options, body.value), {
-    onText: (text) => {
-      if (streams) {
-        services.output.out(text);
-      }
+  const outcome = await sendRequest(
+    address,
+    buildRequest(options, body.value),
+    {
+      onText: (text) => {
+        if (streams) {
+          services.output.out(text);
+        }
+      },
     },
-  });
-  return resultOf(outcome, { address, streams });
+  );
+  return toCommandResult(outcome, { address, streams });
 }
 
-function bodyOf(
+function readBody(
   { body, bodyFile }: SendOptions,
 ): Result<string, CommandFailure> {
   if (bodyFile !== undefined) {
@@ -138,7 +143,7 @@
   });
 }
 
-function requestOf(options: SendOptions, body: string): CallerRequest {
+function buildRequest(options: SendOptions, body: string): CallerRequest {
   const { workspace, tier, pool, idempotent, idempotencyKey } = options;
   const { promptTokens, maxOutputTokens, deadlineMs, stream } = options;
   return {
@@ -155,7 +160,7 @@
   };
 }
 
-function resultOf(
+function toCommandResult(
   outcome: SentOutcome,
   of: { readonly address: string; readonly streams: boolean },
 ): CommandResult {
@@ -186,16 +191,16 @@
   return {
     exitCode: INPUT_ERRORS.has(error)
       ? ExitCode.BadInput
-      : EXIT_BY_RUN_STATE[ran],
+      : EXIT_CODE_BY_RUN_STATE[ran],
     message: `Request ${requestId}: refused (${error}, ${ran}). ${message}`,
-    next: `${retryHint(refusal)} For its story: chestnuthatch why ${requestId}`,
+    next: `${retryHint(refusal)} For details: chestnuthatch why ${requestId}`,
     detail: { refusal },
   };
 }
 
 function retryHint({ mayRetry, retryAfterMs }: CallerRefusal): string {
   if (!mayRetry) {
-    return "Sending it again unaltered will not help.";
+    return "Sending it again unchanged will not help.";
   }
   return retryAfterMs === undefined
     ? "It may be sent again."
@@ -211,7 +216,8 @@
       exitCode: ExitCode.OutcomeUnknown,
       message: `${address} gave no outcome (${broken}); the request may ` +
         "have run.",
-      next: "Drop any text received. Send it again if it is idempotent, or " +
+      next:
+        "Discard any text received. Send it again if it is idempotent, or " +
         "under the same idempotency key.",
       detail: { sent, reason: broken },
     }
--- a/packages/cli/src/settings_explain_command.ts
+++ b/packages/cli/src/settings_explain_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings explain`: tells where each value comes from. */
+/** `chestnuthatch settings explain`: shows which level sets each value. */
 
 import {
   describeExplained,
@@ -22,7 +22,7 @@
 import { withPlatform } from "./platform_connection.ts";
 import { readTextFile } from "./read_file.ts";
 import { SettingsStore } from "./settings_store.ts";
-import { treeOf } from "./settings_text.ts";
+import { parseTree } from "./settings_text.ts";
 import {
   examples,
   jsonOption,
@@ -34,7 +34,7 @@
   readonly file?: string;
 }
 
-const KNOWN_NAMES: Readonly<
+const NAMES_BY_SCOPE_FIELD: Readonly<
   Record<keyof PolicyScope, (tree: SettingsTree) => string[]>
 > = {
   region: (tree) => Object.keys(tree.regions),
@@ -43,10 +43,10 @@
 };
 
 /**
- * Adds the command.
+ * Adds the command `settings explain`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsExplainCommand(
   parent: Command,
@@ -79,13 +79,13 @@
   const { file } = options;
   if (file !== undefined) {
     return readTextFile(file)
-      .andThen((content) => treeOf(content, file))
+      .andThen((content) => parseTree(content, file))
       .andThen((tree) => explainTree(tree, options));
   }
   return await withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    return (await store.current()).andThen(({ value }) =>
-      treeOf(value.content, `Version ${value.version}`)
+    return (await store.readCurrent()).andThen(({ value }) =>
+      parseTree(value.content, `Version ${value.version}`)
         .andThen((tree) => explainTree(tree, options))
     );
   });
@@ -107,9 +107,13 @@
   tree: SettingsTree,
   scope: PolicyScope,
 ): Result<void, CommandFailure> {
-  const fields = Object.keys(KNOWN_NAMES) as (keyof PolicyScope)[];
+  const fields = Object.keys(NAMES_BY_SCOPE_FIELD) as (keyof PolicyScope)[];
   for (const field of fields) {
-    const checked = checkName(KNOWN_NAMES[field](tree), field, scope[field]);
+    const checked = checkName(
+      NAMES_BY_SCOPE_FIELD[field](tree),
+      field,
+      scope[field],
+    );
     if (checked.isErr()) {
       return err(checked.error);
     }
--- a/packages/cli/src/settings_history_command.ts
+++ b/packages/cli/src/settings_history_command.ts
@@ -22,14 +22,14 @@
   readonly limit: number;
 }
 
-const DEFAULT_LIMIT = 20;
-const MAX_LIMIT = 100;
+const DEFAULT_VERSIONS = 20;
+const MAX_VERSIONS = 100;
 
 /**
- * Adds the command.
+ * Adds the command `settings history`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsHistoryCommand(
   parent: Command,
@@ -40,8 +40,8 @@
     .option(
       "--limit <n>",
       "how many at most",
-      wholeNumber(1, MAX_LIMIT),
-      DEFAULT_LIMIT,
+      wholeNumber(1, MAX_VERSIONS),
+      DEFAULT_VERSIONS,
     )
     .addOption(platformOption())
     .addOption(jsonOption())
@@ -57,11 +57,11 @@
 ): Promise<CommandResult> {
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
-    return (await store.history(options.limit)).map(reportOf);
+    return (await store.readHistory(options.limit)).map(historyReport);
   });
 }
 
-function reportOf(entries: readonly HistoryEntry[]): CommandReport {
+function historyReport(entries: readonly HistoryEntry[]): CommandReport {
   const header = ["version", "author", "change", "note"];
   const rows = entries.map((entry) =>
     entry.match(
--- a/packages/cli/src/settings_show_command.ts
+++ b/packages/cli/src/settings_show_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch settings show`: prints the text of a version. */
+/** `chestnuthatch settings show`: prints the content of a version. */
 
 import type { Command } from "commander";
 import type { CommandResult } from "./command_result.ts";
@@ -23,10 +23,10 @@
 }
 
 /**
- * Adds the command.
+ * Adds the command `settings show`.
  *
- * @param parent The group of commands.
- * @param runner Runs it.
+ * @param parent The command group `settings`.
+ * @param runner Runs the action and prints its result.
  */
 export function addSettingsShowCommand(
   parent: Command,
@@ -58,8 +58,8 @@
   return withPlatform(options, async (platform) => {
     const store = new SettingsStore(platform, services.sleep);
     const read = options.version === undefined
-      ? await store.current()
-      : await store.version(options.version);
+      ? await store.readCurrent()
+      : await store.readVersion(options.version);
     return read.map(({ value }) => {
       if (!options.json) {
         services.output.err(`${describeVersion(value)}\n`);
--- a/packages/cli/src/status_text.ts
+++ b/packages/cli/src/status_text.ts
@@ -1,4 +1,4 @@
-/** Words the status of a fleet for people. */
+/** Formats the status of a fleet for people. */
 
 import type {
   FleetInstance,
@@ -6,30 +6,30 @@
   FleetStatus,
   FleetTarget,
 } from "./fleet_status.ts";
-import { section } from "./text_table.ts";
+import { sectionLines } from "./text_table.ts";
 
 /**
- * Words the whole status.
+ * Formats the status of a fleet.
  *
- * @param status The fleet's status.
- * @returns Text of several tables.
+ * @param status Status of the fleet.
+ * @returns Tables of instances, shards, targets, tiers and versions.
  */
 export function statusText(status: FleetStatus): string {
   return [
-    ...section("instances", [
+    ...sectionLines("instances", [
       ["instance", "domain", "state", "settings", "open requests"],
       ...status.instances.map(instanceRow),
     ]),
     ...silentLines(status),
-    ...section("shards", [
+    ...sectionLines("shards", [
       ["pool", "domain", "coordinator", "grants", "in use", "waiting"],
       ...status.shards.map(shardRow),
     ]),
-    ...section("targets", [
+    ...sectionLines("targets", [
       ["target", "state", "slots", "KV tokens", "report age", "slowdown"],
       ...status.targets.map(targetRow),
     ]),
-    ...section("waiting by tier", [
+    ...sectionLines("waiting by tier", [
       ["tier", "requests"],
       ...Object.entries(status.waitingByTier).map(([tier, count]) => [
         tier,
@@ -41,13 +41,13 @@
 }
 
 /**
- * Words which instances have which version in force.
+ * Formats a table of versions and the instances where they are in force.
  *
- * @param status The fleet's status.
- * @returns Its lines.
+ * @param status Status of the fleet.
+ * @returns Lines of the table.
  */
 export function versionLines(status: FleetStatus): string[] {
-  return section("settings in force", [
+  return sectionLines("settings in force", [
     ["version", "instances"],
     ...status.versions.map(({ version, instanceIds }) => [
       version === 0 ? "none" : String(version),
@@ -57,10 +57,10 @@
 }
 
 /**
- * Words which instances gave no answer.
+ * Lists the instances that gave no answer.
  *
- * @param status The fleet's status.
- * @returns Its lines; none where all answered.
+ * @param status Status of the fleet.
+ * @returns One line for each; none if all answered.
  */
 export function silentLines({ silent }: FleetStatus): string[] {
   return silent.map(({ address, reason }) =>
@@ -112,8 +112,8 @@
   return [
     target.targetId,
     targetState(target),
-    shareOf(target.slotsUsed, target.slotsTotal),
-    shareOf(target.kvUsedTokens, target.kvTotalTokens),
+    usedOfTotal(target.slotsUsed, target.slotsTotal),
+    usedOfTotal(target.kvUsedTokens, target.kvTotalTokens),
     loadAgeMs === undefined ? "-" : `${Math.round(loadAgeMs)} ms`,
     slowdown.toFixed(2),
   ];
@@ -130,7 +130,7 @@
   ].join(", ");
 }
 
-function shareOf(used?: number, total?: number): string {
+function usedOfTotal(used?: number, total?: number): string {
   const hasNone = used === undefined || total === 0;
   return hasNone ? "-" : `${used} of ${total}`;
 }
--- a/packages/cli/src/try_command.ts
+++ b/packages/cli/src/try_command.ts
@@ -1,4 +1,4 @@
-/** `chestnuthatch try`: a whole fleet on stand-ins, under the brief's load. */
+/** `chestnuthatch try`: runs a fleet on stand-ins under generated load. */
 
 import type { Sleep } from "@chestnuthatch/daemon/sleep";
 import {
@@ -18,7 +18,7 @@
 import { deploymentOption, tallyReport } from "./load_command.ts";
 import { LoadTally } from "./load_tally.ts";
 import { sendPaced } from "./paced_sender.ts";
-import { brokenPromises } from "./promise_checks.ts";
+import { findBrokenGuarantees } from "./guarantee_checks.ts";
 import {
   examples,
   jsonOption,
@@ -33,22 +33,24 @@
   readonly seed: number;
 }
 
-const INSTANCES: Record<Deployment, number> = {
+/** Number of entry instances by deployment. */
+const INSTANCE_COUNTS: Record<Deployment, number> = {
   [Deployment.ShambaSafi]: 8,
   [Deployment.SunuRegistrs]: 7,
 };
 const READY_POLL_MS = 50;
 const MAX_READY_POLLS = 600;
-const MAX_SECONDS = 600;
-const MAX_RATE = 1000;
+const MAX_DURATION_S = 600;
+const MAX_RATE_PER_S = 1000;
 const MS_PER_SECOND = 1000;
-const REPEATS = { share: 0.05, afterMs: 300 };
+/** Share of requests that callers repeat, and the delay of the repetition. */
+const REPEAT_OPTIONS = { share: 0.05, afterMs: 300 };
 
 /**
- * Adds the command.
+ * Adds the command `try`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addTryCommand(parent: Command, runner: CommandRunner): void {
   parent.command("try")
@@ -57,10 +59,15 @@
     .option(
       "--seconds <n>",
       "how long requests arrive",
-      positiveNumber(MAX_SECONDS),
+      positiveNumber(MAX_DURATION_S),
       20,
     )
-    .option("--rate <n>", "requests a second", positiveNumber(MAX_RATE), 10)
+    .option(
+      "--rate <n>",
+      "requests a second",
+      positiveNumber(MAX_RATE_PER_S),
+      10,
+    )
     .option("--seed <n>", "seed of the requests", wholeNumber(0), 1)
     .addOption(jsonOption())
     .addHelpText(
@@ -78,11 +85,11 @@
 ): Promise<CommandResult> {
   const fleet = await EmbeddedFleet.start({
     deployment: options.deployment,
-    instances: INSTANCES[options.deployment],
+    instances: INSTANCE_COUNTS[options.deployment],
   });
   try {
-    return await isReady(fleet, services.sleep)
-      ? await sendTo(fleet, services, options)
+    return await waitUntilReady(fleet, services.sleep)
+      ? await sendLoad(fleet, services, options)
       : failed({
         message: "The embedded fleet did not become ready.",
         next: "Run it again on a machine that is less busy.",
@@ -92,14 +99,17 @@
   }
 }
 
-async function isReady(fleet: EmbeddedFleet, sleep: Sleep): Promise<boolean> {
+async function waitUntilReady(
+  fleet: EmbeddedFleet,
+  sleep: Sleep,
+): Promise<boolean> {
   for (let polls = 0; polls < MAX_READY_POLLS && !fleet.isReady; polls++) {
     await sleep(READY_POLL_MS);
   }
   return fleet.isReady;
 }
 
-async function sendTo(
+async function sendLoad(
   fleet: EmbeddedFleet,
   { sleep, output }: CommandServices,
   options: TryOptions,
@@ -110,11 +120,11 @@
     seed: options.seed,
     durationMs: options.seconds * MS_PER_SECOND,
     phases: constantRatePhases(options.rate),
-    repeats: REPEATS,
+    repeats: REPEAT_OPTIONS,
   });
   const addresses = fleet.callerAddresses;
   await sendPaced(items, { addresses, tally, sleep, output });
-  for (const fault of brokenPromises(fleet)) {
+  for (const fault of findBrokenGuarantees(fleet)) {
     tally.addFault(fault);
   }
   return ok(tallyReport(tally));
--- a/packages/cli/src/try_routed_command.ts
+++ b/packages/cli/src/try_routed_command.ts
@@ -1,4 +1,7 @@
-/** `chestnuthatch try-routed`: the form that passes requests through unchanged. */
+/**
+ * `chestnuthatch try-routed`: runs instances that pass requests through
+ * unchanged, on stand-ins.
+ */
 
 import {
   runTrial,
@@ -10,21 +13,21 @@
 import type { CommandRunner, OutputOptions } from "./command_runner.ts";
 import { ExitCode } from "./exit_code.ts";
 import { examples, jsonOption, positiveNumber } from "./shared_options.ts";
-import { section } from "./text_table.ts";
+import { sectionLines } from "./text_table.ts";
 
 interface TryRoutedOptions extends OutputOptions {
   readonly seconds: number;
   readonly rate: number;
 }
 
-const MAX_SECONDS = 600;
-const MAX_RATE = 200;
+const MAX_DURATION_S = 600;
+const MAX_RATE_PER_S = 200;
 
 /**
- * Adds the command.
+ * Adds the command `try-routed`.
  *
- * @param parent The command line.
- * @param runner Runs it.
+ * @param parent The program, to which the command is added.
+ * @param runner Runs the action and prints its result.
  */
 export function addTryRoutedCommand(
   parent: Command,
@@ -37,10 +40,15 @@
     .option(
       "--seconds <n>",
       "how long requests arrive",
-      positiveNumber(MAX_SECONDS),
+      positiveNumber(MAX_DURATION_S),
       10,
     )
-    .option("--rate <n>", "requests a second", positiveNumber(MAX_RATE), 20)
+    .option(
+      "--rate <n>",
+      "requests a second",
+      positiveNumber(MAX_RATE_PER_S),
+      20,
+    )
     .addOption(jsonOption())
     .addHelpText("after", examples("try-routed", "try-routed --rate 50"))
     .action((options: TryRoutedOptions) =>
@@ -51,15 +59,15 @@
 async function tryRouted(options: TryRoutedOptions): Promise<CommandResult> {
   const { seconds, rate: ratePerS } = options;
   const outcome = await runTrial({ seconds, ratePerS });
-  const broken = outcome.runTooOften + outcome.ranThoughRefused;
+  const violations = outcome.runTooOften + outcome.ranThoughRefused;
   return ok({
-    text: textOf(outcome),
+    text: outcomeText(outcome),
     json: outcome,
-    exitCode: broken === 0 ? ExitCode.Done : ExitCode.Failed,
+    exitCode: violations === 0 ? ExitCode.Done : ExitCode.Failed,
   });
 }
 
-function textOf(
+function outcomeText(
   { routes, runTooOften, ranThoughRefused }: TrialOutcome,
 ): string {
   const rows = routes.map((route) =>
@@ -67,7 +75,7 @@
       .map(String)
   );
   return [
-    ...section("Requests by route", [
+    ...sectionLines("Requests by route", [
       ["route", "sent", "answered", "refused", "failed"],
       ...rows,
     ]),
--- a/utils/cached_program.ts
+++ b/utils/cached_program.ts
@@ -1,9 +1,9 @@
-/** Runs the bundled program that lies beside this file, from its code cache. */
+/** Runs the bundled program in the folder of this file, from its code cache. */
 
 import { dirname, join } from "node:path";
 import process from "node:process";
 import { ProgramFile } from "./program_file.ts";
 
-const PROGRAM = "chestnuthatch-platform.cjs";
+const PROGRAM_FILE_NAME = "chestnuthatch-platform.cjs";
 
-new ProgramFile(join(dirname(process.argv[1]!), PROGRAM)).run();
+new ProgramFile(join(dirname(process.argv[1]!), PROGRAM_FILE_NAME)).run();
--- a/utils/check_layers.ts
+++ b/utils/check_layers.ts
@@ -1,10 +1,10 @@
 /**
  * Checks that every source file imports only what the `DEPS.list` of its
- * folder names, that folders marked `pure` use no clock, timer or randomness of
- * their own, and that no files import each other in a circle.
+ * folder allows, that source files in folders marked `pure` use no clock, timer
+ * or randomness, and that there are no import cycles between files.
  *
- * A `DEPS.list` has one entry a line: a package or `node:` module, a relative
- * folder, `test: NAME` for what only test files may import, or `pure`.
+ * A `DEPS.list` has one entry per line: a package or `node:` module, a relative
+ * folder, `test: NAME` for an import that only test files may have, or `pure`.
  */
 
 import { readdirSync, readFileSync, statSync } from "node:fs";
@@ -17,6 +17,7 @@
 const IMPURE_PATTERN =
   /\b(Date\.now|Math\.random|setTimeout|setInterval|performance\.now)\(|new Date\(\)/;
 
+/** Content of a `DEPS.list` file. */
 interface DepsList {
   readonly allowed: ReadonlySet<string>;
   readonly allowedInTests: ReadonlySet<string>;
@@ -25,7 +26,7 @@
 
 function main(): void {
   const files = ROOTS.flatMap(sourceFiles);
-  const faults = [...files.flatMap(checkFile), ...circles(files)];
+  const faults = [...files.flatMap(checkFile), ...importCycles(files)];
   for (const fault of faults) {
     console.error(fault);
   }
@@ -60,23 +61,23 @@
   return faults;
 }
 
-/** Finds circles of imports between files, each told once. */
-function circles(files: readonly string[]): string[] {
-  const found: string[] = [];
-  const done = new Set<string>();
-  function visit(file: string, way: readonly string[]): void {
-    if (way.includes(file)) {
-      const circle = [...way.slice(way.indexOf(file)), file];
-      found.push(`${circle.join(" -> ")}: import each other`);
-    } else if (files.includes(file) && !done.has(file)) {
+/** Finds import cycles between files and reports each once. */
+function importCycles(files: readonly string[]): string[] {
+  const cycles: string[] = [];
+  const visited = new Set<string>();
+  function visit(file: string, chain: readonly string[]): void {
+    if (chain.includes(file)) {
+      const cycle = [...chain.slice(chain.indexOf(file)), file];
+      cycles.push(`${cycle.join(" -> ")}: import each other`);
+    } else if (files.includes(file) && !visited.has(file)) {
       for (const imported of importedFiles(file)) {
-        visit(imported, [...way, file]);
+        visit(imported, [...chain, file]);
       }
-      done.add(file);
+      visited.add(file);
     }
   }
   files.forEach((file) => visit(file, []));
-  return found;
+  return cycles;
 }
 
 function importedFiles(file: string): string[] {
@@ -92,12 +93,12 @@
 ): boolean {
   const key = name.startsWith(".")
     ? relative(dirname(of.path), dirname(resolve(dirname(of.path), name)))
-    : packageOf(name);
+    : packageName(name);
   return key === "" || of.deps.allowed.has(key) ||
     (of.isTest && of.deps.allowedInTests.has(key));
 }
 
-function packageOf(name: string): string {
+function packageName(name: string): string {
   if (name.startsWith("node:")) {
     return name;
   }
--- a/utils/program_file_test.ts
+++ b/utils/program_file_test.ts
@@ -3,10 +3,10 @@
 import { join } from "node:path";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { codeCachePathOf, ProgramFile } from "./program_file.ts";
+import { codeCachePath, ProgramFile } from "./program_file.ts";
 
-const RAN = "programFileTestRan";
-const PROGRAM = `globalThis.${RAN} = [
+const RESULT_KEY = "programFileTestRan";
+const PROGRAM = `globalThis.${RESULT_KEY} = [
   __filename === require("node:path").resolve(__filename),
   require("node:os").EOL.length > 0,
   typeof exports === "object" && module.exports === exports,
@@ -23,26 +23,26 @@
   }
 }
 
-function ran(path: string): unknown {
-  const world = globalThis as Record<string, unknown>;
-  delete world[RAN];
+function runAndReadResult(path: string): unknown {
+  const globals = globalThis as Record<string, unknown>;
+  delete globals[RESULT_KEY];
   new ProgramFile(path).run();
-  return world[RAN];
+  return globals[RESULT_KEY];
 }
 
-test("a program gets what modules are given", () =>
+test("a program receives the arguments of a CommonJS module", () =>
   withProgram((path) => {
-    assert.equal(ran(path), [true, true, true]);
+    assert.equal(runAndReadResult(path), [true, true, true]);
   }));
 
-test("it runs from its code cache, and without one that is spoilt", () =>
+test("runs from its code cache, and ignores a corrupt one", () =>
   withProgram((path) => {
     const file = new ProgramFile(path);
     file.run();
-    writeFileSync(codeCachePathOf(path), file.codeCache());
-    assert.equal(ran(path), [true, true, true]);
-    writeFileSync(codeCachePathOf(path), "spoilt");
-    assert.equal(ran(path), [true, true, true]);
+    writeFileSync(codeCachePath(path), file.codeCache());
+    assert.equal(runAndReadResult(path), [true, true, true]);
+    writeFileSync(codeCachePath(path), "spoilt");
+    assert.equal(runAndReadResult(path), [true, true, true]);
   }));
 
 test.run();
--- a/utils/write_code_cache.ts
+++ b/utils/write_code_cache.ts
@@ -1,15 +1,16 @@
 /**
- * Writes the code cache of a bundled program: runs it for a moment, so that what
- * a start needs is compiled. Arguments are the program's path, then its own.
+ * Writes the code cache of a bundled program. Runs the program briefly first,
+ * so that the functions that a start needs are compiled. The arguments are the
+ * path of the program, then the program's own arguments.
  */
 
 import { writeFileSync } from "node:fs";
 import { resolve } from "node:path";
 import process from "node:process";
-import { codeCachePathOf, ProgramFile } from "./program_file.ts";
+import { codeCachePath, ProgramFile } from "./program_file.ts";
 
-/** Time by which an instance has started. */
-const START_MS = 500;
+/** Time within which an instance has started. */
+const STARTUP_WAIT_MS = 500;
 
 const [node, , program, ...args] = process.argv;
 const path = resolve(program!);
@@ -17,6 +18,6 @@
 const file = new ProgramFile(path);
 file.run();
 setTimeout(() => {
-  writeFileSync(codeCachePathOf(path), file.codeCache());
+  writeFileSync(codeCachePath(path), file.codeCache());
   process.exit(0);
-}, START_MS);
+}, STARTUP_WAIT_MS);
