--- a/packages/cli/src/try_routed_command.ts
+++ b/packages/cli/src/try_routed_command.ts
@@ -50,7 +50,7 @@
 
 async function tryRouted(options: TryRoutedOptions): Promise<CommandResult> {
   const { seconds, rate: ratePerS } = options;
-  const outcome = await runTrial({ seconds, ratePerS });
+  const outcome = await runTrial({ durationS: seconds, ratePerS });
   const broken = outcome.runTooOften + outcome.ranThoughRefused;
   return ok({
     text: textOf(outcome),
