--- a/tests/ended_targets_run.ts
+++ b/tests/ended_targets_run.ts
@@ -38,7 +38,7 @@
   /** Answers to the request, in the order in which it came. */
   readonly answers: readonly CallResult[];
   /** Answers to all other requests. */
-  readonly bystanders: readonly CallResult[];
+  readonly otherAnswers: readonly CallResult[];
   /** What the instances logged, by their ids. */
   readonly logs: ReadonlyMap<string, readonly string[]>;
 }
@@ -64,7 +64,7 @@
  * @returns What must not be; empty where all is well.
  */
 export function findOutcomeFaults(outcome: EndedTargetsOutcome): string[] {
-  const { endedByTurn, bystanders } = outcome;
+  const { endedByTurn, otherAnswers } = outcome;
   const faults: string[] = [];
   let ended = 0;
   let again = 0;
@@ -75,11 +75,11 @@
   if (again > MAX_ENDED_AFTER_LIMIT) {
     faults.push(`${again} targets ended after three had: ${endedByTurn}`);
   }
-  const held = bystanders.filter(({ body }) => HELD_BACK.test(body));
+  const held = otherAnswers.filter(({ body }) => HELD_BACK.test(body));
   if (held.length > 0) {
     faults.push(`${held.length} requests were held back that ended nothing`);
   }
-  if (!bystanders.some(({ status }) => status === STATUS_OK)) {
+  if (!otherAnswers.some(({ status }) => status === STATUS_OK)) {
     faults.push("nothing else was served");
   }
   return faults;
@@ -122,7 +122,7 @@
 
   async run(): Promise<EndedTargetsOutcome> {
     await this.#start();
-    const otherAnswers = Array.from(
+    const otherCalls = Array.from(
       { length: this.#plan.otherCallers },
       (_, index) => this.#sendOtherCalls(index),
     );
@@ -134,12 +134,12 @@
       await this.#waitUntilServed(this.#instance(turn));
     }
     this.#isOver = true;
-    await Promise.all(otherAnswers);
+    await Promise.all(otherCalls);
     return {
       endedByTurn: this.#endedByTurn,
       answers: this.#answers,
-      bystanders: this.#otherAnswers,
-      logs: new Map(this.#instances.map(({ id, lines }) => [id, lines])),
+      otherAnswers: this.#otherAnswers,
+      logs: new Map(this.#instances.map(({ id, logLines }) => [id, logLines])),
     };
   }
 
--- a/tests/ended_targets_soak.ts
+++ b/tests/ended_targets_soak.ts
@@ -31,9 +31,9 @@
   process.exitCode = failed === 0 ? 0 : 1;
 }
 
-function statusCounts({ bystanders }: EndedTargetsOutcome): string {
+function statusCounts({ otherAnswers }: EndedTargetsOutcome): string {
   const counts = new Map<string, number>();
-  for (const { status, isWhole } of bystanders) {
+  for (const { status, isWhole } of otherAnswers) {
     const name = `${status}${isWhole ? "" : " cut"}`;
     counts.set(name, (counts.get(name) ?? 0) + 1);
   }
--- a/tests/process_kept_connections_test.ts
+++ b/tests/process_kept_connections_test.ts
@@ -75,7 +75,7 @@
     targetRequests: fleet.targets.flatMap(({ target }) =>
       target.receivedRequests
     ),
-    logLines: fleet.instances.flatMap(({ lines }) => lines),
+    logLines: fleet.instances.flatMap(({ logLines }) => logLines),
     eventCounts: EVENTS_PER_STREAM,
   });
 }
@@ -87,7 +87,7 @@
   await waitFor(
     `${instance.id} to log ${message}`,
     () =>
-      instance.lines.some((line) => line.includes(`"message":"${message}"`)),
+      instance.logLines.some((line) => line.includes(`"message":"${message}"`)),
   );
 }
 
@@ -263,7 +263,7 @@
   await waitFor(
     "the configuration to be in force",
     () =>
-      instance.lines.some((line) =>
+      instance.logLines.some((line) =>
         line.includes('"message":"configuration in force"') &&
         line.includes(`"version":${version}`)
       ),
--- a/tests/soak_callers.ts
+++ b/tests/soak_callers.ts
@@ -56,7 +56,7 @@
   readonly address?: string;
   readonly agent?: Agent;
   readonly readingSpeed?: ReadingSpeed;
-  readonly leaves?: boolean;
+  readonly shouldDisconnect?: boolean;
 }
 
 const PROMPT_TOKENS = 300;
@@ -209,9 +209,9 @@
     for (let index = 0; !isOver(); index++) {
       const kind = CALL_KINDS[index % CALL_KINDS.length]!;
       const drawn = Math.floor(this.#random.next() * instances.length);
-      const leaves = this.#random.next() < DISCONNECT_SHARE;
+      const shouldDisconnect = this.#random.next() < DISCONNECT_SHARE;
       const instance = instances[drawn]!;
-      const ended = this.#call({ kind, instance, leaves })
+      const ended = this.#call({ kind, instance, shouldDisconnect })
         .finally(() => this.#inFlight.delete(ended));
       this.#inFlight.add(ended);
       await pause(MS_PER_S / rateOf(plan, performance.now() - beganAtMs));
@@ -240,7 +240,7 @@
       headers: headersOf(kind),
       onAnswer: (answer) =>
         ANSWER_READERS[options.readingSpeed ?? ReadingSpeed.Immediate](answer),
-      onData: options.leaves
+      onData: options.shouldDisconnect
         ? (_text, leave) => {
           record.hasDisconnected = true;
           leave();
--- a/tests/soak_ends.ts
+++ b/tests/soak_ends.ts
@@ -49,7 +49,7 @@
       }
     }
     this.#loggedIds = new Set(
-      instances.flatMap(({ lines }) => lines)
+      instances.flatMap(({ logLines }) => logLines)
         .flatMap((line) => REQUEST_ID.exec(line)?.[1] ?? []),
     );
   }
--- a/tests/soak_ends_test.ts
+++ b/tests/soak_ends_test.ts
@@ -118,26 +118,26 @@
   });
 }
 
-function faultsIn(options: Case): string[] {
+function faultsIn(of: Case): string[] {
   const instance = {
     id: "entry-0",
-    unavailableSpans: options.unavailableSpans ?? [STOPPING],
-    pausedSpans: options.pausedSpans ?? [],
-    downSpans: options.downSpans ?? [],
-    killedAtMs: options.killedAtMs ?? [],
-    logLines: options.logLines ?? [],
+    unavailableSpans: of.unavailableSpans ?? [STOPPING],
+    pausedSpans: of.pausedSpans ?? [],
+    downSpans: of.downSpans ?? [],
+    killedAtMs: of.killedAtMs ?? [],
+    logLines: of.logLines ?? [],
   } as unknown as SoakInstance;
-  const isCutOff = options.isCutOff ?? false;
-  const receivedRequests = options.isReceived === false
+  const isCutOff = of.isCutOff ?? false;
+  const receivedRequests = of.isReceived === false
     ? []
     : [{ requestId: "call", isCutOff }];
   const target = {
     target: { id: "target-0", receivedRequests },
-    faultSpans: options.faultSpans ?? [],
+    faultSpans: of.faultSpans ?? [],
   } as unknown as SoakTarget;
   const minimums: ConfiguredMinimums = {
     idleTimeoutMs: 150,
-    idleReducedAtMs: options.idleReducedAtMs ?? Infinity,
+    idleReducedAtMs: of.idleReducedAtMs ?? Infinity,
     timeoutShare: 1,
   };
   const ends = new AnswerEndChecker({
@@ -154,13 +154,13 @@
     hasDisconnected: false,
     bodyBytes: 5,
     result: {
-      status: options.status ?? 200,
+      status: of.status ?? 200,
       headers: {},
       body: "answe",
       isWhole: false,
-      reused: options.reused ?? false,
+      reused: of.reused ?? false,
     },
-    ...options.record,
+    ...of.record,
   });
 }
 
--- a/tests/soak_instance.ts
+++ b/tests/soak_instance.ts
@@ -81,7 +81,7 @@
   /** When its process was killed as planned. */
   readonly killedAtMs: number[] = [];
   readonly ends: InstanceEnd[] = [];
-  readonly lines: string[] = [];
+  readonly logLines: string[] = [];
   readonly #options: SoakInstanceOptions;
   readonly #ip = nextHost();
   readonly #statusAddress: string;
@@ -103,11 +103,11 @@
   /** @param over Lines of its settings file that differ from the usual ones. */
   changeSettings(over: Readonly<Record<string, string>> = {}): void {
     const settings = { ...this.#defaultSettings(), ...over };
-    const logLines = Object.entries(settings)
+    const lines = Object.entries(settings)
       .map(([name, value]) => `${name}=${value}`);
     // Renamed, as its process may read the file at any moment.
     const nextPath = `${this.#settingsPath}.next`;
-    writeFileSync(nextPath, logLines.join("\n"));
+    writeFileSync(nextPath, lines.join("\n"));
     renameSync(nextPath, this.#settingsPath);
     const graceS = Number(settings["bounds.graceS"]);
     // What cannot be used leaves in force what was so before.
@@ -275,8 +275,8 @@
   }
 
   #recordLine(line: string): void {
-    if (this.lines.length < MAX_LOG_LINES) {
-      this.lines.push(line);
+    if (this.logLines.length < MAX_LOG_LINES) {
+      this.logLines.push(line);
     }
   }
 }
--- a/tests/soak_run.ts
+++ b/tests/soak_run.ts
@@ -64,7 +64,7 @@
       refused: records.filter(isRefused).length,
       unanswered: records.filter(({ result }) => result!.status === 0).length,
       broken,
-      logs: new Map(fleet.instances.map(({ id, lines }) => [id, lines])),
+      logs: new Map(fleet.instances.map(({ id, logLines }) => [id, logLines])),
     };
   } finally {
     callers.close();
--- a/tests/soak_signals.ts
+++ b/tests/soak_signals.ts
@@ -65,7 +65,7 @@
 /** What a signal needs to know when it is played. */
 interface SignalContext {
   readonly fleet: SoakFleet;
-  readonly chosen: SoakTarget;
+  readonly soakTarget: SoakTarget;
   readonly forMs: number;
   /** Adds the signal to all further answers. */
   send(): void;
@@ -77,16 +77,16 @@
   [SoakSignal.RateLimit]: async ({ send }) => {
     await Promise.resolve(send());
   },
-  [SoakSignal.Leaving]: async ({ fleet, chosen, forMs, send }) => {
-    if (fleet.mayLeave(chosen)) {
+  [SoakSignal.Leaving]: async ({ fleet, soakTarget, forMs, send }) => {
+    if (fleet.mayLeave(soakTarget)) {
       send();
       await pause(forMs);
-      fleet.markLeaving(chosen);
+      fleet.markLeaving(soakTarget);
     }
   },
   // It serves well afterwards even if its version fails, so that verdicts meet
   // failing versions with a sound target.
-  [SoakSignal.Backoff]: async ({ chosen: { target }, forMs, send }) => {
+  [SoakSignal.Backoff]: async ({ soakTarget: { target }, forMs, send }) => {
     send();
     target.behavior = TargetBehavior.Reject;
     await pause(forMs);
@@ -149,7 +149,7 @@
     }
     await SIGNAL_ACTIONS[signal]({
       fleet: this.#fleet,
-      chosen: soakTarget,
+      soakTarget,
       forMs,
       send: () =>
         target.signalHeaders = {
