--- a/tests/soak.ts
+++ b/tests/soak.ts
@@ -1,4 +1,6 @@
-/** `npm run soak`: plays seeds against real processes and tells what broke. */
+/**
+ * `npm run soak`: runs seeds against real processes and prints broken promises.
+ */
 
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -8,6 +10,7 @@
 import { SoakSignal } from "./soak_signals_plan.ts";
 import { runSoak, type SoakOutcome } from "./soak_run.ts";
 
+/** Options of the command line. */
 interface SoakOptions {
   readonly from: number;
   readonly seeds: number;
--- a/tests/soak_callers.ts
+++ b/tests/soak_callers.ts
@@ -28,7 +28,9 @@
   readonly events: number;
   /** Whether a target may run the call at most once. */
   readonly atMostOnce: boolean;
-  /** Size of a plain answer, or of each event; absent for the target's default. */
+  /**
+   * Size of a plain answer, or of each event; absent for the target's default.
+   */
   readonly answerBytes?: number;
   /** API key; absent for the default one. */
   readonly key?: string;
@@ -75,7 +77,9 @@
   { path: "/status/", method: "GET", events: 0, atMostOnce: false },
 ];
 
-/** Calls with answers so large that narrow links and slow callers delay them. */
+/**
+ * Calls with answers so large that narrow links and slow callers delay them.
+ */
 const LARGE_KINDS: readonly CallKind[] = [
   { ...CALL_KINDS[0]!, events: 10, answerBytes: 100_000 },
   { ...CALL_KINDS[2]!, answerBytes: 300_000 },
@@ -175,7 +179,9 @@
     [this.#agent, ...this.#keptAgents].forEach((agent) => agent.destroy());
   }
 
-  /** Sends calls one at a time on one connection, kept until a peer closes it. */
+  /**
+   * Sends calls one at a time on one connection, kept until a peer closes it.
+   */
   async #callSequentially(
     planned: PlannedCaller,
     fleet: SoakFleet,
--- a/tests/soak_checks.ts
+++ b/tests/soak_checks.ts
@@ -1,4 +1,6 @@
-/** What must hold in every seed, from what callers and targets saw. */
+/**
+ * Checks of a seed's calls against records of callers, targets and processes.
+ */
 
 import type { ReceivedRequest } from "@chestnuthatch/platform/standin_target";
 import type { CallRecord } from "./soak_callers.ts";
@@ -6,15 +8,17 @@
 import type { ConfiguredMinimums, SoakTarget } from "./soak_fleet.ts";
 import { EndCause, type SoakInstance } from "./soak_instance.ts";
 
-/** A promise that was broken. */
+/** A violation of a promise of the platform. */
 export interface BrokenPromise {
   readonly promise: string;
+  /** Id of the request; empty if the violation concerns no single request. */
   readonly requestId: string;
+  /** Id of the instance; empty if the violation concerns no single instance. */
   readonly instanceId: string;
   readonly detail: string;
 }
 
-/** All that callers and targets saw. */
+/** Records of a seed by callers, targets and processes. */
 export interface SoakEvidence {
   readonly records: readonly CallRecord[];
   readonly targets: readonly SoakTarget[];
@@ -22,6 +26,7 @@
   readonly minimums: ConfiguredMinimums;
 }
 
+/** Returns details of the violations of one promise by a call. */
 type Check = (record: CallRecord, runs: readonly ReceivedRequest[]) => string[];
 
 const STATUS_OK = 200;
@@ -49,17 +54,17 @@
       : [],
 };
 
-/** Ends of processes that break a promise by themselves. */
+/** Promises that processes break by ending, by the cause of the end. */
 const END_PROMISES: Readonly<Partial<Record<EndCause, string>>> = {
   [EndCause.GraceExceeded]: "a stopping process ends within its grace time",
   [EndCause.Unexpected]: "a process ends only when it is asked to",
 };
 
 /**
- * Checks a seed.
+ * Checks the calls and processes of a seed.
  *
- * @param evidence All that callers and targets saw.
- * @returns The promises that were broken.
+ * @param evidence Records of callers, targets and processes.
+ * @returns The violations found; empty if every promise was kept.
  */
 export function findBrokenPromises(evidence: SoakEvidence): BrokenPromise[] {
   const runsById = new Map<string, ReceivedRequest[]>();
--- a/tests/soak_draw.ts
+++ b/tests/soak_draw.ts
@@ -1,44 +1,54 @@
-/** Draws for plans of the soak. */
+/** Random draws for plans of the soak. */
 
 import {
   type RandomSource,
   seededRandomSource,
 } from "@chestnuthatch/core/random_source";
 
-/** The same draws for the same seed. */
+/** Sequence of random draws, which is the same for the same seed. */
 export class Draw {
   readonly #random: RandomSource;
 
-  /** @param seed The seed. */
+  /** @param seed Seed of the sequence. */
   constructor(seed: number) {
     this.#random = seededRandomSource(seed);
   }
 
   /**
-   * @param least The least that is drawn.
-   * @param below What it stays below.
-   * @returns A whole number.
+   * Draws a whole number.
+   *
+   * @param min Lower bound, included.
+   * @param below Upper bound, excluded.
+   * @returns The number.
    */
-  between(least: number, below: number): number {
-    return Math.floor(least + (below - least) * this.#random.next());
+  between(min: number, below: number): number {
+    return Math.floor(min + (below - min) * this.#random.next());
   }
 
-  /** @returns A part of a whole, below 1. */
+  /**
+   * Draws a share.
+   *
+   * @returns A number from 0 to below 1.
+   */
   share(): number {
     return this.#random.next();
   }
 
   /**
-   * @param share How often of all times, from 0 to 1.
-   * @returns Whether it is one of these times.
+   * Draws a condition.
+   *
+   * @param share Probability that it holds, from 0 to 1.
+   * @returns Whether it holds.
    */
   withProbability(share: number): boolean {
     return this.#random.next() < share;
   }
 
   /**
-   * @param all What may be drawn.
-   * @returns One of them.
+   * Draws an element of a list.
+   *
+   * @param all The list; not empty.
+   * @returns One of its elements.
    */
   oneOf<T>(all: readonly T[]): T {
     return all[this.between(0, all.length)]!;
--- a/tests/soak_ends.ts
+++ b/tests/soak_ends.ts
@@ -1,42 +1,50 @@
-/** How the answers of a seed ended, and which of these ends nothing excuses. */
+/**
+ * Checks that answers broke off or were missing only for an excusable cause.
+ */
 
 import { type CallRecord, DEADLINE_MS } from "./soak_callers.ts";
 import type { ConfiguredMinimums, SoakTarget } from "./soak_fleet.ts";
 import { GRACE_MS, type SoakInstance, type TimeSpan } from "./soak_instance.ts";
 
-/** What tells who had a request, and what was wrong meanwhile. */
+/**
+ * Records of which targets and instances received a request, and of the faults
+ * in effect at that time.
+ */
 export interface AnswerEndEvidence {
   readonly targets: readonly SoakTarget[];
   readonly instances: readonly SoakInstance[];
   readonly minimums: ConfiguredMinimums;
 }
 
-/** Time after which callers give up what an instance has not read. */
+/**
+ * Longest time from sending a request until its connection closes, for a
+ * request that the instance did not read.
+ */
 const MAX_UNREAD_MS = 1000;
 
 /**
- * Part of the grace time, at its end, in which what targets still work on may be
- * broken off; the deployment's sheet says so, and until when after the signal a
- * request must have been sent for it.
+ * Last share of the grace time, in which an instance may break off answers that
+ * targets still work on. The deployment's page sets it, and the latest time
+ * after the shutdown signal at which such a request was sent.
  */
 const GRACE_END_SHARE = 1 / 6;
 const MAX_SENT_AFTER_SIGNAL_MS = 3000;
 
-/** Least of the usual timeouts of routes with streams. */
+/** Shortest default timeout of the routes with streams. */
 const MIN_STREAM_TIMEOUT_MS = 5000;
 
 const REQUEST_ID = /"requestId":"([^"]+)"/;
 
-/** Judges ends of answers. */
+/** Reports ends of answers that no fault or planned stop excuses. */
 export class AnswerEndChecker {
   readonly #minimums: ConfiguredMinimums;
   readonly #targetsById = new Map<string, SoakTarget[]>();
-  /** Ids of requests whose targets were still at work when they were cut. */
+  /** Ids of requests whose answers were cut off while a target sent them. */
   readonly #cutOffIds = new Set<string>();
-  /** Ids that instances told of: they had read these requests. */
+  /** Ids of requests in logs of instances, which had therefore read them. */
   readonly #loggedIds: ReadonlySet<string>;
 
-  /** @param evidence What targets and instances saw. */
+  /** @param evidence Records of targets and instances. */
   constructor({ targets, instances, minimums }: AnswerEndEvidence) {
     this.#minimums = minimums;
     for (const target of targets) {
@@ -55,8 +63,11 @@
   }
 
   /**
-   * @param record A call.
-   * @returns What is wrong with the end of its answer, if anything.
+   * Checks the end of a call's answer.
+   *
+   * @param record The call, ended.
+   * @returns Descriptions of the faults; empty if the end is complete or
+   * excused.
    */
   findFaults(record: CallRecord): string[] {
     const { result, instance, hasDisconnected } = record;
@@ -79,8 +90,9 @@
   }
 
   /**
-   * Nobody read the request, and there was no process to do so, or its
-   * connection closed soon after it was sent and with a reason.
+   * Returns whether no instance read the request for an excusable cause: there
+   * was no running process, or the connection closed soon after the request was
+   * sent, because of a stop or an idle timeout.
    */
   #isExcusedAsUnread(record: CallRecord): boolean {
     const { requestId, instance, result, startedAtMs, endedAtMs } = record;
@@ -104,7 +116,11 @@
     return endedAtMs - startedAtMs <= MAX_UNREAD_MS && (mayIdleOut || isAway);
   }
 
-  /** A stream that began can tell of a fault only by its end. */
+  /**
+   * Returns whether a fault, a timeout or the end of the grace time excuses
+   * that a stream broke off: once its status is sent, it cannot report an
+   * error.
+   */
   #isExcusedAsCutOff(record: CallRecord): boolean {
     const { requestId, kind, startedAtMs, endedAtMs } = record;
     const timeoutMs = MIN_STREAM_TIMEOUT_MS * this.#minimums.timeoutShare;
@@ -149,7 +165,7 @@
   return record.startedAtMs <= untilMs && record.endedAtMs >= fromMs;
 }
 
-/** Its process was paused while stopping, and had no time left after it. */
+/** Whether a pause during shutdown left the process no grace time. */
 function wasPausedDuringGrace(record: CallRecord): boolean {
   const { instance } = record;
   return instance.unavailableSpans.some((span) =>
@@ -160,7 +176,9 @@
   );
 }
 
-/** It was sent in time, and yet ran until the end of the grace time. */
+/**
+ * Whether a call that was sent in time lasted until the end of the grace time.
+ */
 function exceededGrace(record: CallRecord): boolean {
   return record.instance.unavailableSpans.some((span) =>
     endedLateInGrace(record, span) &&
--- a/tests/soak_ends_test.ts
+++ b/tests/soak_ends_test.ts
@@ -1,4 +1,4 @@
-/** Which ends of answers the soak takes for broken promises. */
+/** Tests which ends of answers the soak reports as broken promises. */
 
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -11,7 +11,7 @@
 const SIGNAL_AT_MS = 1000;
 const STOPPING = { fromMs: SIGNAL_AT_MS, untilMs: SIGNAL_AT_MS + 4000 };
 
-/** What a case is made of; by default a stop without any other fault. */
+/** Records of one call; by default its instance stops, without other faults. */
 interface Case {
   readonly record?: Partial<CallRecord>;
   readonly status?: number;
@@ -22,7 +22,7 @@
   readonly killedAtMs?: readonly number[];
   readonly logLines?: readonly string[];
   readonly isReceived?: boolean;
-  /** Whether its target was still at work at its end. */
+  /** Whether the answer was cut off while the target sent it. */
   readonly isCutOff?: boolean;
   readonly faultSpans?: readonly TimeSpan[];
   readonly idleReducedAtMs?: number;
@@ -36,18 +36,18 @@
   "a plain answer that broke off, though its target was at fault": {
     faultSpans: [{ fromMs: 0, untilMs: Infinity }],
   },
-  "no answer to what a target saw": { status: 0 },
-  "no answer to what the instance told of": {
+  "no answer to a request that a target received": { status: 0 },
+  "no answer to a request that the instance logged": {
     status: 0,
     isReceived: false,
     logLines: ['{"read":true,"requestId":"call"}'],
   },
-  "no answer to what was sent well before its connection closed": {
+  "no answer to a request sent well before its connection closed": {
     status: 0,
     isReceived: false,
     record: { startedAtMs: 2900 },
   },
-  "no answer with nothing planned beside it": {
+  "no answer without any planned fault": {
     status: 0,
     isReceived: false,
     unavailableSpans: [],
@@ -67,9 +67,9 @@
 };
 
 const EXCUSED: Readonly<Record<string, Case>> = {
-  "its caller left": { record: { hasDisconnected: true } },
-  "its instance was killed meanwhile": { killedAtMs: [3800] },
-  "a stream's target was at fault meanwhile": {
+  "its caller disconnected": { record: { hasDisconnected: true } },
+  "its instance was killed during the call": { killedAtMs: [3800] },
+  "a stream's target was at fault during the call": {
     record: { kind: STREAM },
     faultSpans: [{ fromMs: 3500, untilMs: 3600 }],
   },
@@ -86,12 +86,12 @@
     unavailableSpans: [{ fromMs: SIGNAL_AT_MS, untilMs: Infinity }],
     isCutOff: true,
   },
-  "nobody saw it, and its connection closed at once in a stop": {
+  "no target received it, and its connection closed at once in a stop": {
     status: 0,
     isReceived: false,
     record: { startedAtMs: 3900 },
   },
-  "nobody saw it, and its kept connection may have idled out": {
+  "no target received it, and its kept connection may have idled out": {
     status: 0,
     isReceived: false,
     unavailableSpans: [],
@@ -99,7 +99,7 @@
     idleReducedAtMs: 100,
     record: { startedAtMs: 3900 },
   },
-  "nobody saw it, and there was no process": {
+  "no target received it, and there was no process": {
     status: 0,
     isReceived: false,
     downSpans: [{ fromMs: 3000, untilMs: 5000 }],
--- a/tests/soak_faults.ts
+++ b/tests/soak_faults.ts
@@ -1,4 +1,4 @@
-/** How each fault of the soak begins and ends. */
+/** Injects the faults of the soak and ends them. */
 
 import { setTimeout as pause } from "node:timers/promises";
 import { TargetBehavior } from "@chestnuthatch/platform/standin_target";
@@ -10,22 +10,25 @@
   type PlannedSilence,
 } from "./soak_silence_plan.ts";
 
-/** What a fault needs to know. */
+/** A fault, and the parts of the fleet that it concerns. */
 interface FaultContext {
   readonly fleet: SoakFleet;
   readonly fault: PlannedFault;
   readonly instance: SoakInstance;
-  /** Several instances, never all of a fleet. */
+  /** Several instances: at most half of the fleet, but at least one. */
   readonly several: readonly SoakInstance[];
   readonly target: SoakTarget;
 }
 
 const SLOW_LINK_MS = 60;
 
-/** Time between two restarts or versions of a series: shorter than either. */
+/**
+ * Interval of restarts or versions in a series: shorter than a restart takes,
+ * or a version until it is in force.
+ */
 const SERIES_GAP_MS = 150;
 
-/** Several instances are so many of a fleet at most. */
+/** Largest share of a fleet that a fault of several instances concerns. */
 const SEVERAL_SHARE = 0.5;
 
 const FAULT_ACTIONS: Readonly<
@@ -135,11 +138,11 @@
 };
 
 /**
- * Plays a fault at its time.
+ * Injects a fault at its start time.
  *
- * @param fleet Whom it strikes.
+ * @param fleet Fleet to disturb.
  * @param fault The fault.
- * @returns Once it is over.
+ * @returns Settles once the fault is over.
  */
 export async function injectFault(
   fleet: SoakFleet,
@@ -172,11 +175,12 @@
 };
 
 /**
- * Silences connections to the store at their time, and writes versions.
+ * Makes connections to the store fall silent, writes versions of the
+ * configuration, and disturbs an instance.
  *
- * @param fleet Whom it strikes.
- * @param silence What is planned.
- * @returns Once it is over.
+ * @param fleet Fleet to disturb.
+ * @param silence The connections, versions and disturbance, with their times.
+ * @returns Settles once the disturbance is over and all versions are written.
  */
 export async function injectSilence(
   fleet: SoakFleet,
@@ -196,7 +200,9 @@
   ]);
 }
 
-/** Makes the settings differ by a number, and asks to reload them. */
+/**
+ * Changes one number in the settings, and signals the process to reload them.
+ */
 function changeAndReload(
   instance: SoakInstance,
   retryBudgetSlack: number,
@@ -246,7 +252,7 @@
   });
 }
 
-/** Notes the time of a fault of a target or its link. */
+/** Runs a fault of a target or its link, and records its time span. */
 function recordTargetFault(
   { target }: FaultContext,
   play: () => Promise<void> | void,
@@ -254,7 +260,7 @@
   return recordSpan(target.faultSpans, play);
 }
 
-/** Notes the time of a fault. */
+/** Runs a fault, and records its time span. */
 async function recordSpan(
   spans: TimeSpan[],
   play: () => Promise<void> | void,
--- a/tests/soak_fleet.ts
+++ b/tests/soak_fleet.ts
@@ -80,7 +80,9 @@
 const PORT_COUNT = 4;
 const DOMAINS = ["a", "b", "c"];
 
-/** Starts and closes the parts of a fleet, and writes their rows to the store. */
+/**
+ * Starts and closes the parts of a fleet, and writes their rows to the store.
+ */
 export class SoakFleet {
   readonly targets: SoakTarget[] = [];
   readonly instances: SoakInstance[] = [];
@@ -184,8 +186,8 @@
    * Checks that a target may be taken out of its pool.
    *
    * @param target The target.
-   * @returns Whether its row is not leaving yet, and its pool has another staying
-   * target.
+   * @returns Whether its row is not leaving yet, and its pool has another
+   * staying target.
    */
   mayLeave(target: SoakTarget): boolean {
     const others = this.targets.filter((other) =>
--- a/tests/soak_instance.ts
+++ b/tests/soak_instance.ts
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Starts are run one at a time: faults overlap, and two processes cannot listen
-   * on the same ports.
+   * Starts are run one at a time: faults overlap, and two processes cannot
+   * listen on the same ports.
    */
   async #start(clockSkewMs: number): Promise<void> {
     if (this.isRunning) {
@@ -232,8 +232,9 @@
   }
 
   /**
-   * Asks the process to shut down, and kills it at the end of its grace time. It
-   * may have been asked before: the grace time then runs from the first request.
+   * Asks the process to shut down, and kills it at the end of its grace time.
+   * It may have been asked before: the grace time then runs from the first
+   * request.
    *
    * @returns How the process ended; undefined if it was never started.
    */
@@ -284,8 +285,8 @@
   }
 
   /**
-   * Returns the rest of the grace time, which excludes time in which the process
-   * was paused.
+   * Returns the rest of the grace time, which excludes time in which the
+   * process was paused.
    */
   #graceLeftMs({ stopRequestedAtMs }: ProcessLife): number {
     const nowMs = performance.now();
--- a/tests/soak_plan.ts
+++ b/tests/soak_plan.ts
@@ -162,8 +162,8 @@
     surgePerS: [100, 200],
     callers: [2, 5],
   },
-  // Callers, targets and relays share one process. At higher rates of calls, its
-  // own delays would be reported as faults of the instances.
+  // Callers, targets and relays share one process. At higher rates of calls,
+  // its own delays would be reported as faults of the instances.
   [SoakSize.Large]: {
     instances: [24, 40],
     engines: [12, 20],
--- a/tests/soak_recovery.ts
+++ b/tests/soak_recovery.ts
@@ -1,4 +1,4 @@
-/** What must hold of a fleet once all faults of its seed are over. */
+/** Checks that a fleet recovers once all faults of its seed are over. */
 
 import { DEFAULT_ROUTES } from "@chestnuthatch/platform/standin_fleet";
 import {
@@ -15,7 +15,7 @@
 const STATUS_OK = 200;
 const STATUS_UNAVAILABLE = 503;
 
-/** Time within which a request is refused that no target may get. */
+/** Longest time until a request is refused that no target may get. */
 const MAX_REFUSAL_MS = 250;
 
 /** One probe at whether an instance answers a kind of call as it should. */
@@ -27,14 +27,14 @@
 }
 
 /**
- * Once all faults are over, every instance serves every kind of call again, and
- * no target that is leaving gets any. Where the operators have left a pool with
- * no target but those of a version that was rolled back, its calls are refused
- * at once, with a time to come back, and reach no target.
+ * Checks that every instance serves every kind of call again once all faults
+ * are over, and that no leaving target gets any. A pool may be left with no
+ * targets but those of a version that was rolled back. Its calls must then be
+ * refused at once, with a Retry-After header, and reach no target.
  *
  * @param fleet The fleet.
- * @param callers Sends the calls.
- * @returns The promise, if it is broken.
+ * @param callers Sender of the calls.
+ * @returns The broken promise; empty if the fleet recovered.
  */
 export async function findUnrecovered(
   fleet: SoakFleet,
@@ -65,8 +65,10 @@
 }
 
 /**
- * @param record A call.
- * @returns Whether its caller got the whole answer.
+ * Checks that a call was served.
+ *
+ * @param record The call.
+ * @returns Whether its caller got a complete answer with status 200.
  */
 export function isServed({ result }: CallRecord): boolean {
   return result?.status === STATUS_OK && result.isWhole;
--- a/tests/soak_rollout.ts
+++ b/tests/soak_rollout.ts
@@ -1,4 +1,4 @@
-/** A roll-out beside the faults of a seed, and what must hold of it. */
+/** Runs a roll-out beside the faults of a seed, and checks it. */
 
 import { setTimeout as pause } from "node:timers/promises";
 import { DESK_POOL } from "@chestnuthatch/platform/standin_fleet";
@@ -8,23 +8,25 @@
 import { EXPOSURE_SLACK } from "./soak_instance.ts";
 import type { PlannedRollout } from "./soak_rollout_plan.ts";
 
-/** Time between two looks at the status. */
+/** Interval of reads of the roll-out's status. */
 const POLL_MS = 20;
 
-/** Time after a verdict by which all instances have heard of it. */
+/** Time after a verdict by which all instances apply it. */
 const PROPAGATION_MS = 3000;
 
-/** The operators' bound on requests that a bad version may get, beside a slack. */
+/**
+ * Largest share of requests that a bad version may get, in addition to a slack.
+ */
 const EXPOSURE_SHARE = 0.1;
 
-/** Key of the order, and of its status. */
+/** Key of the row of the order, and of the row of its status. */
 const ROLLOUT_KEY = `rollout/${DESK_POOL}`;
 const VERSION = "v2";
 const ROLLED_BACK = "rolled_back";
 const COMPLETED = "completed";
 const MS_PER_S = 1000;
 
-/** Orders a roll-out, and watches what becomes of it. */
+/** Orders a roll-out, reads its status, and counts the version's requests. */
 export class SoakRollout {
   readonly #fleet: SoakFleet;
   readonly #plan: PlannedRollout;
@@ -33,20 +35,25 @@
   #orderedAtMs = 0;
   #endedAtMs = Infinity;
   #exposedAtPropagation = 0;
-  /** Requests that the version had got at the last look, and while it was bad. */
+  /** Requests that the version had got at the last poll. */
   #exposedAtPoll = 0;
+  /** Requests that the version got while it was bad. */
   #exposedWhileBad = 0;
 
   /**
-   * @param fleet The fleet.
-   * @param plan The roll-out.
+   * @param fleet Fleet whose plain pool gets the new version.
+   * @param plan Times of the roll-out, and behavior of the version.
    */
   constructor(fleet: SoakFleet, plan: PlannedRollout) {
     this.#fleet = fleet;
     this.#plan = plan;
   }
 
-  /** @returns Once its time is over and all may have heard of its outcome. */
+  /**
+   * Orders the roll-out at its time, and polls its status.
+   *
+   * @returns Settles once its time is over and all instances apply its outcome.
+   */
   async run(): Promise<void> {
     const { atMs, withinMs, behavior, behaviorAfterMs } = this.#plan;
     await pause(atMs);
@@ -65,7 +72,11 @@
     await behaviorSet;
   }
 
-  /** @returns What was broken of what must hold. */
+  /**
+   * Checks the roll-out after it has run.
+   *
+   * @returns The broken promises.
+   */
   findBroken(): BrokenPromise[] {
     const details = [
       ...this.#findChangedOutcome(),
@@ -108,8 +119,9 @@
   }
 
   /**
-   * Counts requests since the last look. A version is bad while half of its
-   * staying targets fail: the end of another fault may have let some serve again.
+   * Counts requests since the last poll. A version is bad while at least half
+   * of its staying targets fail: the end of another fault may make some serve
+   * again.
    */
   #countWhileBad(): void {
     const exposed = this.#exposedRequests();
@@ -123,7 +135,9 @@
     this.#exposedAtPoll = exposed;
   }
 
-  /** Once it is completed, the old targets stop at once, as on the platform. */
+  /**
+   * Stops the old targets once the roll-out is completed, as the platform does.
+   */
   #onState(state: string): void {
     if (state === ROLLED_BACK) {
       this.#endedAtMs = performance.now();
@@ -144,7 +158,7 @@
     return outcomes.length > 1 ? [`outcomes ${outcomes.join()}`] : [];
   }
 
-  /** A version that is bad from the first answer on, over the ordered time. */
+  /** Checks the requests to a version that is bad from its first answer on. */
   #findOverexposure(): string[] {
     const pool = this.#fleet.targets.filter(({ pool }) => pool === DESK_POOL);
     const total = pool.reduce(
--- a/tests/soak_rollout_plan.ts
+++ b/tests/soak_rollout_plan.ts
@@ -1,18 +1,23 @@
-/** What roll-out a seed of the soak has. */
+/** Plans the roll-out of a seed of the soak. */
 
 import { TargetBehavior } from "@chestnuthatch/platform/standin_target";
 import { Draw } from "./soak_draw.ts";
 
-/** A roll-out of the plain pool, at its time. */
+/** A roll-out of a new version of the plain pool. */
 export interface PlannedRollout {
+  /** When the roll-out is ordered, after the start of the seed. */
   readonly atMs: number;
+  /** Ordered duration of the roll-out. */
   readonly withinMs: number;
-  /** What the new version's targets do, from some time after their start on. */
+  /** Behavior of the new version's targets. */
   readonly behavior: TargetBehavior;
+  /** Time from the start of the new targets until they behave that way. */
   readonly behaviorAfterMs: number;
 }
 
-/** Added to a seed, so that the faults drawn for it stay as they are. */
+/**
+ * Added to a seed, so that this plan does not change the faults drawn for it.
+ */
 const SEED_OFFSET = 100_000;
 const MIN_DURATION_MS = 4000;
 const MAX_DURATION_MS = 8000;
@@ -27,9 +32,11 @@
 ];
 
 /**
+ * Plans a roll-out.
+ *
  * @param seed The seed.
- * @param lengthMs How long it is.
- * @returns The seed's roll-out.
+ * @param lengthMs Duration of the seed's load in milliseconds.
+ * @returns The roll-out, which is the same for the same seed and duration.
  */
 export function planRollout(seed: number, lengthMs: number): PlannedRollout {
   const draw = new Draw(seed + SEED_OFFSET);
--- a/tests/soak_run.ts
+++ b/tests/soak_run.ts
@@ -1,4 +1,4 @@
-/** Plays one seed of the soak and checks it. */
+/** Runs one seed of the soak and checks it. */
 
 import { type CallRecord, SoakCallers } from "./soak_callers.ts";
 import { type BrokenPromise, findBrokenPromises } from "./soak_checks.ts";
@@ -10,23 +10,23 @@
 import { SoakSignals } from "./soak_signals.ts";
 import { SoakVersions } from "./soak_versions.ts";
 
-/** What came of a seed. */
+/** Counts of a seed's calls by result, with broken promises and logs. */
 export interface SoakOutcome {
   readonly calls: number;
   readonly wholeAnswers: number;
   readonly refused: number;
-  /** Calls without any answer, each of them excused or among the broken. */
+  /** Calls without any answer, each of them excused or reported in `broken`. */
   readonly unanswered: number;
   readonly broken: readonly BrokenPromise[];
-  /** What the instances logged, by their ids. */
+  /** Log lines of the instances, by id. */
   readonly logs: ReadonlyMap<string, readonly string[]>;
 }
 
 /**
- * Plays a seed.
+ * Runs a seed.
  *
- * @param plan The seed, planned.
- * @returns What came of it.
+ * @param plan Fleet, load and faults of the seed.
+ * @returns Results of its calls and checks.
  */
 export async function runSoak(plan: SoakPlan): Promise<SoakOutcome> {
   const fleet = new SoakFleet();
--- a/tests/soak_signals.ts
+++ b/tests/soak_signals.ts
@@ -1,4 +1,4 @@
-/** Targets of a seed that send signals, and checks that these are respected. */
+/** Makes targets send signals, and checks that instances respect them. */
 
 import { setTimeout as pause } from "node:timers/promises";
 import {
@@ -15,17 +15,21 @@
 import type { SoakInstance, TimeSpan } from "./soak_instance.ts";
 import { type PlannedSignal, SoakSignal } from "./soak_signals_plan.ts";
 
-/** Bounds that the platform sets for a rate-limited target. */
+/**
+ * Bounds that the platform sets for a rate-limited target: time until a limit
+ * holds, time until an instance applies a signal, the window in which requests
+ * are counted, and the excess that is allowed in it.
+ */
 const LIMIT_SETTLE_MS = 3000;
 const SIGNAL_APPLY_MS = 500;
 const WINDOW_MS = 4000;
 const MAX_RATE_FACTOR = 1.5;
 const RATE_SLACK = 5;
 
-/** Time in which a target that leaves may still get requests. */
+/** Time in which a leaving target may still get requests. */
 const DRAIN_MS = 2000;
 
-/** Requests that a target may still get during a back-off. */
+/** Requests that a target may still get from one instance during a backoff. */
 const MAX_IN_BACKOFF = 2;
 
 const MS_PER_S = 1000;
@@ -42,12 +46,12 @@
   [SoakSignal.Backoff]: "back-off that a target asks for is kept",
 };
 
-/** A request that reached a target, and who had sent it there. */
+/** A request that a target received, and the instance that sent it. */
 interface Arrival extends ReceivedRequest {
   readonly instance: SoakInstance;
 }
 
-/** What one target got, and when it or its link was at fault. */
+/** Requests that one target received, and its time spans of faults. */
 interface TargetArrivals {
   readonly id: string;
   readonly arrivals: readonly Arrival[];
@@ -62,12 +66,12 @@
   [SoakSignal.Backoff]: findBackoffRequests,
 };
 
-/** What a signal needs to know when it is played. */
+/** A target that sends a signal, and the duration of the signal. */
 interface SignalContext {
   readonly fleet: SoakFleet;
   readonly soakTarget: SoakTarget;
   readonly forMs: number;
-  /** Adds the signal to all further answers. */
+  /** Adds the signal's header to all further answers. */
   send(): void;
 }
 
@@ -84,8 +88,8 @@
       fleet.markLeaving(soakTarget);
     }
   },
-  // It serves well afterwards even if its version fails, so that verdicts meet
-  // failing versions with a sound target.
+  // The target serves afterwards even if its version fails, so that verdicts
+  // are also reached on failing versions with one healthy target.
   [SoakSignal.Backoff]: async ({ soakTarget: { target }, forMs, send }) => {
     send();
     target.behavior = TargetBehavior.Reject;
@@ -97,28 +101,35 @@
   },
 };
 
-/** Lets targets send signals, and checks what they receive. */
+/** Makes targets send signals, and checks the requests that they receive. */
 export class SoakSignals {
   readonly #fleet: SoakFleet;
   readonly #plan: readonly PlannedSignal[];
 
   /**
-   * @param fleet The fleet.
-   * @param plan Signals of its targets.
+   * @param fleet Fleet whose targets send signals.
+   * @param plan The signals.
    */
   constructor(fleet: SoakFleet, plan: readonly PlannedSignal[]) {
     this.#fleet = fleet;
     this.#plan = plan;
   }
 
-  /** @returns Once all signals were sent and the list is up to date. */
+  /**
+   * Sends all signals at their times.
+   *
+   * @returns Settles once all were sent and the rows of leaving targets
+   * written.
+   */
   async run(): Promise<void> {
     await Promise.all(this.#plan.map((planned) => this.#runSignal(planned)));
   }
 
   /**
-   * @param records All calls.
-   * @returns What was broken of what must hold.
+   * Checks the requests that targets received.
+   *
+   * @param records All calls of the seed.
+   * @returns The broken promises.
    */
   findBroken(records: readonly CallRecord[]): BrokenPromise[] {
     const instances = new Map(
@@ -171,7 +182,7 @@
   return { id: target.id, arrivals, faultSpans };
 }
 
-/** Counts requests from instances that knew the rate limit. */
+/** Checks the rate of requests from instances that had received the limit. */
 function findRateOverrun(
   { id, arrivals, faultSpans }: TargetArrivals,
 ): string[] {
@@ -223,7 +234,7 @@
 function findBackoffRequests(
   { id, arrivals, faultSpans }: TargetArrivals,
 ): string[] {
-  // Retry-After on an answer that served its request is no back-off.
+  // Retry-After on an answer to a request that ran does not ask for a backoff.
   const rejected = arrivals.filter(({ ran }) => !ran);
   return answersWithSignal(rejected, SoakSignal.Backoff).flatMap((asked) => {
     const fromMs = asked.answeredAtMs!;
@@ -240,7 +251,7 @@
   });
 }
 
-/** Answers that carried a signal and were written out. */
+/** Returns the requests whose answers were sent completely, with the signal. */
 function answersWithSignal(
   arrivals: readonly Arrival[],
   signal: SoakSignal,
@@ -250,7 +261,10 @@
   );
 }
 
-/** Whether its instance knew for so long and ran without interruption. */
+/**
+ * Whether the request's instance had received the signal that long before, and
+ * ran without interruption since.
+ */
 function knewSignalBefore(
   { instance, atMs }: Arrival,
   signaled: readonly Arrival[],
--- a/tests/soak_signals_plan.ts
+++ b/tests/soak_signals_plan.ts
@@ -1,30 +1,32 @@
-/** Signals of targets in a seed of the soak. */
+/** Plans the signals that targets send in a seed of the soak. */
 
 import { Draw } from "./soak_draw.ts";
 
-/** What a target signals in its answers. */
+/** Signals that targets send in headers of their answers. */
 export enum SoakSignal {
-  /** A rate limit, from some time on. */
+  /** A rate limit, which holds to the end of the seed. */
   RateLimit = "rate_limit",
-  /** That it is leaving, some time before the list says so. */
+  /** The target is leaving; its row is written as leaving only later. */
   Leaving = "leaving",
-  /** Back-off on each rejected request, for some time. */
+  /** A backoff on each request, which the target rejects for some time. */
   Backoff = "backoff",
 }
 
-/** One signal of one target. */
+/** A signal of one target, with its time and value. */
 export interface PlannedSignal {
   readonly signal: SoakSignal;
   readonly atMs: number;
-  /** Which target, counted round. */
+  /** Selects the target, modulo their number. */
   readonly index: number;
   /** Requests per second of a rate limit; seconds of a back-off. */
   readonly value: number;
-  /** How long the list lags behind, or requests are rejected. */
+  /**
+   * Delay until the row is written, or time for which requests are rejected.
+   */
   readonly forMs: number;
 }
 
-/** Added to a seed, so that the faults drawn for it stay as they are. */
+/** Added to a seed, so that signals do not change the faults drawn for it. */
 const SEED_OFFSETS: Readonly<Record<SoakSignal, number>> = {
   [SoakSignal.RateLimit]: 200_000,
   [SoakSignal.Leaving]: 300_000,
@@ -38,7 +40,7 @@
 const MAX_BACKOFF_S = 3;
 const MIN_DURATION_MS = 300;
 const MAX_DURATION_MS = 5000;
-/** Values have one decimal place. */
+/** Drawn values are whole tenths. */
 const TENTHS = 10;
 
 const PLANNERS: Readonly<
@@ -68,10 +70,12 @@
 };
 
 /**
+ * Plans signals of some targets.
+ *
  * @param seed The seed.
- * @param lengthMs How long it is.
- * @param signals Kinds of signals.
- * @returns Signals of some targets.
+ * @param lengthMs Duration of the seed's load in milliseconds.
+ * @param signals Kinds of signals to plan.
+ * @returns The signals, which are the same for the same arguments.
  */
 export function planSignals(
   seed: number,
--- a/tests/soak_silence_plan.ts
+++ b/tests/soak_silence_plan.ts
@@ -1,28 +1,32 @@
-/** When connections to the store fall silent in a seed of the soak. */
+/** Plans silent connections to the store in a seed of the soak. */
 
 import { Draw } from "./soak_draw.ts";
 
-/** What happens to an instance during the silence. */
+/** Disturbance of an instance while connections to the store are silent. */
 export enum InstanceDisturbance {
   Nothing = "nothing",
   Killed = "killed",
   Paused = "paused",
 }
 
-/** A silence, and the versions of the configuration that follow on it. */
+/**
+ * Connections to the store that fall silent for good, and the versions of the
+ * configuration that are written afterwards.
+ */
 export interface PlannedSilence {
   readonly atMs: number;
-  /** Part of the connections that fall silent. */
+  /** Share of the open connections that fall silent. */
   readonly share: number;
-  /** Time from the silence to each version. */
+  /** Time from the start of the silence to each version. */
   readonly versionsAfterMs: readonly number[];
   readonly disturbance: InstanceDisturbance;
-  /** Which instance, counted round. */
+  /** Selects the disturbed instance, modulo their number. */
   readonly index: number;
+  /** Duration of the disturbance. */
   readonly forMs: number;
 }
 
-/** Added to a seed, so that the faults drawn for it stay as they are. */
+/** Added to a seed, so that silences do not change the faults drawn for it. */
 const SEED_OFFSET = 500_000;
 
 const SILENCES_PER_S = 0.2;
@@ -34,9 +38,11 @@
 const MAX_DISTURBANCE_MS = 1500;
 
 /**
+ * Plans the silences of a seed.
+ *
  * @param seed The seed.
- * @param lengthMs How long it is.
- * @returns The seed's silences.
+ * @param lengthMs Duration of the seed's load in milliseconds.
+ * @returns The silences, which are the same for the same seed and duration.
  */
 export function planSilences(seed: number, lengthMs: number): PlannedSilence[] {
   const draw = new Draw(seed + SEED_OFFSET);
--- a/tests/soak_store.ts
+++ b/tests/soak_store.ts
@@ -1,4 +1,6 @@
-/** The soak's store: a process of its own, so that a busy soak delays no answer. */
+/**
+ * The soak's store: a process of its own, so that a busy soak delays no answer.
+ */
 
 import { type ChildProcess, fork } from "node:child_process";
 import { once } from "node:events";
@@ -12,15 +14,18 @@
 const STORE_MAIN = new URL("./soak_store_main.js", import.meta.url);
 const NO_ARGUMENTS = {};
 
-/** Settles a command that was sent. */
+/** Callbacks that settle a command once its reply arrives. */
 interface PendingCommand {
   resolve(result: unknown): void;
   reject(error: Error): void;
 }
 
-/** Controls the store and the link between it and the instances. */
+/**
+ * Controls the process of the stand-in store, and the link between it and the
+ * instances.
+ */
 export class SoakStore {
-  /** `ip:port` of the link, for the instances. */
+  /** `ip:port` of the link, to which the instances connect. */
   readonly address: string;
   readonly #process: ChildProcess;
   readonly #pending = new Map<number, PendingCommand>();
@@ -41,7 +46,11 @@
     });
   }
 
-  /** @returns The store, once it serves. */
+  /**
+   * Starts the process of the store.
+   *
+   * @returns The store, once it serves.
+   */
   static async start(): Promise<SoakStore> {
     const child = fork(STORE_MAIN);
     const [{ address }] = await once(child, "message") as [
@@ -51,39 +60,42 @@
   }
 
   /**
-   * Writes a row as the operator or a target does.
+   * Writes or removes a row, in the role of the operator or a target. Rows are
+   * written in the order of calls.
    *
-   * @param table The table.
-   * @param key The key.
-   * @param content What it holds; absent to remove it.
-   * @returns Once it is written; rows are written in the order of calls.
+   * @param table Table of the row.
+   * @param key Key of the row.
+   * @param content Content of the row; absent to remove it.
+   * @returns Settles once the row is written.
    */
   async put(table: string, key: string, content?: unknown): Promise<void> {
     await this.#sendCommand(StoreCommandKind.Put, { table, key, content });
   }
 
   /**
-   * @param table A table.
-   * @param key A key.
-   * @returns What its row holds; undefined where there is none.
+   * Reads the content of a row.
+   *
+   * @param table Table of the row.
+   * @param key Key of the row.
+   * @returns The content; undefined if there is no such row.
    */
   readContent(table: string, key: string): Promise<unknown> {
     return this.#sendCommand(StoreCommandKind.ReadContent, { table, key });
   }
 
-  /** Rejects all calls until it is told to serve them again. */
+  /** Makes the store reject all calls, until `serveCalls`. */
   async rejectCalls(): Promise<void> {
     await this.#sendCommand(StoreCommandKind.SetMode, { mode: StoreMode.Busy });
   }
 
-  /** Serves calls again. */
+  /** Makes the store serve calls again. */
   async serveCalls(): Promise<void> {
     await this.#sendCommand(StoreCommandKind.SetMode, {
       mode: StoreMode.Normal,
     });
   }
 
-  /** Drops the history: feeds have to read the whole table again. */
+  /** Drops the history of changes, so that feeds read whole tables again. */
   async discardHistory(): Promise<void> {
     await this.#sendCommand(StoreCommandKind.DiscardHistory, NO_ARGUMENTS);
   }
@@ -93,27 +105,35 @@
     await this.#sendCommand(StoreCommandKind.ResetLink, NO_ARGUMENTS);
   }
 
-  /** Drops every connection and refuses new ones, until the link is healed. */
+  /** Closes every connection and refuses new ones, until `healLink`. */
   async cutLink(): Promise<void> {
     await this.#sendCommand(StoreCommandKind.CutLink, NO_ARGUMENTS);
   }
 
-  /** Holds everything back, until the link is healed. */
+  /** Holds back all data in both directions, until `healLink`. */
   async freezeLink(): Promise<void> {
     await this.#sendCommand(StoreCommandKind.FreezeLink, NO_ARGUMENTS);
   }
 
-  /** Ends what was done to the link. */
+  /** Ends a cut or freeze of the link. */
   async healLink(): Promise<void> {
     await this.#sendCommand(StoreCommandKind.HealLink, NO_ARGUMENTS);
   }
 
-  /** @param share Part of the open connections that fall silent for good. */
+  /**
+   * Makes open connections of the link fall silent for good.
+   *
+   * @param share Share of them that fall silent, from 0 to 1.
+   */
   async silenceLink(share: number): Promise<void> {
     await this.#sendCommand(StoreCommandKind.SilenceLink, { share });
   }
 
-  /** @returns Once its process has ended. */
+  /**
+   * Ends the process.
+   *
+   * @returns Settles once it has ended.
+   */
   async close(): Promise<void> {
     if (this.#process.exitCode === null) {
       const ended = once(this.#process, "exit");
--- a/tests/soak_store_commands.ts
+++ b/tests/soak_store_commands.ts
@@ -1,8 +1,8 @@
-/** What the soak tells the process of its store. */
+/** Messages between the soak and the process of its store. */
 
 import type { StoreMode } from "@chestnuthatch/platform/standin_store";
 
-/** Kinds of command. */
+/** Kinds of commands. */
 export enum StoreCommandKind {
   Put = "put",
   ReadContent = "content_of",
@@ -15,7 +15,7 @@
   SilenceLink = "silence_link",
 }
 
-/** What each kind takes along. */
+/** Arguments of commands, by kind. */
 export interface StoreCommandArguments {
   [StoreCommandKind.Put]: { table: string; key: string; content?: unknown };
   [StoreCommandKind.ReadContent]: { table: string; key: string };
@@ -28,14 +28,16 @@
   [StoreCommandKind.SilenceLink]: { share: number };
 }
 
-/** One command, carried out in the order in which it was sent. */
+/** A command; commands are executed in the order in which they are sent. */
 export interface StoreCommand<K extends StoreCommandKind = StoreCommandKind> {
   readonly id: number;
   readonly kind: K;
   readonly with: StoreCommandArguments[K];
 }
 
-/** What the store's process tells: its address first, then each command's end. */
+/**
+ * A message of the store's process: its address first, then command results.
+ */
 export type StoreReply =
   | { readonly address: string }
   | { readonly id: number; readonly result?: unknown };
--- a/tests/soak_store_main.ts
+++ b/tests/soak_store_main.ts
@@ -1,4 +1,6 @@
-/** The store of a soak, and the link to it, in a process of their own. */
+/**
+ * Program that runs a soak's store, and the link to it, as a separate process.
+ */
 
 import process from "node:process";
 import { StandinStore } from "@chestnuthatch/platform/standin_store";
@@ -10,7 +12,7 @@
   type StoreReply,
 } from "./soak_store_commands.ts";
 
-/** What commands act on. */
+/** The store and the link, to which commands apply. */
 interface StoreContext {
   readonly store: StandinStore;
   readonly link: LinkRelay;
@@ -18,7 +20,7 @@
 
 type Handlers = {
   readonly [K in StoreCommandKind]: (
-    scene: StoreContext,
+    context: StoreContext,
     options: StoreCommandArguments[K],
   ) => unknown;
 };
@@ -52,14 +54,14 @@
 }
 
 async function execute(
-  scene: StoreContext,
+  context: StoreContext,
   { id, kind, with: options }: StoreCommand,
 ): Promise<void> {
   const handler = HANDLERS[kind] as (
-    scene: StoreContext,
+    context: StoreContext,
     options: unknown,
   ) => unknown;
-  reply({ id, result: await handler(scene, options) });
+  reply({ id, result: await handler(context, options) });
 }
 
 function reply(message: StoreReply): void {
--- a/tests/soak_test.ts
+++ b/tests/soak_test.ts
@@ -1,4 +1,4 @@
-/** Short seeds of the soak, and those on which a promise was once broken. */
+/** Tests with short seeds of the soak, and with seeds that found faults. */
 
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -6,29 +6,29 @@
 import { SoakSignal } from "./soak_signals_plan.ts";
 import { runSoak } from "./soak_run.ts";
 
-/** Enough for the faults of a seed to overlap, and short enough for CI. */
+/** Long enough for the faults of a seed to overlap, and short enough for CI. */
 const OPTIONS = { lengthMs: 4000 };
 
-/** A bad and a sound version beside the faults. */
+/** Seeds of which one rolls out a bad version and one a healthy version. */
 const ROLLOUT_SEEDS = [3, 5];
 
-/** Seeds on which answers not written out yet were cut by a stopping instance. */
+/** Seeds that cover a stopping instance with answers not yet written out. */
 const STOPPING_SEEDS = [205, 216];
 
-/** A target there got far more than its rate limit. */
+/** Seed that covers a target with a rate limit. */
 const LIMIT_SEED = 4;
 
-/** Enough for a limit to take effect, and for some windows after that. */
+/** Long enough for a limit to hold, and for some windows after that. */
 const LIMIT_OPTIONS = { lengthMs: 12_000, signals: [SoakSignal.RateLimit] };
 
-/** Requests there went to a leaving target and to one that asked to back off. */
+/** Seed that covers a leaving target and one that asks for a backoff. */
 const SIGNAL_SEED = 3;
 const SIGNAL_OPTIONS = {
   lengthMs: 8000,
   signals: [SoakSignal.Leaving, SoakSignal.Backoff],
 };
 
-/** A version there failed at most of its targets, and was completed. */
+/** Seed that covers a version that fails at most of its targets. */
 const FAILING_VERSION_SEED = 3014;
 const FAILING_VERSION_OPTIONS = {
   ...SIGNAL_OPTIONS,
@@ -36,10 +36,10 @@
   silences: true,
 };
 
-/** Enough for one of their stops. */
+/** Long enough for one stop of an instance. */
 const ONE_STOP_OPTIONS = { lengthMs: 2000 };
 
-/** Versions of the configuration were not known in time there. */
+/** Seeds that cover versions written while connections are silent. */
 const LATE_VERSION_SEEDS = [3, 5];
 const SILENCE_OPTIONS = { lengthMs: 8000, silences: true };
 
@@ -54,25 +54,28 @@
 }
 
 for (const seed of STOPPING_SEEDS) {
-  test(`soak: seed ${seed} cuts no answer again`, () =>
+  // Guards against a stop that cuts off answers not written out yet.
+  test(`soak: seed ${seed} cuts no answer while an instance stops`, () =>
     expectNoBrokenPromise(seed, ONE_STOP_OPTIONS));
 }
 
 for (const seed of LATE_VERSION_SEEDS) {
-  // Guards against waiting for news on connections that have fallen silent.
-  test(`soak: seed ${seed} has versions in force though the store falls silent`, () =>
+  // Guards against waiting for changes on connections that have fallen silent.
+  test(`soak: seed ${seed} has versions in force although the store falls silent`, () =>
     expectNoBrokenPromise(seed, SILENCE_OPTIONS));
 }
 
-// Guards against placements that ignore rate limits of targets.
+// Guards against placements that ignore rate limits, so that a target gets far
+// more requests than its limit.
 test(`soak: seed ${LIMIT_SEED} keeps to rate limits of targets`, () =>
   expectNoBrokenPromise(LIMIT_SEED, LIMIT_OPTIONS));
 
-// Guards against ignoring that targets announce to leave or ask to back off.
-test(`soak: seed ${SIGNAL_SEED} respects leaving targets and back-off`, () =>
+// Guards against sending requests to targets that announced that they are
+// leaving or that asked for a backoff.
+test(`soak: seed ${SIGNAL_SEED} respects leaving targets and backoffs`, () =>
   expectNoBrokenPromise(SIGNAL_SEED, SIGNAL_OPTIONS));
 
-// Guards against completing a version most of whose targets fail.
+// Guards against completing a roll-out whose version fails at most targets.
 test(`soak: seed ${FAILING_VERSION_SEED} completes no version that fails`, () =>
   expectNoBrokenPromise(FAILING_VERSION_SEED, FAILING_VERSION_OPTIONS));
 
--- a/tests/soak_versions.ts
+++ b/tests/soak_versions.ts
@@ -1,4 +1,4 @@
-/** Checks that confirmed versions of the configuration come into force in time. */
+/** Checks that versions of the configuration come into force in time. */
 
 import { Agent, get } from "node:http";
 import { setTimeout as pause } from "node:timers/promises";
@@ -8,16 +8,19 @@
 import type { SoakFleet } from "./soak_fleet.ts";
 import type { SoakInstance, TimeSpan } from "./soak_instance.ts";
 
-/** Bounds that the platform sets for versions of the configuration. */
+/**
+ * Bounds that the platform sets: the longest time until a confirmed version is
+ * in force, on an instance that was undisturbed for the second time.
+ */
 const MAX_APPLY_MS = 2000;
 const MIN_UNDISTURBED_MS = 3000;
 
-/** Time after a version is confirmed for which instances are asked for it. */
+/** Time after the confirmation of a version for which instances are polled. */
 const WATCH_MS = 9000;
 
 /**
- * Time between two asks, for each instance that is being asked: the store shares
- * this process, and would be late itself if more were asked.
+ * Interval of polls, multiplied by the number of watches that poll: more polls
+ * would delay the stand-ins that share this process.
  */
 const POLL_MS = 10;
 const POLL_TIMEOUT_MS = 1000;
@@ -25,18 +28,18 @@
 const STATUS_NOT_FOUND = 404;
 const PROMISE = "a confirmed version is in force within its bound";
 
-/** Asks every instance for the route that a version adds, until it has it. */
+/** Polls every instance for the route that a version adds, until it exists. */
 export class SoakVersions {
   readonly #fleet: SoakFleet;
   readonly #agent = new Agent({ keepAlive: true });
   readonly #loopDelay = new LoopDelay();
   readonly #broken: BrokenPromise[] = [];
   readonly #watches: Promise<unknown>[] = [];
-  /** Instances that are asked for a version now, counted for each version. */
+  /** Number of pairs of an instance and a version that are being polled. */
   #activeWatches = 0;
   #isOver = false;
 
-  /** @param fleet Whose versions are watched. */
+  /** @param fleet Fleet whose versions are checked. */
   constructor(fleet: SoakFleet) {
     this.#fleet = fleet;
     fleet.onVersion = (version) => {
@@ -50,7 +53,11 @@
     };
   }
 
-  /** @returns Versions that were late, once all have been watched. */
+  /**
+   * Waits for all watches, and closes this object.
+   *
+   * @returns Broken promises: versions that were not in force in time.
+   */
   async findLateVersions(): Promise<BrokenPromise[]> {
     await Promise.all(this.#watches);
     this.close();
@@ -97,7 +104,7 @@
     }
   }
 
-  /** Whether the instance, or its way to the store, was at fault lately. */
+  /** Whether a fault of the instance, the store or its link was recent. */
   #isDisturbed(instance: SoakInstance, atMs: number): boolean {
     const { unavailableSpans, downSpans, pausedSpans } = instance;
     return [
@@ -110,7 +117,7 @@
     );
   }
 
-  /** @returns The status code; undefined where there was no answer. */
+  /** Requests a version's route; undefined if there was no answer. */
   #poll(instance: SoakInstance, version: number): Promise<number | undefined> {
     const [host, port] = instance.callerAddress.split(":");
     return new Promise((resolve) => {
