--- a/tests/ended_targets_plan.ts
+++ b/tests/ended_targets_plan.ts
@@ -1,40 +1,45 @@
-/** What happens in one run of a request that ends targets. */
+/** Plans runs in which one request ends every target that runs it. */
 
 import { seededRandomSource } from "@chestnuthatch/core/random_source";
 
-/** What happens to instances before the request comes again. */
+/** Disturbances before the request is sent again. */
 export enum Disturbance {
   None = "none",
-  /** Killed, and started again. */
+  /** One instance is killed and started again. */
   OneKilled = "one_killed",
+  /** All instances are killed and started again. */
   AllKilled = "all_killed",
-  /** Stands still while the request comes through another, then gets it. */
+  /**
+   * One instance is paused while another gets the request, then gets it too.
+   */
   OnePaused = "one_paused",
-  /** The store comes back as it was before the request came last. */
+  /**
+   * The store is restored to a snapshot from before the request's last turn.
+   */
   StoreRestored = "store_went_back",
 }
 
-/** What a run is made of. */
+/** Fleet, callers and disturbances of a run. */
 export interface EndedTargetsPlan {
   readonly seed: number;
   readonly instances: number;
   readonly engines: number;
-  /** Callers that each send one request after the other. */
+  /** Number of callers that each send other requests, one at a time. */
   readonly otherCallers: number;
-  /** What happens before each time that the request comes. */
+  /** Disturbance before each turn of the request. */
   readonly disturbances: readonly Disturbance[];
-  /** Times that it comes at once, each through another instance. */
+  /** Copies of the request that are sent at once, each to another instance. */
   readonly concurrency: number;
-  /** How long an ended target is away. */
+  /** Time until an ended target is started again. */
   readonly awayMs: number;
 }
 
-const INSTANCES = { least: 3, most: 6 };
-const ENGINES = { least: 4, most: 8 };
-const OTHER_CALLERS = { least: 4, most: 15 };
+const INSTANCES = { min: 3, max: 6 };
+const ENGINES = { min: 4, max: 8 };
+const OTHER_CALLERS = { min: 4, max: 15 };
 const TURN_COUNT = 12;
-const CONCURRENCY = { least: 1, most: 3 };
-const AWAY_MS = { least: 100, most: 2100 };
+const CONCURRENCY = { min: 1, max: 3 };
+const AWAY_MS = { min: 100, max: 2100 };
 
 const DISTURBANCES: readonly Disturbance[] = [
   Disturbance.None,
@@ -47,14 +52,16 @@
 ];
 
 /**
+ * Plans a run.
+ *
  * @param seed Any whole number.
- * @returns A run drawn by it.
+ * @returns The plan, which is the same for the same seed.
  */
 export function planEndedTargets(seed: number): EndedTargetsPlan {
   const randomness = seededRandomSource(seed);
-  const between = ({ least, most }: { least: number; most: number }) =>
-    least + Math.floor(randomness.next() * (most - least + 1));
-  const turns = { least: 0, most: DISTURBANCES.length - 1 };
+  const between = ({ min, max }: { min: number; max: number }) =>
+    min + Math.floor(randomness.next() * (max - min + 1));
+  const kinds = { min: 0, max: DISTURBANCES.length - 1 };
   return {
     seed,
     instances: between(INSTANCES),
@@ -62,7 +69,7 @@
     otherCallers: between(OTHER_CALLERS),
     disturbances: Array.from(
       { length: TURN_COUNT },
-      () => DISTURBANCES[between(turns)]!,
+      () => DISTURBANCES[between(kinds)]!,
     ),
     concurrency: between(CONCURRENCY),
     awayMs: between(AWAY_MS),
--- a/tests/ended_targets_run.ts
+++ b/tests/ended_targets_run.ts
@@ -1,8 +1,8 @@
 /**
- * A run in which one request ends every target that begins it: instances as
- * processes of their own, and targets that come back under another id. The same
- * request comes again through all instances, beside callers with requests of
- * their own, while instances are killed, paused and started.
+ * Runs a fleet in which one request ends every target that starts to run it.
+ * Instances are separate processes, and ended targets start again with new ids.
+ * The request is sent again through all instances, beside other requests, while
+ * instances are killed, paused and started.
  */
 
 import { setTimeout as pause } from "node:timers/promises";
@@ -31,20 +31,20 @@
 import { SoakInstance } from "./soak_instance.ts";
 import { waitFor } from "./wait_for.ts";
 
-/** What came of a run. */
+/** Ended targets, answers and logs of a run. */
 export interface EndedTargetsOutcome {
-  /** Targets that ended under the request, by the turn in which it came. */
+  /** Number of targets that the request ended, by turn. */
   readonly endedByTurn: readonly number[];
-  /** Answers to the request, in the order in which it came. */
+  /** Answers to the request, in the order of their arrival. */
   readonly answers: readonly CallResult[];
   /** Answers to all other requests. */
   readonly otherAnswers: readonly CallResult[];
-  /** What the instances logged, by their ids. */
+  /** Log lines of the instances, by id. */
   readonly logs: ReadonlyMap<string, readonly string[]>;
 }
 
 const PATH = "/plan/of-a-field";
-/** What tells the request from those that look like it. */
+/** Body of the request, by which it differs from the other requests. */
 const ENDING_BODY = "ends what runs it";
 const TOKENS = { "X-Token-Counts": "60,20" };
 const SERVICE_TIME_MS = 5;
@@ -53,27 +53,31 @@
 const DOMAINS = ["a", "b", "c"];
 const STATUS_OK = 200;
 
-/** Ended targets after which a request is known for what it is. */
+/** Number of ended targets from which instances hold a request back. */
 const ENDED_TARGETS_LIMIT = 3;
-/** Times that it may be sent after that. */
+/** Targets that the request may still end after that. */
 const MAX_ENDED_AFTER_LIMIT = 3;
 const HELD_BACK = /held back/;
 
 /**
- * @param outcome What came of a run.
- * @returns What must not be; empty where all is well.
+ * Checks a run.
+ *
+ * @param outcome Ended targets and answers of the run.
+ * @returns Descriptions of faults; empty if there are none.
  */
 export function findOutcomeFaults(outcome: EndedTargetsOutcome): string[] {
   const { endedByTurn, otherAnswers } = outcome;
   const faults: string[] = [];
   let ended = 0;
-  let again = 0;
+  let endedAfterLimit = 0;
   for (const inTurn of endedByTurn) {
-    again += ended >= ENDED_TARGETS_LIMIT ? inTurn : 0;
+    endedAfterLimit += ended >= ENDED_TARGETS_LIMIT ? inTurn : 0;
     ended += inTurn;
   }
-  if (again > MAX_ENDED_AFTER_LIMIT) {
-    faults.push(`${again} targets ended after three had: ${endedByTurn}`);
+  if (endedAfterLimit > MAX_ENDED_AFTER_LIMIT) {
+    faults.push(
+      `${endedAfterLimit} targets ended after three had: ${endedByTurn}`,
+    );
   }
   const held = otherAnswers.filter(({ body }) => HELD_BACK.test(body));
   if (held.length > 0) {
@@ -86,8 +90,10 @@
 }
 
 /**
- * @param plan What the run is made of.
- * @returns What came of it.
+ * Runs a plan.
+ *
+ * @param plan Fleet, callers and disturbances of the run.
+ * @returns Ended targets, answers and logs, once the run has ended.
  */
 export async function runEndedTargets(
   plan: EndedTargetsPlan,
@@ -100,6 +106,7 @@
   }
 }
 
+/** The fleet and the state of one run. */
 class EndedTargetsRun {
   readonly #plan: EndedTargetsPlan;
   readonly #store = new StandinStore();
@@ -233,7 +240,10 @@
     }
   }
 
-  /** The operator and the engines write again what they had written. */
+  /**
+   * Restores the last snapshot. The operator and the engines then write their
+   * current rows again.
+   */
   #restoreStore(): void {
     if (this.#snapshot === undefined) {
       return;
@@ -260,7 +270,7 @@
     this.#answers.push(await this.#call(instance, PATH, ENDING_BODY));
   }
 
-  /** Each sends requests that look like the one that ends targets. */
+  /** Sends requests that differ from the ending one only in their bodies. */
   async #sendOtherCalls(caller: number): Promise<void> {
     for (let count = 0; !this.#isOver; count++) {
       const instance = this.#drawInstance();
@@ -288,7 +298,7 @@
     });
   }
 
-  /** Once every engine is back, and requests are served again. */
+  /** Waits until every engine has restarted and requests are served again. */
   async #waitUntilServed(instance: SoakInstance): Promise<void> {
     await waitFor(
       "all engines to be back",
--- a/tests/ended_targets_soak.ts
+++ b/tests/ended_targets_soak.ts
@@ -1,4 +1,4 @@
-/** `npm run soak:ended`: seeds in which one request ends targets, by hand. */
+/** `npm run soak:ended`: runs seeds in which one request ends targets. */
 
 import process from "node:process";
 import { Command } from "commander";
--- a/tests/instance_probe.ts
+++ b/tests/instance_probe.ts
@@ -1,12 +1,13 @@
 /**
- * Loaded into an instance's process ahead of its program. It tells of each
- * request as soon as its head is read, on the standard output, so that a request
- * that was read and lost differs from one that crossed the end of its connection.
+ * Module that is loaded into an instance's process before its program. It
+ * prints each request on the standard output as soon as its head is read. The
+ * soak thus distinguishes a request that was read and lost from one that was
+ * still on its way when the connection closed.
  *
- * Connections that the process accepts take so many bytes a second. The kernel's
- * buffers on the loopback take some 3 MB at once (measured: 3 MB are taken whole,
- * of 4 MB most wait), so that no plain answer ever waits in the process; on links
- * with small windows it does.
+ * It also limits the rate at which accepted connections take answers. The
+ * kernel's buffers on the loopback take some 3 MB at once, of 4 MB most waits.
+ * Without a limit, no plain answer would therefore wait in the process, as it
+ * does on links with small windows.
  */
 
 import { Buffer } from "node:buffer";
@@ -16,16 +17,18 @@
 import process from "node:process";
 import { WRITE_RATE_VARIABLE } from "./write_rate.ts";
 
+/** Callback of a write. */
 type Done = (error?: Error | null) => void;
+/** Internal method of the runtime's sockets that all writes go through. */
 type WriteGeneric = (
   this: Socket,
-  many: boolean,
+  isVector: boolean,
   data: unknown,
   encoding: string,
   done: Done,
 ) => void;
 
-/** Bytes handed to the kernel at once: one window of a narrow link. */
+/** Bytes that are handed to the kernel at once: one window of a narrow link. */
 const CHUNK_BYTES = 16 * 1024;
 const MS_PER_S = 1000;
 
@@ -43,26 +46,29 @@
   }
 });
 
-prototype._writeGeneric = function (many, data, encoding, done) {
+prototype._writeGeneric = function (isVector, data, encoding, done) {
   const isAccepted = (this as { server?: unknown }).server !== undefined;
   if (!isAccepted || !Number.isFinite(bytesPerS)) {
-    writeWhole.call(this, many, data, encoding, done);
+    writeWhole.call(this, isVector, data, encoding, done);
     return;
   }
-  const bytes = toBytes(many, data, encoding);
-  writeInChunks(this, bytes, { done, pieceBytes: CHUNK_BYTES });
+  const bytes = toBytes(isVector, data, encoding);
+  writeInChunks(this, bytes, { done, chunkBytes: CHUNK_BYTES });
 };
 
-/** Late timers make pieces larger: the rate stays that of the link. */
+/**
+ * Writes bytes in chunks at the limited rate. A late timer makes the next chunk
+ * larger, so that the rate stays the same.
+ */
 function writeInChunks(
   socket: Socket,
   bytes: Buffer,
-  { done, pieceBytes }: { done: Done; pieceBytes: number },
+  { done, chunkBytes }: { done: Done; chunkBytes: number },
 ): void {
-  const piece = bytes.subarray(0, pieceBytes);
-  const rest = bytes.subarray(pieceBytes);
+  const chunk = bytes.subarray(0, chunkBytes);
+  const rest = bytes.subarray(chunkBytes);
   const beganAtMs = performance.now();
-  writeWhole.call(socket, false, piece, "buffer", (error) => {
+  writeWhole.call(socket, false, chunk, "buffer", (error) => {
     if (error || rest.length === 0) {
       done(error);
       return;
@@ -70,13 +76,13 @@
     setTimeout(() => {
       const spentMs = performance.now() - beganAtMs;
       const passed = Math.round(spentMs / MS_PER_S * bytesPerS);
-      writeInChunks(socket, rest, { done, pieceBytes: passed });
+      writeInChunks(socket, rest, { done, chunkBytes: passed });
     }, CHUNK_BYTES / bytesPerS * MS_PER_S);
   });
 }
 
-function toBytes(many: boolean, data: unknown, encoding: string): Buffer {
-  if (!many) {
+function toBytes(isVector: boolean, data: unknown, encoding: string): Buffer {
+  if (!isVector) {
     return toBuffer(data as Buffer | string, encoding);
   }
   const parts = data as { chunk: Buffer | string; encoding: string }[];
--- a/tests/link_relay.ts
+++ b/tests/link_relay.ts
@@ -1,4 +1,4 @@
-/** A TCP relay in the test process: one link that can be cut, frozen, healed. */
+/** A TCP relay in the test process that simulates faults of a network link. */
 
 import { Buffer } from "node:buffer";
 import {
@@ -11,16 +11,16 @@
 import process from "node:process";
 import { Transform } from "node:stream";
 
-/** What a link does. */
+/** Ways in which a link forwards data. */
 export enum LinkState {
   Open = "open",
-  /** Connections are dropped and refused. */
+  /** Connections are closed, and new ones refused. */
   Cut = "cut",
   /** Connections are accepted; nothing is forwarded. */
   Frozen = "frozen",
-  /** What the upstream sends is held; the other way is open. */
+  /** Data from the upstream is held back; the other direction is open. */
   InboundHeld = "inbound_held",
-  /** What the dialling side sends is held; the other way is open. */
+  /** Data from the client is held back; the other direction is open. */
   OutboundHeld = "outbound_held",
 }
 
@@ -39,8 +39,9 @@
 interface RelayedConnection {
   readonly clientSocket: Socket;
   readonly upstreamSocket: Socket;
-  /** What passes from one to the other, each part as late as the link is. */
+  /** Data from the client to the upstream, delayed by the link. */
   readonly outbound: Transform;
+  /** Data from the upstream to the client, delayed by the link. */
   readonly inbound: Transform;
   /** Whether nothing passes ever again, with no end to be seen. */
   isSilent: boolean;
@@ -48,7 +49,10 @@
 
 const MS_PER_S = 1000;
 
-/** A busy process is late by so much: a narrow link makes up for it. */
+/**
+ * Timer delay of a busy process that a link of limited rate compensates for, by
+ * sending the missed bytes at once.
+ */
 const MAX_TIMER_DELAY_MS = 100;
 
 const NO_BYTES = Buffer.alloc(0);
@@ -58,7 +62,10 @@
 
 let hostCount = 0;
 
-/** Forwards connections to one upstream address. */
+/**
+ * A link that forwards connections to one upstream address. It can be cut, held
+ * back, delayed, limited in its rate, and healed.
+ */
 export class LinkRelay {
   readonly #connections = new Set<RelayedConnection>();
   readonly #host = nextHost();
@@ -76,8 +83,9 @@
   /**
    * Starts a relay.
    *
-   * @param upstream `host:port` to forward to, if it is known yet.
-   * @returns The relay, listening.
+   * @param upstream `host:port` to forward to; without it, connections are
+   * closed until `setUpstream`.
+   * @returns The relay, which listens.
    */
   static async start(upstream?: string): Promise<LinkRelay> {
     const relay = new LinkRelay(upstream);
@@ -85,38 +93,42 @@
     return relay;
   }
 
-  /** `host:port` to connect to; it stays the same, also through cuts. */
+  /** `host:port` to connect to; it stays the same after a cut. */
   get address(): string {
     return `${this.#host}:${this.#port}`;
   }
 
-  /** @param upstream `host:port` of a process that was started anew. */
+  /**
+   * Sets the address to which further connections are forwarded.
+   *
+   * @param upstream `host:port` of the upstream.
+   */
   setUpstream(upstream: string): void {
     this.#upstream = upstream;
   }
 
-  /** Drops every connection and refuses new ones. */
+  /** Closes every connection and refuses new ones, until `heal`. */
   async cut(): Promise<void> {
     this.#state = LinkState.Cut;
     await this.#close();
   }
 
-  /** Holds everything back, in both directions. */
+  /** Holds back all data in both directions, until `heal`. */
   freeze(): void {
     this.#hold(LinkState.Frozen);
   }
 
-  /** Holds back what the upstream sends, and forwards the rest. */
+  /** Holds back data from the upstream, until `heal`. */
   holdInbound(): void {
     this.#hold(LinkState.InboundHeld);
   }
 
-  /** Holds back what the dialling side sends, and forwards the rest. */
+  /** Holds back data from clients, until `heal`. */
   holdOutbound(): void {
     this.#hold(LinkState.OutboundHeld);
   }
 
-  /** Resets every connection; new ones are served. */
+  /** Resets every connection; new ones are forwarded. */
   reset(): void {
     for (const connection of [...this.#connections]) {
       this.#resetConnection(connection);
@@ -124,9 +136,10 @@
   }
 
   /**
-   * Silences connections that are open, for good; new ones are served.
+   * Stops forwarding on open connections for good, without closing them; new
+   * ones are forwarded.
    *
-   * @param share Part of them, the oldest first.
+   * @param share Share of the connections, from 0 to 1; the oldest come first.
    */
   silence(share: number): void {
     const connections = [...this.#connections].filter(({ isSilent }) =>
@@ -143,7 +156,9 @@
     }
   }
 
-  /** A reset of one end is one of the other, not a plain end. */
+  /**
+   * Forwards a reset of one side as a reset of the other, not as a plain end.
+   */
   #resetConnection(connection: RelayedConnection): void {
     if (this.#state === LinkState.Open && !connection.isSilent) {
       this.#connections.delete(connection);
@@ -152,17 +167,25 @@
     }
   }
 
-  /** @param delayMs How late each part arrives on the other side. */
+  /**
+   * Sets the delay of the link in both directions.
+   *
+   * @param delayMs Time that each chunk takes, in milliseconds.
+   */
   setDelay(delayMs: number): void {
     this.#delayMs = delayMs;
   }
 
-  /** @param bytesPerS How much of what the upstream sends passes, for each connection. */
+  /**
+   * Limits the rate of data from the upstream.
+   *
+   * @param bytesPerS Rate per connection in bytes per second.
+   */
   limitInboundRate(bytesPerS: number): void {
     this.#inboundBytesPerS = bytesPerS;
   }
 
-  /** Forwards again, also what was held back. */
+  /** Forwards data again, including what was held back. */
   async heal(): Promise<void> {
     this.#state = LinkState.Open;
     if (this.#server === undefined) {
@@ -171,7 +194,7 @@
     this.#connections.forEach((connection) => this.#updatePipes(connection));
   }
 
-  /** Ends the relay and its connections. */
+  /** Stops listening and closes all connections. */
   async stop(): Promise<void> {
     await this.#close();
   }
@@ -243,17 +266,17 @@
   }
 
   /**
-   * Where data and a reset arrive together, the runtime tells of a plain end;
-   * a write of no bytes shows the reset.
+   * Forwards the end of one side. If data and a reset arrive together, the
+   * runtime reports a plain end; a write of no bytes reveals the reset.
    */
   #onSocketEnd(
     connection: RelayedConnection,
     socket: Socket,
-    line: Transform,
+    stream: Transform,
   ): void {
     socket.write(NO_BYTES, (error) => {
       if (error === undefined || error === null) {
-        line.end();
+        stream.end();
       } else {
         this.#resetConnection(connection);
       }
@@ -273,14 +296,14 @@
     this.#onSocketClose(connection);
   }
 
-  /** Parts pass in their order, each as late as the link is and its rate asks. */
+  /** Creates a stream that delays chunks by the link's delay and by a rate. */
   #createThrottle(bytesPerS: () => number): Transform {
     let freeAtMs = 0;
     return new Transform({
       transform: (chunk: Buffer, _encoding, done) => {
         const nowMs = performance.now();
-        const passingMs = chunk.length / bytesPerS() * MS_PER_S;
-        freeAtMs = Math.max(freeAtMs, nowMs - MAX_TIMER_DELAY_MS) + passingMs;
+        const transferMs = chunk.length / bytesPerS() * MS_PER_S;
+        freeAtMs = Math.max(freeAtMs, nowMs - MAX_TIMER_DELAY_MS) + transferMs;
         const waitMs = this.#delayMs + Math.max(0, freeAtMs - nowMs);
         if (waitMs === 0) {
           done(null, chunk);
@@ -291,7 +314,7 @@
     });
   }
 
-  /** A link that is held hides also that one of its ends is gone. */
+  /** Closes both sides once one has closed, unless the link holds data back. */
   #onSocketClose(connection: RelayedConnection): void {
     const { clientSocket, upstreamSocket } = connection;
     const isOpen = this.#state === LinkState.Open && !connection.isSilent;
@@ -308,8 +331,8 @@
 }
 
 /**
- * The runtime cannot reset a socket whose end is on its way, and then never ends
- * its process either.
+ * Resets a socket, or destroys it if its end is being sent: the runtime cannot
+ * reset it then, and its process would never exit.
  */
 function resetSocket(socket: Socket): void {
   if (socket.writableEnded) {
@@ -320,10 +343,11 @@
 }
 
 /**
- * Hosts of relays differ by process and relay, so that no other process can
- * take a port while its link is cut.
+ * Returns the next address for a relay or an instance. Addresses differ by
+ * process and use, so that no other process can take a port while a link is
+ * cut.
  *
- * @returns An IP number on the loopback.
+ * @returns An IPv4 address of the loopback network.
  */
 export function nextHost(): string {
   hostCount += 1;
--- a/tests/link_relay_test.ts
+++ b/tests/link_relay_test.ts
@@ -1,4 +1,4 @@
-/** The relay that stands for a link in tests of failures. */
+/** Tests of the relay that simulates a link in tests of failures. */
 
 import {
   type AddressInfo,
@@ -12,7 +12,7 @@
 import { LinkRelay } from "./link_relay.ts";
 import { waitFor } from "./wait_for.ts";
 
-test("should forward both ways", () =>
+test("should forward in both directions", () =>
   withEcho(async (relay) => {
     const caller = new Caller(relay.address);
     caller.send("one");
@@ -20,7 +20,7 @@
     caller.close();
   }));
 
-test("should drop and refuse while cut, and listen there again", () =>
+test("should close and refuse connections while cut, and then listen again", () =>
   withEcho(async (relay) => {
     const { address } = relay;
     const before = new Caller(address);
@@ -30,7 +30,7 @@
     await before.ended();
     const refused = new Caller(address);
     await refused.ended();
-    assert.is(refused.fault, "ECONNREFUSED");
+    assert.is(refused.errorCode, "ECONNREFUSED");
     await relay.heal();
     const after = new Caller(address);
     after.send("two");
@@ -38,8 +38,8 @@
     after.close();
   }));
 
-test("should hold everything while frozen, and forward it once healed", () =>
-  withEcho(async (relay, heard) => {
+test("should hold back all data while frozen, and forward it once healed", () =>
+  withEcho(async (relay, received) => {
     const before = new Caller(relay.address);
     before.send("one");
     await before.receives("one");
@@ -48,7 +48,7 @@
     const during = new Caller(relay.address);
     during.send("three");
     await during.connected();
-    assert.equal(heard, ["one"]);
+    assert.equal(received, ["one"]);
     await relay.heal();
     await before.receives("onetwo");
     await during.receives("three");
@@ -56,19 +56,19 @@
     during.close();
   }));
 
-test("should hold one way alone", () =>
-  withEcho(async (relay, heard) => {
+test("should hold back one direction alone", () =>
+  withEcho(async (relay, received) => {
     relay.holdInbound();
     const caller = new Caller(relay.address);
     caller.send("one");
-    await waitFor("the upstream to hear it", () => heard.includes("one"));
+    await waitFor("the upstream to receive it", () => received.includes("one"));
     assert.is(caller.text, "");
     await relay.heal();
     await caller.receives("one");
     caller.close();
   }));
 
-test("should pass on all that a narrow link takes in pieces", () =>
+test("should forward all data on a link of limited rate", () =>
   withEcho(async (relay) => {
     relay.limitInboundRate(4_000_000);
     const caller = new Caller(relay.address);
@@ -82,7 +82,7 @@
 class Caller {
   readonly #socket: Socket;
   #text = "";
-  #fault = "";
+  #errorCode = "";
   #connected = false;
 
   constructor(address: string) {
@@ -91,7 +91,7 @@
       .on("connect", () => this.#connected = true)
       .on("data", (chunk) => this.#text += String(chunk))
       .on("error", (error: NodeJS.ErrnoException) => {
-        this.#fault = error.code ?? "";
+        this.#errorCode = error.code ?? "";
       });
   }
 
@@ -99,8 +99,8 @@
     return this.#text;
   }
 
-  get fault(): string {
-    return this.#fault;
+  get errorCode(): string {
+    return this.#errorCode;
   }
 
   send(text: string): void {
@@ -125,19 +125,19 @@
 }
 
 async function withEcho(
-  body: (relay: LinkRelay, heard: readonly string[]) => Promise<void>,
+  body: (relay: LinkRelay, received: readonly string[]) => Promise<void>,
 ): Promise<void> {
-  const heard: string[] = [];
+  const received: string[] = [];
   const server = createServer((socket) => {
     socket.on("error", () => {});
     socket.on("data", (chunk) => {
-      heard.push(String(chunk));
+      received.push(String(chunk));
       socket.write(chunk);
     });
   });
   const relay = await LinkRelay.start(await listen(server));
   try {
-    await body(relay, heard);
+    await body(relay, received);
   } finally {
     await relay.stop();
     server.close();
--- a/tests/loop_delay.ts
+++ b/tests/loop_delay.ts
@@ -1,15 +1,17 @@
-/** How late this process's event loop runs, and with it all stand-ins in it. */
+/**
+ * Measures delays of this process's event loop, which delay its stand-ins too.
+ */
 
-/** Time between two samples. */
+/** Interval of samples. */
 const SAMPLE_MS = 20;
 
-/** A time at which the loop was late, and by how much. */
+/** Delay of the event loop at one time. */
 interface LateSample {
   readonly atMs: number;
   readonly lateMs: number;
 }
 
-/** Samples the loop until it is closed. */
+/** Samples the delay of the event loop until it is closed. */
 export class LoopDelay {
   readonly #samples: LateSample[] = [];
   readonly #timer: NodeJS.Timeout;
@@ -20,17 +22,19 @@
   }
 
   /**
-   * @param fromMs Begin of a span that ends now.
-   * @returns The longest delay in it, in milliseconds.
+   * Returns the longest delay since a time.
+   *
+   * @param fromMs The time, by `performance.now()`.
+   * @returns The delay in milliseconds.
    */
   maxDelaySinceMs(fromMs: number): number {
-    const open = performance.now() - this.#dueAtMs;
+    const pendingMs = performance.now() - this.#dueAtMs;
     const late = this.#samples.filter(({ atMs }) => atMs >= fromMs)
       .map(({ lateMs }) => lateMs);
-    return Math.round(Math.max(0, open, ...late));
+    return Math.round(Math.max(0, pendingMs, ...late));
   }
 
-  /** Ends the sampling. */
+  /** Stops sampling. */
   close(): void {
     clearInterval(this.#timer);
   }
--- a/tests/outcome_checks.ts
+++ b/tests/outcome_checks.ts
@@ -1,4 +1,4 @@
-/** What must hold of every outcome, whatever went wrong. */
+/** Assertions about outcomes of requests, which hold under every fault. */
 
 import type { SentOutcome } from "@chestnuthatch/cli/send_request";
 import type {
@@ -12,15 +12,15 @@
 import type { StreamedCall } from "./streamed_call.ts";
 import type { TargetCounts } from "./target_counts.ts";
 
-/** Tokens of a service's answer. */
+/** Number of tokens in the answer of a service. */
 const SERVICE_ANSWER_TOKENS = 4;
 const PROMPT_TAIL_CHARS = 48;
 const OUTPUT_TAG = /\[output=(\d+)\]$/;
 
 /**
- * Expects an answer: whole, and to the request that was sent.
+ * Asserts that a request got a complete answer, and that it is its own.
  *
- * @param outcome What came.
+ * @param outcome Outcome of the request.
  * @param sent The request.
  * @returns The answer.
  */
@@ -35,10 +35,11 @@
 }
 
 /**
- * Expects a refusal.
+ * Asserts that a request was refused.
  *
- * @param outcome What came.
- * @param expected The error, and what it must say of the run.
+ * @param outcome Outcome of the request.
+ * @param expected Kind of the error, and whether the request ran according to
+ * it.
  * @returns The refusal.
  */
 export function expectRefusal(
@@ -53,9 +54,10 @@
 }
 
 /**
- * Expects a streamed answer: whole, and ended by one final event.
+ * Asserts that a streamed answer is complete, ends with its only final event,
+ * and belongs to the request.
  *
- * @param call The call, ended.
+ * @param call The streamed call, ended.
  * @param sent The request.
  */
 export function expectWholeStream(
@@ -69,10 +71,10 @@
 }
 
 /**
- * Expects a stream that ended in one error event.
+ * Asserts that a stream ended with its only error event.
  *
- * @param call The call, ended.
- * @returns The refusal in it.
+ * @param call The streamed call, ended.
+ * @returns The refusal in the error event.
  */
 export function expectStreamError(call: StreamedCall): CallerRefusal {
   const last = call.events.at(-1);
@@ -82,10 +84,11 @@
 }
 
 /**
- * Expects that a request which is said not to have run was never sent.
+ * Asserts that a request was never sent to a target if its refusal says that it
+ * did not run.
  *
- * @param refusal What its caller was told.
- * @param counts What the targets say.
+ * @param refusal The refusal that the caller received.
+ * @param counts Counts of the targets.
  */
 export function expectTruthful(
   refusal: CallerRefusal,
@@ -96,7 +99,7 @@
   }
 }
 
-/** Text that a stand-in gives for a request, under the id that it quotes. */
+/** Returns a stand-in's complete answer to a request, with the id in `text`. */
 function expectedText(text: string, sent: CallerRequest): string {
   const quotedId = text.slice(1, Math.max(1, text.indexOf("|")));
   const tag = OUTPUT_TAG.exec(sent.body)?.[1];
--- a/tests/process_ended_targets_test.ts
+++ b/tests/process_ended_targets_test.ts
@@ -1,15 +1,11 @@
 /**
- * A request that ended one target after the other.
+ * Guards against a request that ends one target after the other: each target
+ * exits within 0.1 s of starting to run it, and the caller sends it again with
+ * new ids and through other instances.
  *
- * Seen: language servers ended within 0.1 s of beginning the same request, which
- * came back under new ids and through other instances; 20 and more ended.
- *
- * Cause: an instance forgot a request with its answer, and nothing was kept of
- * the targets that ended under it. Each attempt was a new request to all.
- *
- * Proof: one fingerprint of workspace, path and body stands in the account of
- * every ended target, through all instances; with the ends counted by
- * fingerprint, three targets end where 18 did.
+ * Instances count ended targets by a fingerprint of workspace, path and body,
+ * which all of them share. Without these counts, each attempt is a new request
+ * to all instances: 18 targets ended in such a run, instead of three.
  */
 
 import { test } from "uvu";
@@ -20,8 +16,8 @@
 const { None, OneKilled, AllKilled, OnePaused, StoreRestored: StoreWentBack } =
   Disturbance;
 
-/** Three may end until it is known for what it is, and three after that. */
-const MOST_ENDED = 6;
+/** Three targets until the request is held back, and three after that. */
+const MAX_ENDED = 6;
 
 const PLAN: EndedTargetsPlan = {
   seed: 1,
@@ -37,11 +33,11 @@
   const outcome = await runEndedTargets(PLAN);
   const ended = outcome.endedByTurn.reduce((sum, inTurn) => sum + inTurn, 0);
   assert.ok(outcome.answers.length >= PLAN.disturbances.length);
-  assert.ok(ended <= MOST_ENDED, `${ended} targets ended`);
+  assert.ok(ended <= MAX_ENDED, `${ended} targets ended`);
   assert.equal(findOutcomeFaults(outcome), []);
 });
 
-test("its copies at once, all instances and what they wrote lost: no more than that", async () => {
+test("lost instances and rows do not raise the number of targets that a request ends", async () => {
   const disturbances = [
     None,
     AllKilled,
--- a/tests/process_kept_connections_test.ts
+++ b/tests/process_kept_connections_test.ts
@@ -1,4 +1,7 @@
-/** Kept connections of callers while processes get signals. */
+/**
+ * Tests of kept caller connections while instances stop or reload. They guard
+ * against requests that are read and get no answer.
+ */
 
 import { setTimeout as sleep } from "node:timers/promises";
 import {
@@ -32,13 +35,15 @@
 const HTTP_UNAVAILABLE = 503;
 const HTTP_BAD_GATEWAY = 502;
 
-/** Time between two calls of one caller: load, and not a wait for anything. */
+/** Time between two calls of one caller; no test waits by it. */
 const THINK_TIME_MS = 20;
 
-/** Longer than any stream of these tests. */
+/** Timeout of routes: longer than any stream of these tests. */
 const LONG_TIMEOUT_MS = 30_000;
 
-/** Three times what the longest stream takes that has to end whole. */
+/**
+ * Three times the duration of the longest stream that has to end completely.
+ */
 const LONG_GRACE_S = 10;
 
 async function withFleet(
@@ -66,7 +71,7 @@
   );
 }
 
-/** Faults of the results, by what targets saw and instances logged. */
+/** Checks results against requests of targets and logs of instances. */
 function findFaults(
   fleet: SoakFleet,
   results: readonly ConnectionResult[],
@@ -91,7 +96,7 @@
   );
 }
 
-/** Asks on new connections until a stopping instance refuses. */
+/** Sends calls on new connections until a stopping instance refuses one. */
 async function waitForRefusal(instance: SoakInstance): Promise<void> {
   await waitFor(`${instance.id} to refuse`, async () => {
     const probe = await StandinConnection.open(instance.callerAddress);
@@ -101,18 +106,19 @@
   });
 }
 
-/** When a test's instance was seen to stop, and to refuse. */
+/** Promises that settle once an instance stops, and once it refuses calls. */
 interface StopProgress {
   readonly stopping: Promise<void>;
   readonly refusing: Promise<void>;
 }
 
+/** Sends the calls of one connection and returns their results. */
 type Phase = (
   kept: StandinConnection,
-  seen: StopProgress,
+  progress: StopProgress,
 ) => Promise<ConnectionResult[]>;
 
-/** How far a caller's request is when the stop signal comes. */
+/** Calls by the phase that they are in when the stop signal arrives. */
 const PHASES: Readonly<Record<string, Phase>> = {
   "in progress for long": async (kept) => [
     await kept.send(streamCall(CallKind.Longest)),
@@ -129,14 +135,15 @@
       beforePart: (index) => index === 1 ? stopping : Promise.resolve(),
     })),
   ],
-  "half of the body sent, the rest much later": async (kept, seen) => [
+  "half of the body sent, the rest much later": async (kept, progress) => [
     await kept.send(plainCall({
       body: ["some", "body"],
-      beforePart: (index) => index === 1 ? seen.refusing : Promise.resolve(),
+      beforePart: (index) =>
+        index === 1 ? progress.refusing : Promise.resolve(),
     })),
   ],
-  "half of the head sent, the rest much later": async (kept, seen) => [
-    await kept.send(plainCall({ beforeHeadEnd: () => seen.refusing })),
+  "half of the head sent, the rest much later": async (kept, progress) => [
+    await kept.send(plainCall({ beforeHeadEnd: () => progress.refusing })),
   ],
   "waiting or in progress": async (kept) => [
     await kept.send(streamCall(CallKind.Long)),
@@ -173,12 +180,12 @@
       const connections = await openConnections(leaving, phases.length);
       await Promise.all(connections.map((kept) => kept.send(plainCall())));
       const stopping = waitForLog(leaving, "stopping");
-      const seen = {
+      const progress = {
         stopping,
         refusing: stopping.then(() => waitForRefusal(leaving)),
       };
       const calls = phases.map(async ([name, phase], index) => {
-        const results = await phase(connections[index]!, seen);
+        const results = await phase(connections[index]!, progress);
         return findFaults(fleet, results).map((fault) => `${name}: ${fault}`);
       });
       await waitForLog(leaving, "sent");
@@ -186,7 +193,7 @@
       if (isDisturbed) {
         fleet.configure({ routes: longRoutes() });
         void leaving.stop();
-        await seen.stopping;
+        await progress.stopping;
         fleet.configure({ routes: longRoutes() });
       }
       assert.equal((await Promise.all(calls)).flat(), []);
@@ -194,15 +201,15 @@
     }));
 }
 
-/** A caller that goes on, on new connections where it has to. */
+/** Sends calls one at a time, on a new connection if the last one is closed. */
 async function sendWhile(
-  goesOn: () => boolean,
+  shouldContinue: () => boolean,
   instance: SoakInstance,
   firstTurn: number,
 ): Promise<ConnectionResult[]> {
   const results: ConnectionResult[] = [];
   let kept = await StandinConnection.open(instance.callerAddress);
-  for (let turn = firstTurn; goesOn(); turn++) {
+  for (let turn = firstTurn; shouldContinue(); turn++) {
     if (!kept.isUsable) {
       kept.close();
       kept = await StandinConnection.open(instance.callerAddress);
@@ -215,21 +222,21 @@
 }
 
 async function sendAllWhile(
-  goesOn: () => boolean,
+  shouldContinue: () => boolean,
   instance: SoakInstance,
 ): Promise<ConnectionResult[]> {
   const callers = Array.from(
     { length: CALLER_COUNT },
-    (_, index) => sendWhile(goesOn, instance, index),
+    (_, index) => sendWhile(shouldContinue, instance, index),
   );
   return (await Promise.all(callers)).flat();
 }
 
-test("requests at every moment of a stop are kept until the process is gone", () =>
+test("requests at every moment of a stop get an answer until the process has ended", () =>
   withFleet(async (fleet) => {
     const leaving = fleet.instances[0]!;
     await allowLongRequests(fleet, leaving);
-    // It has to stay until its grace time is over.
+    // Outlasts the grace time, so that the process runs until its end.
     const [busy] = await openConnections(leaving, 1);
     const outlasting = busy!.send(streamCall(CallKind.Long, {
       requestId: "outlasts",
@@ -254,7 +261,7 @@
   return routes.map((route) => ({ ...route, timeoutMs: LONG_TIMEOUT_MS }));
 }
 
-/** Lets requests take long, and waits until an instance knows it. */
+/** Sets long timeouts, and waits until they are in force at an instance. */
 async function allowLongRequests(
   fleet: SoakFleet,
   instance: SoakInstance,
@@ -270,7 +277,7 @@
   );
 }
 
-/** Lets requests and stops take long, as far as a slow test host goes. */
+/** Sets long timeouts and grace times, so that slow test hosts pass. */
 async function allowLongOnAllInstances(fleet: SoakFleet): Promise<void> {
   for (const instance of fleet.instances) {
     await allowLongRequests(fleet, instance);
@@ -284,9 +291,9 @@
   instance.reload();
 }
 
-/** Alone, an instance gives the places for its own requests. */
+/** A single instance assigns slots to its own requests. */
 for (const instances of [1, 2]) {
-  test(`what outlasts the grace time of one of ${instances} is told so, whether it ran or waits`, () =>
+  test(`calls that outlast the grace time of one of ${instances} get an error, whether they ran or wait`, () =>
     withFleet(async (fleet) => {
       const leaving = fleet.instances[0]!;
       await allowLongRequests(fleet, leaving);
@@ -305,12 +312,12 @@
       const ran = new Set(
         fleet.targets.flatMap(({ target }) => target.ranIds),
       );
-      const told = results.filter(({ requestId, answer }) =>
+      const answeredAsExpected = results.filter(({ requestId, answer }) =>
         answer?.status ===
           (ran.has(requestId) ? HTTP_BAD_GATEWAY : HTTP_UNAVAILABLE)
       );
       assert.is(
-        told.length,
+        answeredAsExpected.length,
         results.length,
         JSON.stringify(countByOutcome(results)),
       );
@@ -323,8 +330,8 @@
     const connections = (await Promise.all(
       fleet.instances.map((instance) => openConnections(instance)),
     )).flat();
-    let goesOn = true;
-    const sending = sendMixedCalls(connections, () => goesOn);
+    let shouldContinue = true;
+    const sending = sendMixedCalls(connections, () => shouldContinue);
     for (let round = 0; round < 20; round++) {
       for (const instance of fleet.instances) {
         setGrace(instance, 4 + round % 5);
@@ -339,7 +346,7 @@
       await waitForLog(instance, "settings reloaded");
       await waitForLog(instance, "changed settings are invalid");
     }
-    goesOn = false;
+    shouldContinue = false;
     const results = await sending;
     assert.equal(findFaults(fleet, results), []);
     assert.ok(results.every(({ end }) => end === CallEnd.Answered));
@@ -349,9 +356,9 @@
 test("stops, restarts, reloads and configurations that overlap lose nothing", () =>
   withFleet(async (fleet) => {
     await allowLongOnAllInstances(fleet);
-    let goesOn = true;
+    let shouldContinue = true;
     const sending = fleet.instances.map((instance) =>
-      sendAllWhile(() => goesOn, instance)
+      sendAllWhile(() => shouldContinue, instance)
     );
     const [first, second] = fleet.instances;
     for (const [leaving, staying] of [[first, second], [second, first]]) {
@@ -366,7 +373,7 @@
       await leaving!.start(0);
       await fleet.waitUntilReady();
     }
-    goesOn = false;
+    shouldContinue = false;
     const results = (await Promise.all(sending)).flat();
     assert.equal(findFaults(fleet, results), []);
     assert.ok(countByOutcome(results)[200]! > 0);
@@ -379,7 +386,7 @@
 ];
 
 for (const { how, graceS, isServed } of GRACE_CHANGES) {
-  test(`a grace time ${how} by reload holds for the next stop`, () =>
+  test(`a grace time that is ${how} by a reload applies to the next stop`, () =>
     withFleet(async (fleet) => {
       const leaving = fleet.instances[0]!;
       await allowLongRequests(fleet, leaving);
--- a/tests/server_process.ts
+++ b/tests/server_process.ts
@@ -1,4 +1,4 @@
-/** One server as a process of its own, ended at the latest with this process. */
+/** A server as a child process, which is killed when this process exits. */
 
 import { type ChildProcess, spawn } from "node:child_process";
 import { readFileSync } from "node:fs";
@@ -6,7 +6,7 @@
 import { createInterface } from "node:readline";
 import { waitFor } from "./wait_for.ts";
 
-/** How a process ended. */
+/** Exit code or signal with which a process ended. */
 export interface ProcessEnd {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
@@ -16,20 +16,21 @@
 const STOPPED_STATE = "T";
 
 const running = new Set<ServerProcess>();
-process.on("exit", () => running.forEach((each) => each.signal("SIGKILL")));
+process.on("exit", () => running.forEach((server) => server.signal("SIGKILL")));
 
-/** How a process is started. */
+/** Options of a process's start. */
 export interface ProcessOptions {
+  /** Arguments of the script. */
   readonly args: readonly string[];
-  /** Arguments of the runtime. */
+  /** Arguments of the Node.js runtime. */
   readonly nodeArgs?: readonly string[];
-  /** Variables beside those of this process. */
+  /** Environment variables in addition to those of this process. */
   readonly env?: Readonly<Record<string, string>>;
-  /** Called with each line on its standard output. */
+  /** Called with each line that the process prints on its standard output. */
   readonly onLine?: (line: string) => void;
 }
 
-/** A process that tells its addresses in one JSON line. */
+/** A process that prints its addresses as its first line, in JSON. */
 export class ServerProcess {
   readonly #child: ChildProcess;
   readonly #log: string[] = [];
@@ -60,23 +61,23 @@
    * Starts a process.
    *
    * @param script Compiled module to run.
-   * @param options Its arguments, or these and what else it gets.
-   * @returns The process, and the object in the first line that it printed.
+   * @param options Its arguments, alone or with other options.
+   * @returns The process, and the object from the first line that it printed.
    */
   static async start<T>(
     script: URL,
     options: readonly string[] | ProcessOptions,
   ): Promise<{ server: ServerProcess; announced: T }> {
-    const whole = "args" in options ? options : { args: options };
-    const server = new ServerProcess(script, whole);
-    const line = await server.#firstLine(whole.onLine);
+    const processOptions = "args" in options ? options : { args: options };
+    const server = new ServerProcess(script, processOptions);
+    const line = await server.#firstLine(processOptions.onLine);
     if (line === undefined) {
       throw new Error(`${script.pathname} did not start:\n${server.log}`);
     }
     return { server, announced: JSON.parse(line) as T };
   }
 
-  /** Id of the process. */
+  /** Process id. */
   get pid(): number {
     return this.#child.pid!;
   }
@@ -86,12 +87,16 @@
     return this.#hasEnded;
   }
 
-  /** The latest lines of its log. */
+  /** The last lines of its standard error. */
   get log(): string {
     return this.#log.join("\n");
   }
 
-  /** @param signal What to send to the process, if it still runs. */
+  /**
+   * Sends a signal to the process, if it still runs.
+   *
+   * @param signal The signal.
+   */
   signal(signal: NodeJS.Signals): void {
     if (!this.#hasEnded) {
       this.#child.kill(signal);
@@ -104,13 +109,17 @@
     await this.ended;
   }
 
-  /** Pauses the process; it is stopped on return. */
+  /**
+   * Pauses the process.
+   *
+   * @returns Settles once it has stopped.
+   */
   async freeze(): Promise<void> {
     this.signal("SIGSTOP");
     await waitFor(`process ${this.pid} to stop`, () => this.#isStopped());
   }
 
-  /** Lets a paused process go on. */
+  /** Resumes a paused process. */
   thaw(): void {
     this.signal("SIGCONT");
   }
--- a/tests/soak_recovery.ts
+++ b/tests/soak_recovery.ts
@@ -18,7 +18,7 @@
 /** Longest time until a request is refused that no target may get. */
 const MAX_REFUSAL_MS = 250;
 
-/** One probe at whether an instance answers a kind of call as it should. */
+/** A check of how one instance answers one kind of call. */
 interface RecoveryProbe {
   readonly fleet: SoakFleet;
   readonly callers: SoakCallers;
--- a/tests/streamed_call.ts
+++ b/tests/streamed_call.ts
@@ -1,4 +1,4 @@
-/** A caller that reads its answer as it comes, and may hang up. */
+/** A caller that reads an answer as a stream, and may disconnect. */
 
 import { createInterface } from "node:readline";
 import {
@@ -12,11 +12,11 @@
 
 const agent = new Agent({ pipelining: 0, headersTimeout: 0, bodyTimeout: 0 });
 
-/** One streamed call. */
+/** A call whose answer is read as a stream of events. */
 export class StreamedCall {
-  /** Every event, in order. */
+  /** All events received so far, in order. */
   readonly events: CallerEvent[] = [];
-  /** Settles once the response has ended, however it did. */
+  /** Settles once the response has ended, completely or not. */
   readonly ended: Promise<void>;
   readonly #abort = new AbortController();
   #failure: string | undefined;
@@ -25,7 +25,7 @@
    * Sends a request.
    *
    * @param address `host:port` of an instance's interface for callers.
-   * @param body The request; streamed whatever it says.
+   * @param body The request; its `stream` is set to true.
    */
   constructor(address: string, body: CallerRequest) {
     this.ended = this.#read(address, body).catch((error) => {
@@ -33,29 +33,29 @@
     });
   }
 
-  /** The pieces of text so far, joined. */
+  /** Text received so far. */
   get text(): string {
     return this.events
       .map((event) => event.kind === CallerEventKind.Text ? event.text : "")
       .join("");
   }
 
-  /** Events that end a stream; a whole stream has exactly one, at its end. */
+  /** Events that end a stream; a complete stream has exactly one, its last. */
   get endings(): CallerEvent[] {
     return this.events.filter(({ kind }) => kind !== CallerEventKind.Text);
   }
 
-  /** Why the connection failed, if it did. */
+  /** Error of the connection; undefined if it did not fail. */
   get failure(): string | undefined {
     return this.#failure;
   }
 
-  /** Waits until some text has come. */
+  /** Waits until some text has arrived. */
   async waitForText(): Promise<void> {
     await waitFor("text of a stream", () => this.text !== "");
   }
 
-  /** Drops the connection. */
+  /** Closes the connection before the end of the answer. */
   hangUp(): void {
     this.#abort.abort();
   }
--- a/tests/target_counts.ts
+++ b/tests/target_counts.ts
@@ -1,19 +1,19 @@
-/** What the targets of a fleet count: the truth about what ran. */
+/** Counts of stand-in targets, which show what was sent and ran. */
 
 import { getJson } from "./fleet_http.ts";
 
 type CountByName = Readonly<Record<string, number>>;
 
-/** What one stand-in counts. */
+/** Counts of one stand-in, as it sends them. */
 interface StandinCounts {
   readonly dispatchesByRequestId: CountByName;
   readonly runsByRequestId: CountByName;
   readonly runsByKey: CountByName;
-  /** Streams an engine cancelled; absent for services. */
+  /** Number of streams that an engine cancelled; absent for services. */
   readonly cancelled?: number;
 }
 
-/** Counts of several targets at one moment. */
+/** Counts of several targets, as read at one time. */
 export class TargetCounts {
   readonly #byTarget: ReadonlyMap<string, StandinCounts>;
 
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Reads the counts.
+   * Reads the counts of all targets.
    *
    * @param addresses Address of each target, by id.
    * @returns The counts.
@@ -37,7 +37,7 @@
     return new TargetCounts(byTarget);
   }
 
-  /** Requests sent to each target. */
+  /** Number of requests sent to each target, by target id. */
   get dispatchesByTarget(): Record<string, number> {
     return Object.fromEntries(
       [...this.#byTarget].map(([id, counts]) => [
@@ -47,17 +47,17 @@
     );
   }
 
-  /** Streams cancelled on all targets. */
+  /** Number of streams that were cancelled on all targets. */
   get cancelled(): number {
     return this.#sum((counts) => counts.cancelled ?? 0);
   }
 
-  /** Requests sent to any target, each time. */
+  /** Number of requests sent to all targets; repetitions count each time. */
   get dispatches(): number {
     return this.#sum((counts) => sumCounts(counts.dispatchesByRequestId));
   }
 
-  /** Most times that any request was sent, on all targets together. */
+  /** Highest number of times that one request was sent, over all targets. */
   get maxDispatchesPerRequest(): number {
     const sums = new Map<string, number>();
     for (const { dispatchesByRequestId } of this.#byTarget.values()) {
@@ -69,16 +69,20 @@
   }
 
   /**
-   * @param requestId A request.
-   * @returns Times it was sent to any target.
+   * Counts how often a request was sent.
+   *
+   * @param requestId Id of the request.
+   * @returns Number of times, over all targets.
    */
   dispatchesOf(requestId: string): number {
     return this.#sum((counts) => counts.dispatchesByRequestId[requestId] ?? 0);
   }
 
   /**
-   * @param key An idempotency key.
-   * @returns Times that work began under it on any target.
+   * Counts the runs of requests with an idempotency key.
+   *
+   * @param key The idempotency key.
+   * @returns Number of runs that began, over all targets.
    */
   runsOfKey(key: string | undefined): number {
     return this.#sum((counts) => counts.runsByKey[key ?? ""] ?? 0);
--- a/tests/wait_for.ts
+++ b/tests/wait_for.ts
@@ -1,14 +1,17 @@
-/** Waiting for conditions, never for a set time. */
+/** Waits for conditions, in place of fixed times. */
 
 const MAX_ATTEMPTS = 1500;
 const POLL_MS = 20;
 
 /**
- * Probes until there is a result. A probe that throws counts as without one.
+ * Calls a probe until it returns a result, at most 1500 times at intervals of
+ * 20 ms. A probe that throws has no result.
  *
- * @param what What is waited for, for the error when it never comes.
- * @param probe Gives the result, or `undefined` or `false` while there is none.
+ * @param what Description of the condition, for the error message.
+ * @param probe Returns the result, or `undefined` or `false` while there is
+ * none.
  * @returns The result.
+ * @throws {Error} If there was no result in time.
  */
 export async function waitFor<T>(
   what: string,
@@ -27,14 +30,16 @@
     }
     await pause(POLL_MS);
   }
-  throw new Error(`waited in vain for ${what}; last: ${String(last)}`);
+  throw new Error(
+    `timed out waiting for ${what}; last result: ${String(last)}`,
+  );
 }
 
 /**
- * Waits until a moment on this process's clock has passed, for what only the
- * clock can tell: that a deadline which began earlier is over.
+ * Waits until a time has passed, where the expiry of a deadline is the
+ * condition.
  *
- * @param atMs The moment, as `performance.now()` counts.
+ * @param atMs The time, by `performance.now()`.
  */
 export async function waitUntilPast(atMs: number): Promise<void> {
   while (performance.now() <= atMs) {
--- a/tests/write_rate.ts
+++ b/tests/write_rate.ts
@@ -1,4 +1,4 @@
-/** How a process is told to accept narrow connections. */
+/** The environment variable that limits the write rate of an instance. */
 
-/** Variable that says how many bytes a second each connection takes. */
+/** Variable with the rate of each accepted connection in bytes per second. */
 export const WRITE_RATE_VARIABLE = "SOAK_WRITE_BYTES_PER_S";
