--- a/tests/ended_targets_plan.ts
+++ b/tests/ended_targets_plan.ts
@@ -31,7 +31,7 @@
   /** Copies of the request that are sent at once, each to another instance. */
   readonly concurrency: number;
   /** Time until an ended target is started again. */
-  readonly awayMs: number;
+  readonly restartDelayMs: number;
 }
 
 const INSTANCES = { min: 3, max: 6 };
@@ -39,7 +39,7 @@
 const OTHER_CALLERS = { min: 4, max: 15 };
 const TURN_COUNT = 12;
 const CONCURRENCY = { min: 1, max: 3 };
-const AWAY_MS = { min: 100, max: 2100 };
+const RESTART_DELAY_MS = { min: 100, max: 2100 };
 
 const DISTURBANCES: readonly Disturbance[] = [
   Disturbance.None,
@@ -72,6 +72,6 @@
       () => DISTURBANCES[between(kinds)]!,
     ),
     concurrency: between(CONCURRENCY),
-    awayMs: between(AWAY_MS),
+    restartDelayMs: between(RESTART_DELAY_MS),
   };
 }
--- a/tests/ended_targets_run.ts
+++ b/tests/ended_targets_run.ts
@@ -204,7 +204,7 @@
     const timer = setTimeout(() => {
       this.#restartTimers.delete(timer);
       void this.#restartEngine(engine, index);
-    }, this.#plan.awayMs);
+    }, this.#plan.restartDelayMs);
     this.#restartTimers.add(timer);
   }
 
--- a/tests/link_relay.ts
+++ b/tests/link_relay.ts
@@ -43,7 +43,7 @@
   readonly outbound: Transform;
   /** Data from the upstream to the client, delayed by the link. */
   readonly inbound: Transform;
-  /** Whether nothing passes ever again, with no end to be seen. */
+  /** Whether the relay forwards nothing more, not even the end. */
   isSilent: boolean;
 }
 
--- a/tests/process_ended_targets_test.ts
+++ b/tests/process_ended_targets_test.ts
@@ -26,7 +26,7 @@
   otherCallers: 6,
   disturbances: [None, None, None, OneKilled, None, OnePaused, None, AllKilled],
   concurrency: 1,
-  awayMs: 200,
+  restartDelayMs: 200,
 };
 
 test("a request under which three targets ended is hardly sent again", async () => {
--- a/tests/process_kept_connections_test.ts
+++ b/tests/process_kept_connections_test.ts
@@ -114,53 +114,61 @@
 
 /** Sends the calls of one connection and returns their results. */
 type Phase = (
-  kept: StandinConnection,
+  connection: StandinConnection,
   progress: StopProgress,
 ) => Promise<ConnectionResult[]>;
 
 /** Calls by the phase that they are in when the stop signal arrives. */
 const PHASES: Readonly<Record<string, Phase>> = {
-  "in progress for long": async (kept) => [
-    await kept.send(streamCall(CallKind.Longest)),
+  "in progress for long": async (connection) => [
+    await connection.send(streamCall(CallKind.Longest)),
   ],
-  "half of the head sent": async (kept, { stopping }) => [
-    await kept.send(plainCall({ beforeHeadEnd: () => stopping })),
+  "half of the head sent": async (connection, { stopping }) => [
+    await connection.send(plainCall({ beforeHeadEnd: () => stopping })),
   ],
-  "head sent": async (kept, { stopping }) => [
-    await kept.send(plainCall({ beforePart: () => stopping })),
+  "head sent": async (connection, { stopping }) => [
+    await connection.send(plainCall({ beforePart: () => stopping })),
   ],
-  "half of the body sent": async (kept, { stopping }) => [
-    await kept.send(plainCall({
+  "half of the body sent": async (connection, { stopping }) => [
+    await connection.send(plainCall({
       body: ["some", "body"],
       beforePart: (index) => index === 1 ? stopping : Promise.resolve(),
     })),
   ],
-  "half of the body sent, the rest much later": async (kept, progress) => [
-    await kept.send(plainCall({
+  "half of the body sent, the rest much later": async (
+    connection,
+    progress,
+  ) => [
+    await connection.send(plainCall({
       body: ["some", "body"],
       beforePart: (index) =>
         index === 1 ? progress.refusing : Promise.resolve(),
     })),
   ],
-  "half of the head sent, the rest much later": async (kept, progress) => [
-    await kept.send(plainCall({ beforeHeadEnd: () => progress.refusing })),
+  "half of the head sent, the rest much later": async (
+    connection,
+    progress,
+  ) => [
+    await connection.send(
+      plainCall({ beforeHeadEnd: () => progress.refusing }),
+    ),
   ],
-  "waiting or in progress": async (kept) => [
-    await kept.send(streamCall(CallKind.Long)),
+  "waiting or in progress": async (connection) => [
+    await connection.send(streamCall(CallKind.Long)),
   ],
-  "in progress, once at most": async (kept) => [
-    await kept.send(streamCall(CallKind.Long, { path: "/note/" })),
+  "in progress, once at most": async (connection) => [
+    await connection.send(streamCall(CallKind.Long, { path: "/note/" })),
   ],
-  "just answered": (kept) => sendMixedCalls([kept], () => true),
-  "idle, used at once": async (kept, { stopping }) => {
-    const before = await kept.send(plainCall());
+  "just answered": (connection) => sendMixedCalls([connection], () => true),
+  "idle, used at once": async (connection, { stopping }) => {
+    const before = await connection.send(plainCall());
     await stopping;
-    return [before, await kept.send(plainCall())];
+    return [before, await connection.send(plainCall())];
   },
-  "idle, used late": async (kept, { refusing }) => {
-    const before = await kept.send(plainCall());
+  "idle, used late": async (connection, { refusing }) => {
+    const before = await connection.send(plainCall());
     await refusing;
-    return [before, await kept.send(plainCall())];
+    return [before, await connection.send(plainCall())];
   },
 };
 
@@ -178,7 +186,9 @@
         Array(CONNECTIONS_PER_PHASE).fill(phase) as (typeof phase)[]
       );
       const connections = await openConnections(leaving, phases.length);
-      await Promise.all(connections.map((kept) => kept.send(plainCall())));
+      await Promise.all(
+        connections.map((connection) => connection.send(plainCall())),
+      );
       const stopping = waitForLog(leaving, "stopping");
       const progress = {
         stopping,
@@ -208,16 +218,16 @@
   firstTurn: number,
 ): Promise<ConnectionResult[]> {
   const results: ConnectionResult[] = [];
-  let kept = await StandinConnection.open(instance.callerAddress);
+  let connection = await StandinConnection.open(instance.callerAddress);
   for (let turn = firstTurn; shouldContinue(); turn++) {
-    if (!kept.isUsable) {
-      kept.close();
-      kept = await StandinConnection.open(instance.callerAddress);
+    if (!connection.isUsable) {
+      connection.close();
+      connection = await StandinConnection.open(instance.callerAddress);
     }
-    results.push(await kept.send(mixedCall(turn)));
+    results.push(await connection.send(mixedCall(turn)));
     await sleep(THINK_TIME_MS);
   }
-  kept.close();
+  connection.close();
   return results;
 }
 
@@ -304,7 +314,9 @@
         target.behavior = TargetBehavior.FallSilent;
       }
       const connections = await openConnections(leaving);
-      const calls = connections.map((kept) => kept.send(plainCall()));
+      const calls = connections.map((connection) =>
+        connection.send(plainCall())
+      );
       await waitForLog(leaving, "sent");
       const ended = leaving.stop();
       const results = await Promise.all(calls);
--- a/tests/soak_callers.ts
+++ b/tests/soak_callers.ts
@@ -20,7 +20,7 @@
   type SoakPlan,
 } from "./soak_plan.ts";
 
-/** Request that calls of one kind have in common. */
+/** Properties that calls of one kind have in common. */
 export interface CallKind {
   readonly path: string;
   readonly method: string;
@@ -203,7 +203,7 @@
         address,
         agent,
         readingSpeed,
-        leaves: shouldDisconnect,
+        shouldDisconnect,
       };
       const { result } = await this.#call(options);
       const isServed = result!.status !== 0 && result!.isWhole;
--- a/tests/soak_checks.ts
+++ b/tests/soak_checks.ts
@@ -85,7 +85,7 @@
       record,
     ) => ends.findFaults(record),
   };
-  const ofCalls = evidence.records.flatMap((record) =>
+  const callViolations = evidence.records.flatMap((record) =>
     Object.entries(checks).flatMap(([promise, check]) =>
       check(record, runsById.get(record.requestId) ?? []).map((detail) => ({
         promise,
@@ -95,7 +95,7 @@
       }))
     )
   );
-  return [...ofCalls, ...evidence.instances.flatMap(findBadEnds)];
+  return [...callViolations, ...evidence.instances.flatMap(findBadEnds)];
 }
 
 function findBadEnds({ id, ends }: SoakInstance): BrokenPromise[] {
--- a/tests/soak_ends.ts
+++ b/tests/soak_ends.ts
@@ -110,10 +110,11 @@
     }
     const mayIdleOut = result!.reused &&
       this.#minimums.idleReducedAtMs <= endedAtMs;
-    const isAway = instance.unavailableSpans.some((span) =>
+    const isStopping = instance.unavailableSpans.some((span) =>
       overlaps(record, span)
     );
-    return endedAtMs - startedAtMs <= MAX_UNREAD_MS && (mayIdleOut || isAway);
+    return endedAtMs - startedAtMs <= MAX_UNREAD_MS &&
+      (mayIdleOut || isStopping);
   }
 
   /**
@@ -168,10 +169,10 @@
 /** Whether a pause during shutdown left the process no grace time. */
 function wasPausedDuringGrace(record: CallRecord): boolean {
   const { instance } = record;
-  return instance.unavailableSpans.some((span) =>
-    endedLateInGrace(record, span) &&
+  return instance.unavailableSpans.some((stop) =>
+    endedLateInGrace(record, stop) &&
     instance.pausedSpans.some((span) =>
-      overlaps(record, span) && span.untilMs >= span.fromMs
+      overlaps(record, span) && span.untilMs >= stop.fromMs
     )
   );
 }
@@ -180,13 +181,14 @@
  * Whether a call that was sent in time lasted until the end of the grace time.
  */
 function exceededGrace(record: CallRecord): boolean {
-  return record.instance.unavailableSpans.some((span) =>
-    endedLateInGrace(record, span) &&
-    record.startedAtMs <= span.fromMs + MAX_SENT_AFTER_SIGNAL_MS
+  return record.instance.unavailableSpans.some((stop) =>
+    endedLateInGrace(record, stop) &&
+    record.startedAtMs <= stop.fromMs + MAX_SENT_AFTER_SIGNAL_MS
   );
 }
 
-function endedLateInGrace(record: CallRecord, span: TimeSpan): boolean {
+/** Whether a call ended in the last share of the grace time of a stop. */
+function endedLateInGrace(record: CallRecord, stop: TimeSpan): boolean {
   const lateMs = GRACE_MS * (1 - GRACE_END_SHARE);
-  return overlaps(record, span) && record.endedAtMs - span.fromMs >= lateMs;
+  return overlaps(record, stop) && record.endedAtMs - stop.fromMs >= lateMs;
 }
--- a/tests/soak_faults.ts
+++ b/tests/soak_faults.ts
@@ -151,13 +151,13 @@
   await pause(fault.atMs);
   const { instances, targets } = fleet;
   const first = fault.index % instances.length;
-  const most = Math.max(1, Math.floor(instances.length * SEVERAL_SHARE));
-  const round = [...instances.slice(first), ...instances.slice(0, first)];
+  const maxCount = Math.max(1, Math.floor(instances.length * SEVERAL_SHARE));
+  const rotated = [...instances.slice(first), ...instances.slice(0, first)];
   await FAULT_ACTIONS[fault.fault]({
     fleet,
     fault,
     instance: instances[first]!,
-    several: round.slice(0, Math.min(fault.count, most)),
+    several: rotated.slice(0, Math.min(fault.count, maxCount)),
     target: targets[fault.index % targets.length]!,
   });
 }
@@ -255,18 +255,18 @@
 /** Runs a fault of a target or its link, and records its time span. */
 function recordTargetFault(
   { target }: FaultContext,
-  play: () => Promise<void> | void,
+  runFault: () => Promise<void> | void,
 ): Promise<void> {
-  return recordSpan(target.faultSpans, play);
+  return recordSpan(target.faultSpans, runFault);
 }
 
 /** Runs a fault, and records its time span. */
 async function recordSpan(
   spans: TimeSpan[],
-  play: () => Promise<void> | void,
+  runFault: () => Promise<void> | void,
 ): Promise<void> {
   const span = { fromMs: performance.now(), untilMs: Infinity };
   spans.push(span);
-  await play();
+  await runFault();
   span.untilMs = performance.now();
 }
--- a/tests/soak_fleet.ts
+++ b/tests/soak_fleet.ts
@@ -277,8 +277,8 @@
   #updateMinimums({ idleTimeoutMs, timeoutShare }: ConfigurationChange): void {
     if (idleTimeoutMs < this.minimums.idleTimeoutMs) {
       this.minimums.idleTimeoutMs = idleTimeoutMs;
-      const sinceMs = this.minimums.idleReducedAtMs;
-      this.minimums.idleReducedAtMs = Math.min(sinceMs, performance.now());
+      const reducedAtMs = this.minimums.idleReducedAtMs;
+      this.minimums.idleReducedAtMs = Math.min(reducedAtMs, performance.now());
     }
     this.minimums.timeoutShare = Math.min(
       this.minimums.timeoutShare,
--- a/tests/soak_instance.ts
+++ b/tests/soak_instance.ts
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Starts are run one at a time: faults overlap, and two processes cannot
-   * listen on the same ports.
+   * Starts the process. Starts run one at a time, because faults overlap and two
+   * processes cannot listen on the same ports.
    */
   async #start(clockSkewMs: number): Promise<void> {
     if (this.isRunning) {
--- a/tests/soak_rollout.ts
+++ b/tests/soak_rollout.ts
@@ -34,6 +34,7 @@
   #targets: SoakTarget[] = [];
   #orderedAtMs = 0;
   #endedAtMs = Infinity;
+  /** Requests that the version had got once its verdict applied everywhere. */
   #exposedAtPropagation = 0;
   /** Requests that the version had got at the last poll. */
   #exposedAtPoll = 0;
@@ -135,9 +136,7 @@
     this.#exposedAtPoll = exposed;
   }
 
-  /**
-   * Stops the old targets once the roll-out is completed, as the platform does.
-   */
+  /** Handles a new state; completion stops the old targets at once. */
   #onState(state: string): void {
     if (state === ROLLED_BACK) {
       this.#endedAtMs = performance.now();
@@ -166,9 +165,9 @@
       0,
     );
     const allowed = EXPOSURE_SHARE * total + EXPOSURE_SLACK;
-    const isAtOnce = this.#plan.behaviorAfterMs === 0;
+    const isBadFromStart = this.#plan.behaviorAfterMs === 0;
     this.#countWhileBad();
-    return isAtOnce && this.#exposedWhileBad > allowed
+    return isBadFromStart && this.#exposedWhileBad > allowed
       ? [`${this.#exposedWhileBad} of ${total} at the bad version`]
       : [];
   }
--- a/tests/soak_signals.ts
+++ b/tests/soak_signals.ts
@@ -59,7 +59,7 @@
 }
 
 const CHECKS: Readonly<
-  Record<SoakSignal, (received: TargetArrivals) => string[]>
+  Record<SoakSignal, (target: TargetArrivals) => string[]>
 > = {
   [SoakSignal.RateLimit]: findRateOverrun,
   [SoakSignal.Leaving]: findLateRequests,
@@ -76,7 +76,7 @@
 }
 
 const SIGNAL_ACTIONS: Readonly<
-  Record<SoakSignal, (scene: SignalContext) => Promise<void>>
+  Record<SoakSignal, (context: SignalContext) => Promise<void>>
 > = {
   [SoakSignal.RateLimit]: async ({ send }) => {
     await Promise.resolve(send());
@@ -137,9 +137,9 @@
     );
     const signals = new Set(this.#plan.map(({ signal }) => signal));
     return this.#fleet.targets.flatMap((target) => {
-      const received = collectArrivals(target, instances);
+      const targetArrivals = collectArrivals(target, instances);
       return [...signals].flatMap((signal) =>
-        CHECKS[signal](received).map((detail) => ({
+        CHECKS[signal](targetArrivals).map((detail) => ({
           promise: PROMISES[signal],
           requestId: "",
           instanceId: "",
@@ -198,11 +198,11 @@
     LIMIT_SETTLE_MS;
   const countedAtMs = arrivals.filter((arrival) =>
     arrival.atMs >= sinceMs &&
-    knewSignalBefore(arrival, signaled, SIGNAL_APPLY_MS)
+    receivedSignalBefore(arrival, signaled, SIGNAL_APPLY_MS)
   ).map(({ atMs }) => atMs);
   const allowed = MAX_RATE_FACTOR * limitPerS * WINDOW_MS / MS_PER_S +
     RATE_SLACK;
-  const most = Math.max(
+  const highest = Math.max(
     0,
     ...countedAtMs.map((endMs) =>
       isDuringAny(faultSpans, endMs - WINDOW_MS, endMs)
@@ -213,9 +213,9 @@
           .length
     ),
   );
-  return most <= allowed
-    ? []
-    : [`${id} got ${most} in 4 s, ${allowed} allowed at ${limitPerS} a second`];
+  return highest <= allowed ? [] : [
+    `${id} got ${highest} in 4 s, ${allowed} allowed at ${limitPerS} a second`,
+  ];
 }
 
 function findLateRequests(
@@ -223,7 +223,7 @@
 ): string[] {
   const signaled = answersWithSignal(arrivals, SoakSignal.Leaving);
   const late = arrivals.filter((arrival) =>
-    knewSignalBefore(arrival, signaled, DRAIN_MS) &&
+    receivedSignalBefore(arrival, signaled, DRAIN_MS) &&
     !isDuringAny(faultSpans, arrival.atMs - DRAIN_MS, arrival.atMs)
   );
   return late.map(({ requestId, instance }) =>
@@ -236,19 +236,22 @@
 ): string[] {
   // Retry-After on an answer to a request that ran does not ask for a backoff.
   const rejected = arrivals.filter(({ ran }) => !ran);
-  return answersWithSignal(rejected, SoakSignal.Backoff).flatMap((asked) => {
-    const fromMs = asked.answeredAtMs!;
-    const backoffMs = Number(asked.signalHeaders[HEADERS[SoakSignal.Backoff]]) *
-      MS_PER_S;
-    const within = arrivals.filter((arrival) =>
-      arrival.atMs < fromMs + backoffMs &&
-      knewSignalBefore(arrival, [asked], SIGNAL_APPLY_MS)
-    );
-    const isExcused = isDuringAny(faultSpans, fromMs, fromMs + backoffMs);
-    return within.length <= MAX_IN_BACKOFF || isExcused ? [] : [
-      `${id} got ${within.length} from ${asked.instance.id} in ${backoffMs} ms`,
-    ];
-  });
+  return answersWithSignal(rejected, SoakSignal.Backoff).flatMap(
+    (rejection) => {
+      const fromMs = rejection.answeredAtMs!;
+      const backoffMs =
+        Number(rejection.signalHeaders[HEADERS[SoakSignal.Backoff]]) *
+        MS_PER_S;
+      const within = arrivals.filter((arrival) =>
+        arrival.atMs < fromMs + backoffMs &&
+        receivedSignalBefore(arrival, [rejection], SIGNAL_APPLY_MS)
+      );
+      const isExcused = isDuringAny(faultSpans, fromMs, fromMs + backoffMs);
+      return within.length <= MAX_IN_BACKOFF || isExcused ? [] : [
+        `${id} got ${within.length} from ${rejection.instance.id} in ${backoffMs} ms`,
+      ];
+    },
+  );
 }
 
 /** Returns the requests whose answers were sent completely, with the signal. */
@@ -265,16 +268,16 @@
  * Whether the request's instance had received the signal that long before, and
  * ran without interruption since.
  */
-function knewSignalBefore(
+function receivedSignalBefore(
   { instance, atMs }: Arrival,
   signaled: readonly Arrival[],
   agoMs: number,
 ): boolean {
   const { unavailableSpans, downSpans, pausedSpans } = instance;
   const disturbed = [...unavailableSpans, ...downSpans, ...pausedSpans];
-  return signaled.some((one) =>
-    one.instance === instance && one.answeredAtMs! + agoMs < atMs &&
-    !isDuringAny(disturbed, one.answeredAtMs!, atMs)
+  return signaled.some((request) =>
+    request.instance === instance && request.answeredAtMs! + agoMs < atMs &&
+    !isDuringAny(disturbed, request.answeredAtMs!, atMs)
   );
 }
 
--- a/tests/soak_versions.ts
+++ b/tests/soak_versions.ts
@@ -8,11 +8,10 @@
 import type { SoakFleet } from "./soak_fleet.ts";
 import type { SoakInstance, TimeSpan } from "./soak_instance.ts";
 
-/**
- * Bounds that the platform sets: the longest time until a confirmed version is
- * in force, on an instance that was undisturbed for the second time.
- */
+/** Longest time until a confirmed version is in force, set by the platform. */
 const MAX_APPLY_MS = 2000;
+
+/** Time without faults after which that bound holds, set by the platform. */
 const MIN_UNDISTURBED_MS = 3000;
 
 /** Time after the confirmation of a version for which instances are polled. */
@@ -117,11 +116,11 @@
     );
   }
 
-  /** Requests a version's route; undefined if there was no answer. */
+  /** Returns the status of a version's route; undefined without an answer. */
   #poll(instance: SoakInstance, version: number): Promise<number | undefined> {
     const [host, port] = instance.callerAddress.split(":");
     return new Promise((resolve) => {
-      const asked = get({
+      const request = get({
         host,
         port,
         agent: this.#agent,
@@ -133,8 +132,8 @@
         answer.on("error", () => resolve(undefined));
         answer.on("end", () => resolve(answer.statusCode));
       });
-      asked.on("timeout", () => asked.destroy());
-      asked.on("error", () => resolve(undefined));
+      request.on("timeout", () => request.destroy());
+      request.on("error", () => resolve(undefined));
     });
   }
 }
