--- a/tests/process_ended_targets_test.ts
+++ b/tests/process_ended_targets_test.ts
@@ -13,8 +13,7 @@
 import { Disturbance, type EndedTargetsPlan } from "./ended_targets_plan.ts";
 import { findOutcomeFaults, runEndedTargets } from "./ended_targets_run.ts";
 
-const { None, OneKilled, AllKilled, OnePaused, StoreRestored: StoreWentBack } =
-  Disturbance;
+const { None, OneKilled, AllKilled, OnePaused, StoreRestored } = Disturbance;
 
 /** Three targets until the request is held back, and three after that. */
 const MAX_ENDED = 6;
@@ -37,16 +36,16 @@
   assert.equal(findOutcomeFaults(outcome), []);
 });
 
-test("lost instances and rows do not raise the number of targets that a request ends", async () => {
+test("copies at once, and lost instances and rows, do not raise the number of ended targets", async () => {
   const disturbances = [
     None,
     AllKilled,
     OneKilled,
-    StoreWentBack,
+    StoreRestored,
     AllKilled,
     OnePaused,
   ];
-  const plan = { ...PLAN, seed: 2, disturbances, atOnce: 3 };
+  const plan = { ...PLAN, seed: 2, disturbances, concurrency: 3 };
   assert.equal(findOutcomeFaults(await runEndedTargets(plan)), []);
 });
 
