--- a/tests/soak_ends_test.ts
+++ b/tests/soak_answer_ends_test.ts
@@ -3,7 +3,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { CALL_KINDS, type CallRecord } from "./soak_callers.ts";
-import { AnswerEndChecker } from "./soak_ends.ts";
+import { AnswerEndChecker } from "./soak_answer_ends.ts";
 import type { ConfiguredMinimums, SoakTarget } from "./soak_fleet.ts";
 import { GRACE_MS, type SoakInstance, type TimeSpan } from "./soak_instance.ts";
 
--- a/tests/soak_checks.ts
+++ b/tests/soak_checks.ts
@@ -4,7 +4,7 @@
 
 import type { ReceivedRequest } from "@chestnuthatch/platform/standin_target";
 import type { CallRecord } from "./soak_callers.ts";
-import { AnswerEndChecker } from "./soak_ends.ts";
+import { AnswerEndChecker } from "./soak_answer_ends.ts";
 import type { ConfiguredMinimums, SoakTarget } from "./soak_fleet.ts";
 import { EndCause, type SoakInstance } from "./soak_instance.ts";
 
