--- a/packages/cli/src/try_routed_command.ts
+++ b/packages/cli/src/try_routed_command.ts
@@ -58,7 +58,7 @@
 
 async function tryRouted(options: TryRoutedOptions): Promise<CommandResult> {
   const { seconds, rate: ratePerS } = options;
-  const outcome = await runTrial({ durationS, ratePerS });
+  const outcome = await runTrial({ durationS: seconds, ratePerS });
   const violations = outcome.runTooOften + outcome.ranThoughRefused;
   return ok({
     text: outcomeText(outcome),
