--- a/tests/cli_test.ts
+++ b/tests/cli_test.ts
@@ -1,4 +1,4 @@
-/** Runs commands against a fleet of entry instances and stand-ins. */
+/** Runs command lines against an embedded fleet with stand-ins. */
 
 import { randomUUID } from "node:crypto";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -12,7 +12,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 
-interface Ran {
+interface CommandResult {
   readonly exitCode: ExitCode;
   readonly out: string;
   readonly err: string;
@@ -21,62 +21,68 @@
 const POLL_MS = 20;
 const MAX_POLLS = 1500;
 const UNUSED_ADDRESS = "127.0.0.1:1";
-const GOLDEN_URL = new URL("../golden/settings_faults/", import.meta.url);
-const POOL = ["--pool", "msaidizi", "--workspace", "meru-plots"];
-const AUTHOR = ["--author", "neema"];
+const SETTINGS_FAULTS_URL = new URL(
+  "../golden/settings_faults/",
+  import.meta.url,
+);
+const POOL_FLAGS = ["--pool", "msaidizi", "--workspace", "meru-plots"];
+const AUTHOR_FLAGS = ["--author", "neema"];
 
 let fleet: EmbeddedFleet;
 let folder: string;
 
-async function run(...args: string[]): Promise<Ran> {
-  const ran = { out: "", err: "" };
+async function run(...args: string[]): Promise<CommandResult> {
+  const output = { out: "", err: "" };
   const exitCode = await runCommandLine(args, {
     output: {
-      out: (text) => ran.out += text,
-      err: (text) => ran.err += text,
+      out: (text) => output.out += text,
+      err: (text) => output.err += text,
     },
     sleep: async () => {
       await setImmediate();
     },
     newId: randomUUID,
   });
-  return { exitCode, ...ran };
+  return { exitCode, ...output };
 }
 
-function runOnTable(...args: string[]): Promise<Ran> {
+function runOnPlatform(...args: string[]): Promise<CommandResult> {
   return run(...args, "--platform", fleet.standins.platformAddress);
 }
 
-function runOnFleet(...args: string[]): Promise<Ran> {
+function runOnFleet(...args: string[]): Promise<CommandResult> {
   return run(...args, "--instance", fleet.callerAddresses.join(","));
 }
 
-async function until(holds: () => Promise<boolean>): Promise<void> {
+async function waitUntil(condition: () => Promise<boolean>): Promise<void> {
   for (let polls = 0; polls < MAX_POLLS; polls++) {
-    if (await holds()) {
+    if (await condition()) {
       return;
     }
     await wait(POLL_MS);
   }
-  assert.unreachable("the condition never held");
+  assert.unreachable(`the condition did not hold in ${MAX_POLLS} polls`);
 }
 
-function untilInForce(): Promise<void> {
+function waitUntilSettingsInForce(): Promise<void> {
   const { platformAddress } = fleet.standins;
-  return until(async () => {
+  return waitUntil(async () => {
     const args = ["settings", "status", "--platform", platformAddress];
     return (await runOnFleet(...args)).exitCode === ExitCode.Done;
   });
 }
 
-async function version(): Promise<number> {
-  const { out } = await runOnTable("settings", "show", "--json");
+async function readCurrentVersion(): Promise<number> {
+  const { out } = await runOnPlatform("settings", "show", "--json");
   return JSON.parse(out).version;
 }
 
-/** Writes the settings in force with another deadline for routine work. */
-async function editedFile(name: string, deadlineMs: number): Promise<string> {
-  const { out } = await runOnTable("settings", "show");
+/** Writes the current settings with another deadline for the routine tier. */
+async function writeEditedSettings(
+  name: string,
+  deadlineMs: number,
+): Promise<string> {
+  const { out } = await runOnPlatform("settings", "show");
   const path = join(folder, name);
   const pattern = /(rank: 2\n\s+value: 1\n\s+deadlineMs: )\d+/;
   assert.match(out, pattern);
@@ -84,32 +90,36 @@
   return path;
 }
 
-function propose(file: string, base: number, ...more: string[]): Promise<Ran> {
-  return runOnTable(
+function propose(
+  file: string,
+  base: number,
+  ...more: string[]
+): Promise<CommandResult> {
+  return runOnPlatform(
     ...["settings", "propose", file, "--base", String(base)],
-    ...[...AUTHOR, "--note", "a test", ...more],
+    ...[...AUTHOR_FLAGS, "--note", "a test", ...more],
   );
 }
 
-async function sendTo(instanceId: string) {
+async function sendRequestTo(instanceId: string) {
   const { callerAddress } = fleet.instances.get(instanceId)!;
-  const ran = await run(
-    ...["send", ...POOL, "--tier", "urgent", "--json"],
+  const result = await run(
+    ...["send", ...POOL_FLAGS, "--tier", "urgent", "--json"],
     ...["--body", "A mower is stuck. [output=4]", "--instance", callerAddress],
   );
-  assert.is(ran.exitCode, ExitCode.Done, ran.out);
-  return JSON.parse(ran.out);
+  assert.is(result.exitCode, ExitCode.Done, result.out);
+  return JSON.parse(result.out);
 }
 
-async function fleetStatus() {
+async function readFleetStatus() {
   const { platformAddress } = fleet.standins;
-  const ran = await runOnFleet(
+  const result = await runOnFleet(
     "status",
     "--json",
     "--platform",
     platformAddress,
   );
-  return JSON.parse(ran.out);
+  return JSON.parse(result.out);
 }
 
 test.before(async () => {
@@ -118,7 +128,7 @@
     deployment: "shamba-safi",
     instances: 5,
   });
-  await untilInForce();
+  await waitUntilSettingsInForce();
 });
 
 test.after(async () => {
@@ -126,21 +136,24 @@
   rmSync(folder, { recursive: true });
 });
 
-test("should tell every fault of a file with its path and line", async () => {
-  const file = new URL("broken.yaml", GOLDEN_URL).pathname;
+test("should report every fault of a file with its path and line", async () => {
+  const file = new URL("broken.yaml", SETTINGS_FAULTS_URL).pathname;
   const { exitCode, err } = await run("settings", "check", file);
   assert.is(exitCode, ExitCode.BadInput);
-  const golden = readFileSync(new URL("faults.txt", GOLDEN_URL), "utf8");
+  const golden = readFileSync(
+    new URL("faults.txt", SETTINGS_FAULTS_URL),
+    "utf8",
+  );
   for (const line of golden.trim().split("\n")) {
     assert.ok(err.includes(line), line);
   }
-  const sound = join(folder, "sound.yaml");
-  writeFileSync(sound, readExample("sunu-registrs"));
-  const checked = await run("settings", "check", sound);
+  const validFile = join(folder, "sound.yaml");
+  writeFileSync(validFile, readExample("sunu-registrs"));
+  const checked = await run("settings", "check", validFile);
   assert.is(checked.exitCode, ExitCode.Done, checked.err);
 });
 
-test("should say what is missing and what to do", async () => {
+test("should name missing or malformed options and print help", async () => {
   const noPlatform = await run("settings", "show");
   assert.is(noPlatform.exitCode, ExitCode.BadInput);
   assert.match(noPlatform.err, "CHESTNUTHATCH_PLATFORM");
@@ -153,11 +166,11 @@
 
 test("should explain values and suggest names", async () => {
   const scope = ["--region", "arusha", "--workspace", "arusha-clinics"];
-  const told = await runOnTable(
+  const explained = await runOnPlatform(
     ...["settings", "explain", ...scope, "--tier", "urgent"],
   );
-  assert.match(told.out, "value = 30 from workspaces.arusha-clinics");
-  const mistyped = await runOnTable(
+  assert.match(explained.out, "value = 30 from workspaces.arusha-clinics");
+  const mistyped = await runOnPlatform(
     ...["settings", "explain", ...scope, "--tier", "urgnt"],
   );
   assert.is(mistyped.exitCode, ExitCode.BadInput);
@@ -165,54 +178,59 @@
 });
 
 test("should change nothing in a dry run", async () => {
-  const base = await version();
-  const file = await editedFile("dry.yaml", 16_001);
+  const base = await readCurrentVersion();
+  const file = await writeEditedSettings("dry.yaml", 16_001);
   const { exitCode, out } = await propose(file, base, "--dry-run");
   assert.is(exitCode, ExitCode.Done);
   assert.match(out, "tiers.routine.deadlineMs");
-  assert.is(await version(), base);
+  assert.is(await readCurrentVersion(), base);
 });
 
 test("should let one of two racing operators win", async () => {
-  const base = await version();
+  const base = await readCurrentVersion();
   const files = [
-    await editedFile("one.yaml", 16_002),
-    await editedFile("two.yaml", 16_003),
+    await writeEditedSettings("one.yaml", 16_002),
+    await writeEditedSettings("two.yaml", 16_003),
   ];
-  const ran = await Promise.all(files.map((file) => propose(file, base)));
-  assert.equal(ran.map(({ exitCode }) => exitCode).sort(), [
+  const results = await Promise.all(files.map((file) => propose(file, base)));
+  assert.equal(results.map(({ exitCode }) => exitCode).sort(), [
     ExitCode.Done,
     ExitCode.Failed,
   ]);
-  const winner = ran.findIndex(({ exitCode }) => exitCode === ExitCode.Done);
-  const { err } = ran[1 - winner];
+  const winner = results.findIndex(({ exitCode }) =>
+    exitCode === ExitCode.Done
+  );
+  const { err } = results[1 - winner];
   const deadlineMs = [16_002, 16_003][winner];
   assert.match(err, `~ tiers.routine.deadlineMs: 15000 -> ${deadlineMs}`);
   assert.match(err, `--base ${base + 1}`);
-  assert.is(await version(), base + 1);
+  assert.is(await readCurrentVersion(), base + 1);
   const stale = await propose(files[1 - winner], base);
   assert.is(stale.exitCode, ExitCode.Failed);
   assert.match(stale.err, `-> ${deadlineMs}`);
 });
 
-test("should settle lost answers and lost writes", async () => {
+test("should commit once when an answer or a write is lost", async () => {
   const { platform } = fleet.standins;
-  const base = await version();
+  const base = await readCurrentVersion();
   platform.setFault({ kind: PlatformFaultKind.LoseAnswers, times: 1 });
-  const lostAnswer = await propose(await editedFile("a.yaml", 16_004), base);
+  const lostAnswer = await propose(
+    await writeEditedSettings("a.yaml", 16_004),
+    base,
+  );
   assert.is(lostAnswer.exitCode, ExitCode.Done, lostAnswer.err);
   assert.ok(platform.model.counts.answersLost > 0);
   platform.setFault({ kind: PlatformFaultKind.LoseWrites, times: 1 });
-  const file = await editedFile("b.yaml", 16_005);
+  const file = await writeEditedSettings("b.yaml", 16_005);
   const lostWrite = await propose(file, base + 1);
   assert.is(lostWrite.exitCode, ExitCode.Done, lostWrite.err);
-  assert.is(await version(), base + 2);
+  assert.is(await readCurrentVersion(), base + 2);
 });
 
-test("should say that an outcome is unknown, never guess", async () => {
+test("should report an unknown outcome as unknown", async () => {
   const { platform } = fleet.standins;
-  const base = await version();
-  const file = await editedFile("c.yaml", 16_006);
+  const base = await readCurrentVersion();
+  const file = await writeEditedSettings("c.yaml", 16_006);
   platform.setFault({ kind: PlatformFaultKind.LoseWrites, times: 1000 });
   const { exitCode, out } = await propose(file, base, "--json");
   platform.setFault({ kind: PlatformFaultKind.LoseWrites, times: 0 });
@@ -226,32 +244,42 @@
 });
 
 test("should list, compare and revert versions", async () => {
-  const newest = await version();
-  const listed = await runOnTable("settings", "history", "--json");
+  const newest = await readCurrentVersion();
+  const listed = await runOnPlatform("settings", "history", "--json");
   const versions: { version: number }[] = JSON.parse(listed.out);
   assert.equal(
     versions.map((each) => each.version),
     Array.from({ length: newest }, (_, i) => newest - i),
   );
-  const reverted = await runOnTable("settings", "revert", "1", ...AUTHOR);
+  const reverted = await runOnPlatform(
+    "settings",
+    "revert",
+    "1",
+    ...AUTHOR_FLAGS,
+  );
   assert.is(reverted.exitCode, ExitCode.Done, reverted.err);
   assert.match(reverted.out, "-> 15000");
-  const same = await runOnTable("settings", "diff", "1", String(newest + 1));
+  const same = await runOnPlatform("settings", "diff", "1", String(newest + 1));
   assert.match(same.out, "0 differences");
-  const unknown = await runOnTable("settings", "revert", "99", ...AUTHOR);
+  const unknown = await runOnPlatform(
+    "settings",
+    "revert",
+    "99",
+    ...AUTHOR_FLAGS,
+  );
   assert.is(unknown.exitCode, ExitCode.BadInput);
 });
 
-test("should merge what instances say, and name those silent", async () => {
-  await untilInForce();
+test("should merge the status of instances and list unreachable ones", async () => {
+  await waitUntilSettingsInForce();
   const ids = [...fleet.instances.keys()].sort();
-  const status = await fleetStatus();
+  const status = await readFleetStatus();
   assert.equal(
     status.instances.map((each: { instanceId: string }) => each.instanceId),
     ids,
   );
   assert.equal(status.versions, [
-    { version: await version(), instanceIds: ids },
+    { version: await readCurrentVersion(), instanceIds: ids },
   ]);
   const one = await run(
     ...["status", "--json", "--instance", fleet.callerAddresses[0]],
@@ -260,56 +288,64 @@
   const { instances, silent } = JSON.parse(one.out);
   assert.is(instances.length, ids.length);
   assert.is(silent[0].address, UNUSED_ADDRESS);
-  const lacking = await run(
+  const withoutInstances = await run(
     ...["settings", "status", "--instance", UNUSED_ADDRESS],
   );
-  assert.is(lacking.exitCode, ExitCode.Failed);
+  assert.is(withoutInstances.exitCode, ExitCode.Failed);
 });
 
-test("should tell the story of a request from all who had part", async () => {
+test("should explain a request with the steps of every instance involved", async () => {
   const holders = ["njiro-hall-entry-1", "njiro-hall-entry-2"];
-  const tellers = new Set<string>();
+  const participants = new Set<string>();
   for (const holder of holders) {
-    const { requestId, targetId } = await sendTo(holder);
-    const ran = await runOnFleet("why", requestId, "--json");
-    assert.is(ran.exitCode, ExitCode.Done, ran.out);
-    const story = JSON.parse(ran.out);
-    assert.is(story.holderId, holder);
-    assert.is(story.holder.outcome.targetId, targetId);
-    const steps: { instanceId: string; text: string }[] = story.steps;
+    const { requestId, targetId } = await sendRequestTo(holder);
+    const result = await runOnFleet("why", requestId, "--json");
+    assert.is(result.exitCode, ExitCode.Done, result.out);
+    const explanation = JSON.parse(result.out);
+    assert.is(explanation.holderId, holder);
+    assert.is(explanation.holder.outcome.targetId, targetId);
+    const steps: { instanceId: string; text: string }[] = explanation.steps;
     assert.match(steps[0].text, "Received");
     assert.match(steps.at(-1)!.text, "Answered");
-    tellers.add([...new Set(steps.map((step) => step.instanceId))].join());
+    participants.add([...new Set(steps.map((step) => step.instanceId))].join());
   }
-  assert.ok([...tellers].some((ids) => ids.includes(",")), [...tellers].join());
+  assert.ok(
+    [...participants].some((ids) => ids.includes(",")),
+    [...participants].join(),
+  );
   const unknown = await runOnFleet("why", "no-such-request");
   assert.is(unknown.exitCode, ExitCode.Failed);
-  const inPart = await runOnFleet("why", "none", "--instance", UNUSED_ADDRESS);
-  assert.is(inPart.exitCode, ExitCode.OutcomeUnknown);
+  const incomplete = await runOnFleet(
+    "why",
+    "none",
+    "--instance",
+    UNUSED_ADDRESS,
+  );
+  assert.is(incomplete.exitCode, ExitCode.OutcomeUnknown);
 });
 
-test("should stream an answer and tell refusals", async () => {
+test("should stream an answer and report refusals", async () => {
   const sent = await runOnFleet(
-    ...["send", ...POOL, "--tier", "urgent", "--stream"],
+    ...["send", ...POOL_FLAGS, "--tier", "urgent", "--stream"],
     ...["--body", "Which blade? [output=3]"],
   );
   assert.is(sent.exitCode, ExitCode.Done, sent.err);
   assert.match(sent.out, "Which blade?");
   assert.match(sent.out, "3 tokens");
   const refused = await runOnFleet(
-    ...["send", ...POOL, "--tier", "none", "--body", "x", "--stream"],
+    ...["send", ...POOL_FLAGS, "--tier", "none", "--body", "x", "--stream"],
   );
   assert.is(refused.exitCode, ExitCode.BadInput);
   assert.match(refused.err, "unknown_tier");
   const unreachable = await run(
-    ...["send", ...POOL, "--tier", "urgent", "--body", "x"],
+    ...["send", ...POOL_FLAGS, "--tier", "urgent", "--body", "x"],
     ...["--instance", UNUSED_ADDRESS],
   );
   assert.is(unreachable.exitCode, ExitCode.Failed);
   assert.match(unreachable.err, "nothing was sent");
 });
 
-test("should send a load and count it", async () => {
+test("should generate load and count its outcomes", async () => {
   const { exitCode, out } = await runOnFleet(
     ...["load", "--standins", "--seconds", "1", "--rate", "8", "--json"],
     ...["--mix", "season-plan=0", "--mix", "fault-note=0"],
@@ -327,37 +363,42 @@
 });
 
 test("should give a drained target no new work until undone", async () => {
-  const drain = ["drain", "target", "msaidizi-1", ...AUTHOR];
-  const drained = await runOnTable(...drain);
+  const drain = ["drain", "target", "msaidizi-1", ...AUTHOR_FLAGS];
+  const drained = await runOnPlatform(...drain);
   assert.is(drained.exitCode, ExitCode.Done, drained.err);
-  await untilInForce();
-  const before = targetRuns("msaidizi-1");
-  for (const { instanceId } of (await fleetStatus()).instances) {
-    const { targetId } = await sendTo(instanceId);
+  await waitUntilSettingsInForce();
+  const before = countTargetRuns("msaidizi-1");
+  for (const { instanceId } of (await readFleetStatus()).instances) {
+    const { targetId } = await sendRequestTo(instanceId);
     assert.is.not(targetId, "msaidizi-1");
   }
-  assert.is(targetRuns("msaidizi-1"), before);
-  const target = (await fleetStatus()).targets
+  assert.is(countTargetRuns("msaidizi-1"), before);
+  const target = (await readFleetStatus()).targets
     .find((each: { targetId: string }) => each.targetId === "msaidizi-1");
   assert.is(target.draining, true);
-  const base = await version();
-  const again = await runOnTable(...drain, "--json");
+  const base = await readCurrentVersion();
+  const again = await runOnPlatform(...drain, "--json");
   assert.is(JSON.parse(again.out).changed, false);
-  assert.is(await version(), base);
-  const undone = await runOnTable(...drain, "--undo");
+  assert.is(await readCurrentVersion(), base);
+  const undone = await runOnPlatform(...drain, "--undo");
   assert.is(undone.exitCode, ExitCode.Done, undone.err);
-  const unknown = await runOnTable("drain", "target", "msaidzi-1", ...AUTHOR);
+  const unknown = await runOnPlatform(
+    "drain",
+    "target",
+    "msaidzi-1",
+    ...AUTHOR_FLAGS,
+  );
   assert.is(unknown.exitCode, ExitCode.BadInput);
 });
 
-test("should drain an instance, also against racing operators", async () => {
+test("should drain instances when operators race", async () => {
   const ids = ["tengeru-entry-1", "usa-river-entry-1"];
-  const ran = await Promise.all(
-    ids.map((id) => runOnTable("drain", "instance", id, ...AUTHOR)),
+  const results = await Promise.all(
+    ids.map((id) => runOnPlatform("drain", "instance", id, ...AUTHOR_FLAGS)),
   );
-  assert.equal(ran.map(({ exitCode }) => exitCode), [0, 0]);
-  await untilInForce();
-  const { instances } = await fleetStatus();
+  assert.equal(results.map(({ exitCode }) => exitCode), [0, 0]);
+  await waitUntilSettingsInForce();
+  const { instances } = await readFleetStatus();
   const notReady = instances
     .filter((each: { ready: boolean }) => !each.ready)
     .map((each: { instanceId: string }) => each.instanceId);
@@ -370,9 +411,16 @@
     ["msaidizi-2", false],
   ] as const
 ) {
-  test(`should order an engine, fencing checked: ${checksFencing}`, async () => {
+  test(`should send orders to an engine, fencing checked: ${checksFencing}`, async () => {
     const order = (value: string) =>
-      runOnTable("order", targetId, "load-adapter", value, ...AUTHOR, "--json");
+      runOnPlatform(
+        "order",
+        targetId,
+        "load-adapter",
+        value,
+        ...AUTHOR_FLAGS,
+        "--json",
+      );
     const first = await order("mowing-1");
     assert.is(first.exitCode, ExitCode.Done, first.out);
     const second = JSON.parse((await order("mowing-2")).out);
@@ -384,14 +432,14 @@
   });
 }
 
-test("should order engines only", async () => {
-  const service = await runOnTable(
-    ...["order", "kazi-desk-1", "set-role", "x", ...AUTHOR],
+test("should send orders to engines only", async () => {
+  const service = await runOnPlatform(
+    ...["order", "kazi-desk-1", "set-role", "x", ...AUTHOR_FLAGS],
   );
   assert.is(service.exitCode, ExitCode.BadInput);
 });
 
-function targetRuns(targetId: string): number {
+function countTargetRuns(targetId: string): number {
   const { model } = fleet.standins.engines.get(targetId)!;
   return model.counts.dispatchesByRequestId.size;
 }
--- a/tests/effect_lines.ts
+++ b/tests/effect_lines.ts
@@ -1,4 +1,4 @@
-/** Renders events and effects as stable lines of text. */
+/** Renders events and effects as lines of the golden texts. */
 
 import { hash32 } from "@chestnuthatch/core/text_hash";
 import { type Effect, EffectKind } from "@chestnuthatch/core/effects";
@@ -6,10 +6,11 @@
 const MAX_TEXT_CHARACTERS = 400;
 
 /**
- * Names an effect for filters: its kind, or the kind of the message it sends.
+ * Returns the label by which a session file hides an effect: its kind, or the
+ * kind of the peer message that it sends.
  *
  * @param effect The effect.
- * @returns The value of an enum.
+ * @returns A value of `EffectKind` or `PeerMessageKind`.
  */
 export function effectLabel(effect: Effect): string {
   return effect.kind === EffectKind.SendPeer
@@ -18,10 +19,10 @@
 }
 
 /**
- * Renders an effect.
+ * Renders an effect; one that sends a peer message shows receiver and message.
  *
  * @param effect The effect.
- * @returns One line.
+ * @returns Text on one line.
  */
 export function renderEffect(effect: Effect): string {
   if (effect.kind !== EffectKind.SendPeer) return renderFields(effect);
@@ -29,10 +30,10 @@
 }
 
 /**
- * Renders anything with a kind: that first, then its fields by name.
+ * Renders an object with a kind: the kind first, then its fields by name.
  *
- * @param item An event, an effect or a message.
- * @returns One line.
+ * @param item An event, an effect or a peer message.
+ * @returns Text on one line.
  */
 export function renderFields(item: { readonly kind: string }): string {
   const fields = Object.entries(item)
@@ -43,7 +44,8 @@
 }
 
 /**
- * Renders a value: maps in the order of their keys, long texts by their hash.
+ * Renders a value: objects in the order of their keys, and texts of more than
+ * 400 characters by their length and hash.
  *
  * @param value Any JSON value.
  * @returns Text on one line.
--- a/tests/fleet_http.ts
+++ b/tests/fleet_http.ts
@@ -1,11 +1,11 @@
-/** Short JSON calls to instances and stand-ins. */
+/** HTTP calls with JSON bodies to instances and stand-ins of a test fleet. */
 
 import { Agent, request } from "undici";
 
 const CALL_TIMEOUT_MS = 5_000;
 const HTTP_OK = 200;
 
-/** Every call has a connection of its own, so that none is found broken. */
+/** Opens a connection per call, so that no call reuses a broken one. */
 const agent = new Agent({
   pipelining: 0,
   connectTimeout: CALL_TIMEOUT_MS,
@@ -13,23 +13,23 @@
   bodyTimeout: CALL_TIMEOUT_MS,
 });
 
-/** A status code and a JSON body. */
-export interface JsonReply<T> {
+/** Status code and parsed JSON body of an HTTP response. */
+export interface JsonResponse<T> {
   readonly statusCode: number;
   readonly body: T;
 }
 
 /**
- * Gets JSON, whatever its status code.
+ * Sends a GET request and parses the JSON body, whatever the status code.
  *
  * @param address `host:port`.
  * @param path Path and query.
  * @returns The status code and the body.
  */
-export async function getReply<T>(
+export async function getJsonResponse<T>(
   address: string,
   path: string,
-): Promise<JsonReply<T>> {
+): Promise<JsonResponse<T>> {
   const { statusCode, body } = await request(`http://${address}${path}`, {
     dispatcher: agent,
   });
@@ -37,14 +37,15 @@
 }
 
 /**
- * Gets JSON.
+ * Sends a GET request and parses the JSON body.
  *
  * @param address `host:port`.
  * @param path Path and query.
- * @returns The body.
+ * @returns The parsed body.
+ * @throws If the status code is not 200.
  */
 export async function getJson<T>(address: string, path: string): Promise<T> {
-  const { statusCode, body } = await getReply<T>(address, path);
+  const { statusCode, body } = await getJsonResponse<T>(address, path);
   if (statusCode !== HTTP_OK) {
     throw new Error(`GET ${path}: ${statusCode} ${JSON.stringify(body)}`);
   }
@@ -52,7 +53,7 @@
 }
 
 /**
- * Gets text.
+ * Sends a GET request and reads the body as text, whatever the status code.
  *
  * @param address `host:port`.
  * @param path Path and query.
@@ -66,12 +67,13 @@
 }
 
 /**
- * Posts JSON.
+ * Sends a POST request with a JSON body.
  *
  * @param address `host:port`.
  * @param path Path.
- * @param content What to post.
- * @returns The body of the answer.
+ * @param content Value to send as JSON.
+ * @returns The parsed body of the response.
+ * @throws If the status code is not 200.
  */
 export async function postJson<T>(
   address: string,
--- a/tests/fleet_instance.ts
+++ b/tests/fleet_instance.ts
@@ -1,4 +1,4 @@
-/** One entry instance of a test fleet, as a process of its own. */
+/** An entry instance of a test fleet, in a process of its own. */
 
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -12,150 +12,159 @@
 import type { RequestState } from "@chestnuthatch/core/request";
 import type { StartSettingsInput } from "@chestnuthatch/daemon/start_settings";
 import type { CallerRequest } from "@chestnuthatch/wire/caller_protocol";
-import { getJson, getReply, getText } from "./fleet_http.ts";
+import { getJson, getJsonResponse, getText } from "./fleet_http.ts";
 import { REGION } from "./fleet_settings.ts";
 import { LinkRelay } from "./link_relay.ts";
 import { type ProcessEnd, ServerProcess } from "./server_process.ts";
 import { StreamedCall } from "./streamed_call.ts";
 import { waitFor } from "./wait_for.ts";
 
-/** Where an instance belongs. */
-export interface InstancePlace {
+/** Id and failure domain of an instance. */
+export interface InstanceIdentity {
   readonly id: string;
   readonly failureDomain: string;
 }
 
-/** What an instance prints once it serves. */
-interface Announced {
+/** Addresses that an instance prints once it accepts connections. */
+interface AnnouncedAddresses {
   readonly callers: string;
   readonly peers: string;
 }
 
-const SCRIPT = new URL("../../packages/daemon/dist/main.js", import.meta.url);
+const DAEMON_SCRIPT = new URL(
+  "../../packages/daemon/dist/main.js",
+  import.meta.url,
+);
 const HOST = "127.0.0.1";
 const SECRET = "process-fleet-shared-secret";
 const HTTP_OK = 200;
 
-/** An instance, its relays, and what callers and operators ask of it. */
+/** An instance process, its relays, and the calls that tests send to it. */
 export class FleetInstance {
-  readonly place: InstancePlace;
-  /** The way of every peer to this instance. */
+  /** Id and failure domain of this instance. */
+  readonly identity: InstanceIdentity;
+  /** Relay through which all peers connect to this instance. */
   readonly peerRelay: LinkRelay;
-  /** The way of this instance to the platform. */
+  /** Relay through which this instance connects to the platform. */
   readonly platformRelay: LinkRelay;
   #server: ServerProcess | undefined;
-  #callers = "";
+  #callerAddress = "";
 
   private constructor(
-    place: InstancePlace,
+    identity: InstanceIdentity,
     relays: { readonly peers: LinkRelay; readonly platform: LinkRelay },
   ) {
-    this.place = place;
+    this.identity = identity;
     this.peerRelay = relays.peers;
     this.platformRelay = relays.platform;
   }
 
   /**
-   * Makes an instance that does not run yet.
+   * Creates an instance and its relays; `start` starts its process.
    *
-   * @param place Its id and failure domain.
+   * @param identity Id and failure domain of the instance.
    * @param platformAddress `host:port` of the platform.
-   * @returns The instance.
+   * @returns The instance, whose process does not run yet.
    */
   static async create(
-    place: InstancePlace,
+    identity: InstanceIdentity,
     platformAddress: string,
   ): Promise<FleetInstance> {
     const peers = await LinkRelay.start();
     const platform = await LinkRelay.start(platformAddress);
-    return new FleetInstance(place, { peers, platform });
+    return new FleetInstance(identity, { peers, platform });
   }
 
   /**
-   * Starts its process, also anew.
+   * Starts the process of the instance, or starts it again after its end.
    *
-   * @param seeds Instances that its start settings name.
+   * @param seeds Instances that the start settings list as seeds.
    */
   async start(seeds: readonly FleetInstance[] = []): Promise<void> {
-    const { server, announced } = await startWith(this.#startSettings(seeds));
+    const { server, announced } = await startWithSettings(
+      this.#startSettings(seeds),
+    );
     this.#server = server;
-    this.#callers = announced.callers;
+    this.#callerAddress = announced.callers;
     this.peerRelay.setUpstream(announced.peers);
   }
 
-  /** Ends everything of it. */
+  /** Kills the process of the instance and stops its relays. */
   async stop(): Promise<void> {
     await this.#server?.kill();
     await Promise.all([this.peerRelay.stop(), this.platformRelay.stop()]);
   }
 
-  /** Kills it without warning. */
+  /** Kills the process of the instance with SIGKILL. */
   async kill(): Promise<void> {
     await this.server.kill();
   }
 
-  /** Pauses it. */
-  async freeze(): Promise<void> {
+  /** Suspends the process of the instance. */
+  async pause(): Promise<void> {
     await this.server.freeze();
   }
 
-  /** Lets it go on. */
-  thaw(): void {
+  /** Resumes the process of the instance after `pause`. */
+  resume(): void {
     this.server.thaw();
   }
 
-  /** Orders a graceful shutdown; a second time, one at once. */
+  /** Sends SIGTERM: a graceful shutdown; a second one ends it at once. */
   terminate(): void {
     this.server.signal("SIGTERM");
   }
 
-  /** @returns How its process ended, once it has. */
-  ended(): Promise<ProcessEnd> {
+  /** @returns Exit code and signal of the process, after it has ended. */
+  waitForEnd(): Promise<ProcessEnd> {
     return this.server.ended;
   }
 
-  /** Its process. */
+  /**
+   * @returns The process of the instance.
+   * @throws If the instance was never started.
+   */
   get server(): ServerProcess {
     if (this.#server === undefined) {
-      throw new Error(`${this.place.id} was never started`);
+      throw new Error(`${this.identity.id} was never started`);
     }
     return this.#server;
   }
 
-  /** Latest lines of its log. */
+  /** @returns Latest log lines of the process; empty before its start. */
   get log(): string {
     return this.#server?.log ?? "";
   }
 
   /**
-   * Sends a request.
+   * Sends a request and waits for its outcome.
    *
    * @param body The request.
-   * @returns Its answer, its refusal, or why neither came.
+   * @returns The answer, the refusal, or the reason why neither arrived.
    */
   send(body: CallerRequest): Promise<SentOutcome> {
-    return sendRequest(this.#callers, body);
+    return sendRequest(this.#callerAddress, body);
   }
 
   /**
-   * Sends a request whose answer is read as it comes.
+   * Sends a request whose answer is streamed.
    *
    * @param body The request.
-   * @returns The call.
+   * @returns The call, which collects the events of the stream.
    */
   stream(body: CallerRequest): StreamedCall {
-    return new StreamedCall(this.#callers, body);
+    return new StreamedCall(this.#callerAddress, body);
   }
 
-  /** @returns What it tells of itself and the fleet. */
-  status(): Promise<InstanceStatus> {
-    return getJson(this.#callers, "/v1/status");
+  /** @returns The instance's status of itself and of the fleet. */
+  readStatus(): Promise<InstanceStatus> {
+    return getJson(this.#callerAddress, "/v1/status");
   }
 
-  /** @returns Whether it is ready, and why not. */
-  async readiness(): Promise<{ ready: boolean; reasons: string[] }> {
-    const reply = await getReply<{ ready: boolean; reasons: string[] }>(
-      this.#callers,
+  /** @returns Whether the instance is ready, and the reasons if it is not. */
+  async readReadiness(): Promise<{ ready: boolean; reasons: string[] }> {
+    const reply = await getJsonResponse<{ ready: boolean; reasons: string[] }>(
+      this.#callerAddress,
       "/readyz",
     );
     const ready = reply.statusCode === HTTP_OK;
@@ -163,45 +172,47 @@
   }
 
   /**
-   * Reads a request's story.
+   * Reads the instance's explanation of a request.
    *
-   * @param requestId The request.
-   * @returns The story as JSON text.
+   * @param requestId Id of the request.
+   * @returns The explanation as JSON text.
    */
-  async why(requestId: string): Promise<string> {
-    return JSON.stringify(await getJson(this.#callers, `/v1/why/${requestId}`));
+  async explainRequest(requestId: string): Promise<string> {
+    return JSON.stringify(
+      await getJson(this.#callerAddress, `/v1/why/${requestId}`),
+    );
   }
 
   /**
-   * Reads a counter.
+   * Reads a counter from the metrics of the instance.
    *
-   * @param counter The counter.
-   * @returns Its value, all labels together.
+   * @param counter Name of the counter.
+   * @returns The sum over all labels.
    */
-  async count(counter: CounterName): Promise<number> {
-    const page = await getText(this.#callers, "/metrics");
+  async readCounter(counter: CounterName): Promise<number> {
+    const page = await getText(this.#callerAddress, "/metrics");
     const samples = new RegExp(`^\\w+_${counter}_total(?:{.*})? (\\S+)$`, "gm");
     return [...page.matchAll(samples)]
       .reduce((sum, [, value]) => sum + Number(value), 0);
   }
 
-  /** Waits until it is ready. */
-  async ready(): Promise<void> {
+  /** Waits until the instance reports that it is ready. */
+  async waitUntilReady(): Promise<void> {
     await waitFor(
-      `${this.place.id} to be ready`,
-      async () => (await this.readiness()).ready,
+      `${this.identity.id} to be ready`,
+      async () => (await this.readReadiness()).ready,
     );
   }
 
   /**
-   * Waits until other instances are open to duties, as it sees them.
+   * Waits until the instance lists exactly the given members as eligible.
    *
-   * @param ids Those instances, and only those.
+   * @param ids Ids of the expected eligible members.
    */
-  async sees(ids: readonly string[]): Promise<void> {
+  async waitForMembers(ids: readonly string[]): Promise<void> {
     const wanted = [...ids].sort().join();
-    await waitFor(`${this.place.id} to see ${wanted}`, async () => {
-      const eligible = (await this.status()).members
+    await waitFor(`${this.identity.id} to see ${wanted}`, async () => {
+      const eligible = (await this.readStatus()).members
         .filter(({ liveness }) => liveness === MemberLiveness.Eligible)
         .map(({ instanceId }) => instanceId);
       return eligible.sort().join() === wanted;
@@ -209,20 +220,20 @@
   }
 
   /**
-   * Waits until so many of its requests are in a state.
+   * Waits until the instance has a number of requests in a state.
    *
-   * @param state The state.
-   * @param count How many.
+   * @param state State of the requests.
+   * @param count Expected number of requests.
    */
-  async holds(state: RequestState, count: number): Promise<void> {
+  async waitForRequests(state: RequestState, count: number): Promise<void> {
     await waitFor(
-      `${this.place.id} to hold ${count} requests ${state}`,
-      async () => (await this.status()).requestsByState[state] === count,
+      `${this.identity.id} to hold ${count} requests ${state}`,
+      async () => (await this.readStatus()).requestsByState[state] === count,
     );
   }
 
   #startSettings(seeds: readonly FleetInstance[]): StartSettingsInput {
-    const { id, failureDomain } = this.place;
+    const { id, failureDomain } = this.identity;
     return {
       instanceId: id,
       failureDomain,
@@ -232,9 +243,9 @@
         host: HOST,
         port: 0,
         secret: SECRET,
-        seeds: seeds.map(({ place, peerRelay }) => ({
-          instanceId: place.id,
-          failureDomain: place.failureDomain,
+        seeds: seeds.map(({ identity, peerRelay }) => ({
+          instanceId: identity.id,
+          failureDomain: identity.failureDomain,
           address: peerRelay.address,
         })),
       },
@@ -243,13 +254,19 @@
   }
 }
 
-/** The settings are read once, so that their file may go at once. */
-async function startWith(settings: StartSettingsInput) {
+/**
+ * Starts an instance process from a temporary settings file. The process reads
+ * the file only once, at its start, so the file is removed right after.
+ */
+async function startWithSettings(settings: StartSettingsInput) {
   const folder = mkdtempSync(join(tmpdir(), "chestnuthatch-"));
   try {
     const path = join(folder, "start.yaml");
     writeFileSync(path, JSON.stringify(settings));
-    return await ServerProcess.start<Announced>(SCRIPT, ["--settings", path]);
+    return await ServerProcess.start<AnnouncedAddresses>(DAEMON_SCRIPT, [
+      "--settings",
+      path,
+    ]);
   } finally {
     rmSync(folder, { recursive: true, force: true });
   }
--- a/tests/fleet_requests.ts
+++ b/tests/fleet_requests.ts
@@ -1,54 +1,54 @@
-/** Requests that tests send, each with a body and a key of its own. */
+/** Creates requests for tests, each with a unique body and key. */
 
 import type { CallerRequest } from "@chestnuthatch/wire/caller_protocol";
 import { FleetPool } from "./fleet_settings.ts";
 
-/** Deadline of requests that no test wants to end by it. */
+/** Deadline of requests that must not end by their deadline. */
 export const LONG_DEADLINE_MS = 120_000;
 
-let requestsMade = 0;
+let requestCount = 0;
 
 /**
- * Makes a request for an engine.
+ * Creates a request for an engine.
  *
- * @param outputTokens Length its answer will have.
- * @param rest What differs.
+ * @param outputTokens Number of output tokens of the answer.
+ * @param overrides Fields that differ from the defaults.
  * @returns An idempotent request without a key.
  */
 export function engineRequest(
   outputTokens: number,
-  rest: Partial<CallerRequest> = {},
+  overrides: Partial<CallerRequest> = {},
 ): CallerRequest {
-  requestsMade += 1;
+  requestCount += 1;
   return {
     workspace: "arusha-clinics",
     tier: "urgent",
     pool: FleetPool.Engines,
-    body: `Fault note ${requestsMade} [output=${outputTokens}]`,
+    body: `Fault note ${requestCount} [output=${outputTokens}]`,
     maxOutputTokens: outputTokens,
     deadlineMs: LONG_DEADLINE_MS,
-    ...rest,
+    ...overrides,
   };
 }
 
 /**
- * Makes a request for a service.
+ * Creates a request for a service.
  *
- * @param rest What differs.
- * @returns A non-idempotent request under a key of its own.
+ * @param overrides Fields that differ from the defaults.
+ * @returns A non-idempotent request with a unique idempotency key.
  */
 export function serviceRequest(
-  rest: Partial<CallerRequest> = {},
+  overrides: Partial<CallerRequest> = {},
 ): CallerRequest {
-  requestsMade += 1;
+  requestCount += 1;
   return {
     workspace: "arusha-clinics",
     tier: "urgent",
     pool: FleetPool.Services,
-    body: `Status post ${requestsMade}`,
+    body: `Status post ${requestCount}`,
     deadlineMs: LONG_DEADLINE_MS,
     idempotent: false,
-    idempotencyKey: `post-${requestsMade}`,
-    ...rest,
+    idempotencyKey: `post-${requestCount}`,
+    ...overrides,
   };
 }
--- a/tests/manual_clock.ts
+++ b/tests/manual_clock.ts
@@ -1,38 +1,39 @@
-/** A clock that moves when told, and runs what was put on it in order. */
+/** A manual clock for tests: time advances by call and runs due actions. */
 
-interface Scheduled {
+interface ScheduledAction {
   readonly atMs: number;
   readonly sequence: number;
   readonly action: () => void;
 }
 
-/** Time and a queue of actions, soonest first. */
+/** A clock with a queue of scheduled actions, earliest first. */
 export class ManualClock {
   #nowMs = 0;
   #sequence = 0;
-  /** A binary heap by time, then by order of scheduling. */
-  readonly #heap: Scheduled[] = [];
+  /** Binary heap, ordered by due time, then by order of scheduling. */
+  readonly #heap: ScheduledAction[] = [];
 
-  /** @returns Milliseconds from 0. */
+  /** @returns Current time, in milliseconds from 0. */
   get nowMs(): number {
     return this.#nowMs;
   }
 
   /**
-   * Puts an action on the clock.
+   * Schedules an action.
    *
-   * @param delayMs From now.
-   * @param action What to run.
+   * @param delayMs Delay from now, in milliseconds; below 0 counts as 0.
+   * @param action Function to run.
    */
-  later(delayMs: number, action: () => void): void {
+  schedule(delayMs: number, action: () => void): void {
     const atMs = this.#nowMs + Math.max(0, delayMs);
     this.#push({ atMs, sequence: this.#sequence++, action });
   }
 
   /**
-   * Moves the clock and runs what falls due, also what that adds.
+   * Advances the clock and runs every action that falls due, including those
+   * that such an action schedules.
    *
-   * @param ms How far.
+   * @param ms Time to advance by, in milliseconds.
    */
   advance(ms: number): void {
     const endMs = this.#nowMs + ms;
@@ -44,7 +45,7 @@
     this.#nowMs = endMs;
   }
 
-  #push(item: Scheduled): void {
+  #push(item: ScheduledAction): void {
     const heap = this.#heap;
     let index = heap.push(item) - 1;
     while (index > 0) {
@@ -56,15 +57,15 @@
     heap[index] = item;
   }
 
-  #pop(): Scheduled {
+  #pop(): ScheduledAction {
     const heap = this.#heap;
     const first = heap[0];
     const last = heap.pop()!;
-    if (heap.length > 0) this.#sink(last);
+    if (heap.length > 0) this.#siftDown(last);
     return first;
   }
 
-  #sink(item: Scheduled): void {
+  #siftDown(item: ScheduledAction): void {
     const heap = this.#heap;
     let index = 0;
     for (;;) {
@@ -81,6 +82,6 @@
   }
 }
 
-function isBefore(a: Scheduled, b: Scheduled): boolean {
+function isBefore(a: ScheduledAction, b: ScheduledAction): boolean {
   return a.atMs < b.atMs || (a.atMs === b.atMs && a.sequence < b.sequence);
 }
--- a/tests/process_broken_targets_test.ts
+++ b/tests/process_broken_targets_test.ts
@@ -38,9 +38,9 @@
 ];
 
 test("should answer from another target when one refuses connections", () =>
-  withFleet(fleetOf({ slots: 1 }), async (fleet) => {
+  withFleet(makeFleetOptions({ slots: 1 }), async (fleet) => {
     const [holder] = [...fleet.instances.values()];
-    await loadsKnown(fleet);
+    await waitForKnownLoads(fleet);
     await fleet.targetRelay("desk-1").cut();
     const requests = [serviceRequest(), serviceRequest()];
     const outcomes = await Promise.all(
@@ -50,16 +50,16 @@
       expectAnswer(outcome, requests[i])
     );
     const stories = await Promise.all(
-      answers.map(({ requestId }) => holder.why(requestId)),
+      answers.map(({ requestId }) => holder.explainRequest(requestId)),
     );
     assert.match(stories.join(), /Not sent to desk-1/);
-    const { dispatchesByTarget } = await fleet.counts();
+    const { dispatchesByTarget } = await fleet.readCounts();
     assert.is(dispatchesByTarget["desk-1"], 0);
     assert.is(dispatchesByTarget["desk-2"], requests.length);
   }));
 
 test("should never send again what a target dropped", () =>
-  withFleet(fleetOf({ slots: 4 }), async (fleet) => {
+  withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder, other] = [...fleet.instances.values()];
     for (const id of ["desk-1", "desk-2"]) {
       await fleet.setTargetFault(id, {
@@ -75,18 +75,18 @@
       await other.send({ ...request, deadlineMs: SHORT_DEADLINE_MS }),
       { error: ErrorKind.DeadlineExceeded, ran: RunState.MayHaveRun },
     );
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
 test("should tell of doubt when the link breaks during a call", () =>
-  withFleet(fleetOf({ slots: 4 }), async (fleet) => {
+  withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder] = [...fleet.instances.values()];
     const requests = [
       serviceRequest(),
       serviceRequest({ idempotencyKey: undefined }),
     ];
     const outcomes = requests.map((request) => holder.send(request));
-    await fleet.countsUntil(
+    await fleet.waitForCounts(
       "both calls",
       ({ dispatches }) => dispatches === requests.length,
     );
@@ -100,17 +100,17 @@
     await fleet.targetRelay("desk-2").heal();
     const next = serviceRequest();
     expectAnswer(await holder.send(next), next);
-    assert.is((await fleet.counts()).mostDispatchesOfOne, 1);
-    assert.is((await fleet.counts()).dispatches, requests.length + 1);
+    assert.is((await fleet.readCounts()).mostDispatchesOfOne, 1);
+    assert.is((await fleet.readCounts()).dispatches, requests.length + 1);
   }));
 
 test("should end a stream in an error when its engine is lost", () =>
-  withFleet(fleetOf({ slots: 4 }), async (fleet) => {
+  withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder] = [...fleet.instances.values()];
     const request = engineRequest(1000);
     const stream = holder.stream(request);
     await stream.begun();
-    await holder.holds(RequestState.Dispatched, 1);
+    await holder.waitForRequests(RequestState.Dispatched, 1);
     await fleet.targetRelay("engine-1").cut();
     await fleet.targetRelay("engine-2").cut();
     await stream.ended;
@@ -119,7 +119,7 @@
       ran: RunState.MayHaveRun,
       mayRetry: true,
     });
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
 /**
@@ -128,10 +128,12 @@
  * all have to know that it is the one: an instance that started alone may know
  * them for itself.
  */
-async function loadsKnown(fleet: ProcessFleet): Promise<void> {
+async function waitForKnownLoads(fleet: ProcessFleet): Promise<void> {
   const instances = [...fleet.instances.values()];
   await waitFor("the one that decides to know the desks' loads", async () => {
-    const statuses = await Promise.all(instances.map((each) => each.status()));
+    const statuses = await Promise.all(
+      instances.map((each) => each.readStatus()),
+    );
     const [decider] = rankMembers(statuses, {
       key: shardKey(FleetPool.Services, FAILURE_DOMAIN),
       failureDomain: FAILURE_DOMAIN,
@@ -139,19 +141,19 @@
     const known = decider!.targets
       .filter(({ loadAgeMs }) => loadAgeMs !== undefined)
       .map(({ targetId }) => targetId);
-    return statuses.every(knowsAllMembers) &&
+    return statuses.every(listsAllInstances) &&
       ["desk-1", "desk-2"].every((id) => known.includes(id));
   });
 }
 
-function knowsAllMembers({ members, settingsVersion }: InstanceStatus) {
+function listsAllInstances({ members, settingsVersion }: InstanceStatus) {
   const alive = members
     .filter(({ liveness }) => liveness === MemberLiveness.Eligible);
   return alive.length === INSTANCES.length && settingsVersion > 0;
 }
 
 /** Loads are polled rarely, so that only a dispatch meets a cut link. */
-function fleetOf({ slots }: { slots: number }): ProcessFleetOptions {
+function makeFleetOptions({ slots }: { slots: number }): ProcessFleetOptions {
   const place = { failureDomain: FAILURE_DOMAIN, slots };
   const service = { ...place, pool: FleetPool.Services, callMs: CALL_MS };
   const engine = {
--- a/tests/process_claims_test.ts
+++ b/tests/process_claims_test.ts
@@ -17,7 +17,7 @@
 } from "./process_fleet.ts";
 import { waitFor } from "./wait_for.ts";
 
-const EVERY_TIME = 1_000_000;
+const UNLIMITED_TIMES = 1_000_000;
 const SHORT_DEADLINE_MS = 1_500;
 
 const FLEET: ProcessFleetOptions = {
@@ -74,9 +74,12 @@
     const [first, second] = [...fleet.instances.values()];
     const lose = (times: number) =>
       fleet.setPlatformFault({ kind: PlatformFaultKind.LoseWrites, times });
-    await lose(EVERY_TIME);
+    await lose(UNLIMITED_TIMES);
     const request = serviceRequest();
-    await expectStoreAway(fleet, await tryAt([first, second], request));
+    await expectStoreUnavailable(
+      fleet,
+      await sendFirstAndRepeatedAttempt([first, second], request),
+    );
     await lose(0);
     expectAnswer(await second.send(request), request);
     await expectRuns(fleet, request, 1);
@@ -89,12 +92,12 @@
       fleet.setPlatformFault({ kind: PlatformFaultKind.Down, on });
     await setDown(true);
     const request = serviceRequest();
-    const tried = tryAt([first, second], request);
+    const tried = sendFirstAndRepeatedAttempt([first, second], request);
     const idempotent = engineRequest(5, { idempotencyKey: "plan" });
     const keyless = serviceRequest({ idempotencyKey: undefined });
     expectAnswer(await first.send(idempotent), idempotent);
     expectAnswer(await first.send(keyless), keyless);
-    await expectStoreAway(fleet, await tried);
+    await expectStoreUnavailable(fleet, await tried);
     await setDown(false);
     expectAnswer(await first.send(request), request);
     await expectRuns(fleet, request, 1);
@@ -120,13 +123,13 @@
     first.platformRelay.holdInbound();
     const request = serviceRequest();
     const claimKey = `claim/${request.workspace}/${request.idempotencyKey}`;
-    const tried = tryAt([first], request);
+    const tried = sendFirstAndRepeatedAttempt([first], request);
     await waitFor("the claim", () => fleet.hasRow(claimKey));
     expectRefusal(
       await second.send({ ...request, deadlineMs: SHORT_DEADLINE_MS }),
       { error: ErrorKind.DeadlineExceeded, ran: RunState.MayHaveRun },
     );
-    await expectStoreAway(fleet, await tried);
+    await expectStoreUnavailable(fleet, await tried);
     await first.platformRelay.heal();
     await waitFor(
       "the claim to be void",
@@ -137,7 +140,7 @@
   }));
 
 /** One call while the table is away, and what came of it. */
-interface Tried {
+interface AttemptOutcome {
   readonly request: CallerRequest;
   readonly outcome: SentOutcome;
 }
@@ -146,10 +149,10 @@
  * Sends a request to instances that cannot reach the table: once as a first
  * attempt, and once under another key as one that may have been sent before.
  */
-function tryAt(
+function sendFirstAndRepeatedAttempt(
   instances: readonly FleetInstance[],
   request: CallerRequest,
-): Promise<Tried[]> {
+): Promise<AttemptOutcome[]> {
   const idempotencyKey = `${request.idempotencyKey}-again`;
   const requests = [
     { ...request, firstAttempt: true },
@@ -170,9 +173,9 @@
  * would be another error. "Not run" is told only where the caller states that
  * no earlier call under its key can have run.
  */
-async function expectStoreAway(
+async function expectStoreUnavailable(
   fleet: ProcessFleet,
-  tried: readonly Tried[],
+  tried: readonly AttemptOutcome[],
 ): Promise<void> {
   for (const { request, outcome } of tried) {
     const refusal = expectRefusal(outcome, {
@@ -190,7 +193,7 @@
   request: CallerRequest,
   runs: number,
 ): Promise<void> {
-  const counts = await fleet.counts();
+  const counts = await fleet.readCounts();
   assert.is(counts.runsOfKey(request.idempotencyKey), runs);
   assert.ok(counts.mostDispatchesOfOne <= 1);
 }
--- a/tests/process_duplicates_test.ts
+++ b/tests/process_duplicates_test.ts
@@ -10,7 +10,7 @@
 import { expectAnswer, expectRefusal } from "./outcome_checks.ts";
 import { type ProcessFleetOptions, withFleet } from "./process_fleet.ts";
 
-const KEYS = 8;
+const KEY_COUNT = 8;
 const SHORT_DEADLINE_MS = 1_000;
 
 const HELD_ELSEWHERE = {
@@ -19,9 +19,9 @@
 };
 
 test("should run duplicates at two instances once", () =>
-  withFleet(fleetOf({ callMs: 200 }), async (fleet) => {
+  withFleet(makeFleetOptions({ callMs: 200 }), async (fleet) => {
     const instances = [...fleet.instances.values()];
-    const sends = Array.from({ length: KEYS }, async () => {
+    const sends = Array.from({ length: KEY_COUNT }, async () => {
       const request = serviceRequest();
       const outcomes = await Promise.all(
         [...instances, ...instances].map((each) => each.send(request)),
@@ -33,19 +33,19 @@
       const texts = answers.map((each) => expectAnswer(each, request).text);
       assert.is(new Set(texts).size, 1, JSON.stringify(outcomes));
       outcomes.filter((outcome) => !("answer" in outcome))
-        .forEach(expectDoubt);
-      const counts = await fleet.counts();
+        .forEach(expectRefusedAsPossiblyRun);
+      const counts = await fleet.readCounts();
       assert.is(counts.runsOfKey(request.idempotencyKey), 1);
     }
-    assert.is((await fleet.counts()).dispatches, KEYS);
+    assert.is((await fleet.readCounts()).dispatches, KEY_COUNT);
   }));
 
 test("should not run a key again whose holder died before its end", () =>
-  withFleet(fleetOf({ callMs: 1500 }), async (fleet) => {
+  withFleet(makeFleetOptions({ callMs: 1500 }), async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     const request = serviceRequest();
     const cutOff = first.send(request);
-    await fleet.countsUntil(
+    await fleet.waitForCounts(
       "the run",
       (counts) => counts.runsOfKey(request.idempotencyKey) === 1,
     );
@@ -53,30 +53,30 @@
     assert.ok("broken" in await cutOff);
     expectRefusal(await second.send(request), HELD_ELSEWHERE);
     await first.start();
-    await fleet.ready();
+    await fleet.waitUntilReady();
     expectRefusal(await first.send(request), HELD_ELSEWHERE);
     expectRefusal(await second.send(request), HELD_ELSEWHERE);
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
 test("should give the kept answer of a holder that died after it", () =>
-  withFleet(fleetOf({ callMs: 100 }), async (fleet) => {
+  withFleet(makeFleetOptions({ callMs: 100 }), async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     const request = serviceRequest();
     const answer = expectAnswer(await first.send(request), request);
-    await fleet.objectKept(answerKey(request));
+    await fleet.waitForObject(answerKey(request));
     await first.kill();
     const again = expectAnswer(await second.send(request), request);
     assert.is(again.text, answer.text);
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
 test("should give the kept answer to a caller that comes back for it", () =>
-  withFleet(fleetOf({ callMs: 2500 }), async (fleet) => {
+  withFleet(makeFleetOptions({ callMs: 2500 }), async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     const request = serviceRequest();
     const running = first.send(request);
-    await fleet.countsUntil(
+    await fleet.waitForCounts(
       "the run",
       (counts) => counts.runsOfKey(request.idempotencyKey) === 1,
     );
@@ -85,13 +85,13 @@
       { error: ErrorKind.DeadlineExceeded, ran: RunState.MayHaveRun },
     );
     const answer = expectAnswer(await running, request);
-    await fleet.objectKept(answerKey(request));
+    await fleet.waitForObject(answerKey(request));
     const again = expectAnswer(await second.send(request), request);
     assert.is(again.text, answer.text);
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
-function fleetOf({ callMs }: { callMs: number }): ProcessFleetOptions {
+function makeFleetOptions({ callMs }: { callMs: number }): ProcessFleetOptions {
   const service = { pool: FleetPool.Services, slots: 8, callMs };
   return {
     instances: [
@@ -110,7 +110,7 @@
 }
 
 /** The key ran, so that "not run" would be untrue of every call under it. */
-function expectDoubt(outcome: SentOutcome): void {
+function expectRefusedAsPossiblyRun(outcome: SentOutcome): void {
   assert.ok("refusal" in outcome, JSON.stringify(outcome));
   const { refusal } = outcome as Extract<SentOutcome, { refusal: unknown }>;
   assert.is.not(refusal.ran, RunState.NotRun, refusal.message);
--- a/tests/process_fleet.ts
+++ b/tests/process_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet with every part as a process of its own: the platform, targets and
- * entry instances, joined by relays that a test can cut.
+ * A test fleet in which the platform, every target and every entry instance is
+ * a process of its own, connected through relays that a test can cut.
  */
 
 import { randomUUID } from "node:crypto";
@@ -18,8 +18,8 @@
   type TransactAnswer,
 } from "@chestnuthatch/wire/platform_protocol";
 import { Agent, setGlobalDispatcher } from "undici";
-import { FleetInstance, type InstancePlace } from "./fleet_instance.ts";
-import { getReply, postJson } from "./fleet_http.ts";
+import { FleetInstance, type InstanceIdentity } from "./fleet_instance.ts";
+import { getJsonResponse, postJson } from "./fleet_http.ts";
 import {
   fleetSettings,
   type FleetTarget,
@@ -31,17 +31,17 @@
 import { TargetCounts } from "./target_counts.ts";
 import { waitFor } from "./wait_for.ts";
 
-/** What a fleet is made of. */
+/** Instances, targets and settings of a process fleet. */
 export interface ProcessFleetOptions {
-  readonly instances: readonly InstancePlace[];
+  readonly instances: readonly InstanceIdentity[];
   readonly targets: readonly FleetTarget[];
   readonly settings?: readonly SettingsOverride[];
 }
 
-interface Target {
-  readonly described: FleetTarget;
+interface RunningTarget {
+  readonly description: FleetTarget;
   readonly server: ServerProcess;
-  /** Its own address, past the relay. */
+  /** Address of the target itself, not of its relay. */
   readonly address: string;
   readonly relay: LinkRelay;
 }
@@ -49,19 +49,20 @@
 const HTTP_OK = 200;
 
 /**
- * Runs a test on a fleet of its own, and ends every process afterwards.
+ * Runs a test on a new fleet and ends every process afterwards. Prints the
+ * logs of the instances if the test fails.
  *
- * @param options What the fleet is made of.
- * @param body The test.
+ * @param options Instances, targets and settings of the fleet.
+ * @param runTest The test.
  */
 export async function withFleet(
   options: ProcessFleetOptions,
-  body: (fleet: ProcessFleet) => Promise<void>,
+  runTest: (fleet: ProcessFleet) => Promise<void>,
 ): Promise<void> {
   const fleet = new ProcessFleet(options);
   try {
     await fleet.start();
-    await body(fleet);
+    await runTest(fleet);
   } catch (error) {
     console.error(fleet.logs);
     throw error;
@@ -70,22 +71,23 @@
   }
 }
 
-/** Processes of one fleet, and the links between them. */
+/** Processes of one fleet, and the relays between them. */
 export class ProcessFleet {
+  /** Instances by id, in the order of the options. */
   readonly instances = new Map<string, FleetInstance>();
   readonly #options: ProcessFleetOptions;
-  readonly #targets = new Map<string, Target>();
+  readonly #targets = new Map<string, RunningTarget>();
   #platform: ServerProcess | undefined;
   #platformAddress = "";
 
-  /** @param options What the fleet is made of. */
+  /** @param options Instances, targets and settings of the fleet. */
   constructor(options: ProcessFleetOptions) {
     this.#options = options;
-    // A connection of its own for each call: none is found broken by a death.
+    // Opens a connection per call, so that none reuses one to a killed process.
     setGlobalDispatcher(new Agent({ pipelining: 0 }));
   }
 
-  /** Starts every part and waits until all instances are ready. */
+  /** Starts every process and waits until all instances are ready. */
   async start(): Promise<void> {
     await Promise.all([
       this.#startPlatform(),
@@ -93,15 +95,15 @@
     ]);
     await this.changeSettings(this.#options.settings ?? []);
     await Promise.all(
-      this.#options.instances.map((place) => this.#startInstance(place)),
+      this.#options.instances.map((identity) => this.#startInstance(identity)),
     );
     for (const instance of this.instances.values()) {
-      await this.#list(instance);
+      await this.#addToInstanceList(instance);
     }
-    await this.ready();
+    await this.waitUntilReady();
   }
 
-  /** Ends every part. */
+  /** Ends every process and relay. */
   async stop(): Promise<void> {
     const servers = [
       this.#platform,
@@ -115,77 +117,83 @@
     );
   }
 
-  /** Latest log lines of all instances. */
+  /** @returns Latest log lines of all instances. */
   get logs(): string {
     return [...this.instances.values()]
-      .map(({ place, log }) => `--- ${place.id}\n${log}`)
+      .map(({ identity, log }) => `--- ${identity.id}\n${log}`)
       .join("\n");
   }
 
   /**
-   * Finds an instance.
+   * Returns an instance of the fleet.
    *
-   * @param id Its id.
+   * @param id Id of the instance.
    * @returns The instance.
+   * @throws If the fleet has no such instance.
    */
   instance(id: string): FleetInstance {
-    return found(this.instances, id);
+    return getOrThrow(this.instances, id);
   }
 
   /**
-   * Finds the relay before a target.
+   * Returns the relay of a target.
    *
-   * @param id The target.
-   * @returns The relay that every instance goes through.
+   * @param id Id of the target.
+   * @returns The relay through which all instances connect to the target.
+   * @throws If the fleet has no such target.
    */
   targetRelay(id: string): LinkRelay {
-    return found(this.#targets, id).relay;
+    return getOrThrow(this.#targets, id).relay;
   }
 
   /**
-   * Waits until instances are ready and see one another.
+   * Waits until instances are ready and list one another as eligible members.
    *
-   * @param ids The instances; all of the fleet where absent.
+   * @param ids Ids of the instances; all of the fleet where absent.
    */
-  async ready(ids: readonly string[] = [...this.instances.keys()]) {
-    await Promise.all(ids.map((id) => this.instance(id).ready()));
-    await Promise.all(ids.map((id) => this.instance(id).sees(ids)));
+  async waitUntilReady(ids: readonly string[] = [...this.instances.keys()]) {
+    await Promise.all(ids.map((id) => this.instance(id).waitUntilReady()));
+    await Promise.all(ids.map((id) => this.instance(id).waitForMembers(ids)));
   }
 
-  /** @returns What the targets count now. */
-  counts(): Promise<TargetCounts> {
+  /** @returns Current counts of dispatches and runs at all targets. */
+  readCounts(): Promise<TargetCounts> {
     return TargetCounts.read(
       new Map([...this.#targets].map(([id, { address }]) => [id, address])),
     );
   }
 
   /**
-   * Waits until the targets' counts are as wanted.
+   * Waits until the targets' counts meet a condition.
    *
-   * @param what What is waited for.
-   * @param holds Tells whether they are.
+   * @param description Expected event, for the error message.
+   * @param condition Returns whether the counts meet the condition.
    */
-  async countsUntil(
-    what: string,
-    holds: (counts: TargetCounts) => boolean,
+  async waitForCounts(
+    description: string,
+    condition: (counts: TargetCounts) => boolean,
   ): Promise<void> {
-    await waitFor(what, async () => holds(await this.counts()));
+    await waitFor(description, async () => condition(await this.readCounts()));
   }
 
   /**
-   * Switches a fault of a target.
+   * Sets a fault of a target.
    *
-   * @param id The target.
-   * @param fault The fault.
+   * @param id Id of the target.
+   * @param fault Fault and its state.
    */
   async setTargetFault(id: string, fault: TargetFault): Promise<void> {
-    await postJson(found(this.#targets, id).address, "/standin/faults", fault);
+    await postJson(
+      getOrThrow(this.#targets, id).address,
+      "/standin/faults",
+      fault,
+    );
   }
 
   /**
-   * Switches a fault of the platform.
+   * Sets a fault of the platform.
    *
-   * @param fault The fault.
+   * @param fault Fault and its state.
    */
   async setPlatformFault(fault: PlatformFault): Promise<void> {
     await postJson(this.#platformAddress, "/standin/faults", fault);
@@ -194,14 +202,15 @@
   /**
    * Commits settings as the next version.
    *
-   * @param overrides What differs from the example.
-   * @returns The version.
+   * @param overrides Values that differ from the example settings.
+   * @returns The committed version.
+   * @throws If the platform does not commit the change.
    */
   async changeSettings(
     overrides: readonly SettingsOverride[],
   ): Promise<number> {
     const targets = [...this.#targets.values()].map((target) => ({
-      ...target.described,
+      ...target.description,
       address: target.relay.address,
     }));
     const change = await this.#propose(fleetSettings(targets, overrides));
@@ -217,24 +226,24 @@
   }
 
   /**
-   * Tells whether the table has a row.
+   * Checks whether the platform's table has a row.
    *
-   * @param key Its key.
-   * @returns Whether it is there.
+   * @param key Key of the row.
+   * @returns Whether the row exists.
    */
   async hasRow(key: string): Promise<boolean> {
-    return await this.#row(key) !== undefined;
+    return await this.#readRow(key) !== undefined;
   }
 
   /**
-   * Waits until the object store has an object.
+   * Waits until the platform's object store has an object.
    *
-   * @param key Its key.
+   * @param key Key of the object.
    */
-  async objectKept(key: string): Promise<void> {
+  async waitForObject(key: string): Promise<void> {
     await waitFor(`object ${key}`, async () => {
       const path = `/objects/${encodeURIComponent(key)}`;
-      const { statusCode } = await getReply(this.#platformAddress, path);
+      const { statusCode } = await getJsonResponse(this.#platformAddress, path);
       return statusCode === HTTP_OK;
     });
   }
@@ -245,20 +254,28 @@
     this.#platformAddress = address;
   }
 
-  async #startTarget(described: FleetTarget): Promise<void> {
-    const { server, address } = await startTarget(described);
+  async #startTarget(target: FleetTarget): Promise<void> {
+    const { server, address } = await startTarget(target);
     const relay = await LinkRelay.start(address);
-    this.#targets.set(described.id, { described, server, address, relay });
+    this.#targets.set(target.id, {
+      description: target,
+      server,
+      address,
+      relay,
+    });
   }
 
-  async #startInstance(place: InstancePlace): Promise<void> {
-    const instance = await FleetInstance.create(place, this.#platformAddress);
-    this.instances.set(place.id, instance);
+  async #startInstance(identity: InstanceIdentity): Promise<void> {
+    const instance = await FleetInstance.create(
+      identity,
+      this.#platformAddress,
+    );
+    this.instances.set(identity.id, instance);
     await instance.start();
   }
 
-  async #list(instance: FleetInstance): Promise<void> {
-    const { id, failureDomain } = instance.place;
+  async #addToInstanceList(instance: FleetInstance): Promise<void> {
+    const { id, failureDomain } = instance.identity;
     await postJson(this.#platformAddress, "/standin/instances", {
       kind: ListChangeKind.Put,
       atOnce: true,
@@ -273,7 +290,7 @@
   }
 
   async #propose(content: string): Promise<ProposedChange> {
-    const headRow = await this.#row(HEAD_KEY);
+    const headRow = await this.#readRow(HEAD_KEY);
     const baseVersion = headRow === undefined
       ? 0
       : readHead(headRow)._unsafeUnwrap().version;
@@ -291,7 +308,7 @@
     return change.value;
   }
 
-  async #row(key: string) {
+  async #readRow(key: string) {
     const { rows } = await postJson<RowsAnswer>(
       this.#platformAddress,
       "/table/read",
@@ -301,10 +318,10 @@
   }
 }
 
-function found<T>(byId: ReadonlyMap<string, T>, id: string): T {
-  const one = byId.get(id);
-  if (one === undefined) {
+function getOrThrow<T>(byId: ReadonlyMap<string, T>, id: string): T {
+  const item = byId.get(id);
+  if (item === undefined) {
     throw new Error(`the fleet has no ${id}`);
   }
-  return one;
+  return item;
 }
--- a/tests/process_hang_up_test.ts
+++ b/tests/process_hang_up_test.ts
@@ -41,18 +41,18 @@
       await left.begun();
       const next = engineRequest(10);
       const answered = holder.send(next);
-      await holder.holds(RequestState.Waiting, 1);
+      await holder.waitForRequests(RequestState.Waiting, 1);
       left.hangUp();
-      await fleet.countsUntil("a cancel", ({ cancelled }) => cancelled === 1);
+      await fleet.waitForCounts("a cancel", ({ cancelled }) => cancelled === 1);
       expectAnswer(await answered, next);
       await waitFor("no grants to be left", async () => {
         const statuses = await Promise.all(
-          [...fleet.instances.values()].map((each) => each.status()),
+          [...fleet.instances.values()].map((each) => each.readStatus()),
         );
         return statuses.flatMap(({ shards }) => shards)
           .every(({ grants }) => grants === 0);
       });
-      const counts = await fleet.counts();
+      const counts = await fleet.readCounts();
       assert.is(counts.dispatches, 2);
       assert.is(counts.cancelled, 1);
     }));
@@ -70,7 +70,7 @@
     await left.ended;
     await stays.ended;
     expectWholeStream(stays, request);
-    const counts = await fleet.counts();
+    const counts = await fleet.readCounts();
     assert.is(counts.dispatches, 1);
     assert.is(counts.cancelled, 0);
   }));
@@ -80,7 +80,7 @@
     const holder = fleet.instance("njiro-1");
     const request = serviceRequest();
     const left = holder.stream(request);
-    await fleet.countsUntil(
+    await fleet.waitForCounts(
       "the run",
       (counts) => counts.runsOfKey(request.idempotencyKey) === 1,
     );
@@ -89,7 +89,7 @@
     expectAnswer(await holder.send(request), request);
     const other = fleet.instance("njiro-2");
     expectAnswer(await other.send(request), request);
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
 test.run();
--- a/tests/process_partition_test.ts
+++ b/tests/process_partition_test.ts
@@ -47,14 +47,14 @@
   withFleet(FLEET, async (fleet) => {
     const cutOff = fleet.instance("njiro-1");
     const bothDomains = [OWN_DOMAIN, OTHER_DOMAIN].join();
-    assert.is(await domainsServing(cutOff), bothDomains);
+    assert.is(await findServingDomains(cutOff), bothDomains);
     const request = engineRequest(400);
     const running = cutOff.stream(request);
     await running.begun();
-    await setCut(fleet, true);
-    assert.is(await domainsServing(cutOff), OWN_DOMAIN);
-    await cutOff.sees(["njiro-1"]);
-    assert.is(await domainsServing(cutOff), OWN_DOMAIN);
+    await setPartitioned(fleet, true);
+    assert.is(await findServingDomains(cutOff), OWN_DOMAIN);
+    await cutOff.waitForMembers(["njiro-1"]);
+    assert.is(await findServingDomains(cutOff), OWN_DOMAIN);
     await running.ended;
     expectWholeStream(running, request);
     const keyed = serviceRequest();
@@ -62,18 +62,18 @@
       error: ErrorKind.StoreUnavailable,
       ran: RunState.NotRun,
     });
-    assert.ok((await cutOff.readiness()).ready);
-    await setCut(fleet, false);
-    await fleet.ready();
+    assert.ok((await cutOff.readReadiness()).ready);
+    await setPartitioned(fleet, false);
+    await fleet.waitUntilReady();
     expectAnswer(await cutOff.send(keyed), keyed);
-    assert.is(await domainsServing(cutOff), bothDomains);
-    const counts = await fleet.counts();
+    assert.is(await findServingDomains(cutOff), bothDomains);
+    const counts = await fleet.readCounts();
     assert.is(counts.mostDispatchesOfOne, 1);
     assert.is(counts.runsOfKey(keyed.idempotencyKey), 1);
   }));
 
 /** Sends more calls than one domain has slots for; all must be answered. */
-async function domainsServing(instance: FleetInstance): Promise<string> {
+async function findServingDomains(instance: FleetInstance): Promise<string> {
   const answers = Array.from({ length: 2 * SLOTS }, async () => {
     const request = serviceRequest({ idempotencyKey: undefined });
     return expectAnswer(await instance.send(request), request);
@@ -84,7 +84,10 @@
 }
 
 /** Every link over which the two domains, or the platform, can be reached. */
-async function setCut(fleet: ProcessFleet, isCut: boolean): Promise<void> {
+async function setPartitioned(
+  fleet: ProcessFleet,
+  isCut: boolean,
+): Promise<void> {
   const instances = [...fleet.instances.values()];
   const links = [
     ...instances.map(({ peerRelay }) => peerRelay),
--- a/tests/process_paused_holder_test.ts
+++ b/tests/process_paused_holder_test.ts
@@ -23,7 +23,7 @@
  */
 const LONG_PAUSE_MS = 3_000;
 
-const TOO_LATE = {
+const DEADLINE_EXCEEDED_NOT_RUN = {
   error: ErrorKind.DeadlineExceeded,
   ran: RunState.NotRun,
 };
@@ -62,12 +62,12 @@
       "the claim",
       () => fleet.hasRow(`claim/${workspace}/${idempotencyKey}`),
     );
-    await holder.freeze();
+    await holder.pause();
     await holder.platformRelay.heal();
     await waitUntilPast(performance.now() + DEADLINE_MS);
-    holder.thaw();
-    expectRefusal(await outcome, TOO_LATE);
-    await expectNeverSent(fleet, request);
+    holder.resume();
+    expectRefusal(await outcome, DEADLINE_EXCEEDED_NOT_RUN);
+    await expectNotDispatched(fleet, request);
   }));
 
 test("should not dispatch after a pause over the deadline with a grant", () =>
@@ -79,9 +79,9 @@
     });
     const outcome = await pauseBeforeGrant(fleet, request);
     await waitUntilPast(performance.now() + DEADLINE_MS);
-    holder.thaw();
-    expectRefusal(await outcome.sent, TOO_LATE);
-    await expectNeverSent(fleet, request);
+    holder.resume();
+    expectRefusal(await outcome.sent, DEADLINE_EXCEEDED_NOT_RUN);
+    await expectNotDispatched(fleet, request);
   }));
 
 test("should not use a grant that lapsed during a pause", () =>
@@ -90,11 +90,11 @@
     const request = serviceRequest();
     const outcome = await pauseBeforeGrant(fleet, request);
     await waitUntilPast(performance.now() + LONG_PAUSE_MS);
-    holder.thaw();
+    holder.resume();
     const { requestId } = expectAnswer(await outcome.sent, request);
-    const story = await holder.why(requestId);
+    const story = await holder.explainRequest(requestId);
     assert.match(story, /returned: too old/, story);
-    assert.is((await fleet.counts()).dispatchesOf(requestId), 1);
+    assert.is((await fleet.readCounts()).dispatchesOf(requestId), 1);
   }));
 
 /**
@@ -112,23 +112,23 @@
   holder.peerRelay.holdOutbound();
   const sent = holder.send(request);
   await waitFor("a grant for the holder", async () => {
-    const { shards } = await coordinator.status();
+    const { shards } = await coordinator.readStatus();
     return shards.some(({ grants, grantsInUse }) =>
       grants === 1 && grantsInUse === 0
     );
   });
-  await holder.freeze();
+  await holder.pause();
   await coordinator.peerRelay.heal();
   await holder.peerRelay.heal();
   return { sent };
 }
 
-async function expectNeverSent(
+async function expectNotDispatched(
   fleet: ProcessFleet,
   request: CallerRequest,
 ): Promise<void> {
-  await fleet.ready();
-  const counts = await fleet.counts();
+  await fleet.waitUntilReady();
+  const counts = await fleet.readCounts();
   assert.is(counts.runsOfKey(request.idempotencyKey), 0);
 }
 
--- a/tests/process_settings_test.ts
+++ b/tests/process_settings_test.ts
@@ -10,11 +10,11 @@
 import { waitFor } from "./wait_for.ts";
 
 const NEW_WORKSPACE = "kilimo-plots";
-const CHANGE: readonly SettingsOverride[] = [
+const ADDED_WORKSPACE: readonly SettingsOverride[] = [
   [["workspaces", NEW_WORKSPACE], {}],
 ];
 /** Readiness is asked for this often while there can be none. */
-const LOOKS = 20;
+const READINESS_CHECKS = 20;
 
 const FLEET: ProcessFleetOptions = {
   instances: [
@@ -38,11 +38,11 @@
       error: ErrorKind.UnknownWorkspace,
       ran: RunState.NotRun,
     });
-    const version = await fleet.changeSettings(CHANGE);
+    const version = await fleet.changeSettings(ADDED_WORKSPACE);
     for (const instance of fleet.instances.values()) {
       await waitFor(
-        `version ${version} in force at ${instance.place.id}`,
-        async () => (await instance.status()).settingsVersion === version,
+        `version ${version} in force at ${instance.identity.id}`,
+        async () => (await instance.readStatus()).settingsVersion === version,
       );
     }
     expectAnswer(await cutOff.send(request), request);
@@ -50,11 +50,11 @@
 
 test("should be ready after a restart only with a peer's settings", () =>
   withFleet(FLEET, async (fleet) => {
-    const version = await fleet.changeSettings(CHANGE);
+    const version = await fleet.changeSettings(ADDED_WORKSPACE);
     const peer = fleet.instance("njiro-1");
     await waitFor(
       "the change in force",
-      async () => (await peer.status()).settingsVersion === version,
+      async () => (await peer.readStatus()).settingsVersion === version,
     );
     const restarted = fleet.instance("njiro-2");
     await restarted.kill();
@@ -67,16 +67,16 @@
     await Promise.all(links.map((link) => link.cut()));
     await restarted.start([peer]);
     const request = engineRequest(5, { workspace: NEW_WORKSPACE });
-    for (let looks = 0; looks < LOOKS; looks++) {
-      assert.not.ok((await restarted.readiness()).ready);
+    for (let looks = 0; looks < READINESS_CHECKS; looks++) {
+      assert.not.ok((await restarted.readReadiness()).ready);
       expectRefusal(await restarted.send(request), {
         error: ErrorKind.NotReady,
         ran: RunState.NotRun,
       });
     }
     await peer.peerRelay.heal();
-    await restarted.ready();
-    assert.is((await restarted.status()).settingsVersion, version);
+    await restarted.waitUntilReady();
+    assert.is((await restarted.readStatus()).settingsVersion, version);
     expectAnswer(await restarted.send(request), request);
   }));
 
--- a/tests/process_shutdown_test.ts
+++ b/tests/process_shutdown_test.ts
@@ -19,7 +19,7 @@
 
 const SLOTS = 2;
 const DECODE_TOKENS_PER_SECOND = 100;
-const CLEAN_END = { code: 0, signal: null };
+const CLEAN_EXIT = { code: 0, signal: null };
 const SHUTTING_DOWN = {
   error: ErrorKind.ShuttingDown,
   ran: RunState.NotRun,
@@ -61,10 +61,10 @@
       const calls = requests.map((request) => leaving.stream(request));
       const post = serviceRequest();
       const posted = leaving.send(post);
-      await leaving.holds(RequestState.Dispatched, SLOTS + 1);
-      await leaving.holds(RequestState.Waiting, SLOTS);
+      await leaving.waitForRequests(RequestState.Dispatched, SLOTS + 1);
+      await leaving.waitForRequests(RequestState.Waiting, SLOTS);
       leaving.terminate();
-      await leavingSeen(leaving);
+      await waitForShutdownToBegin(leaving);
       const refused = await leaving.send(serviceRequest());
       if (!("broken" in refused)) {
         expectRefusal(refused, SHUTTING_DOWN);
@@ -74,10 +74,10 @@
         expectWholeStream(call, requests[i]);
       }
       expectAnswer(await posted, post);
-      assert.equal(await leaving.ended(), CLEAN_END);
+      assert.equal(await leaving.waitForEnd(), CLEAN_EXIT);
       const next = serviceRequest();
       expectAnswer(await staying.send(next), next);
-      const counts = await fleet.counts();
+      const counts = await fleet.readCounts();
       assert.is(counts.mostDispatchesOfOne, 1);
       assert.is(counts.dispatches, requests.length + 2);
     }));
@@ -90,15 +90,15 @@
       { length: 2 * SLOTS },
       () => leaving.stream(engineRequest(4_000)),
     );
-    await leaving.holds(RequestState.Dispatched, SLOTS);
-    await leaving.holds(RequestState.Waiting, SLOTS);
+    await leaving.waitForRequests(RequestState.Dispatched, SLOTS);
+    await leaving.waitForRequests(RequestState.Waiting, SLOTS);
     leaving.terminate();
-    await leavingSeen(leaving);
+    await waitForShutdownToBegin(leaving);
     leaving.terminate();
-    assert.equal(await leaving.ended(), CLEAN_END);
+    assert.equal(await leaving.waitForEnd(), CLEAN_EXIT);
     await Promise.all(calls.map(({ ended }) => ended));
     const refusals = calls.map(expectStreamError);
-    const counts = await fleet.counts();
+    const counts = await fleet.readCounts();
     refusals.forEach((refusal) => expectTruthful(refusal, counts));
     assert.equal(refusals.map(({ error }) => error), [
       ...Array(calls.length).fill(ErrorKind.ShuttingDown),
@@ -108,10 +108,11 @@
     assert.is(counts.dispatches, SLOTS);
   }));
 
-async function leavingSeen(instance: FleetInstance): Promise<void> {
+async function waitForShutdownToBegin(instance: FleetInstance): Promise<void> {
   await waitFor(
     "the shutdown to begin",
-    async () => instance.server.hasEnded || (await instance.status()).leaving,
+    async () =>
+      instance.server.hasEnded || (await instance.readStatus()).leaving,
   );
 }
 
--- a/tests/process_stray_answers_test.ts
+++ b/tests/process_stray_answers_test.ts
@@ -21,12 +21,12 @@
   withFleet,
 } from "./process_fleet.ts";
 
-const ENGINES = ["engine-1", "engine-2"];
-const CALLERS = 4;
+const ENGINE_IDS = ["engine-1", "engine-2"];
+const CALLER_COUNT = 4;
 const OUTPUT_TOKENS = 40;
 const SHORT_DEADLINE_MS = 1_000;
-const LATE_MS = 2_500;
-const DEADLINE_PASSED = {
+const ANSWER_DELAY_MS = 2_500;
+const DEADLINE_EXCEEDED_MAY_HAVE_RUN = {
   error: ErrorKind.DeadlineExceeded,
   ran: RunState.MayHaveRun,
 };
@@ -34,7 +34,7 @@
 const FLEET: ProcessFleetOptions = {
   instances: [{ id: "njiro-1", failureDomain: "njiro-hall" }],
   targets: [
-    ...ENGINES.map((id) => ({
+    ...ENGINE_IDS.map((id) => ({
       id,
       pool: FleetPool.Engines,
       failureDomain: "njiro-hall",
@@ -57,11 +57,11 @@
 
 const STREAM_FAULTS: Record<string, StreamFault> = {
   "crossed": {
-    fault: { kind: TargetFaultKind.CrossAnswers, times: CALLERS },
+    fault: { kind: TargetFaultKind.CrossAnswers, times: CALLER_COUNT },
     counter: CounterName.StrayAnswersDropped,
   },
   "doubled at the end": {
-    fault: { kind: TargetFaultKind.DuplicateEnd, times: CALLERS },
+    fault: { kind: TargetFaultKind.DuplicateEnd, times: CALLER_COUNT },
     counter: CounterName.StrayAnswersDropped,
   },
   "cut before the first token": cutAfter(0),
@@ -73,11 +73,11 @@
 for (const [name, { fault, counter }] of Object.entries(STREAM_FAULTS)) {
   test(`should deliver streams whole that are ${name}`, () =>
     withFleet(FLEET, async (fleet) => {
-      for (const id of ENGINES) {
+      for (const id of ENGINE_IDS) {
         await fleet.setTargetFault(id, fault);
       }
-      await expectAllWhole(fleet);
-      assert.ok(await fleet.instance("njiro-1").count(counter) > 0);
+      await expectAllComplete(fleet);
+      assert.ok(await fleet.instance("njiro-1").readCounter(counter) > 0);
     }));
 }
 
@@ -88,7 +88,10 @@
       kind: TargetFaultKind.CrossAnswers,
       times: 2,
     });
-    const requests = Array.from({ length: CALLERS }, () => serviceRequest());
+    const requests = Array.from(
+      { length: CALLER_COUNT },
+      () => serviceRequest(),
+    );
     const outcomes = await Promise.all(
       requests.map((request) => instance.send(request)),
     );
@@ -104,23 +107,23 @@
         expectAnswer(outcome, requests[i]);
       }
     }
-    assert.is((await fleet.counts()).dispatches, CALLERS);
+    assert.is((await fleet.readCounts()).dispatches, CALLER_COUNT);
   }));
 
 test("should give a late answer to its own key and nobody else", () =>
   withFleet(FLEET, async (fleet) => {
     const instance = fleet.instance("njiro-1");
     const late = serviceRequest({ deadlineMs: SHORT_DEADLINE_MS });
-    await delayAnswers(fleet, LATE_MS);
+    await delayAnswers(fleet, ANSWER_DELAY_MS);
     const outcome = await instance.send(late);
-    expectRefusal(outcome, DEADLINE_PASSED);
+    expectRefusal(outcome, DEADLINE_EXCEEDED_MAY_HAVE_RUN);
     await delayAnswers(fleet, 0);
-    const others = Array.from({ length: CALLERS }, () => serviceRequest());
+    const others = Array.from({ length: CALLER_COUNT }, () => serviceRequest());
     for (const request of others) {
       expectAnswer(await instance.send(request), request);
     }
     expectAnswer(await instance.send({ ...late, deadlineMs: undefined }), late);
-    const counts = await fleet.counts();
+    const counts = await fleet.readCounts();
     assert.is(counts.runsOfKey(late.idempotencyKey), 1);
     assert.is(counts.dispatches, others.length + 1);
   }));
@@ -128,13 +131,13 @@
 test("should name the deadline when it passes during a call without a key", () =>
   withFleet(FLEET, async (fleet) => {
     const instance = fleet.instance("njiro-1");
-    await delayAnswers(fleet, LATE_MS);
+    await delayAnswers(fleet, ANSWER_DELAY_MS);
     const late = serviceRequest({
       deadlineMs: SHORT_DEADLINE_MS,
       idempotencyKey: undefined,
     });
-    expectRefusal(await instance.send(late), DEADLINE_PASSED);
-    assert.is((await fleet.counts()).dispatches, 1);
+    expectRefusal(await instance.send(late), DEADLINE_EXCEEDED_MAY_HAVE_RUN);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
 function delayAnswers(fleet: ProcessFleet, delayMs: number): Promise<void> {
@@ -145,13 +148,13 @@
 }
 
 /** Half of the callers read along; each must get the whole of its own. */
-async function expectAllWhole(fleet: ProcessFleet): Promise<void> {
+async function expectAllComplete(fleet: ProcessFleet): Promise<void> {
   const instance = fleet.instance("njiro-1");
-  const streamed = requestsForEngines().map((request) => ({
+  const streamed = makeEngineRequests().map((request) => ({
     request,
     call: instance.stream(request),
   }));
-  const gathered = requestsForEngines().map(async (request) =>
+  const gathered = makeEngineRequests().map(async (request) =>
     expectAnswer(await instance.send(request), request)
   );
   await Promise.all(gathered);
@@ -159,19 +162,22 @@
     await call.ended;
     expectWholeStream(call, request);
   }
-  const counts = await fleet.counts();
-  assert.is(counts.dispatches, 2 * CALLERS);
+  const counts = await fleet.readCounts();
+  assert.is(counts.dispatches, 2 * CALLER_COUNT);
   assert.is(counts.mostDispatchesOfOne, 1);
 }
 
-function requestsForEngines() {
-  return Array.from({ length: CALLERS }, () => engineRequest(OUTPUT_TOKENS));
+function makeEngineRequests() {
+  return Array.from(
+    { length: CALLER_COUNT },
+    () => engineRequest(OUTPUT_TOKENS),
+  );
 }
 
 function cutAfter(afterTokens: number): StreamFault {
   const kind = TargetFaultKind.BreakStream as const;
   return {
-    fault: { kind, times: CALLERS, afterTokens },
+    fault: { kind, times: CALLER_COUNT, afterTokens },
     counter: CounterName.StreamResumes,
   };
 }
--- a/tests/session_driver.ts
+++ b/tests/session_driver.ts
@@ -1,4 +1,4 @@
-/** Plays a session through the cores and gives its golden text. */
+/** Runs session files in a simulated fleet and renders their golden texts. */
 
 import { readFileSync, writeFileSync } from "node:fs";
 import {
@@ -20,7 +20,11 @@
 import * as assert from "uvu/assert";
 import { parse } from "yaml";
 import { z } from "zod";
-import { CoreNet, type NetEffect, type UntimedEvent } from "./core_net.ts";
+import {
+  type IssuedEffect,
+  SimulatedFleet,
+  type UntimedEvent,
+} from "./simulated_fleet.ts";
 import {
   effectLabel,
   renderEffect,
@@ -34,22 +38,22 @@
   StepAction,
 } from "./session_file.ts";
 
-/** Folder of the session files, seen from the compiled module. */
+/** Folder of the session files, relative to the compiled module. */
 export const SESSIONS_URL = new URL("../sessions/", import.meta.url);
 
 const GOLDEN_URL = new URL("../golden/", import.meta.url);
 const SESSION_SUFFIX = ".session.yaml";
 
-/** Stands for the settings file's text in a session. */
-const SETTINGS_MARK = "$settings";
+/** Placeholder in a session file for the text of its settings file. */
+const SETTINGS_PLACEHOLDER = "$settings";
 
-/** Stands for the nonce of the request's last attempt. */
-const ATTEMPT_MARK = "$attempt";
+/** Placeholder in an event for the nonce of the request's latest attempt. */
+const ATTEMPT_PLACEHOLDER = "$attempt";
 
-/** Stands for the content of the last answer kept. */
-const KEPT_MARK = "$kept";
+/** Placeholder in an event for the content of the latest kept answer. */
+const KEPT_CONTENT_PLACEHOLDER = "$kept";
 
-/** What a call of a session has where it does not say otherwise. */
+/** Fields of a request where the session's call step leaves them out. */
 const DEFAULT_CALL: Omit<RequestSpec, "requestId"> = {
   workspace: "shamba-safi",
   tier: "season-plans",
@@ -62,19 +66,20 @@
   blockHashes: [],
 };
 
-/** Time from a poll to its answer. */
-const POLL_MS = 1;
+/** Time from a load poll to the target's answer. */
+const POLL_REPLY_DELAY_MS = 1;
 
-/** What an entry of a session's record is. */
+/** Kind of an entry in the record of a session. */
 export enum EntryKind {
-  /** An instance was handed an event. */
+  /** An event was delivered to an instance. */
   Event = "event",
-  /** An instance's process died. */
+  /** The process of an instance was killed. */
   Death = "death",
+  /** An instance issued an effect. */
   Effect = "effect",
 }
 
-/** One thing that happened in a session. */
+/** An event, an effect or the death of an instance in a session. */
 export type SessionEntry =
   | {
     readonly kind: EntryKind.Event;
@@ -82,17 +87,17 @@
     readonly event: UntimedEvent;
   }
   | { readonly kind: EntryKind.Death; readonly instanceId: string }
-  | ({ readonly kind: EntryKind.Effect } & NetEffect);
+  | ({ readonly kind: EntryKind.Effect } & IssuedEffect);
 
-/** All that happened in a session, in order, and its golden text. */
+/** All entries of a session, in order, and its golden text. */
 export interface SessionRecord {
   readonly text: string;
   readonly entries: readonly SessionEntry[];
 }
 
 /**
- * Plays a session and compares it with its golden text, or writes that anew
- * when `UPDATE_GOLDEN=1` is set.
+ * Runs a session and compares it with its golden text, or overwrites the
+ * golden text when `UPDATE_GOLDEN=1` is set.
  *
  * @param name Name of the session file without its suffix.
  */
@@ -107,22 +112,22 @@
 }
 
 /**
- * Plays a session file.
+ * Runs a session file.
  *
  * @param name Name of the session file without its suffix.
- * @returns What happened.
+ * @returns The entries of the session and its golden text.
  */
 export function recordSession(name: string): SessionRecord {
-  return playSession(
+  return runSession(
     parseSession(readSessionFile(`${name}${SESSION_SUFFIX}`)),
   );
 }
 
 /**
- * Names the session among a folder's files.
+ * Picks the session files from the names of a folder's files.
  *
- * @param fileNames Names of files.
- * @returns Names of sessions, in order.
+ * @param fileNames Names of all files in the folder.
+ * @returns Names of the session files without their suffix, sorted.
  */
 export function sessionNames(fileNames: readonly string[]): string[] {
   return fileNames
@@ -132,16 +137,16 @@
 }
 
 /**
- * Plays a session.
+ * Runs a session.
  *
  * @param session The session.
- * @returns What happened. In its golden text steps are marked with `>`, with
- * their effects below them.
+ * @returns The entries of the session and its golden text, in which each step
+ * is marked with `>` and followed by its effects.
  */
-export function playSession(session: Session): SessionRecord {
-  const player = new SessionPlayer(session);
-  for (const step of session.steps) player.play(step);
-  return player.record();
+export function runSession(session: Session): SessionRecord {
+  const runner = new SessionRunner(session);
+  for (const step of session.steps) runner.run(step);
+  return runner.record();
 }
 
 function readSessionFile(fileName: string): string {
@@ -154,20 +159,21 @@
   readonly [A in StepAction]: (step: StepOf<A>) => void;
 };
 
-class SessionPlayer {
+/** Runs the steps of one session and records what the fleet does. */
+class SessionRunner {
   readonly #lines: string[] = [];
   readonly #entries: SessionEntry[] = [];
-  readonly #net: CoreNet;
+  readonly #fleet: SimulatedFleet;
   readonly #targets: ReportingTargets;
-  readonly #quietUntilMs: number;
+  readonly #hiddenUntilMs: number;
   readonly #lastMessages = new Map<string, PeerMessage>();
   #keptContent = "";
   readonly #settingsYaml: string;
-  readonly #hidden: ReadonlySet<string>;
+  readonly #hiddenLabels: ReadonlySet<string>;
   readonly #attempts = new Map<string, string>();
   readonly #handlers: StepHandlers = {
     [StepAction.Event]: (step) =>
-      this.#send(step.instance, this.#fill(step.event)),
+      this.#send(step.instance, this.#fillPlaceholders(step.event)),
     [StepAction.Call]: (step) =>
       this.#send(step.instance, {
         kind: EventKind.RequestArrived,
@@ -175,55 +181,55 @@
       }),
     [StepAction.Stream]: (step) => this.#stream(step),
     [StepAction.Lose]: ({ between: [fromId, toId], message }) =>
-      this.#net.loseNext({ fromId, toId, kind: message }),
+      this.#fleet.dropNext({ fromId, toId, kind: message }),
     [StepAction.Repeat]: (step) => this.#repeat(step),
     [StepAction.Target]: (step) => this.#targets.change(step),
-    [StepAction.Pause]: (step) => this.#net.pause(step.instance),
+    [StepAction.Pause]: (step) => this.#fleet.pause(step.instance),
     [StepAction.Resume]: ({ instance, messagesFirst }) =>
-      this.#net.resume(instance, messagesFirst),
+      this.#fleet.resume(instance, messagesFirst),
     [StepAction.Kill]: ({ instance }) => {
-      this.#noteDeath(instance);
-      this.#net.kill(instance);
+      this.#recordDeath(instance);
+      this.#fleet.kill(instance);
     },
     [StepAction.Restart]: ({ instance }) => {
-      this.#noteDeath(instance);
-      this.#net.restart(instance);
+      this.#recordDeath(instance);
+      this.#fleet.restart(instance);
     },
-    [StepAction.Cut]: (step) => this.#net.cut(...step.between),
-    [StepAction.Heal]: (step) => this.#net.heal(...step.between),
+    [StepAction.Cut]: (step) => this.#fleet.cut(...step.between),
+    [StepAction.Heal]: (step) => this.#fleet.heal(...step.between),
     [StepAction.Ready]: (step) => this.#writeReadiness(step.instance),
     [StepAction.Status]: (step) => this.#writeStatus(step),
-    [StepAction.Why]: (step) => this.#writeStory(step),
+    [StepAction.Why]: (step) => this.#writeExplanation(step),
     [StepAction.Wait]: () => {},
   };
 
   constructor(session: Session) {
     this.#lines.push(`# ${session.title}`);
     this.#lines.push(`# not shown: ${session.hide.join(", ") || "nothing"}`);
-    this.#hidden = new Set(session.hide);
+    this.#hiddenLabels = new Set(session.hide);
     this.#settingsYaml = readSessionFile(session.settings);
-    this.#quietUntilMs = session.quietUntilMs;
+    this.#hiddenUntilMs = session.quietUntilMs;
     this.#targets = new ReportingTargets(
       session.targetsReport ? this.#settingsYaml : "",
     );
-    this.#net = new CoreNet({
+    this.#fleet = new SimulatedFleet({
       instances: session.instances,
       seed: session.seed,
       delayMs: session.delayMs,
       ...(session.settingsAtStart && { settingsYaml: this.#settingsYaml }),
-      onEffect: (effect, net) => {
+      onEffect: (effect, fleet) => {
         this.#entries.push({ kind: EntryKind.Effect, ...effect });
-        this.#heed(effect, net);
+        this.#recordEffect(effect, fleet);
         this.#writeEffect(effect);
       },
     });
   }
 
-  play(step: SessionStep): void {
-    if (step.atMs < this.#net.nowMs) {
+  run(step: SessionStep): void {
+    if (step.atMs < this.#fleet.nowMs) {
       throw new Error(`step at ${step.atMs} ms comes after a later one`);
     }
-    this.#net.advance(step.atMs - this.#net.nowMs);
+    this.#fleet.advance(step.atMs - this.#fleet.nowMs);
     this.#lines.push(`> ${step.atMs} ${renderStep(step)}`);
     const handler = this.#handlers[step.action] as (step: SessionStep) => void;
     handler(step);
@@ -235,11 +241,11 @@
 
   #send(instanceId: string, event: UntimedEvent): void {
     this.#entries.push({ kind: EntryKind.Event, instanceId, event });
-    this.#targets.heedEvent(event);
-    this.#net.send(instanceId, event);
+    this.#targets.recordEvent(event);
+    this.#fleet.deliver(instanceId, event);
   }
 
-  #noteDeath(instanceId: string): void {
+  #recordDeath(instanceId: string): void {
     this.#entries.push({ kind: EntryKind.Death, instanceId });
   }
 
@@ -247,7 +253,7 @@
     const { requestId } = step;
     const attemptNonce = this.#attempts.get(requestId) ?? "";
     const of: AttemptRef = { requestId, attemptNonce };
-    for (const event of linesOf(step, of)) {
+    for (const event of streamLines(step, of)) {
       this.#send(step.instance, { kind: EventKind.StreamEvent, ...of, event });
     }
     if (step.closed !== undefined) {
@@ -262,21 +268,26 @@
 
   #repeat({ between, message }: StepOf<StepAction.Repeat>): void {
     const [fromId, toId] = between;
-    const last = this.#lastMessages.get(messageKey(fromId, toId, message));
-    if (last === undefined) throw new Error(`no ${message} to repeat`);
-    this.#net.send(toId, {
+    const lastMessage = this.#lastMessages.get(
+      messageKey(fromId, toId, message),
+    );
+    if (lastMessage === undefined) throw new Error(`no ${message} to repeat`);
+    this.#fleet.deliver(toId, {
       kind: EventKind.PeerMessageReceived,
       fromId,
-      fromIncarnation: this.#net.core(fromId).board.self.incarnation,
-      message: last,
+      fromIncarnation: this.#fleet.core(fromId).board.self.incarnation,
+      message: lastMessage,
     });
   }
 
-  /** Notes what later steps and the targets need of an effect. */
-  #heed({ instanceId, effect }: NetEffect, net: CoreNet): void {
+  /** Records the data of an effect that later steps and targets refer to. */
+  #recordEffect(
+    { instanceId, effect }: IssuedEffect,
+    fleet: SimulatedFleet,
+  ): void {
     switch (effect.kind) {
       case EffectKind.Dispatch:
-        this.#noteAttempt(effect);
+        this.#recordAttempt(effect);
         break;
       case EffectKind.KeepAnswer:
         this.#keptContent = effect.content;
@@ -288,34 +299,37 @@
         break;
       }
     }
-    const reply = this.#targets.heedEffect(effect);
+    const reply = this.#targets.applyEffect(effect);
     if (reply !== undefined) {
-      net.later(POLL_MS, () => net.send(instanceId, reply));
+      fleet.schedule(
+        POLL_REPLY_DELAY_MS,
+        () => fleet.deliver(instanceId, reply),
+      );
     }
   }
 
-  #writeEffect({ atMs, instanceId, effect }: NetEffect): void {
-    const isShown = atMs >= this.#quietUntilMs &&
-      !this.#hidden.has(effectLabel(effect));
+  #writeEffect({ atMs, instanceId, effect }: IssuedEffect): void {
+    const isShown = atMs >= this.#hiddenUntilMs &&
+      !this.#hiddenLabels.has(effectLabel(effect));
     if (isShown) {
       this.#lines.push(`${atMs} ${instanceId} ${renderEffect(effect)}`);
     }
   }
 
-  #noteAttempt(effect: EffectOf<EffectKind.Dispatch>): void {
+  #recordAttempt(effect: EffectOf<EffectKind.Dispatch>): void {
     this.#attempts.set(effect.requestId, effect.attemptNonce);
   }
 
   #writeReadiness(instanceId: string): void {
-    const readiness = readinessOf(this.#net.core(instanceId).board);
+    const readiness = readinessOf(this.#fleet.core(instanceId).board);
     this.#lines.push(`  ${renderValue(readiness)}`);
   }
 
   #writeStatus(
     step: StepOf<StepAction.Status>,
   ): void {
-    const { board } = this.#net.core(step.instance);
-    const status = statusOf(board, this.#net.localNowMs(step.instance));
+    const { board } = this.#fleet.core(step.instance);
+    const status = statusOf(board, this.#fleet.localNowMs(step.instance));
     for (const [name, value] of Object.entries(status)) {
       if (step.fields.includes(name)) this.#writeField(name, value);
     }
@@ -327,30 +341,32 @@
     }
   }
 
-  #writeStory(step: StepOf<StepAction.Why>): void {
-    const story = explainRequest(
-      this.#net.core(step.instance).board,
+  #writeExplanation(step: StepOf<StepAction.Why>): void {
+    const explanation = explainRequest(
+      this.#fleet.core(step.instance).board,
       step.requestId,
     );
-    for (const [name, value] of Object.entries(story)) {
+    for (const [name, value] of Object.entries(explanation)) {
       this.#writeField(name, value);
     }
   }
 
-  /** Replaces the marks in an event by what they stand for. */
-  #fill(event: { kind: string; requestId?: unknown }): UntimedEvent {
+  /** Replaces the placeholders in an event with their values. */
+  #fillPlaceholders(
+    event: { kind: string; requestId?: unknown },
+  ): UntimedEvent {
     const attemptNonce = this.#attempts.get(String(event.requestId)) ?? "";
-    const fillValue = (value: unknown): unknown => {
-      if (value === SETTINGS_MARK) return this.#settingsYaml;
-      if (value === ATTEMPT_MARK) return attemptNonce;
-      if (value === KEPT_MARK) return this.#keptContent;
+    const replaceIn = (value: unknown): unknown => {
+      if (value === SETTINGS_PLACEHOLDER) return this.#settingsYaml;
+      if (value === ATTEMPT_PLACEHOLDER) return attemptNonce;
+      if (value === KEPT_CONTENT_PLACEHOLDER) return this.#keptContent;
       if (typeof value !== "object" || value === null) return value;
-      if (Array.isArray(value)) return value.map(fillValue);
+      if (Array.isArray(value)) return value.map(replaceIn);
       return Object.fromEntries(
-        Object.entries(value).map(([name, field]) => [name, fillValue(field)]),
+        Object.entries(value).map(([name, field]) => [name, replaceIn(field)]),
       );
     };
-    return fillValue(event) as UntimedEvent;
+    return replaceIn(event) as UntimedEvent;
   }
 }
 
@@ -361,11 +377,11 @@
   ),
 });
 
-/** Targets that tell their load when polled. */
+/** Simulated targets of the settings, which answer polls for their load. */
 class ReportingTargets {
   readonly #loads = new Map<string, TargetLoad>();
   readonly #down = new Set<string>();
-  /** Target id by the nonce of each attempt that runs. */
+  /** Target id of each running attempt, by the attempt's nonce. */
   readonly #running = new Map<string, string>();
 
   /** @param settingsYaml Settings that name the targets; empty for none. */
@@ -378,7 +394,7 @@
         ageMs: 0,
         slotsUsed: 0,
         slotsTotal: slots,
-        // The coordinator's own account of KV memory is never the smaller one.
+        // 0, as the coordinator's own account of KV memory is never smaller.
         kvUsedTokens: 0,
         kvTotalTokens: kvTokens,
         waitingRequests: 0,
@@ -395,17 +411,21 @@
     else this.#down.delete(targetId);
   }
 
-  /** Notes an event by which work ends or did not begin. */
-  heedEvent(event: UntimedEvent): void {
-    const ends = event.kind === EventKind.DispatchNotSent ||
+  /** Removes an attempt on an event that ends it or says it was not sent. */
+  recordEvent(event: UntimedEvent): void {
+    const isEnd = event.kind === EventKind.DispatchNotSent ||
       event.kind === EventKind.ServiceAnswered ||
       (event.kind === EventKind.StreamEvent &&
         event.event.kind === EngineEventKind.End);
-    if (ends) this.#running.delete(event.attemptNonce);
+    if (isEnd) this.#running.delete(event.attemptNonce);
   }
 
-  /** Notes an effect; gives the answer where it is a poll. */
-  heedEffect(effect: Effect): UntimedEvent | undefined {
+  /**
+   * Starts or cancels an attempt, or answers a load poll.
+   *
+   * @returns The event that answers a poll; absent for other effects.
+   */
+  applyEffect(effect: Effect): UntimedEvent | undefined {
     switch (effect.kind) {
       case EffectKind.Dispatch:
         this.#running.set(effect.attemptNonce, effect.targetId);
@@ -414,13 +434,13 @@
         this.#running.delete(effect.attemptNonce);
         return undefined;
       case EffectKind.PollLoad:
-        return this.#report(effect.targetId);
+        return this.#makeLoadReport(effect.targetId);
       default:
         return undefined;
     }
   }
 
-  #report(targetId: string): UntimedEvent | undefined {
+  #makeLoadReport(targetId: string): UntimedEvent | undefined {
     const load = this.#loads.get(targetId);
     if (load === undefined) return undefined;
     if (this.#down.has(targetId)) {
@@ -432,8 +452,8 @@
   }
 }
 
-/** Lines of an engine's stream as a step writes them. */
-function linesOf(
+/** Builds the engine events that a stream step describes. */
+function streamLines(
   step: StepOf<StepAction.Stream>,
   of: AttemptRef,
 ): EngineEvent[] {
--- a/tests/session_file.ts
+++ b/tests/session_file.ts
@@ -1,37 +1,43 @@
-/** The form of a session file: instances, settings and what happens to them. */
+/** Schema of the session files: instances, settings and steps of a session. */
 
 import { EventKind } from "@chestnuthatch/core/events";
 import { PeerMessageKind } from "@chestnuthatch/wire/peer_messages";
 import { parse } from "yaml";
 import { z } from "zod";
 
-/** What a step of a session does. */
+/** Action of one step of a session. */
 export enum StepAction {
-  /** Hands an instance an event. */
+  /** Delivers an event to an instance. */
   Event = "event",
-  /** Hands an instance a caller's request; fields left out have defaults. */
+  /** Delivers a caller's request to an instance; absent fields get defaults. */
   Call = "call",
-  /** Hands a request's holder lines of its engine's stream. */
+  /** Delivers events of an engine's stream to the holder of a request. */
   Stream = "stream",
-  /** Loses the next message of a kind between two instances. */
+  /** Drops the next message of a kind between two instances. */
   Lose = "lose",
-  /** Delivers the last message of a kind between two instances once more. */
+  /** Delivers the latest message of a kind between two instances again. */
   Repeat = "repeat",
-  /** Changes what a target's load reports say. */
+  /** Changes the load reports of a target, or makes them fail. */
   Target = "target",
+  /** Pauses an instance; its connections stay open. */
   Pause = "pause",
+  /** Resumes a paused instance. */
   Resume = "resume",
+  /** Kills the process of an instance. */
   Kill = "kill",
+  /** Kills an instance and starts it with the next incarnation. */
   Restart = "restart",
-  /** Cuts or heals the links between two instances or failure domains. */
+  /** Cuts the links between two instances or failure domains. */
   Cut = "cut",
+  /** Restores the links between two instances or failure domains. */
   Heal = "heal",
-  /** Writes an instance's readiness, or its status, to the golden text. */
+  /** Writes the readiness of an instance to the golden text. */
   Ready = "ready",
+  /** Writes fields of an instance's status to the golden text. */
   Status = "status",
-  /** Writes a request's story to the golden text. */
+  /** Writes the explanation of a request to the golden text. */
   Why = "why",
-  /** Only lets time pass. */
+  /** Advances the time and does nothing else. */
   Wait = "wait",
 }
 
@@ -54,7 +60,7 @@
   contentHash: z.string().optional(),
 });
 
-/** A caller's request as a session writes it. */
+/** Fields of a caller's request that a session file sets. */
 export type SessionCall = z.infer<typeof callSchema>;
 
 const stepSchema = z.discriminatedUnion("action", [
@@ -75,12 +81,12 @@
     action: z.literal(StepAction.Stream),
     instance,
     requestId: z.string(),
-    /** Index of the first of the tokens; a start line goes before index 0. */
+    /** Index of the first token; a start event goes before index 0. */
     from: z.number().int().default(0),
     tokens: z.array(z.string()).default([]),
-    /** Tokens that the end line counts; no end line where absent. */
+    /** Output tokens that the end event counts; no end event where absent. */
     end: z.number().int().optional(),
-    /** Why the stream closes; it stays open where absent. */
+    /** Reason with which the stream closes; it stays open where absent. */
     closed: z.string().optional(),
   }),
   z.strictObject({
@@ -111,14 +117,14 @@
     atMs,
     action: z.literal(StepAction.Resume),
     instance,
-    /** Whether it gets what waited before its first tick. */
+    /** Whether the events that arrived meanwhile come before the first tick. */
     messagesFirst: z.boolean().default(false),
   }),
   z.strictObject({
     atMs,
     action: z.literal(StepAction.Status),
     instance,
-    /** Fields of the status to write. */
+    /** Names of the status fields to write. */
     fields: z.array(z.string()),
   }),
   z.strictObject({
@@ -135,15 +141,15 @@
   z.strictObject({ atMs, action: z.literal(StepAction.Wait) }),
 ]);
 
-/** One step, on the session's clock. */
+/** One step of a session, with its time on the fleet's clock. */
 export type SessionStep = z.infer<typeof stepSchema>;
 
 const sessionSchema = z.strictObject({
   title: z.string(),
   seed: z.number().int().default(1),
-  /** Settings file beside the session; `$settings` stands for its text. */
+  /** Name of the settings file, whose text replaces `$settings` in events. */
   settings: z.string(),
-  /** Whether every instance has the settings as version 1 at its start. */
+  /** Whether every instance reads the settings as version 1 at its start. */
   settingsAtStart: z.boolean().default(true),
   delayMs: z.number().nonnegative().default(1),
   instances: z.array(z.strictObject({
@@ -153,21 +159,22 @@
   })).min(1),
   /** Kinds of effect and of peer message left out of the golden text. */
   hide: z.array(z.string()).default([]),
-  /** Effects before this time are left out, while the instances meet. */
+  /** Effects before this time, while the instances connect, are left out. */
   quietUntilMs: z.number().nonnegative().default(0),
   /** Whether the settings' targets answer polls for their load. */
   targetsReport: z.boolean().default(false),
   steps: z.array(stepSchema),
 });
 
-/** A whole session. */
+/** Content of a session file. */
 export type Session = z.infer<typeof sessionSchema>;
 
 /**
- * Reads a session.
+ * Parses a session file.
  *
- * @param yamlText Text of a session file.
- * @returns The checked session; throws where the text is at fault.
+ * @param yamlText Text of the session file.
+ * @returns The validated session.
+ * @throws If the text does not match the schema.
  */
 export function parseSession(yamlText: string): Session {
   return sessionSchema.parse(parse(yamlText));
--- a/tests/sessions_test.ts
+++ b/tests/sessions_test.ts
@@ -1,4 +1,4 @@
-/** Plays every session file and compares it with its golden text. */
+/** Runs every session file and compares it with its golden text. */
 
 import { readdirSync } from "node:fs";
 import { test } from "uvu";
--- a/tests/standin_processes.ts
+++ b/tests/standin_processes.ts
@@ -1,46 +1,57 @@
-/** Starts stand-ins, each as a process of its own. */
+/** Starts stand-ins for the platform and targets, each in its own process. */
 
 import { TargetKind } from "@chestnuthatch/wire/shared_types";
 import {
   CALL_MS,
   DECODE_TOKENS_PER_SECOND,
   type FleetTarget,
-  KIND_OF_POOL,
   KV_TOKENS,
   MODEL,
   PREFILL_TOKENS_PER_SECOND,
+  TARGET_KIND_BY_POOL,
 } from "./fleet_settings.ts";
 import { ServerProcess } from "./server_process.ts";
 
-/** A stand-in that listens. */
+/** A running stand-in and the address on which it listens. */
 export interface StandinProcess {
   readonly server: ServerProcess;
   readonly address: string;
 }
 
-const SCRIPT = new URL(
+const STANDIN_SCRIPT = new URL(
   "../../packages/standins/dist/standin_main.js",
   import.meta.url,
 );
 
-/** @returns A platform whose list shows changes at once. */
+/**
+ * Starts a platform whose instance list shows changes without delay.
+ *
+ * @returns The running platform.
+ */
 export function startPlatform(): Promise<StandinProcess> {
-  return start(["platform", "--list-lag-ms", "0"]);
+  return startStandin(["platform", "--list-lag-ms", "0"]);
 }
 
 /**
  * Starts an engine or a service.
  *
- * @param target What it is like.
- * @returns The stand-in.
+ * @param target Configuration of the target; its pool decides the kind.
+ * @returns The running stand-in.
  */
 export function startTarget(target: FleetTarget): Promise<StandinProcess> {
-  const kind = KIND_OF_POOL[target.pool];
-  const own = kind === TargetKind.Engine
+  const kind = TARGET_KIND_BY_POOL[target.pool];
+  const kindFlags = kind === TargetKind.Engine
     ? engineFlags(target)
     : ["--call-ms", String(target.callMs ?? CALL_MS)];
   const { id, slots } = target;
-  return start([kind, "--id", id, "--slots", String(slots), ...own]);
+  return startStandin([
+    kind,
+    "--id",
+    id,
+    "--slots",
+    String(slots),
+    ...kindFlags,
+  ]);
 }
 
 function engineFlags({ decodeTokensPerSecond }: FleetTarget): string[] {
@@ -57,9 +68,9 @@
   ]);
 }
 
-async function start(args: readonly string[]): Promise<StandinProcess> {
+async function startStandin(args: readonly string[]): Promise<StandinProcess> {
   const { server, announced } = await ServerProcess.start<
     { readonly address: string }
-  >(SCRIPT, args);
+  >(STANDIN_SCRIPT, args);
   return { server, address: announced.address };
 }
