--- a/tests/cli_test.ts
+++ b/tests/cli_test.ts
@@ -61,7 +61,7 @@
     }
     await wait(POLL_MS);
   }
-  assert.unreachable(`the condition did not hold in ${MAX_POLLS} polls`);
+  assert.unreachable("the condition did not hold in time");
 }
 
 function waitUntilSettingsInForce(): Promise<void> {
--- a/tests/process_broken_targets_test.ts
+++ b/tests/process_broken_targets_test.ts
@@ -1,4 +1,4 @@
-/** Targets that refuse a connection, and targets that break one. */
+/** Requests to targets that refuse connections or break them during a call. */
 
 import { shardKey } from "@chestnuthatch/core/blackboard";
 import { rankMembers } from "@chestnuthatch/core/coordinators";
@@ -49,16 +49,16 @@
     const answers = outcomes.map((outcome, i) =>
       expectAnswer(outcome, requests[i])
     );
-    const stories = await Promise.all(
+    const explanations = await Promise.all(
       answers.map(({ requestId }) => holder.explainRequest(requestId)),
     );
-    assert.match(stories.join(), /Not sent to desk-1/);
+    assert.match(explanations.join(), /Not sent to desk-1/);
     const { dispatchesByTarget } = await fleet.readCounts();
     assert.is(dispatchesByTarget["desk-1"], 0);
     assert.is(dispatchesByTarget["desk-2"], requests.length);
   }));
 
-test("should never send again what a target dropped", () =>
+test("should not retry a request that a target dropped", () =>
   withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder, other] = [...fleet.instances.values()];
     for (const id of ["desk-1", "desk-2"]) {
@@ -69,7 +69,7 @@
     }
     const request = serviceRequest();
     const refusal = expectRefusal(await holder.send(request), TARGET_FAILED);
-    assert.ok(refusal.mayRetry, "a key makes sending again safe");
+    assert.ok(refusal.mayRetry, "a key makes a retry safe");
     expectRefusal(await holder.send(request), TARGET_FAILED);
     expectRefusal(
       await other.send({ ...request, deadlineMs: SHORT_DEADLINE_MS }),
@@ -78,7 +78,7 @@
     assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
-test("should tell of doubt when the link breaks during a call", () =>
+test("should refuse as possibly run when the link breaks during a call", () =>
   withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder] = [...fleet.instances.values()];
     const requests = [
@@ -94,8 +94,8 @@
     await fleet.targetRelay("desk-2").cut();
     const [keyed, keyless] = (await Promise.all(outcomes))
       .map((outcome) => expectRefusal(outcome, TARGET_FAILED));
-    assert.ok(keyed.mayRetry, "a key makes sending again safe");
-    assert.not.ok(keyless.mayRetry, "without a key it would run again");
+    assert.ok(keyed.mayRetry, "a key makes a retry safe");
+    assert.not.ok(keyless.mayRetry, "without a key a retry would run again");
     await fleet.targetRelay("desk-1").heal();
     await fleet.targetRelay("desk-2").heal();
     const next = serviceRequest();
@@ -104,7 +104,7 @@
     assert.is((await fleet.readCounts()).dispatches, requests.length + 1);
   }));
 
-test("should end a stream in an error when its engine is lost", () =>
+test("should end a stream with an error when its engine is lost", () =>
   withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder] = [...fleet.instances.values()];
     const request = engineRequest(1000);
@@ -123,41 +123,45 @@
   }));
 
 /**
- * A target whose first report is cut off is not asked at all, and the next comes
- * long after the test. So the instance that decides has to know the loads, and
- * all have to know that it is the one: an instance that started alone may know
- * them for itself.
+ * Waits until the coordinator of the services knows the loads of both targets
+ * and every instance lists all members, so that all agree on the coordinator.
+ * Without a first load report a target gets no work, and the next report comes
+ * long after the test. An instance that started alone may have been coordinator
+ * itself and be the only one that knows the loads.
  */
 async function waitForKnownLoads(fleet: ProcessFleet): Promise<void> {
   const instances = [...fleet.instances.values()];
-  await waitFor("the one that decides to know the desks' loads", async () => {
+  await waitFor("the coordinator to know the loads of the desks", async () => {
     const statuses = await Promise.all(
       instances.map((each) => each.readStatus()),
     );
-    const [decider] = rankMembers(statuses, {
+    const [coordinator] = rankMembers(statuses, {
       key: shardKey(FleetPool.Services, FAILURE_DOMAIN),
       failureDomain: FAILURE_DOMAIN,
     });
-    const known = decider!.targets
+    const knownIds = coordinator!.targets
       .filter(({ loadAgeMs }) => loadAgeMs !== undefined)
       .map(({ targetId }) => targetId);
     return statuses.every(listsAllInstances) &&
-      ["desk-1", "desk-2"].every((id) => known.includes(id));
+      ["desk-1", "desk-2"].every((id) => knownIds.includes(id));
   });
 }
 
 function listsAllInstances({ members, settingsVersion }: InstanceStatus) {
-  const alive = members
+  const eligible = members
     .filter(({ liveness }) => liveness === MemberLiveness.Eligible);
-  return alive.length === INSTANCES.length && settingsVersion > 0;
+  return eligible.length === INSTANCES.length && settingsVersion > 0;
 }
 
-/** Loads are polled rarely, so that only a dispatch meets a cut link. */
+/**
+ * Describes the fleet of these tests. Loads are polled only every 10 s, so that
+ * a dispatch, not a poll, is the first to use a cut link.
+ */
 function makeFleetOptions({ slots }: { slots: number }): ProcessFleetOptions {
-  const place = { failureDomain: FAILURE_DOMAIN, slots };
-  const service = { ...place, pool: FleetPool.Services, callMs: CALL_MS };
+  const common = { failureDomain: FAILURE_DOMAIN, slots };
+  const service = { ...common, pool: FleetPool.Services, callMs: CALL_MS };
   const engine = {
-    ...place,
+    ...common,
     pool: FleetPool.Engines,
     decodeTokensPerSecond: 50,
   };
--- a/tests/process_claims_test.ts
+++ b/tests/process_claims_test.ts
@@ -1,4 +1,4 @@
-/** Claims while the platform's table loses writes, loses answers or is down. */
+/** Claims while the platform's table drops writes or answers, or is down. */
 
 import type { SentOutcome } from "@chestnuthatch/cli/send_request";
 import { PlatformFaultKind } from "@chestnuthatch/standins/platform_server";
@@ -72,38 +72,38 @@
 test("should refuse as not run when every claim is lost", () =>
   withFleet(FLEET, async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
-    const lose = (times: number) =>
+    const loseWrites = (times: number) =>
       fleet.setPlatformFault({ kind: PlatformFaultKind.LoseWrites, times });
-    await lose(UNLIMITED_TIMES);
+    await loseWrites(UNLIMITED_TIMES);
     const request = serviceRequest();
     await expectStoreUnavailable(
       fleet,
       await sendFirstAndRepeatedAttempt([first, second], request),
     );
-    await lose(0);
+    await loseWrites(0);
     expectAnswer(await second.send(request), request);
     await expectRuns(fleet, request, 1);
   }));
 
-test("should refuse what needs a claim, and only that, with the table down", () =>
+test("should refuse only requests that need a claim while the table is down", () =>
   withFleet(FLEET, async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     const setDown = (on: boolean) =>
       fleet.setPlatformFault({ kind: PlatformFaultKind.Down, on });
     await setDown(true);
     const request = serviceRequest();
-    const tried = sendFirstAndRepeatedAttempt([first, second], request);
+    const attempts = sendFirstAndRepeatedAttempt([first, second], request);
     const idempotent = engineRequest(5, { idempotencyKey: "plan" });
     const keyless = serviceRequest({ idempotencyKey: undefined });
     expectAnswer(await first.send(idempotent), idempotent);
     expectAnswer(await first.send(keyless), keyless);
-    await expectStoreUnavailable(fleet, await tried);
+    await expectStoreUnavailable(fleet, await attempts);
     await setDown(false);
     expectAnswer(await first.send(request), request);
     await expectRuns(fleet, request, 1);
   }));
 
-test("should not deny a run elsewhere when the table is down", () =>
+test("should refuse a key run elsewhere as possibly run when the table is down", () =>
   withFleet(FLEET, async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     const request = serviceRequest();
@@ -117,19 +117,19 @@
     await expectRuns(fleet, request, 1);
   }));
 
-test("should keep a claim in doubt from running at another instance", () =>
+test("should not run a key at another instance while its claim is in doubt", () =>
   withFleet(FLEET, async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     first.platformRelay.holdInbound();
     const request = serviceRequest();
     const claimKey = `claim/${request.workspace}/${request.idempotencyKey}`;
-    const tried = sendFirstAndRepeatedAttempt([first], request);
+    const attempts = sendFirstAndRepeatedAttempt([first], request);
     await waitFor("the claim", () => fleet.hasRow(claimKey));
     expectRefusal(
       await second.send({ ...request, deadlineMs: SHORT_DEADLINE_MS }),
       { error: ErrorKind.DeadlineExceeded, ran: RunState.MayHaveRun },
     );
-    await expectStoreUnavailable(fleet, await tried);
+    await expectStoreUnavailable(fleet, await attempts);
     await first.platformRelay.heal();
     await waitFor(
       "the claim to be void",
@@ -139,20 +139,21 @@
     await expectRuns(fleet, request, 1);
   }));
 
-/** One call while the table is away, and what came of it. */
-interface AttemptOutcome {
+/** A request sent while the table is unreachable, and its outcome. */
+interface AttemptResult {
   readonly request: CallerRequest;
   readonly outcome: SentOutcome;
 }
 
 /**
- * Sends a request to instances that cannot reach the table: once as a first
- * attempt, and once under another key as one that may have been sent before.
+ * Sends two requests to each instance, none of which can reach the table: one
+ * marked as first attempt, and one under another key without that mark, which
+ * stands for a call that may have been sent before.
  */
 function sendFirstAndRepeatedAttempt(
   instances: readonly FleetInstance[],
   request: CallerRequest,
-): Promise<AttemptOutcome[]> {
+): Promise<AttemptResult[]> {
   const idempotencyKey = `${request.idempotencyKey}-again`;
   const requests = [
     { ...request, firstAttempt: true },
@@ -169,21 +170,22 @@
 }
 
 /**
- * Expects refusals at once: the long deadline is far, and one held back for it
- * would be another error. "Not run" is told only where the caller states that
- * no earlier call under its key can have run.
+ * Expects refusals because the table is unreachable, not because the long
+ * deadline has passed, which would be another error. A refusal states "not run"
+ * only if the caller marks the request as its first attempt; otherwise an
+ * earlier call under the key may have run.
  */
 async function expectStoreUnavailable(
   fleet: ProcessFleet,
-  tried: readonly AttemptOutcome[],
+  attempts: readonly AttemptResult[],
 ): Promise<void> {
-  for (const { request, outcome } of tried) {
+  for (const { request, outcome } of attempts) {
     const refusal = expectRefusal(outcome, {
       error: ErrorKind.StoreUnavailable,
       ran: request.firstAttempt ? RunState.NotRun : RunState.MayHaveRun,
     });
     assert.ok(refusal.mayRetry);
-    assert.ok((refusal.retryAfterMs ?? 0) > 0, "no hint when to come back");
+    assert.ok((refusal.retryAfterMs ?? 0) > 0, "no retry time in the refusal");
     await expectRuns(fleet, request, 0);
   }
 }
--- a/tests/process_coordinator_test.ts
+++ b/tests/process_coordinator_test.ts
@@ -1,4 +1,4 @@
-/** Coordinators that die or pause while requests wait and run. */
+/** Coordinators that are killed or paused while requests wait and run. */
 
 import type { SentOutcome } from "@chestnuthatch/cli/send_request";
 import { shardKey } from "@chestnuthatch/core/blackboard";
@@ -22,7 +22,7 @@
 const FAILURE_DOMAIN = "njiro-hall";
 const CALLS_PER_HOLDER = 4;
 const SHORT_PAUSE_COUNT = 3;
-/** Far beyond what the load needs, also on a busy machine. */
+/** Long enough for all requests to be answered on a busy machine. */
 const DEADLINE_MS = 45_000;
 
 const FLEET: ProcessFleetOptions = {
@@ -47,27 +47,27 @@
 };
 
 for (const pool of Object.values(FleetPool)) {
-  test(`should answer all when the coordinator of ${pool} dies`, () =>
+  test(`should answer all requests when the coordinator of ${pool} is killed`, () =>
     withFleet(FLEET, async (fleet) => {
       const { coordinator, holders } = await findRoles(fleet, pool);
-      const load = await startLoad(holders);
+      const requests = await startRequests(holders);
       await coordinator.kill();
-      await expectAllAnswered(fleet, load);
+      await expectAllAnswered(fleet, requests);
     }));
 
-  test(`should answer all when the coordinator of ${pool} pauses`, () =>
+  test(`should answer all requests when the coordinator of ${pool} pauses`, () =>
     withFleet(FLEET, async (fleet) => {
       const { coordinator, holders } = await findRoles(fleet, pool);
-      const load = await startLoad(holders);
+      const requests = await startRequests(holders);
       await coordinator.pause();
-      await expectAllAnswered(fleet, load);
+      await expectAllAnswered(fleet, requests);
       coordinator.resume();
       await fleet.waitUntilReady();
-      await expectAllAnswered(fleet, await startLoad([coordinator]));
+      await expectAllAnswered(fleet, await startRequests([coordinator]));
     }));
 }
 
-test("should not run again what a paused coordinator grants late", () =>
+test("should not run a request again on a late grant of a paused coordinator", () =>
   withFleet(FLEET, async (fleet) => {
     const pool = FleetPool.Services;
     const { coordinator, holders: [holder] } = await findRoles(fleet, pool);
@@ -86,12 +86,13 @@
     assert.ok(await holder.readCounter(CounterName.GrantsReturned) > 0);
   }));
 
-/** Requests under way. */
+/** Requests in flight, each with its pending outcome. */
 type PendingRequests = readonly {
   readonly request: CallerRequest;
   readonly outcome: Promise<SentOutcome>;
 }[];
 
+/** Finds the coordinator of a pool; the other instances are the holders. */
 async function findRoles(
   fleet: ProcessFleet,
   pool: FleetPool,
@@ -103,25 +104,28 @@
     : engineRequest(1);
   expectAnswer(await holders[0].send(request), request);
   const { shards } = await coordinator.readStatus();
-  assert.ok(shards.some((shard) => shard.pool === pool), "another coordinates");
+  assert.ok(
+    shards.some((shard) => shard.pool === pool),
+    "another instance coordinates",
+  );
   return { coordinator, holders };
 }
 
 function coordinatorScore(
-  { identity: place }: FleetInstance,
+  { identity }: FleetInstance,
   pool: FleetPool,
 ): number {
-  return hash32(`${shardKey(pool, place.failureDomain)}/${place.id}`);
+  return hash32(`${shardKey(pool, identity.failureDomain)}/${identity.id}`);
 }
 
-/** Sends more than the targets have room for, and waits until some run. */
-async function startLoad(
+/** Sends more requests than there are slots; waits until some wait and run. */
+async function startRequests(
   holders: readonly FleetInstance[],
 ): Promise<PendingRequests> {
-  const load = holders.flatMap((holder) =>
+  const requests = holders.flatMap((holder) =>
     Array.from({ length: CALLS_PER_HOLDER }, () => [
-      send(holder, serviceRequest({ deadlineMs: DEADLINE_MS })),
-      send(holder, engineRequest(60, { deadlineMs: DEADLINE_MS })),
+      sendPending(holder, serviceRequest({ deadlineMs: DEADLINE_MS })),
+      sendPending(holder, engineRequest(60, { deadlineMs: DEADLINE_MS })),
     ]).flat()
   );
   await waitFor("requests that wait and run", async () => {
@@ -134,10 +138,10 @@
       states.reduce((total, byState) => total + byState[state], 0);
     return sum(RequestState.Waiting) > 0 && sum(RequestState.Dispatched) > 0;
   });
-  return load;
+  return requests;
 }
 
-function send(
+function sendPending(
   holder: FleetInstance,
   request: CallerRequest,
 ): PendingRequests[number] {
@@ -146,9 +150,9 @@
 
 async function expectAllAnswered(
   fleet: ProcessFleet,
-  load: PendingRequests,
+  requests: PendingRequests,
 ): Promise<void> {
-  for (const { request, outcome } of load) {
+  for (const { request, outcome } of requests) {
     expectAnswer(await outcome, request);
   }
   const counts = await fleet.readCounts();
--- a/tests/process_duplicates_test.ts
+++ b/tests/process_duplicates_test.ts
@@ -1,4 +1,4 @@
-/** Duplicate sends of one key, at two instances and through deaths. */
+/** Duplicate requests under one key, at two instances and after a kill. */
 
 import type { SentOutcome } from "@chestnuthatch/cli/send_request";
 import type { CallerRequest } from "@chestnuthatch/wire/caller_protocol";
@@ -40,17 +40,17 @@
     assert.is((await fleet.readCounts()).dispatches, KEY_COUNT);
   }));
 
-test("should not run a key again whose holder died before its end", () =>
+test("should not run a key again after its holder was killed during the run", () =>
   withFleet(makeFleetOptions({ callMs: 1500 }), async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     const request = serviceRequest();
-    const cutOff = first.send(request);
+    const interrupted = first.send(request);
     await fleet.waitForCounts(
       "the run",
       (counts) => counts.runsOfKey(request.idempotencyKey) === 1,
     );
     await first.kill();
-    assert.ok("broken" in await cutOff);
+    assert.ok("broken" in await interrupted);
     expectRefusal(await second.send(request), HELD_ELSEWHERE);
     await first.start();
     await fleet.waitUntilReady();
@@ -59,7 +59,7 @@
     assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
-test("should give the kept answer of a holder that died after it", () =>
+test("should return the kept answer of a holder that was killed afterwards", () =>
   withFleet(makeFleetOptions({ callMs: 100 }), async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     const request = serviceRequest();
@@ -71,7 +71,7 @@
     assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
-test("should give the kept answer to a caller that comes back for it", () =>
+test("should return the kept answer to a caller that retries", () =>
   withFleet(makeFleetOptions({ callMs: 2500 }), async (fleet) => {
     const [first, second] = [...fleet.instances.values()];
     const request = serviceRequest();
@@ -109,7 +109,7 @@
   return `answer/${workspace}/${idempotencyKey}`;
 }
 
-/** The key ran, so that "not run" would be untrue of every call under it. */
+/** Expects a refusal that does not state "not run", as the key has run. */
 function expectRefusedAsPossiblyRun(outcome: SentOutcome): void {
   assert.ok("refusal" in outcome, JSON.stringify(outcome));
   const { refusal } = outcome as Extract<SentOutcome, { refusal: unknown }>;
--- a/tests/process_hang_up_test.ts
+++ b/tests/process_hang_up_test.ts
@@ -1,4 +1,4 @@
-/** Callers that hang up while their request runs. */
+/** Callers that close their connection while their request runs. */
 
 import { RequestState } from "@chestnuthatch/core/request";
 import { test } from "uvu";
@@ -34,15 +34,15 @@
 };
 
 for (const holderId of ["njiro-1", "njiro-2"]) {
-  test(`should cancel a stream that its caller left at ${holderId}`, () =>
+  test(`should cancel a stream after its caller hangs up, at ${holderId}`, () =>
     withFleet(FLEET, async (fleet) => {
       const holder = fleet.instance(holderId);
-      const left = holder.stream(engineRequest(LONG_ANSWER_TOKENS));
-      await left.begun();
+      const abandoned = holder.stream(engineRequest(LONG_ANSWER_TOKENS));
+      await abandoned.begun();
       const next = engineRequest(10);
       const answered = holder.send(next);
       await holder.waitForRequests(RequestState.Waiting, 1);
-      left.hangUp();
+      abandoned.hangUp();
       await fleet.waitForCounts("a cancel", ({ cancelled }) => cancelled === 1);
       expectAnswer(await answered, next);
       await waitFor("no grants to be left", async () => {
@@ -58,18 +58,18 @@
     }));
 }
 
-test("should go on with a stream that another caller of its key waits for", () =>
+test("should continue a stream that another caller of its key waits for", () =>
   withFleet(FLEET, async (fleet) => {
     const holder = fleet.instance("njiro-1");
     const request = engineRequest(200, { idempotencyKey: "plan" });
-    const left = holder.stream(request);
-    await left.begun();
-    const stays = holder.stream(request);
-    await stays.begun();
-    left.hangUp();
-    await left.ended;
-    await stays.ended;
-    expectWholeStream(stays, request);
+    const abandoned = holder.stream(request);
+    await abandoned.begun();
+    const remaining = holder.stream(request);
+    await remaining.begun();
+    abandoned.hangUp();
+    await abandoned.ended;
+    await remaining.ended;
+    expectWholeStream(remaining, request);
     const counts = await fleet.readCounts();
     assert.is(counts.dispatches, 1);
     assert.is(counts.cancelled, 0);
@@ -79,13 +79,13 @@
   withFleet(FLEET, async (fleet) => {
     const holder = fleet.instance("njiro-1");
     const request = serviceRequest();
-    const left = holder.stream(request);
+    const abandoned = holder.stream(request);
     await fleet.waitForCounts(
       "the run",
       (counts) => counts.runsOfKey(request.idempotencyKey) === 1,
     );
-    left.hangUp();
-    await left.ended;
+    abandoned.hangUp();
+    await abandoned.ended;
     expectAnswer(await holder.send(request), request);
     const other = fleet.instance("njiro-2");
     expectAnswer(await other.send(request), request);
--- a/tests/process_partition_test.ts
+++ b/tests/process_partition_test.ts
@@ -1,4 +1,4 @@
-/** An instance cut off from the platform and the other failure domain. */
+/** An instance partitioned from the platform and the other failure domain. */
 
 import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import type { FleetInstance } from "./fleet_instance.ts";
@@ -43,36 +43,40 @@
   ]),
 };
 
-test("should serve its own domain when cut off, and all when joined again", () =>
+test("should serve its own domain in a partition, and all domains after it", () =>
   withFleet(FLEET, async (fleet) => {
-    const cutOff = fleet.instance("njiro-1");
+    const isolated = fleet.instance("njiro-1");
     const bothDomains = [OWN_DOMAIN, OTHER_DOMAIN].join();
-    assert.is(await findServingDomains(cutOff), bothDomains);
+    assert.is(await findServingDomains(isolated), bothDomains);
     const request = engineRequest(400);
-    const running = cutOff.stream(request);
+    const running = isolated.stream(request);
     await running.begun();
     await setPartitioned(fleet, true);
-    assert.is(await findServingDomains(cutOff), OWN_DOMAIN);
-    await cutOff.waitForMembers(["njiro-1"]);
-    assert.is(await findServingDomains(cutOff), OWN_DOMAIN);
+    assert.is(await findServingDomains(isolated), OWN_DOMAIN);
+    await isolated.waitForMembers(["njiro-1"]);
+    assert.is(await findServingDomains(isolated), OWN_DOMAIN);
     await running.ended;
     expectWholeStream(running, request);
     const keyed = serviceRequest();
-    expectRefusal(await cutOff.send({ ...keyed, firstAttempt: true }), {
+    expectRefusal(await isolated.send({ ...keyed, firstAttempt: true }), {
       error: ErrorKind.StoreUnavailable,
       ran: RunState.NotRun,
     });
-    assert.ok((await cutOff.readReadiness()).ready);
+    assert.ok((await isolated.readReadiness()).ready);
     await setPartitioned(fleet, false);
     await fleet.waitUntilReady();
-    expectAnswer(await cutOff.send(keyed), keyed);
-    assert.is(await findServingDomains(cutOff), bothDomains);
+    expectAnswer(await isolated.send(keyed), keyed);
+    assert.is(await findServingDomains(isolated), bothDomains);
     const counts = await fleet.readCounts();
     assert.is(counts.mostDispatchesOfOne, 1);
     assert.is(counts.runsOfKey(keyed.idempotencyKey), 1);
   }));
 
-/** Sends more calls than one domain has slots for; all must be answered. */
+/**
+ * Sends more calls than one domain has slots, all of which must be answered.
+ *
+ * @returns The failure domains that answered, sorted and joined by commas.
+ */
 async function findServingDomains(instance: FleetInstance): Promise<string> {
   const answers = Array.from({ length: 2 * SLOTS }, async () => {
     const request = serviceRequest({ idempotencyKey: undefined });
@@ -83,7 +87,10 @@
   return [...new Set(domains)].sort().join();
 }
 
-/** Every link over which the two domains, or the platform, can be reached. */
+/**
+ * Cuts or restores all links between the two domains, and the link from
+ * `njiro-1` to the platform.
+ */
 async function setPartitioned(
   fleet: ProcessFleet,
   isCut: boolean,
--- a/tests/process_paused_holder_test.ts
+++ b/tests/process_paused_holder_test.ts
@@ -1,4 +1,4 @@
-/** Holders that are paused until their request's time is over. */
+/** Holders that are paused past a request's deadline or a grant's lifetime. */
 
 import type { SentOutcome } from "@chestnuthatch/cli/send_request";
 import type { CallerRequest } from "@chestnuthatch/wire/caller_protocol";
@@ -18,8 +18,8 @@
 const DEADLINE_MS = 2_000;
 const GRANT_LIFETIME_MS = 2_000;
 /**
- * Beyond the grant's lifetime and the member timeout: after such a pause the
- * holder has no duties for a moment, so that it cannot grant to itself.
+ * Longer than the grant's lifetime and the member timeout: after such a pause
+ * the holder is not eligible at first, so that it cannot grant to itself.
  */
 const LONG_PAUSE_MS = 3_000;
 
@@ -28,7 +28,7 @@
   ran: RunState.NotRun,
 };
 
-/** The one target's domain has an instance of its own, which coordinates. */
+/** `njiro-1` coordinates, as the only target is in its failure domain. */
 const FLEET: ProcessFleetOptions = {
   instances: [
     { id: "njiro-1", failureDomain: "njiro-hall" },
@@ -48,7 +48,7 @@
   ],
 };
 
-test("should not dispatch after a pause over the deadline in the claim", () =>
+test("should not dispatch after a pause past the deadline during the claim", () =>
   withFleet(FLEET, async (fleet) => {
     const holder = fleet.instance("sakina-1");
     const request = serviceRequest({
@@ -70,47 +70,48 @@
     await expectNotDispatched(fleet, request);
   }));
 
-test("should not dispatch after a pause over the deadline with a grant", () =>
+test("should not dispatch after a pause past the deadline with a grant", () =>
   withFleet(FLEET, async (fleet) => {
     const holder = fleet.instance("sakina-1");
     const request = serviceRequest({
       deadlineMs: DEADLINE_MS,
       firstAttempt: true,
     });
-    const outcome = await pauseBeforeGrant(fleet, request);
+    const paused = await pauseBeforeGrant(fleet, request);
     await waitUntilPast(performance.now() + DEADLINE_MS);
     holder.resume();
-    expectRefusal(await outcome.sent, DEADLINE_EXCEEDED_NOT_RUN);
+    expectRefusal(await paused.outcome, DEADLINE_EXCEEDED_NOT_RUN);
     await expectNotDispatched(fleet, request);
   }));
 
-test("should not use a grant that lapsed during a pause", () =>
+test("should not use a grant that expired during a pause", () =>
   withFleet(FLEET, async (fleet) => {
     const holder = fleet.instance("sakina-1");
     const request = serviceRequest();
-    const outcome = await pauseBeforeGrant(fleet, request);
+    const paused = await pauseBeforeGrant(fleet, request);
     await waitUntilPast(performance.now() + LONG_PAUSE_MS);
     holder.resume();
-    const { requestId } = expectAnswer(await outcome.sent, request);
-    const story = await holder.explainRequest(requestId);
-    assert.match(story, /returned: too old/, story);
+    const { requestId } = expectAnswer(await paused.outcome, request);
+    const explanation = await holder.explainRequest(requestId);
+    assert.match(explanation, /returned: too old/, explanation);
     assert.is((await fleet.readCounts()).dispatchesOf(requestId), 1);
   }));
 
 /**
- * Sends a request, and pauses its holder when the coordinator has granted it a
- * target, but before the holder hears of it; on return the grant is there.
+ * Sends a request and pauses its holder after the coordinator has granted a
+ * target, but before the holder receives the grant. The grant then arrives
+ * during the pause.
  */
 async function pauseBeforeGrant(
   fleet: ProcessFleet,
   request: CallerRequest,
-): Promise<{ sent: Promise<SentOutcome> }> {
+): Promise<{ outcome: Promise<SentOutcome> }> {
   const holder = fleet.instance("sakina-1");
   const coordinator = fleet.instance("njiro-1");
-  // Either side may have dialled the link that is in use.
+  // Holds both relays, as either side may have dialled the link in use.
   coordinator.peerRelay.holdInbound();
   holder.peerRelay.holdOutbound();
-  const sent = holder.send(request);
+  const outcome = holder.send(request);
   await waitFor("a grant for the holder", async () => {
     const { shards } = await coordinator.readStatus();
     return shards.some(({ grants, grantsInUse }) =>
@@ -120,7 +121,7 @@
   await holder.pause();
   await coordinator.peerRelay.heal();
   await holder.peerRelay.heal();
-  return { sent };
+  return { outcome };
 }
 
 async function expectNotDispatched(
--- a/tests/process_settings_test.ts
+++ b/tests/process_settings_test.ts
@@ -1,4 +1,4 @@
-/** Settings that reach instances which the platform does not. */
+/** Settings at instances that can reach only peers, not the platform. */
 
 import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import { test } from "uvu";
@@ -13,7 +13,7 @@
 const ADDED_WORKSPACE: readonly SettingsOverride[] = [
   [["workspaces", NEW_WORKSPACE], {}],
 ];
-/** Readiness is asked for this often while there can be none. */
+/** Number of checks that an instance without settings is not ready. */
 const READINESS_CHECKS = 20;
 
 const FLEET: ProcessFleetOptions = {
@@ -29,12 +29,12 @@
   }],
 };
 
-test("should put a change in force where only peers are in reach", () =>
+test("should apply a change at an instance that can reach only peers", () =>
   withFleet(FLEET, async (fleet) => {
-    const cutOff = fleet.instance("njiro-2");
-    await cutOff.platformRelay.cut();
+    const isolated = fleet.instance("njiro-2");
+    await isolated.platformRelay.cut();
     const request = engineRequest(5, { workspace: NEW_WORKSPACE });
-    expectRefusal(await cutOff.send(request), {
+    expectRefusal(await isolated.send(request), {
       error: ErrorKind.UnknownWorkspace,
       ran: RunState.NotRun,
     });
@@ -45,10 +45,10 @@
         async () => (await instance.readStatus()).settingsVersion === version,
       );
     }
-    expectAnswer(await cutOff.send(request), request);
+    expectAnswer(await isolated.send(request), request);
   }));
 
-test("should be ready after a restart only with a peer's settings", () =>
+test("should be ready after a restart only with settings from a peer", () =>
   withFleet(FLEET, async (fleet) => {
     const version = await fleet.changeSettings(ADDED_WORKSPACE);
     const peer = fleet.instance("njiro-1");
@@ -67,7 +67,7 @@
     await Promise.all(links.map((link) => link.cut()));
     await restarted.start([peer]);
     const request = engineRequest(5, { workspace: NEW_WORKSPACE });
-    for (let looks = 0; looks < READINESS_CHECKS; looks++) {
+    for (let checks = 0; checks < READINESS_CHECKS; checks++) {
       assert.not.ok((await restarted.readReadiness()).ready);
       expectRefusal(await restarted.send(request), {
         error: ErrorKind.NotReady,
--- a/tests/process_shutdown_test.ts
+++ b/tests/process_shutdown_test.ts
@@ -1,4 +1,4 @@
-/** SIGTERM while long streams run and requests wait. */
+/** SIGTERM to an instance while its streams run and its requests wait. */
 
 import { RequestState } from "@chestnuthatch/core/request";
 import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
@@ -49,7 +49,7 @@
 };
 
 for (const leavingId of ["njiro-1", "njiro-2"]) {
-  test(`should end what it holds before it leaves, as ${leavingId}`, () =>
+  test(`should finish its requests before it leaves, as ${leavingId}`, () =>
     withFleet(FLEET, async (fleet) => {
       const leaving = fleet.instance(leavingId);
       const staying = [...fleet.instances.values()]
@@ -59,8 +59,8 @@
         () => engineRequest(150),
       );
       const calls = requests.map((request) => leaving.stream(request));
-      const post = serviceRequest();
-      const posted = leaving.send(post);
+      const service = serviceRequest();
+      const serviceOutcome = leaving.send(service);
       await leaving.waitForRequests(RequestState.Dispatched, SLOTS + 1);
       await leaving.waitForRequests(RequestState.Waiting, SLOTS);
       leaving.terminate();
@@ -73,7 +73,7 @@
         await call.ended;
         expectWholeStream(call, requests[i]);
       }
-      expectAnswer(await posted, post);
+      expectAnswer(await serviceOutcome, service);
       assert.equal(await leaving.waitForEnd(), CLEAN_EXIT);
       const next = serviceRequest();
       expectAnswer(await staying.send(next), next);
@@ -83,7 +83,7 @@
     }));
 }
 
-test("should refuse what is left at a second SIGTERM, truthfully", () =>
+test("should refuse unfinished requests truthfully at a second SIGTERM", () =>
   withFleet(FLEET, async (fleet) => {
     const leaving = fleet.instance("njiro-1");
     const calls = Array.from(
--- a/tests/process_stray_answers_test.ts
+++ b/tests/process_stray_answers_test.ts
@@ -1,4 +1,4 @@
-/** Answers that are crossed, doubled, late or cut. */
+/** Answers of targets that are crossed, duplicated, late or cut off. */
 
 import { CounterName } from "@chestnuthatch/core/effects";
 import {
@@ -49,9 +49,10 @@
   ],
 };
 
+/** Fault of the engines' streams and the counter that shows it. */
 interface StreamFault {
   readonly fault: TargetFault;
-  /** Shows that the fault has struck. */
+  /** Counter that is above 0 once the fault has occurred. */
   readonly counter: CounterName;
 }
 
@@ -71,7 +72,7 @@
 };
 
 for (const [name, { fault, counter }] of Object.entries(STREAM_FAULTS)) {
-  test(`should deliver streams whole that are ${name}`, () =>
+  test(`should deliver complete streams that are ${name}`, () =>
     withFleet(FLEET, async (fleet) => {
       for (const id of ENGINE_IDS) {
         await fleet.setTargetFault(id, fault);
@@ -110,7 +111,7 @@
     assert.is((await fleet.readCounts()).dispatches, CALLER_COUNT);
   }));
 
-test("should give a late answer to its own key and nobody else", () =>
+test("should return a late answer only under its own key", () =>
   withFleet(FLEET, async (fleet) => {
     const instance = fleet.instance("njiro-1");
     const late = serviceRequest({ deadlineMs: SHORT_DEADLINE_MS });
@@ -128,7 +129,7 @@
     assert.is(counts.dispatches, others.length + 1);
   }));
 
-test("should name the deadline when it passes during a call without a key", () =>
+test("should refuse for the deadline when it passes in a call without a key", () =>
   withFleet(FLEET, async (fleet) => {
     const instance = fleet.instance("njiro-1");
     await delayAnswers(fleet, ANSWER_DELAY_MS);
@@ -147,17 +148,20 @@
   });
 }
 
-/** Half of the callers read along; each must get the whole of its own. */
+/**
+ * Sends streamed and unstreamed requests to the engines, half of each. Every
+ * caller must get its own complete answer.
+ */
 async function expectAllComplete(fleet: ProcessFleet): Promise<void> {
   const instance = fleet.instance("njiro-1");
   const streamed = makeEngineRequests().map((request) => ({
     request,
     call: instance.stream(request),
   }));
-  const gathered = makeEngineRequests().map(async (request) =>
+  const unstreamed = makeEngineRequests().map(async (request) =>
     expectAnswer(await instance.send(request), request)
   );
-  await Promise.all(gathered);
+  await Promise.all(unstreamed);
   for (const { request, call } of streamed) {
     await call.ended;
     expectWholeStream(call, request);
--- a/tests/simulated_fleet.ts
+++ b/tests/simulated_fleet.ts
@@ -211,7 +211,7 @@
    * @param b An instance id or failure domain on the other side.
    */
   cut(a: string, b: string): void {
-    for (const link of this.#linksBetween(a, b)) {
+    for (const link of this.#links(a, b)) {
       this.#cutLinks.add(link.key);
       this.schedule(
         this.#options.brokenLinkTimeoutMs ?? DEFAULT_BROKEN_LINK_TIMEOUT_MS,
@@ -227,9 +227,7 @@
    * @param b An instance id or failure domain on the other side.
    */
   heal(a: string, b: string): void {
-    for (const link of this.#linksBetween(a, b)) {
-      this.#cutLinks.delete(link.key);
-    }
+    for (const link of this.#links(a, b)) this.#cutLinks.delete(link.key);
   }
 
   /**
@@ -404,7 +402,7 @@
     return this.#cutLinks.has(linkKey(a, b));
   }
 
-  #linksBetween(a: string, b: string): Link[] {
+  #links(a: string, b: string): Link[] {
     const nodesNamed = (name: string) =>
       [...this.#nodes.values()].filter((node) =>
         node.instanceId === name || node.failureDomain === name
