--- a/tests/cli_test.ts
+++ b/tests/cli_test.ts
@@ -12,6 +12,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 
+/** Exit code and output of one command line. */
 interface CommandResult {
   readonly exitCode: ExitCode;
   readonly out: string;
@@ -46,10 +47,12 @@
   return { exitCode, ...output };
 }
 
+/** Runs a command line against the fleet's platform. */
 function runOnPlatform(...args: string[]): Promise<CommandResult> {
   return run(...args, "--platform", fleet.standins.platformAddress);
 }
 
+/** Runs a command line against all entry instances of the fleet. */
 function runOnFleet(...args: string[]): Promise<CommandResult> {
   return run(...args, "--instance", fleet.callerAddresses.join(","));
 }
@@ -90,6 +93,7 @@
   return path;
 }
 
+/** Proposes a settings file on top of a base version. */
 function propose(
   file: string,
   base: number,
@@ -101,6 +105,7 @@
   );
 }
 
+/** Sends a request to one entry instance and expects an answer. */
 async function sendRequestTo(instanceId: string) {
   const { callerAddress } = fleet.instances.get(instanceId)!;
   const result = await run(
--- a/tests/process_claims_test.ts
+++ b/tests/process_claims_test.ts
@@ -17,6 +17,7 @@
 } from "./process_fleet.ts";
 import { waitFor } from "./wait_for.ts";
 
+/** Number of faults that no test exhausts. */
 const UNLIMITED_TIMES = 1_000_000;
 const SHORT_DEADLINE_MS = 1_500;
 
--- a/tests/process_coordinator_test.ts
+++ b/tests/process_coordinator_test.ts
@@ -92,7 +92,10 @@
   readonly outcome: Promise<SentOutcome>;
 }[];
 
-/** Finds the coordinator of a pool; the other instances are the holders. */
+/**
+ * Finds the coordinator of a pool, the instance with the highest score, and
+ * checks that it coordinates. The other instances are the holders.
+ */
 async function findRoles(
   fleet: ProcessFleet,
   pool: FleetPool,
--- a/tests/session_driver.ts
+++ b/tests/session_driver.ts
@@ -91,6 +91,7 @@
 
 /** All entries of a session, in order, and its golden text. */
 export interface SessionRecord {
+  /** The golden text. */
   readonly text: string;
   readonly entries: readonly SessionEntry[];
 }
@@ -146,7 +147,7 @@
 export function runSession(session: Session): SessionRecord {
   const runner = new SessionRunner(session);
   for (const step of session.steps) runner.run(step);
-  return runner.record();
+  return runner.result();
 }
 
 function readSessionFile(fileName: string): string {
@@ -166,24 +167,26 @@
   readonly #fleet: SimulatedFleet;
   readonly #targets: ReportingTargets;
   readonly #hiddenUntilMs: number;
+  /** Latest peer message by sender, receiver and kind. */
   readonly #lastMessages = new Map<string, PeerMessage>();
   #keptContent = "";
   readonly #settingsYaml: string;
   readonly #hiddenLabels: ReadonlySet<string>;
+  /** Nonce of the latest attempt, by request id. */
   readonly #attempts = new Map<string, string>();
   readonly #handlers: StepHandlers = {
     [StepAction.Event]: (step) =>
-      this.#send(step.instance, this.#fillPlaceholders(step.event)),
+      this.#deliverEvent(step.instance, this.#fillPlaceholders(step.event)),
     [StepAction.Call]: (step) =>
-      this.#send(step.instance, {
+      this.#deliverEvent(step.instance, {
         kind: EventKind.RequestArrived,
         spec: { ...DEFAULT_CALL, ...step.call },
       }),
-    [StepAction.Stream]: (step) => this.#stream(step),
+    [StepAction.Stream]: (step) => this.#deliverStream(step),
     [StepAction.Lose]: ({ between: [fromId, toId], message }) =>
       this.#fleet.dropNext({ fromId, toId, kind: message }),
-    [StepAction.Repeat]: (step) => this.#repeat(step),
-    [StepAction.Target]: (step) => this.#targets.change(step),
+    [StepAction.Repeat]: (step) => this.#repeatMessage(step),
+    [StepAction.Target]: (step) => this.#targets.setState(step),
     [StepAction.Pause]: (step) => this.#fleet.pause(step.instance),
     [StepAction.Resume]: ({ instance, messagesFirst }) =>
       this.#fleet.resume(instance, messagesFirst),
@@ -235,11 +238,11 @@
     handler(step);
   }
 
-  record(): SessionRecord {
+  result(): SessionRecord {
     return { text: `${this.#lines.join("\n")}\n`, entries: this.#entries };
   }
 
-  #send(instanceId: string, event: UntimedEvent): void {
+  #deliverEvent(instanceId: string, event: UntimedEvent): void {
     this.#entries.push({ kind: EntryKind.Event, instanceId, event });
     this.#targets.recordEvent(event);
     this.#fleet.deliver(instanceId, event);
@@ -249,16 +252,20 @@
     this.#entries.push({ kind: EntryKind.Death, instanceId });
   }
 
-  #stream(step: StepOf<StepAction.Stream>): void {
+  #deliverStream(step: StepOf<StepAction.Stream>): void {
     const { requestId } = step;
     const attemptNonce = this.#attempts.get(requestId) ?? "";
     const of: AttemptRef = { requestId, attemptNonce };
-    for (const event of streamLines(step, of)) {
-      this.#send(step.instance, { kind: EventKind.StreamEvent, ...of, event });
+    for (const event of streamEvents(step, of)) {
+      this.#deliverEvent(step.instance, {
+        kind: EventKind.StreamEvent,
+        ...of,
+        event,
+      });
     }
     if (step.closed !== undefined) {
       const { closed: reason } = step;
-      this.#send(step.instance, {
+      this.#deliverEvent(step.instance, {
         kind: EventKind.StreamClosed,
         ...of,
         reason,
@@ -266,7 +273,7 @@
     }
   }
 
-  #repeat({ between, message }: StepOf<StepAction.Repeat>): void {
+  #repeatMessage({ between, message }: StepOf<StepAction.Repeat>): void {
     const [fromId, toId] = between;
     const lastMessage = this.#lastMessages.get(
       messageKey(fromId, toId, message),
@@ -377,7 +384,7 @@
   ),
 });
 
-/** Simulated targets of the settings, which answer polls for their load. */
+/** The targets of the settings, simulated as far as they report their load. */
 class ReportingTargets {
   readonly #loads = new Map<string, TargetLoad>();
   readonly #down = new Set<string>();
@@ -403,7 +410,7 @@
     }
   }
 
-  change({ targetId, leaving, down }: StepOf<StepAction.Target>): void {
+  setState({ targetId, leaving, down }: StepOf<StepAction.Target>): void {
     const load = this.#loads.get(targetId);
     if (load === undefined) throw new Error(`no target ${targetId}`);
     this.#loads.set(targetId, { ...load, leaving });
@@ -453,19 +460,19 @@
 }
 
 /** Builds the engine events that a stream step describes. */
-function streamLines(
+function streamEvents(
   step: StepOf<StepAction.Stream>,
   of: AttemptRef,
 ): EngineEvent[] {
   const { from, tokens, end } = step;
-  const lines: EngineEvent[] = tokens.map((text, index) => ({
+  const events: EngineEvent[] = tokens.map((text, index) => ({
     kind: EngineEventKind.Token,
     ...of,
     index: from + index,
     text,
   }));
   if (from === 0 && tokens.length > 0) {
-    lines.unshift({
+    events.unshift({
       kind: EngineEventKind.Start,
       ...of,
       cachedTokens: 0,
@@ -473,9 +480,9 @@
     });
   }
   if (end !== undefined) {
-    lines.push({ kind: EngineEventKind.End, ...of, outputTokens: end });
+    events.push({ kind: EngineEventKind.End, ...of, outputTokens: end });
   }
-  return lines;
+  return events;
 }
 
 function messageKey(fromId: string, toId: string, kind: string): string {
--- a/tests/simulated_fleet.ts
+++ b/tests/simulated_fleet.ts
@@ -41,33 +41,38 @@
 /** Instances, settings and network conditions of a simulated fleet. */
 export interface SimulatedFleetOptions {
   readonly instances: readonly SimulatedInstance[];
+  /** Seed of all random decisions of the network and the cores. */
   readonly seed: number;
   /** Settings that every instance reads at its start, as version 1. */
   readonly settingsYaml?: string;
   /** One-way delay of a message; 1 ms where absent. */
   readonly delayMs?: number;
-  /** Share (0 to 1) of messages that are dropped. */
+  /** Share (0 to 1) of messages that are dropped; 0 where absent. */
   readonly dropShare?: number;
-  /** Share (0 to 1) of messages that are delivered twice. */
+  /** Share (0 to 1) of messages that are delivered twice; 0 where absent. */
   readonly duplicateShare?: number;
-  /** Time from the cut of a link to the loss of its connection. */
+  /** Time from a link cut to the loss of its connection; 3 s where absent. */
   readonly brokenLinkTimeoutMs?: number;
   /** Called with every effect after the fleet has applied it. */
   readonly onEffect?: (effect: IssuedEffect, fleet: SimulatedFleet) => void;
 }
 
 /** Selects the next message of a kind between two instances, to drop it. */
-export interface DroppedMessage {
+export interface MessageSelector {
   readonly fromId: string;
   readonly toId: string;
   readonly kind: PeerMessageKind;
 }
 
+/** State of one simulated instance. */
 interface SimulatedNode extends SimulatedInstance {
   readonly index: number;
+  /** Difference between the instance's local clock and the fleet's clock. */
   readonly clockOffsetMs: number;
   readonly effects: IssuedEffect[];
+  /** Ids of the peers that the core wants a connection to. */
   readonly dialled: Set<string>;
+  /** Ids of the peers with an open connection. */
   readonly connected: Set<string>;
   incarnation: number;
   core: SchedulerCore;
@@ -93,7 +98,7 @@
   readonly #random: RandomSource;
   readonly #nodes = new Map<string, SimulatedNode>();
   readonly #cutLinks = new Set<string>();
-  readonly #messagesToDrop: DroppedMessage[] = [];
+  readonly #messagesToDrop: MessageSelector[] = [];
 
   /** @param options Instances, settings and network conditions. */
   constructor(options: SimulatedFleetOptions) {
@@ -235,7 +240,7 @@
    *
    * @param message Sender, receiver and kind of the message.
    */
-  dropNext(message: DroppedMessage): void {
+  dropNext(message: MessageSelector): void {
     this.#messagesToDrop.push(message);
   }
 
--- a/tests/simulated_fleet_test.ts
+++ b/tests/simulated_fleet_test.ts
@@ -33,6 +33,7 @@
   });
 }
 
+/** Cuts or restores the links between a domain and all others. */
 function setPartition(
   fleet: SimulatedFleet,
   domain: string,
