--- a/tests/process_broken_targets_test.ts
+++ b/tests/process_broken_targets_test.ts
@@ -1,4 +1,4 @@
-/** Targets that refuse a connection, and targets that break one. */
+/** Requests to targets that refuse connections or break them during a call. */
 
 import { shardKey } from "@chestnuthatch/core/blackboard";
 import { rankMembers } from "@chestnuthatch/core/coordinators";
@@ -38,9 +38,9 @@
 ];
 
 test("should answer from another target when one refuses connections", () =>
-  withFleet(fleetOf({ slots: 1 }), async (fleet) => {
+  withFleet(makeFleetOptions({ slots: 1 }), async (fleet) => {
     const [holder] = [...fleet.instances.values()];
-    await loadsKnown(fleet);
+    await waitForKnownLoads(fleet);
     await fleet.targetRelay("desk-1").cut();
     const requests = [serviceRequest(), serviceRequest()];
     const outcomes = await Promise.all(
@@ -49,17 +49,17 @@
     const answers = outcomes.map((outcome, i) =>
       expectAnswer(outcome, requests[i])
     );
-    const stories = await Promise.all(
-      answers.map(({ requestId }) => holder.why(requestId)),
+    const explanations = await Promise.all(
+      answers.map(({ requestId }) => holder.explainRequest(requestId)),
     );
-    assert.match(stories.join(), /Not sent to desk-1/);
-    const { dispatchesByTarget } = await fleet.counts();
+    assert.match(explanations.join(), /Not sent to desk-1/);
+    const { dispatchesByTarget } = await fleet.readCounts();
     assert.is(dispatchesByTarget["desk-1"], 0);
     assert.is(dispatchesByTarget["desk-2"], requests.length);
   }));
 
-test("should never send again what a target dropped", () =>
-  withFleet(fleetOf({ slots: 4 }), async (fleet) => {
+test("should not retry a request that a target dropped", () =>
+  withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder, other] = [...fleet.instances.values()];
     for (const id of ["desk-1", "desk-2"]) {
       await fleet.setTargetFault(id, {
@@ -69,24 +69,24 @@
     }
     const request = serviceRequest();
     const refusal = expectRefusal(await holder.send(request), TARGET_FAILED);
-    assert.ok(refusal.mayRetry, "a key makes sending again safe");
+    assert.ok(refusal.mayRetry, "a key makes a retry safe");
     expectRefusal(await holder.send(request), TARGET_FAILED);
     expectRefusal(
       await other.send({ ...request, deadlineMs: SHORT_DEADLINE_MS }),
       { error: ErrorKind.DeadlineExceeded, ran: RunState.MayHaveRun },
     );
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
-test("should tell of doubt when the link breaks during a call", () =>
-  withFleet(fleetOf({ slots: 4 }), async (fleet) => {
+test("should refuse as possibly run when the link breaks during a call", () =>
+  withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder] = [...fleet.instances.values()];
     const requests = [
       serviceRequest(),
       serviceRequest({ idempotencyKey: undefined }),
     ];
     const outcomes = requests.map((request) => holder.send(request));
-    await fleet.countsUntil(
+    await fleet.waitForCounts(
       "both calls",
       ({ dispatches }) => dispatches === requests.length,
     );
@@ -94,23 +94,23 @@
     await fleet.targetRelay("desk-2").cut();
     const [keyed, keyless] = (await Promise.all(outcomes))
       .map((outcome) => expectRefusal(outcome, TARGET_FAILED));
-    assert.ok(keyed.mayRetry, "a key makes sending again safe");
-    assert.not.ok(keyless.mayRetry, "without a key it would run again");
+    assert.ok(keyed.mayRetry, "a key makes a retry safe");
+    assert.not.ok(keyless.mayRetry, "without a key a retry would run again");
     await fleet.targetRelay("desk-1").heal();
     await fleet.targetRelay("desk-2").heal();
     const next = serviceRequest();
     expectAnswer(await holder.send(next), next);
-    assert.is((await fleet.counts()).maxDispatchesPerRequest, 1);
-    assert.is((await fleet.counts()).dispatches, requests.length + 1);
+    assert.is((await fleet.readCounts()).maxDispatchesPerRequest, 1);
+    assert.is((await fleet.readCounts()).dispatches, requests.length + 1);
   }));
 
-test("should end a stream in an error when its engine is lost", () =>
-  withFleet(fleetOf({ slots: 4 }), async (fleet) => {
+test("should end a stream with an error when its engine is lost", () =>
+  withFleet(makeFleetOptions({ slots: 4 }), async (fleet) => {
     const [holder] = [...fleet.instances.values()];
     const request = engineRequest(1000);
     const stream = holder.stream(request);
     await stream.waitForText();
-    await holder.holds(RequestState.Dispatched, 1);
+    await holder.waitForRequests(RequestState.Dispatched, 1);
     await fleet.targetRelay("engine-1").cut();
     await fleet.targetRelay("engine-2").cut();
     await stream.ended;
@@ -119,43 +119,49 @@
       ran: RunState.MayHaveRun,
       mayRetry: true,
     });
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
 /**
- * A target whose first report is cut off is not asked at all, and the next comes
- * long after the test. So the instance that decides has to know the loads, and
- * all have to know that it is the one: an instance that started alone may know
- * them for itself.
+ * Waits until the coordinator of the services knows the loads of both targets
+ * and every instance lists all members, so that all agree on the coordinator.
+ * Without a first load report a target gets no work, and the next report comes
+ * long after the test. An instance that started alone may have been coordinator
+ * itself and be the only one that knows the loads.
  */
-async function loadsKnown(fleet: ProcessFleet): Promise<void> {
+async function waitForKnownLoads(fleet: ProcessFleet): Promise<void> {
   const instances = [...fleet.instances.values()];
-  await waitFor("the one that decides to know the desks' loads", async () => {
-    const statuses = await Promise.all(instances.map((each) => each.status()));
-    const [decider] = rankMembers(statuses, {
+  await waitFor("the coordinator to know the loads of the desks", async () => {
+    const statuses = await Promise.all(
+      instances.map((each) => each.readStatus()),
+    );
+    const [coordinator] = rankMembers(statuses, {
       key: shardKey(FleetPool.Services, FAILURE_DOMAIN),
       failureDomain: FAILURE_DOMAIN,
     });
-    const known = decider!.targets
+    const knownIds = coordinator!.targets
       .filter(({ loadAgeMs }) => loadAgeMs !== undefined)
       .map(({ targetId }) => targetId);
-    return statuses.every(knowsAllMembers) &&
-      ["desk-1", "desk-2"].every((id) => known.includes(id));
+    return statuses.every(listsAllInstances) &&
+      ["desk-1", "desk-2"].every((id) => knownIds.includes(id));
   });
 }
 
-function knowsAllMembers({ members, settingsVersion }: InstanceStatus) {
-  const alive = members
+function listsAllInstances({ members, settingsVersion }: InstanceStatus) {
+  const eligible = members
     .filter(({ liveness }) => liveness === MemberLiveness.Eligible);
-  return alive.length === INSTANCES.length && settingsVersion > 0;
+  return eligible.length === INSTANCES.length && settingsVersion > 0;
 }
 
-/** Loads are polled rarely, so that only a dispatch meets a cut link. */
-function fleetOf({ slots }: { slots: number }): ProcessFleetOptions {
-  const place = { failureDomain: FAILURE_DOMAIN, slots };
-  const service = { ...place, pool: FleetPool.Services, callMs: CALL_MS };
+/**
+ * Describes the fleet of these tests. Loads are polled only every 10 s, so that
+ * a dispatch, not a poll, is the first to use a cut link.
+ */
+function makeFleetOptions({ slots }: { slots: number }): ProcessFleetOptions {
+  const common = { failureDomain: FAILURE_DOMAIN, slots };
+  const service = { ...common, pool: FleetPool.Services, callMs: CALL_MS };
   const engine = {
-    ...place,
+    ...common,
     pool: FleetPool.Engines,
     decodeTokensPerSecond: 50,
   };
--- a/tests/process_coordinator_test.ts
+++ b/tests/process_coordinator_test.ts
@@ -1,4 +1,4 @@
-/** Coordinators that die or pause while requests wait and run. */
+/** Coordinators that are killed or paused while requests wait and run. */
 
 import type { SentOutcome } from "@chestnuthatch/cli/send_request";
 import { shardKey } from "@chestnuthatch/core/blackboard";
@@ -19,27 +19,27 @@
 } from "./process_fleet.ts";
 import { waitFor } from "./wait_for.ts";
 
-const DOMAIN = "njiro-hall";
-const CALLS_OF_EACH = 4;
-const SHORT_PAUSES = 3;
-/** Far beyond what the load needs, also on a busy machine. */
+const FAILURE_DOMAIN = "njiro-hall";
+const CALLS_PER_HOLDER = 4;
+const SHORT_PAUSE_COUNT = 3;
+/** Long enough for all requests to be answered on a busy machine. */
 const DEADLINE_MS = 45_000;
 
 const FLEET: ProcessFleetOptions = {
   instances: ["njiro-1", "njiro-2", "njiro-3"]
-    .map((id) => ({ id, failureDomain: DOMAIN })),
+    .map((id) => ({ id, failureDomain: FAILURE_DOMAIN })),
   targets: [
     {
       id: "desk-1",
       pool: FleetPool.Services,
-      failureDomain: DOMAIN,
+      failureDomain: FAILURE_DOMAIN,
       slots: 2,
       callMs: 700,
     },
     {
       id: "engine-1",
       pool: FleetPool.Engines,
-      failureDomain: DOMAIN,
+      failureDomain: FAILURE_DOMAIN,
       slots: 2,
       decodeTokensPerSecond: 100,
     },
@@ -47,101 +47,118 @@
 };
 
 for (const pool of Object.values(FleetPool)) {
-  test(`should answer all when the coordinator of ${pool} dies`, () =>
+  test(`should answer all requests when the coordinator of ${pool} is killed`, () =>
     withFleet(FLEET, async (fleet) => {
-      const { coordinator, holders } = await rolesIn(fleet, pool);
-      const load = await startLoad(holders);
+      const { coordinator, holders } = await findRoles(fleet, pool);
+      const requests = await startRequests(holders);
       await coordinator.kill();
-      await expectAllAnswered(fleet, load);
+      await expectAllAnswered(fleet, requests);
     }));
 
-  test(`should answer all when the coordinator of ${pool} pauses`, () =>
+  test(`should answer all requests when the coordinator of ${pool} pauses`, () =>
     withFleet(FLEET, async (fleet) => {
-      const { coordinator, holders } = await rolesIn(fleet, pool);
-      const load = await startLoad(holders);
-      await coordinator.freeze();
-      await expectAllAnswered(fleet, load);
-      coordinator.thaw();
-      await fleet.ready();
-      await expectAllAnswered(fleet, await startLoad([coordinator]));
+      const { coordinator, holders } = await findRoles(fleet, pool);
+      const requests = await startRequests(holders);
+      await coordinator.pause();
+      await expectAllAnswered(fleet, requests);
+      coordinator.resume();
+      await fleet.waitUntilReady();
+      await expectAllAnswered(fleet, await startRequests([coordinator]));
     }));
 }
 
-test("should not run again what a paused coordinator grants late", () =>
+test("should not run a request again on a late grant of a paused coordinator", () =>
   withFleet(FLEET, async (fleet) => {
     const pool = FleetPool.Services;
-    const { coordinator, holders: [holder] } = await rolesIn(fleet, pool);
-    for (let pauses = 0; pauses < SHORT_PAUSES; pauses++) {
-      await coordinator.freeze();
+    const { coordinator, holders: [holder] } = await findRoles(fleet, pool);
+    for (let pauses = 0; pauses < SHORT_PAUSE_COUNT; pauses++) {
+      await coordinator.pause();
       const request = serviceRequest();
       const outcome = holder.send(request);
-      await fleet.countsUntil(
+      await fleet.waitForCounts(
         "another coordinator's grant",
         (counts) => counts.runsOfKey(request.idempotencyKey) === 1,
       );
-      coordinator.thaw();
+      coordinator.resume();
       expectAnswer(await outcome, request);
     }
-    assert.is((await fleet.counts()).maxDispatchesPerRequest, 1);
-    assert.ok(await holder.count(CounterName.GrantsReturned) > 0);
+    assert.is((await fleet.readCounts()).maxDispatchesPerRequest, 1);
+    assert.ok(await holder.readCounter(CounterName.GrantsReturned) > 0);
   }));
 
-/** Requests under way. */
-type Load = readonly {
+/** Requests in flight, each with its pending outcome. */
+type PendingRequests = readonly {
   readonly request: CallerRequest;
   readonly outcome: Promise<SentOutcome>;
 }[];
 
-async function rolesIn(
+/**
+ * Finds the coordinator of a pool, the instance with the highest score, and
+ * checks that it coordinates. The other instances are the holders.
+ */
+async function findRoles(
   fleet: ProcessFleet,
   pool: FleetPool,
 ): Promise<{ coordinator: FleetInstance; holders: FleetInstance[] }> {
   const [coordinator, ...holders] = [...fleet.instances.values()]
-    .sort((a, b) => scoreOf(b, pool) - scoreOf(a, pool));
+    .sort((a, b) => coordinatorScore(b, pool) - coordinatorScore(a, pool));
   const request = pool === FleetPool.Services
     ? serviceRequest()
     : engineRequest(1);
   expectAnswer(await holders[0].send(request), request);
-  const { shards } = await coordinator.status();
-  assert.ok(shards.some((shard) => shard.pool === pool), "another coordinates");
+  const { shards } = await coordinator.readStatus();
+  assert.ok(
+    shards.some((shard) => shard.pool === pool),
+    "another instance coordinates",
+  );
   return { coordinator, holders };
 }
 
-function scoreOf({ place }: FleetInstance, pool: FleetPool): number {
-  return hash32(`${shardKey(pool, place.failureDomain)}/${place.id}`);
+function coordinatorScore(
+  { identity }: FleetInstance,
+  pool: FleetPool,
+): number {
+  return hash32(`${shardKey(pool, identity.failureDomain)}/${identity.id}`);
 }
 
-/** Sends more than the targets have room for, and waits until some run. */
-async function startLoad(holders: readonly FleetInstance[]): Promise<Load> {
-  const load = holders.flatMap((holder) =>
-    Array.from({ length: CALLS_OF_EACH }, () => [
-      send(holder, serviceRequest({ deadlineMs: DEADLINE_MS })),
-      send(holder, engineRequest(60, { deadlineMs: DEADLINE_MS })),
+/** Sends more requests than there are slots; waits until some wait and run. */
+async function startRequests(
+  holders: readonly FleetInstance[],
+): Promise<PendingRequests> {
+  const requests = holders.flatMap((holder) =>
+    Array.from({ length: CALLS_PER_HOLDER }, () => [
+      sendPending(holder, serviceRequest({ deadlineMs: DEADLINE_MS })),
+      sendPending(holder, engineRequest(60, { deadlineMs: DEADLINE_MS })),
     ]).flat()
   );
   await waitFor("requests that wait and run", async () => {
     const states = await Promise.all(
-      holders.map(async (holder) => (await holder.status()).requestsByState),
+      holders.map(async (holder) =>
+        (await holder.readStatus()).requestsByState
+      ),
     );
     const sum = (state: RequestState) =>
       states.reduce((total, byState) => total + byState[state], 0);
     return sum(RequestState.Waiting) > 0 && sum(RequestState.Dispatched) > 0;
   });
-  return load;
+  return requests;
 }
 
-function send(holder: FleetInstance, request: CallerRequest): Load[number] {
+function sendPending(
+  holder: FleetInstance,
+  request: CallerRequest,
+): PendingRequests[number] {
   return { request, outcome: holder.send(request) };
 }
 
 async function expectAllAnswered(
   fleet: ProcessFleet,
-  load: Load,
+  requests: PendingRequests,
 ): Promise<void> {
-  for (const { request, outcome } of load) {
+  for (const { request, outcome } of requests) {
     expectAnswer(await outcome, request);
   }
-  const counts = await fleet.counts();
+  const counts = await fleet.readCounts();
   assert.is(counts.maxDispatchesPerRequest, 1);
 }
 
--- a/tests/process_hang_up_test.ts
+++ b/tests/process_hang_up_test.ts
@@ -1,4 +1,4 @@
-/** Callers that hang up while their request runs. */
+/** Callers that close their connection while their request runs. */
 
 import { RequestState } from "@chestnuthatch/core/request";
 import { test } from "uvu";
@@ -34,43 +34,43 @@
 };
 
 for (const holderId of ["njiro-1", "njiro-2"]) {
-  test(`should cancel a stream that its caller left at ${holderId}`, () =>
+  test(`should cancel a stream after its caller hangs up, at ${holderId}`, () =>
     withFleet(FLEET, async (fleet) => {
       const holder = fleet.instance(holderId);
-      const left = holder.stream(engineRequest(LONG_ANSWER_TOKENS));
-      await left.waitForText();
+      const abandoned = holder.stream(engineRequest(LONG_ANSWER_TOKENS));
+      await abandoned.waitForText();
       const next = engineRequest(10);
       const answered = holder.send(next);
-      await holder.holds(RequestState.Waiting, 1);
-      left.hangUp();
-      await fleet.countsUntil("a cancel", ({ cancelled }) => cancelled === 1);
+      await holder.waitForRequests(RequestState.Waiting, 1);
+      abandoned.hangUp();
+      await fleet.waitForCounts("a cancel", ({ cancelled }) => cancelled === 1);
       expectAnswer(await answered, next);
       await waitFor("no grants to be left", async () => {
         const statuses = await Promise.all(
-          [...fleet.instances.values()].map((each) => each.status()),
+          [...fleet.instances.values()].map((each) => each.readStatus()),
         );
         return statuses.flatMap(({ shards }) => shards)
           .every(({ grants }) => grants === 0);
       });
-      const counts = await fleet.counts();
+      const counts = await fleet.readCounts();
       assert.is(counts.dispatches, 2);
       assert.is(counts.cancelled, 1);
     }));
 }
 
-test("should go on with a stream that another caller of its key waits for", () =>
+test("should continue a stream that another caller of its key waits for", () =>
   withFleet(FLEET, async (fleet) => {
     const holder = fleet.instance("njiro-1");
     const request = engineRequest(200, { idempotencyKey: "plan" });
-    const left = holder.stream(request);
-    await left.waitForText();
-    const stays = holder.stream(request);
-    await stays.waitForText();
-    left.hangUp();
-    await left.ended;
-    await stays.ended;
-    expectWholeStream(stays, request);
-    const counts = await fleet.counts();
+    const abandoned = holder.stream(request);
+    await abandoned.waitForText();
+    const remaining = holder.stream(request);
+    await remaining.waitForText();
+    abandoned.hangUp();
+    await abandoned.ended;
+    await remaining.ended;
+    expectWholeStream(remaining, request);
+    const counts = await fleet.readCounts();
     assert.is(counts.dispatches, 1);
     assert.is(counts.cancelled, 0);
   }));
@@ -79,17 +79,17 @@
   withFleet(FLEET, async (fleet) => {
     const holder = fleet.instance("njiro-1");
     const request = serviceRequest();
-    const left = holder.stream(request);
-    await fleet.countsUntil(
+    const abandoned = holder.stream(request);
+    await fleet.waitForCounts(
       "the run",
       (counts) => counts.runsOfKey(request.idempotencyKey) === 1,
     );
-    left.hangUp();
-    await left.ended;
+    abandoned.hangUp();
+    await abandoned.ended;
     expectAnswer(await holder.send(request), request);
     const other = fleet.instance("njiro-2");
     expectAnswer(await other.send(request), request);
-    assert.is((await fleet.counts()).dispatches, 1);
+    assert.is((await fleet.readCounts()).dispatches, 1);
   }));
 
 test.run();
--- a/tests/process_partition_test.ts
+++ b/tests/process_partition_test.ts
@@ -1,4 +1,4 @@
-/** An instance cut off from the platform and the other failure domain. */
+/** An instance partitioned from the platform and the other failure domain. */
 
 import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
 import type { FleetInstance } from "./fleet_instance.ts";
@@ -43,37 +43,41 @@
   ]),
 };
 
-test("should serve its own domain when cut off, and all when joined again", () =>
+test("should serve its own domain in a partition, and all domains after it", () =>
   withFleet(FLEET, async (fleet) => {
-    const cutOff = fleet.instance("njiro-1");
+    const isolated = fleet.instance("njiro-1");
     const bothDomains = [OWN_DOMAIN, OTHER_DOMAIN].join();
-    assert.is(await domainsServing(cutOff), bothDomains);
+    assert.is(await findServingDomains(isolated), bothDomains);
     const request = engineRequest(400);
-    const running = cutOff.stream(request);
+    const running = isolated.stream(request);
     await running.waitForText();
-    await setCut(fleet, true);
-    assert.is(await domainsServing(cutOff), OWN_DOMAIN);
-    await cutOff.sees(["njiro-1"]);
-    assert.is(await domainsServing(cutOff), OWN_DOMAIN);
+    await setPartitioned(fleet, true);
+    assert.is(await findServingDomains(isolated), OWN_DOMAIN);
+    await isolated.waitForMembers(["njiro-1"]);
+    assert.is(await findServingDomains(isolated), OWN_DOMAIN);
     await running.ended;
     expectWholeStream(running, request);
     const keyed = serviceRequest();
-    expectRefusal(await cutOff.send({ ...keyed, firstAttempt: true }), {
+    expectRefusal(await isolated.send({ ...keyed, firstAttempt: true }), {
       error: ErrorKind.StoreUnavailable,
       ran: RunState.NotRun,
     });
-    assert.ok((await cutOff.readiness()).ready);
-    await setCut(fleet, false);
-    await fleet.ready();
-    expectAnswer(await cutOff.send(keyed), keyed);
-    assert.is(await domainsServing(cutOff), bothDomains);
-    const counts = await fleet.counts();
+    assert.ok((await isolated.readReadiness()).ready);
+    await setPartitioned(fleet, false);
+    await fleet.waitUntilReady();
+    expectAnswer(await isolated.send(keyed), keyed);
+    assert.is(await findServingDomains(isolated), bothDomains);
+    const counts = await fleet.readCounts();
     assert.is(counts.maxDispatchesPerRequest, 1);
     assert.is(counts.runsOfKey(keyed.idempotencyKey), 1);
   }));
 
-/** Sends more calls than one domain has slots for; all must be answered. */
-async function domainsServing(instance: FleetInstance): Promise<string> {
+/**
+ * Sends more calls than one domain has slots, all of which must be answered.
+ *
+ * @returns The failure domains that answered, sorted and joined by commas.
+ */
+async function findServingDomains(instance: FleetInstance): Promise<string> {
   const answers = Array.from({ length: 2 * SLOTS }, async () => {
     const request = serviceRequest({ idempotencyKey: undefined });
     return expectAnswer(await instance.send(request), request);
@@ -83,8 +87,14 @@
   return [...new Set(domains)].sort().join();
 }
 
-/** Every link over which the two domains, or the platform, can be reached. */
-async function setCut(fleet: ProcessFleet, isCut: boolean): Promise<void> {
+/**
+ * Cuts or restores all links between the two domains, and the link from
+ * `njiro-1` to the platform.
+ */
+async function setPartitioned(
+  fleet: ProcessFleet,
+  isCut: boolean,
+): Promise<void> {
   const instances = [...fleet.instances.values()];
   const links = [
     ...instances.map(({ peerRelay }) => peerRelay),
--- a/tests/process_shutdown_test.ts
+++ b/tests/process_shutdown_test.ts
@@ -1,4 +1,4 @@
-/** SIGTERM while long streams run and requests wait. */
+/** SIGTERM to an instance while its streams run and its requests wait. */
 
 import { RequestState } from "@chestnuthatch/core/request";
 import { ErrorKind, RunState } from "@chestnuthatch/wire/shared_types";
@@ -19,7 +19,7 @@
 
 const SLOTS = 2;
 const DECODE_TOKENS_PER_SECOND = 100;
-const CLEAN_END = { code: 0, signal: null };
+const CLEAN_EXIT = { code: 0, signal: null };
 const SHUTTING_DOWN = {
   error: ErrorKind.ShuttingDown,
   ran: RunState.NotRun,
@@ -49,7 +49,7 @@
 };
 
 for (const leavingId of ["njiro-1", "njiro-2"]) {
-  test(`should end what it holds before it leaves, as ${leavingId}`, () =>
+  test(`should finish its requests before it leaves, as ${leavingId}`, () =>
     withFleet(FLEET, async (fleet) => {
       const leaving = fleet.instance(leavingId);
       const staying = [...fleet.instances.values()]
@@ -59,12 +59,12 @@
         () => engineRequest(150),
       );
       const calls = requests.map((request) => leaving.stream(request));
-      const post = serviceRequest();
-      const posted = leaving.send(post);
-      await leaving.holds(RequestState.Dispatched, SLOTS + 1);
-      await leaving.holds(RequestState.Waiting, SLOTS);
+      const service = serviceRequest();
+      const serviceOutcome = leaving.send(service);
+      await leaving.waitForRequests(RequestState.Dispatched, SLOTS + 1);
+      await leaving.waitForRequests(RequestState.Waiting, SLOTS);
       leaving.terminate();
-      await leavingSeen(leaving);
+      await waitForShutdownToBegin(leaving);
       const refused = await leaving.send(serviceRequest());
       if (!("broken" in refused)) {
         expectRefusal(refused, SHUTTING_DOWN);
@@ -73,32 +73,32 @@
         await call.ended;
         expectWholeStream(call, requests[i]);
       }
-      expectAnswer(await posted, post);
-      assert.equal(await leaving.ended(), CLEAN_END);
+      expectAnswer(await serviceOutcome, service);
+      assert.equal(await leaving.waitForEnd(), CLEAN_EXIT);
       const next = serviceRequest();
       expectAnswer(await staying.send(next), next);
-      const counts = await fleet.counts();
+      const counts = await fleet.readCounts();
       assert.is(counts.maxDispatchesPerRequest, 1);
       assert.is(counts.dispatches, requests.length + 2);
     }));
 }
 
-test("should refuse what is left at a second SIGTERM, truthfully", () =>
+test("should refuse unfinished requests truthfully at a second SIGTERM", () =>
   withFleet(FLEET, async (fleet) => {
     const leaving = fleet.instance("njiro-1");
     const calls = Array.from(
       { length: 2 * SLOTS },
       () => leaving.stream(engineRequest(4_000)),
     );
-    await leaving.holds(RequestState.Dispatched, SLOTS);
-    await leaving.holds(RequestState.Waiting, SLOTS);
+    await leaving.waitForRequests(RequestState.Dispatched, SLOTS);
+    await leaving.waitForRequests(RequestState.Waiting, SLOTS);
     leaving.terminate();
-    await leavingSeen(leaving);
+    await waitForShutdownToBegin(leaving);
     leaving.terminate();
-    assert.equal(await leaving.ended(), CLEAN_END);
+    assert.equal(await leaving.waitForEnd(), CLEAN_EXIT);
     await Promise.all(calls.map(({ ended }) => ended));
     const refusals = calls.map(expectStreamError);
-    const counts = await fleet.counts();
+    const counts = await fleet.readCounts();
     refusals.forEach((refusal) => expectTruthful(refusal, counts));
     assert.equal(refusals.map(({ error }) => error), [
       ...Array(calls.length).fill(ErrorKind.ShuttingDown),
@@ -108,10 +108,11 @@
     assert.is(counts.dispatches, SLOTS);
   }));
 
-async function leavingSeen(instance: FleetInstance): Promise<void> {
+async function waitForShutdownToBegin(instance: FleetInstance): Promise<void> {
   await waitFor(
     "the shutdown to begin",
-    async () => instance.server.hasEnded || (await instance.status()).leaving,
+    async () =>
+      instance.server.hasEnded || (await instance.readStatus()).leaving,
   );
 }
 
